--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,341 +1,417 @@
-//! All decisions of a dispatcher. The host calls `start` once, then `listed`, `arrived`, `ended`, `left`,
-//! `purged`, `probed` and `woken` as things happen; these only update what is known. After each round it
-//! pulls decisions with `next` until there is none. The values are in `calls`, the settings in `settings`.
-//! The ordinary path is the semi-hashing rule of Ni et al.; docs/design.md lists every exception to it.
+//! All decisions of a dispatcher.
+//!
+//! The caller calls `start` once, then `listed`, `arrived`, `ended`, `left`, `purged`, `probed` and `woken`
+//! as events happen; these only update state. After each batch of events it pulls decisions with `next` until
+//! there is none. The values are in `calls`, the settings in `settings`. The ordinary path is the
+//! semi-hashing rule of Ni et al.; docs/design.md lists every exception to it.
 use crate::calls::*;
 use crate::containers::Mean;
 use crate::ids::*;
 use crate::settings::{Effect::*, Group, Settings};
 pub use crate::state::Brain;
-use crate::state::{Choice, Due, Gate, Host, Open, Sent, Shut};
+use crate::state::{Choice, FillLimiter, Host, OpenBreaker, OpenVisit, SentHandOff, Timer};
 use crate::time::{Span, Time};
 use rand::Rng;
 
-// The design's open values.
-const ALPHA: f64 = 1.0;
-const HALVING: Span = Span::millis(10_000);
-pub(crate) const FORGET: Span = Span::millis(30_000);
-const RANKS: [u8; 2] = [1, 3];
-const TOP_SHARE: f64 = 0.05;
-// Timer, final answers and further hand-offs.
-const ROUND: Span = Span::millis(10);
+// Popularity.
+/// α: an object is popular if its count is above α·r_ave.
+const POPULARITY_ALPHA: f64 = 1.0;
+const COUNT_HALF_LIFE: Span = Span::millis(10_000);
+pub(crate) const STATS_RETENTION: Span = Span::millis(30_000);
+/// Copy priority of objects that are not popular, and of popular ones.
+const FILL_RANKS: [u8; 2] = [1, 3];
+/// Largest share of all known bytes that the admitted set may have.
+const ADMITTED_BYTES_SHARE: f64 = 0.05;
+// Timers, deadlines and retries.
+const TICK_INTERVAL: Span = Span::millis(10);
 const SECOND: Span = Span::millis(1_000);
+/// Time kept before a visit's deadline for sending the final answer.
 const ANSWER_MARGIN: Span = Span::millis(25);
-const RETRY_SHARE: f64 = 0.25;
+/// Retries that each new visit adds to the budget.
+const RETRIES_PER_VISIT: f64 = 0.25;
 const RETRY_BURST: f64 = 12.0;
-const RETRY_AFTER: Span = Span::millis(50);
-// Health.
-const PHI_SILENT: f64 = 8.0;
-const SILENT_LEAST: Span = Span::millis(400);
-const GAP: [f64; 2] = [0.02, 0.6];
-const PAUSED: Span = Span::millis(100);
-const BAD_LEAST: f64 = 0.35;
-const BAD_OVER_PEERS: f64 = 5.0;
-const BAD_ALONE: f64 = 0.75;
-pub(crate) const BAD_WEIGHT: [f64; 2] = [0.12, 0.15];
-const ERRORS_ALIKE: usize = 2;
-pub(crate) const TRIALS_TO_OPEN: u32 = 3;
-// So long a good answer of its own is worth more than others' word, and says nothing of what ends later.
-const OWN_WORD: Span = Span::millis(300);
-pub(crate) const UNANSWERED: Span = OWN_WORD;
-const REST: [Span; 2] = [Span::millis(500), Span::millis(4_000)];
-const TOLD_REST: [f64; 2] = [0.3, 3.0];
-// Cold starts: the part of the permitted budget that is spent; how much of a window's at once, and up to one
-// attempt; how long an attempt may wait to go out.
-const COLD_SPEND: f64 = 0.75;
-const COLD_BURST: f64 = 0.2;
-const COLD_HELD: f64 = 0.8;
-const COLD_WAIT: f64 = 0.1;
-const SMALLER: f64 = 0.6;
-// Limits on what is in flight at a host.
-const LIMIT_START: f64 = 12.0;
-const LIMIT_A_TRANSFER: f64 = 2.0;
-const LIMIT_SLACK: f64 = 0.7;
-const LIMIT_LEAST: f64 = 2.0;
-const SLOWER_BORNE: f64 = 1.1;
-const LATE_BORNE: f64 = 0.45;
-// Fills: how many likely ones may be out for each transfer of the location's link, and at one parent of them;
-// what part of the quoted time they may take, and how full a link may be reported.
-const FILLS_A_TRANSFER: f64 = 1.75;
-const FILLS_START: f64 = 12.0;
-const FILLS_LATE: f64 = 0.4;
-const FILLS_AT_ONE: f64 = 0.5;
-const PARENT_LATE: f64 = 0.3;
-const SLOWER_ALONE: f64 = 1.3;
-pub(crate) const ONWARD_START: f64 = 0.3;
-const GATE_LEAST: f64 = 0.1;
-const LEARNED_IN: f64 = 4.0;
-const ORIGIN_LATE: f64 = 0.8;
-const LINK_FULL: f64 = 3.0;
-const BUSY_FULL: f64 = 0.8;
-const BUSY_HOLDS: Span = Span::millis(4_000);
-const BUSY_LEAST: f64 = 0.2;
-const BUSY_SILENT: f64 = 4.0;
-const PART_GROWS: f64 = 1.25;
-const PART_LEAST: f64 = 0.02;
-const PROBE_SHARE: f64 = 0.75;
+/// Retry-after times are drawn between this and twice this.
+const RETRY_AFTER_MIN: Span = Span::millis(50);
+// Host health.
+const SILENCE_PHI_THRESHOLD: f64 = 8.0;
+const SILENCE_MIN: Span = Span::millis(400);
+/// Lower bounds of the mean answer gap: in general, and divided by the number of gaps seen.
+const ANSWER_GAP_MIN_SECONDS: [f64; 2] = [0.02, 0.6];
+/// A longer time between two ticks is a pause of this process.
+const OWN_PAUSE_MIN: Span = Span::millis(100);
+const FAILURE_RATE_MIN: f64 = 0.35;
+/// A host is ejected only if its failure rate exceeds its peers' mean by this factor.
+const FAILURE_RATIO_TO_PEERS: f64 = 5.0;
+const FAILURE_RATE_MIN_ALONE: f64 = 0.75;
+/// Weight of one result in a failure rate: of a host, and of a source.
+pub(crate) const RESULT_WEIGHT: [f64; 2] = [0.12, 0.15];
+/// If this many other hosts failed a visit fast as well, the visit is at fault.
+const UNBLAMED_ERROR_HOSTS: usize = 2;
+pub(crate) const TRIALS_TO_RECOVER: u32 = 3;
+/// How long an own success outweighs reports of other dispatchers.
+const OWN_SUCCESS_VALIDITY: Span = Span::millis(300);
+/// A host counts as unreachable if it answered nothing for this long before the last evidence.
+pub(crate) const UNREACHED_MIN: Span = OWN_SUCCESS_VALIDITY;
+/// Shortest and longest interval between trials of an ejected host.
+const TRIAL_INTERVALS: [Span; 2] = [Span::millis(500), Span::millis(4_000)];
+/// For hosts that others report as bad too: lower bound of the first trial's random delay, as a share of the
+/// longest interval, and the largest factor by which that interval grows.
+const REPORTED_TRIAL_FACTORS: [f64; 2] = [0.3, 3.0];
+// Cold starts.
+/// Share of the permitted cold budget that is used.
+const COLD_BUDGET_FRACTION: f64 = 0.75;
+/// Largest burst, in windows of the budget.
+const COLD_BURST_WINDOWS: f64 = 0.2;
+/// Largest burst for a single attempt that exceeds `COLD_BURST_WINDOWS`.
+const COLD_SINGLE_BURST_WINDOWS: f64 = 0.8;
+/// Share of a window within which an attempt to a cold host has to be sent.
+const COLD_SEND_WINDOW_FRACTION: f64 = 0.1;
+const UNKNOWN_LOAD_MARGIN: f64 = 0.6;
+// Concurrency limits of hosts.
+const HOST_LIMIT_START: f64 = 12.0;
+const HOST_LIMIT_PER_TRANSFER: f64 = 2.0;
+/// Factor of the square root of a limit that is added to it.
+const HOST_LIMIT_SLACK: f64 = 0.7;
+const HOST_LIMIT_MIN: f64 = 2.0;
+/// Latency relative to the best one up to which a limit may grow.
+const SLOWDOWN_TARGET: f64 = 1.1;
+const HIT_LATENCY_TARGET: f64 = 0.45;
+// Fills. Latency targets are shares of the class's target latency.
+const FILLS_PER_TRANSFER: f64 = 1.75;
+/// Limit on fills where the capacity of the link is not configured.
+const FILL_LIMIT_START: f64 = 12.0;
+const FILL_LATENCY_TARGET: f64 = 0.4;
+/// Largest share of the fill limit at a single parent.
+const PARENT_FILL_SHARE_MAX: f64 = 0.5;
+const PARENT_LATENCY_TARGET: f64 = 0.3;
+/// Fill latency of a parent relative to its best one up to which it gets all its fills.
+const PARENT_SLOWDOWN_TARGET: f64 = 1.3;
+/// Assumed share of fills that reach the origin, before any is known.
+pub(crate) const ORIGIN_RATE_START: f64 = 0.3;
+const FILL_LIMIT_MIN: f64 = 0.1;
+/// A latency sample's weight is the time since the previous one over this, within bounds.
+const FULL_WEIGHT_SECONDS: f64 = 4.0;
+const ORIGIN_LATENCY_TARGET: f64 = 0.8;
+/// Reported link load above which caches are asked for cached copies only.
+const LINK_LOAD_MAX: f64 = 3.0;
+const LOAD_TARGET: f64 = 0.8;
+const LOAD_REPORT_VALIDITY: Span = Span::millis(4_000);
+const LOAD_ESTIMATE_MIN: f64 = 0.2;
+/// Load assumed for a host that does not answer a probe.
+const LOAD_IF_SILENT: f64 = 4.0;
+const FILL_ADMISSION_GROWTH_MAX: f64 = 1.25;
+const FILL_ADMISSION_MIN: f64 = 0.02;
+const PROBES_PER_VISIT: f64 = 0.75;
 const PROBE_BURST: f64 = 12.0;
-const REPORT_HOLDS: Span = Span::millis(1_500);
-const MISSES_START: [f64; 2] = [0.7, 0.1];
-const PATIENCE: f64 = 0.5;
-const FAILED_AS: f64 = 10.0;
-// Where notes are untold: a turn-away that took longer was the source's; what a likely hit says of it.
-const AT_ONCE: Span = Span::millis(60);
-const MAYBE_HIT: f64 = 0.1;
+const LINK_REPORT_VALIDITY: Span = Span::millis(1_500);
+/// Assumed miss rates: of parts not known to be cached, and of those known to be.
+const MISS_RATES_START: [f64; 2] = [0.7, 0.1];
+/// Share of the target latency for which a visit waits for another one's fill.
+const FILL_WAIT_FRACTION: f64 = 0.5;
+/// Latency ratio that a failed fill counts as.
+const FAILURE_LATENCY_RATIO: f64 = 10.0;
+/// Failures within this time are the host's own or the visit's; later ones may be the source's.
+const FAST_FAILURE_MAX: Span = Span::millis(60);
+/// Weight of an answer for its source where it is unknown whether it was a fill.
+const UNCERTAIN_FILL_WEIGHT: f64 = 0.1;
 
 impl Brain {
+    /// A decision module with an empty list of hosts.
     pub fn start(set: Settings, seed: u64, now: Time) -> Brain {
-        let mut brain = Brain::empty(set, seed);
-        brain.further.level = RETRY_BURST;
-        let link = brain.set.link_transfers();
-        let fills = link.map_or(FILLS_START, |transfers| FILLS_A_TRANSFER * transfers);
-        brain.gate.limit = fills / brain.set.sharers();
-        brain.gate.most = link.map_or(f64::INFINITY, |_| brain.gate.limit);
-        (brain.origin.limit, brain.origin.most) = (brain.gate.limit, f64::INFINITY);
-        (brain.gate.borne, brain.origin.borne) = (FILLS_LATE, ORIGIN_LATE);
-        (brain.gate.late.value, brain.origin.late.value) = (FILLS_LATE.ln(), ORIGIN_LATE.ln());
-        brain.due.put(now + HALVING, Due::Halve);
-        brain.due.put(now + SECOND, Due::Second);
-        brain.ready.push_back(Decision::Wake { after: ROUND });
+        let mut brain = Brain::with_settings(set, seed);
+        brain.retry_budget.level = RETRY_BURST;
+        let link = brain.settings.location_link_transfers();
+        let fills = link.map_or(FILL_LIMIT_START, |transfers| FILLS_PER_TRANSFER * transfers);
+        brain.fill_limiter.limit = fills / brain.settings.location_share_count();
+        brain.fill_limiter.max_limit = link.map_or(f64::INFINITY, |_| brain.fill_limiter.limit);
+        (brain.origin_limiter.limit, brain.origin_limiter.max_limit) =
+            (brain.fill_limiter.limit, f64::INFINITY);
+        (brain.fill_limiter.latency_target, brain.origin_limiter.latency_target) =
+            (FILL_LATENCY_TARGET, ORIGIN_LATENCY_TARGET);
+        (brain.fill_limiter.log_latency_ratio.value, brain.origin_limiter.log_latency_ratio.value) =
+            (FILL_LATENCY_TARGET.ln(), ORIGIN_LATENCY_TARGET.ln());
+        brain.timers.put(now + COUNT_HALF_LIFE, Timer::DecayCounts);
+        brain.timers.put(now + SECOND, Timer::EverySecond);
+        brain.decisions.push_back(Decision::Wake { after: TICK_INTERVAL });
         brain
     }
 
+    /// A visit has arrived.
     pub fn arrived(&mut self, now: Time, visit: Visit) {
-        let popular = self.is_popular(now, &visit);
-        self.further.level = (self.further.level + RETRY_SHARE).min(RETRY_BURST);
-        self.probes.level = (self.probes.level + PROBE_SHARE).min(PROBE_BURST);
-        let told = self.bands.get_mut(usize::from(visit.band.0)).zip(visit.kilobytes);
-        told.into_iter().for_each(|(seen, kb)| seen.kilobytes.push(kb, 0.01));
-        self.visits.insert(visit.id, Open::new(visit, popular, now));
-        self.due.put(visit.deadline - ANSWER_MARGIN, Due::Deadline(visit.id));
-        self.waiting.push_back(visit.id);
+        let is_popular = self.is_popular(now, &visit);
+        self.retry_budget.level = (self.retry_budget.level + RETRIES_PER_VISIT).min(RETRY_BURST);
+        self.probe_budget.level = (self.probe_budget.level + PROBES_PER_VISIT).min(PROBE_BURST);
+        let stats_and_size = self.class_stats.get_mut(usize::from(visit.band.0)).zip(visit.kilobytes);
+        stats_and_size.into_iter().for_each(|(seen, kb)| seen.kilobytes.push(kb, 0.01));
+        self.visits.insert(visit.id, OpenVisit::new(visit, is_popular, now));
+        self.timers.put(visit.deadline - ANSWER_MARGIN, Timer::Deadline(visit.id));
+        self.undecided.push_back(visit.id);
     }
 
+    /// A hand-off has ended.
     pub fn ended(&mut self, now: Time, end: Ended) {
-        let Some(sent) = self.sent.remove(&(end.visit, end.number)) else { return };
+        let Some(sent) = self.in_flight.remove(&(end.visit, end.number)) else { return };
         let by_cache = self.hosts.get(&sent.host).is_some_and(|h| self.is_cache(h));
-        self.gate.link = end.report.link_full.filter(|_| by_cache).map(|full| (now, full)).or(self.gate.link);
-        self.learn(now, &sent, &end);
-        self.weigh_errors(now, &sent, &end);
+        self.fill_limiter.reported_link_load = end
+            .report
+            .link_full
+            .filter(|_| by_cache)
+            .map(|full| (now, full))
+            .or(self.fill_limiter.reported_link_load);
+        self.update_host_stats(now, &sent, &end);
+        self.attribute_errors(now, &sent, &end);
         if end.outcome == Outcome::Settled && sent.host == sent.copy.2 {
-            self.copies.entry(sent.copy).or_default().settled = Some(now);
+            self.cached_copies.entry(sent.copy).or_default().confirmed_at = Some(now);
         }
         if end.last {
             return self.left(end.visit);
         }
         let Some(open) = self.visits.get_mut(&end.visit) else { return };
-        open.out = open.out.saturating_sub(1);
-        if !end.outcome.never_ran() && open.may_have_run.is_none_or(|(at, _)| sent.at < at) {
-            open.may_have_run = Some((sent.at, sent.host));
-        }
-        open.lacks = end.outcome == Outcome::Miss && sent.held;
-        open.looked = open.lacks || end.outcome == Outcome::Miss && sent.source.is_none();
-        if !open.looked && end.outcome != Outcome::Unsent {
-            let source = sent.source.filter(|_| source_at_fault(&end));
-            open.avoid.push(source.unwrap_or(sent.host));
-        }
-        self.waiting.extend((open.out == 0).then_some(end.visit));
-    }
-
-    /// An error at once is held against its host when the visit goes well elsewhere. Guards against visits
-    /// that no host can serve: a third host's error ends them, none is blamed, and further hand-offs are
-    /// given back. Harms where three hosts fail alike: that is found out late.
-    fn weigh_errors(&mut self, now: Time, sent: &Sent, end: &Ended) {
-        let shut = self.hosts.get(&sent.host).is_some_and(|h| h.shut.is_some());
-        let Some(open) = self.visits.get_mut(&end.visit).filter(|_| !shut) else { return };
-        if is_hasty(end) {
-            let others = open.errors.iter().filter(|other| other.host != sent.host).count();
-            open.errors.push(Sent { source: sent.source.filter(|_| end.note == Note::Untold), ..*sent });
-            open.hand_offs = if others >= ERRORS_ALIKE { u8::MAX } else { open.hand_offs };
+        open.in_flight = open.in_flight.saturating_sub(1);
+        if !end.outcome.never_ran() && open.first_possible_run.is_none_or(|(at, _)| sent.sent_at < at) {
+            open.first_possible_run = Some((sent.sent_at, sent.host));
+        }
+        open.has_parent_missed = end.outcome == Outcome::Miss && sent.is_cached_only;
+        open.has_cache_missed =
+            open.has_parent_missed || end.outcome == Outcome::Miss && sent.source.is_none();
+        if !open.has_cache_missed && end.outcome != Outcome::Unsent {
+            let source = sent.source.filter(|_| is_source_at_fault(&end));
+            open.failed_hosts.push(source.unwrap_or(sent.host));
+        }
+        self.undecided.extend((open.in_flight == 0).then_some(end.visit));
+    }
+
+    /// Counts a fast error against its host only once the visit succeeds elsewhere. Guards against visits
+    /// that no host can serve: after the third host's error they end, no host is blamed, and the retries are
+    /// returned to the budget. The cost: if three hosts are at fault it is detected late.
+    fn attribute_errors(&mut self, now: Time, sent: &SentHandOff, end: &Ended) {
+        let is_ejected = self.hosts.get(&sent.host).is_some_and(|h| h.breaker.is_some());
+        let Some(open) = self.visits.get_mut(&end.visit).filter(|_| !is_ejected) else { return };
+        if is_fast_error(end) {
+            let others = open.unattributed_errors.iter().filter(|other| other.host != sent.host).count();
+            open.unattributed_errors
+                .push(SentHandOff { source: sent.source.filter(|_| end.note == Note::Untold), ..*sent });
+            open.hand_offs = if others >= UNBLAMED_ERROR_HOSTS { u8::MAX } else { open.hand_offs };
         } else if matches!(end.outcome, Outcome::Settled | Outcome::Miss) {
-            for sent in std::mem::take(&mut open.errors) {
-                self.judge(now, sent.at, sent.host, true, BAD_WEIGHT[0]);
-                sent.source.into_iter().for_each(|id| self.judge(now, sent.at, id, true, BAD_WEIGHT[1]));
+            for sent in std::mem::take(&mut open.unattributed_errors) {
+                self.record_health(now, sent.sent_at, sent.host, true, RESULT_WEIGHT[0]);
+                sent.source
+                    .into_iter()
+                    .for_each(|id| self.record_health(now, sent.sent_at, id, true, RESULT_WEIGHT[1]));
             }
         }
     }
 
+    /// Runs due timers; called when the time of `Decision::Wake` has passed.
     pub fn woken(&mut self, now: Time) {
-        while let Some(due) = self.due.pop(now) {
+        while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Deadline(id) => self.give_up(id),
-                Due::Halve => {
-                    self.popularity.halve(now - FORGET);
-                    self.copies.retain(|_, c| c.leads > 0 || c.settled.is_some_and(|at| now < at + FORGET));
-                    self.due.put(now + HALVING, Due::Halve);
+                Timer::Deadline(id) => self.give_up(id),
+                Timer::DecayCounts => {
+                    self.popularity.decay(now - STATS_RETENTION);
+                    self.cached_copies.retain(|_, c| {
+                        c.fills_in_flight > 0 || c.confirmed_at.is_some_and(|at| now < at + STATS_RETENTION)
+                    });
+                    self.timers.put(now + COUNT_HALF_LIFE, Timer::DecayCounts);
                 }
-                Due::Second => self.each_second(now),
-                Due::Told(id) => self.untold(now, id),
+                Timer::EverySecond => self.each_second(now),
+                Timer::PeerReport(id) => self.expire_report(now, id),
             }
         }
-        // After a pause of this dispatcher itself the hosts' silence means nothing: it is counted anew.
-        if now > self.last_woken + PAUSED {
-            self.hosts.values_mut().for_each(|host| host.heard = now);
+        // After a pause of this process the hosts' silence means nothing, so it is measured from now.
+        if now > self.last_tick_at + OWN_PAUSE_MIN {
+            self.hosts.values_mut().for_each(|host| host.last_answer_at = now);
         }
-        self.last_woken = now;
-        self.watch_silence(now);
-        self.waiting.extend(self.parked.drain(..));
-        self.ready.push_back(Decision::Wake { after: ROUND });
+        self.last_tick_at = now;
+        self.detect_silent_hosts(now);
+        self.undecided.extend(self.awaiting_fill.drain(..));
+        self.decisions.push_back(Decision::Wake { after: TICK_INTERVAL });
     }
 
-    /// The next decision, or none until something more is known.
+    /// The next decision, or `None` until there is another event.
     pub fn next(&mut self, now: Time) -> Option<Decision> {
-        while self.ready.is_empty() {
-            let id = self.waiting.pop_front()?;
+        while self.decisions.is_empty() {
+            let id = self.undecided.pop_front()?;
             self.decide(now, id);
         }
-        self.ready.pop_front()
+        self.decisions.pop_front()
     }
 
-    /// Counts r_i and tells whether the object is popular: r_i > α·r_ave over the admitted set, or the set
-    /// is empty. The set's bytes are held to a share of all that is remembered.
+    /// Counts r_i and returns whether the object is popular: r_i > α·r_ave over the admitted set, or the set
+    /// is empty. The set's bytes are limited to a share of all known bytes.
     fn is_popular(&mut self, now: Time, visit: &Visit) -> bool {
-        let bytes = visit.kilobytes.unwrap_or_else(|| self.sending(visit.band) * self.set.pace);
-        let known = &mut self.popularity;
-        known.count(now, visit.object, visit.part, bytes);
-        let Some(asked) = known.asked.get(&visit.object) else { return false };
-        if known.admitted > 0 && asked.count <= ALPHA * known.mean() {
+        let bytes = visit.kilobytes.unwrap_or_else(|| self.transfer_seconds(visit.band) * self.settings.pace);
+        let popularity = &mut self.popularity;
+        popularity.record_visit(now, visit.object, visit.part, bytes);
+        let Some(stats) = popularity.objects.get(&visit.object) else { return false };
+        if popularity.admitted_objects > 0
+            && stats.visits <= POPULARITY_ALPHA * popularity.mean_admitted_visits()
+        {
             return false;
         }
-        let room = known.admitted_bytes + asked.bytes <= TOP_SHARE * known.bytes;
-        let admitted = asked.admitted || known.admitted == 0 || room;
-        if admitted {
-            known.admit(visit.object);
+        let fits =
+            popularity.admitted_bytes + stats.known_bytes <= ADMITTED_BYTES_SHARE * popularity.known_bytes;
+        let is_admitted = stats.is_admitted || popularity.admitted_objects == 0 || fits;
+        if is_admitted {
+            popularity.admit(visit.object);
         }
-        admitted
+        is_admitted
     }
 
     fn decide(&mut self, now: Time, id: VisitId) {
-        let Some(open) = self.visits.get(&id).filter(|open| open.out == 0) else { return };
-        let (visit, again) = (open.visit, open.hand_offs > 0 && !open.looked);
-        let late = now >= self.may_go_until(open);
-        let used_up = open.hand_offs >= self.set.max_hand_offs || (again && !self.may_repeat(now));
-        if late || used_up {
+        let Some(open) = self.visits.get(&id).filter(|open| open.in_flight == 0) else { return };
+        let (visit, is_retry) = (open.visit, open.hand_offs > 0 && !open.has_cache_missed);
+        let is_late = now >= self.latest_hand_off(open);
+        let has_no_hand_offs_left =
+            open.hand_offs >= self.settings.max_hand_offs || (is_retry && !self.may_retry(now));
+        if is_late || has_no_hand_offs_left {
             return self.give_up(id);
         }
-        let writes = self.band(visit.band).is_some_and(|band| band.writes);
-        let choice = if writes { self.choose_for_write(now, visit) } else { self.choose(now, visit) };
+        let is_write = self.class_settings(visit.band).is_some_and(|band| band.writes);
+        let choice = if is_write { self.choose_for_write(now, visit) } else { self.choose(now, visit) };
         match choice {
             Choice::HandOff(host, fill) => self.hand_off(now, id, host, fill),
-            Choice::Wait => self.parked.push(id),
+            Choice::Wait => self.awaiting_fill.push(id),
             Choice::GiveUp => self.give_up(id),
         }
     }
 
-    /// The one place that says until when a visit may be handed off (again), by what is known of its effects.
-    fn may_go_until(&self, open: &Open) -> Time {
+    /// Until when a visit may be handed off, given its class's effect and what may have been executed. No
+    /// other code decides this.
+    fn latest_hand_off(&self, open: &OpenVisit) -> Time {
         let last = open.visit.deadline - ANSWER_MARGIN;
-        let Some((first, _)) = open.may_have_run else { return last };
-        match self.band(open.visit.band).map(|band| band.effect) {
+        let Some((first, _)) = open.first_possible_run else { return last };
+        match self.class_settings(open.visit.band).map(|band| band.effect) {
             Some(Idempotent) => last,
             Some(Deduplicated { memory, .. }) => last.min(first + memory - ANSWER_MARGIN),
             _ => Time::default(),
         }
     }
 
-    /// Whether a host has not failed the visit yet and drops its repeats, where it may have run.
-    fn fits(&self, open: &Open, host: HostId) -> bool {
-        if open.avoid.contains(&host) {
+    /// Whether a host has not failed the visit yet, and deduplicates it if it may have been executed.
+    fn is_eligible(&self, open: &OpenVisit, host: HostId) -> bool {
+        if open.failed_hosts.contains(&host) {
             return false;
         }
-        let Some((_, first)) = open.may_have_run else { return true };
+        let Some((_, first)) = open.first_possible_run else { return true };
         let both = self.hosts.get(&first).zip(self.hosts.get(&host));
-        let alike = |same: fn(&Host, &Host) -> bool| both.is_some_and(|(a, b)| same(a, b));
-        match self.band(open.visit.band).map(|band| band.effect) {
+        let match_by = |same: fn(&Host, &Host) -> bool| both.is_some_and(|(a, b)| same(a, b));
+        match self.class_settings(open.visit.band).map(|band| band.effect) {
             Some(Deduplicated { group: Group::Location, .. }) => {
-                alike(|a, b| a.entry.location == b.entry.location)
+                match_by(|a, b| a.entry.location == b.entry.location)
             }
-            Some(Deduplicated { group: Group::Cell, .. }) => alike(|a, b| a.entry.cell == b.entry.cell),
+            Some(Deduplicated { group: Group::Cell, .. }) => match_by(|a, b| a.entry.cell == b.entry.cell),
             _ => true,
         }
     }
 
-    /// The final answer where none came by itself: turned back where that is harmless, else written off.
+    /// Gives the final answer to a visit that no host served: it is refused if a repeat by the client is
+    /// safe, else failed.
     pub fn give_up(&mut self, id: VisitId) {
         let Some(open) = self.visits.get(&id) else { return };
-        let may_have_run = open.may_have_run.is_some() || open.out > 0;
-        let harmless = match self.band(open.visit.band).map(|band| band.effect) {
+        let may_have_run = open.first_possible_run.is_some() || open.in_flight > 0;
+        let is_repeat_safe = match self.class_settings(open.visit.band).map(|band| band.effect) {
             Some(Idempotent | Deduplicated { group: Group::All, .. }) => true,
             _ => !may_have_run,
         };
-        self.further.level += open.errors.len().saturating_sub(1) as f64;
+        self.retry_budget.level += open.unattributed_errors.len().saturating_sub(1) as f64;
         self.left(id);
-        self.ready.push_back(if harmless {
-            let retry_after = RETRY_AFTER.times(self.chance.gen_range(1.0..2.0));
-            Decision::TurnBack { visit: id, retry_after: retry_after.min(self.set.retry_after_most) }
+        self.decisions.push_back(if is_repeat_safe {
+            let retry_after = RETRY_AFTER_MIN.times(self.rng.gen_range(1.0..2.0));
+            Decision::TurnBack { visit: id, retry_after: retry_after.min(self.settings.retry_after_most) }
         } else {
             Decision::WriteOff { visit: id }
         });
     }
 
-    /// A host that was asked tells how busy it is, or nothing in the time for that. Guards against sources
-    /// that are full, slow or silent and show it in too few fills of this dispatcher's own; harms one whose
-    /// probes get lost on the way, which has a smaller part for some seconds.
+    /// A host has answered a load probe, or failed to in time. Guards against sources that are full, slow or
+    /// silent and have too few fills of this dispatcher to show it. A source whose probes get lost on the way
+    /// gets fewer fills for some seconds.
     pub fn probed(&mut self, now: Time, id: HostId, report: Report) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        let busy = report.busy.unwrap_or(BUSY_SILENT);
-        host.busy = Some((now, busy));
-        host.part = (host.part * (BUSY_FULL / busy.max(0.1)).min(PART_GROWS)).clamp(PART_LEAST, 1.0);
+        let load = report.busy.unwrap_or(LOAD_IF_SILENT);
+        host.reported_load = Some((now, load));
+        host.fill_admission = (host.fill_admission
+            * (LOAD_TARGET / load.max(0.1)).min(FILL_ADMISSION_GROWTH_MAX))
+        .clamp(FILL_ADMISSION_MIN, 1.0);
     }
 
-    /// The ordinary path: the designated cache, or for a popular object the less busy of that and the next
-    /// one by object and part; filled from the parent hashed over all listed ones.
+    /// The ordinary path: the designated cache, or for a popular object the less utilized of that and the
+    /// next one by object and part, filled from the parent that the object hashes to.
     fn choose(&mut self, now: Time, visit: Visit) -> Choice {
         let Some(open) = self.visits.get(&visit.id) else { return Choice::GiveUp };
-        let (popular, looked, lacks, since) = (open.popular, open.looked, open.lacks, open.since);
-        let fits = |host: &HostId| self.fits(open, *host);
-        // Past the designated cache parts go apart: a large object doesn't take the next cache down as well.
-        let home = self.by_hash(visit.object.0, |h| self.is_cache(h)).first().copied();
+        let (is_popular, has_cache_missed, has_parent_missed, arrived_at) =
+            (open.is_popular, open.has_cache_missed, open.has_parent_missed, open.arrived_at);
+        let is_eligible = |host: &HostId| self.is_eligible(open, *host);
+        // Beyond the designated cache parts are hashed separately, so that a large object does not overload
+        // the next cache as well.
+        let designated = self.hosts_by_hash(visit.object.0, |h| self.is_cache(h)).first().copied();
         let mut caches =
-            self.by_hash(visit.object.0 ^ (u64::from(visit.part) + 1) << 52, |h| self.is_cache(h));
-        let second = caches.iter().copied().find(|c| Some(*c) != home);
-        let second = second.filter(|own| popular && home.is_some_and(|h| self.busy(*own) < self.busy(h)));
-        caches.sort_by_key(|cache| (Some(*cache) != second, Some(*cache) != home));
-        caches.retain(fits);
-        let mut sources = self.by_hash(self.parent_key(&visit), |h| self.is_parent(h));
-        sources.retain(fits);
-        let origin = self.by_hash(visit.object.0, |h| self.is_origin(h)).into_iter().find(fits);
-        // Guards against an origin that is slow, full or fallen: with no room there the parent is asked for
-        // what it holds, so that its hits go on and the origin keeps its places for writes and recovery.
-        let shared = self.origin_takes(now, f64::from(lacks));
-        let deep = shared && (!self.origin.is_late() || self.has_part(self.origin.limit - self.origin.fills));
-        sources.extend(origin.filter(|_| deep));
+            self.hosts_by_hash(visit.object.0 ^ (u64::from(visit.part) + 1) << 52, |h| self.is_cache(h));
+        let alternative = caches.iter().copied().find(|c| Some(*c) != designated);
+        let alternative = alternative.filter(|own| {
+            is_popular && designated.is_some_and(|h| self.utilization(*own) < self.utilization(h))
+        });
+        caches.sort_by_key(|cache| (Some(*cache) != alternative, Some(*cache) != designated));
+        caches.retain(is_eligible);
+        let mut sources = self.hosts_by_hash(self.parent_key(&visit), |h| self.is_parent(h));
+        sources.retain(is_eligible);
+        let origin = self.hosts_by_hash(visit.object.0, |h| self.is_origin(h)).into_iter().find(is_eligible);
+        // Guards against an origin that is slow, full or down: without capacity there the parent is asked for
+        // cached copies only, so that its hits continue and the origin keeps capacity for writes and
+        // recovery.
+        let origin_admits = self.admits_to_origin(now, f64::from(has_parent_missed));
+        let may_reach_origin = origin_admits
+            && (!self.origin_limiter.exceeds_latency_target()
+                || self.admits(self.origin_limiter.limit - self.origin_limiter.expected_fills));
+        sources.extend(origin.filter(|_| may_reach_origin));
         let work = self.cold_cost(visit.band);
-        let (rank, join) = (RANKS[usize::from(popular)], self.set.joins);
-        let renew = self.band(visit.band).is_some_and(|band| band.fresh > Span::ZERO);
-        let no_caches = caches.is_empty();
-        let mut cache = caches.iter().copied().find(|c| self.has_room(now, *c) && self.able(now, *c, work));
-        // A cache that fails now and then is better than none: it goes on where no other takes the visit.
+        let (rank, join) = (FILL_RANKS[usize::from(is_popular)], self.settings.joins);
+        let renew = self.class_settings(visit.band).is_some_and(|band| band.fresh > Span::ZERO);
+        let has_no_caches = caches.is_empty();
+        let mut cache =
+            caches.iter().copied().find(|c| self.has_room(now, *c) && self.can_send(now, *c, work));
+        // A cache that fails sometimes is better than none, where no other takes the visit.
         if cache.is_none() {
-            let fails = |b: &Brain, c| b.hosts[&c].bad.value > BAD_LEAST && b.cold_budget(now, c).is_none();
-            cache = caches.into_iter().find(|c| fails(self, *c) && self.has_room(now, *c));
+            let is_unreliable = |b: &Brain, c| {
+                b.hosts[&c].failure_rate.value > FAILURE_RATE_MIN && b.cold_budget(now, c).is_none()
+            };
+            cache = caches.into_iter().find(|c| is_unreliable(self, *c) && self.has_room(now, *c));
         }
-        if !no_caches && cache.is_none() {
+        if !has_no_caches && cache.is_none() {
             return Choice::GiveUp;
         }
-        // An own fill under way is joined or waited for: guards against the same bytes coming in twice.
-        let led = cache.is_some_and(|cache| self.is_led(now, &visit, cache));
-        let patience = self.band(visit.band).map_or(Span::ZERO, |band| band.quoted.times(PATIENCE));
-        if led && !join && now < since + patience {
+        // A fill in flight is joined or waited for. Guards against transferring the same bytes twice.
+        let is_fill_in_flight = cache.is_some_and(|cache| self.is_fill_in_flight(now, &visit, cache));
+        let max_wait =
+            self.class_settings(visit.band).map_or(Span::ZERO, |band| band.quoted.times(FILL_WAIT_FRACTION));
+        if is_fill_in_flight && !join && now < arrived_at + max_wait {
             return Choice::Wait;
         }
-        // Guards against any jam behind the caches (a full link, crowded parents, no places for fills): with
-        // no room a cache is asked without a fill, so that hits go on. Costs a short hand-off a miss then.
-        let crowded = self.gate.link.is_some_and(|(at, full)| now < at + REPORT_HOLDS && full > LINK_FULL);
-        let through =
-            (deep || !lacks) && (led && join || !crowded && self.has_part(self.gate.limit - self.gate.fills));
-        let source = sources.into_iter().find(|s| through && self.takes_part(*s) && self.able(now, *s, work));
-        let held = source.is_some() && !deep;
-        let oldest = self.oldest(now, &visit, source.is_some() && deep);
+        // Guards against congestion behind the caches (a full link, overloaded parents, no capacity for
+        // fills): beyond the limit a cache is asked for cached copies only, so that hits continue. The cost
+        // is one more hand-off for each miss.
+        let is_link_congested = self
+            .fill_limiter
+            .reported_link_load
+            .is_some_and(|(at, full)| now < at + LINK_REPORT_VALIDITY && full > LINK_LOAD_MAX);
+        let may_fill = (may_reach_origin || !has_parent_missed)
+            && (is_fill_in_flight && join
+                || !is_link_congested
+                    && self.admits(self.fill_limiter.limit - self.fill_limiter.expected_fills));
+        let source =
+            sources.into_iter().find(|s| may_fill && self.admits_fill(*s) && self.can_send(now, *s, work));
+        let is_cached_only = source.is_some() && !may_reach_origin;
+        let oldest = self.max_copy_age(now, &visit, source.is_some() && may_reach_origin);
         match (cache, source) {
-            (_, None) if looked => Choice::GiveUp,
+            (_, None) if has_cache_missed => Choice::GiveUp,
             (Some(cache), source) => {
-                self.gate.looks += u32::from(source.is_none());
-                self.origin.looks += u32::from(held);
+                self.fill_limiter.restricted_count += u32::from(source.is_none());
+                self.origin_limiter.restricted_count += u32::from(is_cached_only);
                 let source = source.unwrap_or(cache);
-                Choice::HandOff(cache, Some(Fill { source, rank, oldest, join, renew, held }))
+                Choice::HandOff(cache, Some(Fill { source, rank, oldest, join, renew, held: is_cached_only }))
             }
-            (None, Some(host)) if self.set.direct && no_caches && shared => {
+            (None, Some(host)) if self.settings.direct && has_no_caches && origin_admits => {
                 let source = origin.unwrap_or(host);
                 Choice::HandOff(host, Some(Fill { source, rank: 0, oldest, join, renew: false, held: false }))
             }
@@ -343,469 +419,609 @@
         }
     }
 
-    /// What a fill's parent is hashed by: the object. Guards against an object that all caches want at once
-    /// and no parent can send to all: where they outnumber a parent's transfers each part has a parent of its
-    /// own, the same one for all. Harms a viewing when one parent is lost: a few parts of it are, instead of
-    /// all or none.
+    /// Key by which a fill's parent is chosen: the object. If there are more caches than transfers of one
+    /// parent, each part has a key of its own. Guards against an object that all caches request at once and
+    /// one parent cannot send to all. The cost: the loss of one parent affects some parts of many objects,
+    /// not all parts of few.
     fn parent_key(&self, visit: &Visit) -> u64 {
         let ready = || self.hosts.values().filter(|h| h.is_ready() && !self.is_origin(h));
         let parents = ready().filter(|h| self.is_parent(h));
         let (count, carried) = parents.fold((0.0, 0.0), |(n, sum), h| (n + 1.0, sum + h.entry.weight));
-        let apart = self.set.weights_told && (ready().count() as f64 - count) * count > carried;
-        visit.object.0 ^ if apart { u64::from(visit.part) << 52 } else { 0 }
+        let has_part_keys = self.settings.weights_told && (ready().count() as f64 - count) * count > carried;
+        visit.object.0 ^ if has_part_keys { u64::from(visit.part) << 52 } else { 0 }
     }
 
-    /// Writes run at the origin: straight where that is allowed, else through a cache.
+    /// Writes run at the origin: directly if that is allowed, else through a cache.
     fn choose_for_write(&mut self, now: Time, visit: Visit) -> Choice {
-        let origin = self.by_hash(visit.object.0, |h| self.is_origin(h)).first().copied();
-        let origin = origin.filter(|_| self.origin_takes(now, 1.0));
+        let origin = self.hosts_by_hash(visit.object.0, |h| self.is_origin(h)).first().copied();
+        let origin = origin.filter(|_| self.admits_to_origin(now, 1.0));
         let (Some(source), Some(open)) = (origin, self.visits.get(&visit.id)) else { return Choice::GiveUp };
-        if self.set.direct {
+        if self.settings.direct {
             return Choice::HandOff(source, None);
         }
-        let mut caches = self.by_hash(visit.object.0, |h| self.is_cache(h));
-        caches.retain(|host| self.fits(open, *host));
+        let mut caches = self.hosts_by_hash(visit.object.0, |h| self.is_cache(h));
+        caches.retain(|host| self.is_eligible(open, *host));
         let fill = Fill { source, rank: 0, oldest: Span::ZERO, join: false, renew: false, held: false };
         let work = self.cold_cost(visit.band);
-        let cache = caches.into_iter().find(|cache| self.able(now, *cache, work));
+        let cache = caches.into_iter().find(|cache| self.can_send(now, *cache, work));
         cache.map_or(Choice::GiveUp, |cache| Choice::HandOff(cache, Some(fill)))
     }
 
     fn hand_off(&mut self, now: Time, id: VisitId, host: HostId, fill: Option<Fill>) {
         let Some(open) = self.visits.get(&id) else { return };
-        let (visit, latest) = (open.visit, self.may_go_until(open));
+        let (visit, latest) = (open.visit, self.latest_hand_off(open));
         let (copy, until) = ((visit.object, visit.part, host), visit.deadline - ANSWER_MARGIN);
-        let known = self.knows(now, &visit, host);
-        let start = MISSES_START[usize::from(known)];
-        let misses = self.hosts.get(&host).map_or(start, |h| h.misses[usize::from(known)].or(start));
+        let known = self.is_known_cached(now, &visit, host);
+        let start = MISS_RATES_START[usize::from(known)];
+        let misses = self.hosts.get(&host).map_or(start, |h| h.miss_rates[usize::from(known)].or(start));
         let source = fill.map(|fill| fill.source).filter(|source| *source != host);
         let to_origin = source.and_then(|id| self.hosts.get(&id)).is_some_and(|h| self.is_origin(h));
-        let joins = self.set.joins && self.is_led(now, &visit, host);
+        let joins_fill = self.settings.joins && self.is_fill_in_flight(now, &visit, host);
         let work = self.cold_cost(visit.band);
         let Some(open) = self.visits.get_mut(&id) else { return };
         let number = HandOffNo(open.hand_offs);
         open.hand_offs += 1;
-        open.out += 1;
-        let sure = std::mem::take(&mut open.looked) || fill.is_some_and(|fill| fill.rank == 0);
-        let lacks = std::mem::take(&mut open.lacks);
-        let share = if sure { 1.0 } else { misses };
-        let fill_share = if source.is_none() || joins { 0.0 } else { share };
-        let due = self.hosts.get(&host).and_then(|h| h.shut).is_none_or(|shut| now >= shut.next_trial);
+        open.in_flight += 1;
+        let is_certain =
+            std::mem::take(&mut open.has_cache_missed) || fill.is_some_and(|fill| fill.rank == 0);
+        let has_parent_missed = std::mem::take(&mut open.has_parent_missed);
+        let share = if is_certain { 1.0 } else { misses };
+        let fill_share = if source.is_none() || joins_fill { 0.0 } else { share };
+        let due =
+            self.hosts.get(&host).and_then(|h| h.breaker).is_none_or(|breaker| now >= breaker.next_trial_at);
         let tried = if due { now } else { Time::default() };
-        for part in [Some(host), source].into_iter().flatten() {
-            let Some(known) = self.hosts.get_mut(&part) else { continue };
-            known.cold.level -= work;
-            known.shut.iter_mut().filter(|s| now >= s.next_trial).for_each(|s| s.next_trial = now + s.rest);
-        }
-        // Guards against attempts decided over a second that wait for connections and come within one window.
-        let waits = [Some(host), source].into_iter().flatten().filter_map(|part| self.cold_whole(now, part));
-        let latest = waits.fold(latest, |at, (_, window)| at.min(now + Span::seconds(COLD_WAIT * window)));
+        for id in [Some(host), source].into_iter().flatten() {
+            let Some(known) = self.hosts.get_mut(&id) else { continue };
+            known.cold_bucket.level -= work;
+            known
+                .breaker
+                .iter_mut()
+                .filter(|s| now >= s.next_trial_at)
+                .for_each(|s| s.next_trial_at = now + s.trial_interval);
+        }
+        // Guards against attempts that wait for connections and then reach a cold host within one window.
+        let waits =
+            [Some(host), source].into_iter().flatten().filter_map(|id| self.total_cold_budget(now, id));
+        let latest = waits
+            .fold(latest, |at, (_, window)| at.min(now + Span::seconds(COLD_SEND_WINDOW_FRACTION * window)));
         let held = fill.is_some_and(|fill| fill.held);
-        let onward = if lacks || to_origin { 1.0 } else { self.origin.onward.or(ONWARD_START) };
-        let origin_share = if held { 0.0 } else { fill_share * onward };
+        let origin_rate = if has_parent_missed || to_origin {
+            1.0
+        } else {
+            self.origin_limiter.origin_rate.or(ORIGIN_RATE_START)
+        };
+        let origin_share = if held { 0.0 } else { fill_share * origin_rate };
         let (leads, band) = (!known && fill_share > 0.0, visit.band);
-        let sent =
-            Sent { at: now, tried, host, source, band, copy, known, leads, fill_share, origin_share, held };
-        self.count(&sent, 1);
-        self.sent.insert((id, number), sent);
-        self.ready.push_back(Decision::HandOff { visit: id, host, until, latest, fill });
-    }
-
-    /// The oldest copy that will do. After a purge it is the time since, never zero (the default), from then on: a
-    /// host that stood still has not dropped older ones. Where purges may be unheard, the time in which one
-    /// counts: a copy that young is older than none that binds. Guards rule 5.
-    fn oldest(&self, now: Time, visit: &Visit, filled: bool) -> Span {
-        let Some(band) = self.band(visit.band) else { return Span::ZERO };
-        let most = if filled { band.fresh } else { band.fresh + band.grace };
-        let most = Some(most).filter(|_| band.fresh > Span::ZERO);
-        let purge = self.purges.last(visit.group, visit.object);
-        let since = purge.map(|at| (now - at).max(Span(1)));
-        let unknown = self.unproven.into_iter().chain(self.unheard);
-        since.into_iter().chain(most).chain(unknown).min().unwrap_or(Span::ZERO)
-    }
-
-    /// Whether a host may be sent one more visit now: not shut out, and within its budget while it is cold.
-    fn able(&mut self, now: Time, id: HostId, work: f64) -> bool {
+        let sent = SentHandOff {
+            sent_at: now,
+            trial_sent_at: tried,
+            host,
+            source,
+            band,
+            copy,
+            was_cached: known,
+            is_first_fill: leads,
+            fill_probability: fill_share,
+            origin_probability: origin_share,
+            is_cached_only: held,
+        };
+        self.count_in_flight(&sent, 1);
+        self.in_flight.insert((id, number), sent);
+        self.decisions.push_back(Decision::HandOff { visit: id, host, until, latest, fill });
+    }
+
+    /// Maximum age of a copy, zero for any age. Once the object was purged it is the time since then, and
+    /// never zero, since a stalled host may not have dropped older copies. While purges may have been missed
+    /// it is at most the time in which a purge has to be obeyed. Guards rule 5.
+    fn max_copy_age(&self, now: Time, visit: &Visit, filled: bool) -> Span {
+        let Some(band) = self.class_settings(visit.band) else { return Span::ZERO };
+        let max_age = if filled { band.fresh } else { band.fresh + band.grace };
+        let max_age = Some(max_age).filter(|_| band.fresh > Span::ZERO);
+        let purge = self.purges.latest(visit.group, visit.object);
+        let since_purge = purge.map(|at| (now - at).max(Span(1)));
+        let while_unverified = self.unverified_max_age.into_iter().chain(self.log_silence_max_age);
+        since_purge.into_iter().chain(max_age).chain(while_unverified).min().unwrap_or(Span::ZERO)
+    }
+
+    /// Whether a host may be sent one more visit now: not ejected, or due for a trial, and within its cold
+    /// budget.
+    fn can_send(&mut self, now: Time, id: HostId, work: f64) -> bool {
         if let Some((rate, window)) = self.cold_budget(now, id) {
-            // Less than one attempt is a chance, spent whether it comes or not: many parts hold in sum.
-            let most = (rate * window * COLD_BURST).max((rate * window * COLD_HELD).min(work));
-            let level = self.hosts.get_mut(&id).map_or(0.0, |h| h.cold.refill(now, rate, most));
-            let comes = self.has_part(level / work);
+            // A level below one attempt is a probability, spent whether or not it admits: so the parts of
+            // many dispatchers hold in total.
+            let max = (rate * window * COLD_BURST_WINDOWS)
+                .max((rate * window * COLD_SINGLE_BURST_WINDOWS).min(work));
+            let level = self.hosts.get_mut(&id).map_or(0.0, |h| h.cold_bucket.refill(now, rate, max));
+            let is_admitted = self.admits(level / work);
             if let Some(host) = self.hosts.get_mut(&id).filter(|_| level < work) {
-                host.cold.level = if comes { work } else { level.min(0.0) };
-                host.cold_use.refused += if comes { 0.0 } else { work };
+                host.cold_bucket.level = if is_admitted { work } else { level.min(0.0) };
+                host.cold_usage.refused += if is_admitted { 0.0 } else { work };
             }
-            if !comes {
+            if !is_admitted {
                 return false;
             }
         }
-        self.hosts.get(&id).is_some_and(|h| h.shut.is_none_or(|shut| now >= shut.next_trial))
+        self.hosts.get(&id).is_some_and(|h| h.breaker.is_none_or(|breaker| now >= breaker.next_trial_at))
     }
 
-    /// Guards rule 4. What this dispatcher may send a cold host each second, in seconds of sending time: its
-    /// part of multiple x present capacity, which rises in a line from the cold share; and a window.
+    /// Budget of this dispatcher for a cold host, in seconds of transfer time a second, and its window in
+    /// seconds: a part of `multiple` x present capacity, which rises linearly from the initial share. Guards
+    /// rule 4.
     pub(crate) fn cold_budget(&self, now: Time, id: HostId) -> Option<(f64, f64)> {
-        let (whole, window) = self.cold_whole(now, id)?;
-        Some((self.cold_part(now, id, whole), window))
+        let (whole, window) = self.total_cold_budget(now, id)?;
+        Some((self.cold_allotment(now, id, whole), window))
     }
 
-    /// What all may send it a second, by its age half a window ago (the bound is of a window's begin).
-    pub(crate) fn cold_whole(&self, now: Time, id: HostId) -> Option<(f64, f64)> {
+    /// Budget of all dispatchers together, by the host's age half a window ago, since the bound applies to
+    /// the beginning of a window.
+    pub(crate) fn total_cold_budget(&self, now: Time, id: HostId) -> Option<(f64, f64)> {
         let host = self.hosts.get(&id)?;
-        let rules = if self.is_parent(host) { self.set.cold_parent } else { self.set.cold_cache };
-        let age = host.age(now).filter(|age| *age < rules.ramp)?;
+        let rules = if self.is_parent(host) { self.settings.cold_parent } else { self.settings.cold_cache };
+        let age = host.process_age(now).filter(|age| *age < rules.ramp)?;
         let (window, ramp) = (rules.window.as_seconds(), rules.ramp.as_seconds());
         let warm = rules.share + (1.0 - rules.share) * (age.as_seconds() - window / 2.0).max(0.0) / ramp;
-        Some((COLD_SPEND * rules.multiple * warm * self.capacity(host), window))
+        Some((COLD_BUDGET_FRACTION * rules.multiple * warm * self.capacity(host), window))
     }
 
-    /// Guards against slow parents (ageing, crowded, cold, half broken, one or all): one whose fills take too
-    /// much of the quoted time, and more than at its best, is named for a part in proportion, and the next
-    /// source for the rest. Harms where the next one is no better: it starts empty for the object.
-    fn takes_part(&mut self, id: HostId) -> bool {
+    /// Whether a source gets this fill. One whose fills take too much of the target latency, and longer than
+    /// its best, gets a proportional share of them, and the next source the rest. Guards against slow or
+    /// overloaded parents. The cost: the next source starts without a copy of the object.
+    fn admits_fill(&mut self, id: HostId) -> bool {
         let known = self.hosts.get(&id);
-        let part = known.map_or(1.0, |h| h.part);
-        let slower =
-            known.map_or(0.0, |h| h.late.value.exp() / PARENT_LATE.max(SLOWER_ALONE * h.load.best()));
-        let crowded = known.is_some_and(|h| h.fills >= 1.0 && h.fills > FILLS_AT_ONE * self.gate.limit);
-        !crowded && self.has_part(part / slower.max(1.0))
+        let part = known.map_or(1.0, |h| h.fill_admission);
+        let slowdown = known.map_or(0.0, |h| {
+            h.log_latency_ratio.value.exp()
+                / PARENT_LATENCY_TARGET.max(PARENT_SLOWDOWN_TARGET * h.latency_gradient.best())
+        });
+        let is_at_limit = known.is_some_and(|h| {
+            h.expected_fills >= 1.0 && h.expected_fills > PARENT_FILL_SHARE_MAX * self.fill_limiter.limit
+        });
+        !is_at_limit && self.admits(part / slowdown.max(1.0))
     }
 
-    /// Whether a cache takes one more: it tells that it has room, for all that ask it, or the limit leaves
-    /// some. Guards against visits that leave their designated cache since this dispatcher's share of its
-    /// limit is below one; harms a cache that fills up within the seconds for which its word holds.
+    /// Whether a cache takes one more: it reports spare capacity, or the limit leaves some. Guards against
+    /// visits that leave their designated cache because this dispatcher's share of its limit is below one.
+    /// The cost: a cache may become full while its last report still counts.
     fn has_room(&mut self, now: Time, id: HostId) -> bool {
         let Some(host) = self.hosts.get(&id) else { return false };
-        let free = host.busy.is_some_and(|(at, busy)| now < at + BUSY_HOLDS && busy < BUSY_FULL);
+        let has_spare_capacity = host
+            .reported_load
+            .is_some_and(|(at, load)| now < at + LOAD_REPORT_VALIDITY && load < LOAD_TARGET);
         let room = self.limit(host).max(1.0) - f64::from(host.in_flight);
-        free || self.has_part(room)
+        has_spare_capacity || self.admits(room)
     }
 
-    /// The limit on what is in flight at a host, held to what its listed size can serve in time: the gradient
-    /// alone can't tell where all it ever saw was overload.
+    /// The limit on hand-offs in flight at a host. It is capped by what the listed weight can serve in time,
+    /// since the gradient finds no limit for a host that was always overloaded.
     pub(crate) fn limit(&self, host: &Host) -> f64 {
-        let told = self.set.weights_told;
-        let whole = if told { LIMIT_A_TRANSFER * host.entry.weight } else { LIMIT_START };
-        let share = whole / self.set.sharers();
-        let start = if told { share + LIMIT_SLACK * share.sqrt() } else { share };
-        let most = if told { start } else { f64::INFINITY };
-        Some(host.load.limit).filter(|limit| *limit > 0.0).map_or(start, |limit| limit.min(most))
+        let has_weights = self.settings.weights_told;
+        let whole = if has_weights { HOST_LIMIT_PER_TRANSFER * host.entry.weight } else { HOST_LIMIT_START };
+        let share = whole / self.settings.location_share_count();
+        let start = if has_weights { share + HOST_LIMIT_SLACK * share.sqrt() } else { share };
+        let max = if has_weights { start } else { f64::INFINITY };
+        Some(host.latency_gradient.limit).filter(|limit| *limit > 0.0).map_or(start, |limit| limit.min(max))
     }
 
-    /// A host's capacity in transfers: as listed, else what its peers carry, less a margin.
+    /// A host's capacity in transfers: as listed, else estimated by what its peers carry, less a margin.
     fn capacity(&self, host: &Host) -> f64 {
-        if self.set.weights_told {
+        if self.settings.weights_told {
             return host.entry.weight;
         }
         let peers = || self.peers(host.entry.host);
-        if let (true, Some(transfers)) = (self.is_parent(host), self.set.all_links_transfers()) {
+        if let (true, Some(transfers)) = (self.is_parent(host), self.settings.all_links_transfers()) {
             return transfers / (peers().count() + 1) as f64;
         }
-        let senders = if self.is_parent(host) { f64::from(self.set.dispatchers) } else { self.set.sharers() };
-        let carried = peers().map(|h| h.carried.value).sum::<f64>();
-        // What a part of which is in use is told; else what is carried is less than all, and by how much is
-        // not known.
-        let busy = |h: &Host| h.busy.map_or(1.0 / SMALLER, |(_, busy)| busy.clamp(BUSY_LEAST, 1.0));
-        let busy = peers().map(busy).sum::<f64>();
-        (carried * senders / busy.max(BUSY_LEAST)).max(1.0)
+        let senders = if self.is_parent(host) {
+            f64::from(self.settings.dispatchers)
+        } else {
+            self.settings.location_share_count()
+        };
+        let carried = peers().map(|h| h.completed_work_rate.value).sum::<f64>();
+        // Reported loads scale what is carried up to full capacity; for peers without a report a fixed margin
+        // is assumed.
+        let load = |h: &Host| {
+            h.reported_load.map_or(1.0 / UNKNOWN_LOAD_MARGIN, |(_, load)| load.clamp(LOAD_ESTIMATE_MIN, 1.0))
+        };
+        let load = peers().map(load).sum::<f64>();
+        (carried * senders / load.max(LOAD_ESTIMATE_MIN)).max(1.0)
     }
 
-    fn learn(&mut self, now: Time, sent: &Sent, end: &Ended) {
+    /// Updates what is known of the host by the end of a hand-off.
+    fn update_host_stats(&mut self, now: Time, sent: &SentHandOff, end: &Ended) {
         use Outcome::*;
-        let failed = matches!(end.outcome, Error | TimedOut | ConnectFailed | Reset);
-        let (settled, untold) = (end.outcome == Settled, end.note == Note::Untold);
-        let filled = matches!(end.note, Note::Filled | Note::FilledByOrigin | Note::Joined);
+        let has_failed = matches!(end.outcome, Error | TimedOut | ConnectFailed | Reset);
+        let (is_served, has_no_note) = (end.outcome == Settled, end.note == Note::Untold);
+        let is_fill = matches!(end.note, Note::Filled | Note::FilledByOrigin | Note::Joined);
         let took = end.took.as_seconds();
-        let late = took / self.band(sent.band).map_or(SECOND, |band| band.quoted).as_seconds();
-        let mut slower = None;
-        if settled && !filled {
-            let seen = self.bands.get_mut(usize::from(sent.band.0));
-            seen.into_iter().for_each(|seen| seen.sending.push(took, 0.02));
-            slower = self.popularity.slower(sent.copy.0, end.took);
-        }
-        let (work, sharers) = (self.sending(sent.band), self.set.sharers());
-        let limit = self.hosts.get(&sent.host).map_or(LIMIT_LEAST, |h| self.limit(h));
-        let mut again = false;
+        let latency_ratio =
+            took / self.class_settings(sent.band).map_or(SECOND, |band| band.quoted).as_seconds();
+        let mut slowdown = None;
+        if is_served && !is_fill {
+            let seen = self.class_stats.get_mut(usize::from(sent.band.0));
+            seen.into_iter().for_each(|seen| seen.transfer_seconds.push(took, 0.02));
+            slowdown = self.popularity.slowdown(sent.copy.0, end.took);
+        }
+        let (work, sharers) = (self.transfer_seconds(sent.band), self.settings.location_share_count());
+        let limit = self.hosts.get(&sent.host).map_or(HOST_LIMIT_MIN, |h| self.limit(h));
+        let mut is_repeat = false;
         if let Some(host) = self.hosts.get_mut(&sent.host) {
-            // One connection's end speaks once, whatever was out on it.
-            again = end.outcome == Reset && std::mem::replace(&mut host.reset, now) == now;
-            again |= is_hasty(end) && host.shut.is_none();
-            let refused = end.outcome == ConnectFailed && end.took <= AT_ONCE;
-            let answered = matches!(end.outcome, Settled | Error | Full | Miss);
-            host.broke = end.outcome == Reset || refused || host.broke && (host.shut.is_some() || !answered);
-            if answered {
-                host.gap.push(host.silence(now).as_seconds(), 0.05);
-                host.answered(now, sent.at);
+            // A broken connection counts once, however many hand-offs were in flight on it.
+            is_repeat = end.outcome == Reset && std::mem::replace(&mut host.last_reset_at, now) == now;
+            is_repeat |= is_fast_error(end) && host.breaker.is_none();
+            let is_refused = end.outcome == ConnectFailed && end.took <= FAST_FAILURE_MAX;
+            let has_answered = matches!(end.outcome, Settled | Error | Full | Miss);
+            host.is_connection_broken = end.outcome == Reset
+                || is_refused
+                || host.is_connection_broken && (host.breaker.is_some() || !has_answered);
+            if has_answered {
+                host.answer_gap.push(host.time_since_answer(now).as_seconds(), 0.05);
+                host.record_answer(now, sent.sent_at);
             }
-            host.busy = end.report.busy.map(|busy| (now, busy)).or(host.busy);
-            host.settled_work += if settled { work } else { 0.0 };
-            // Untold, only a look tells: settled it was a hit. Its misses alone would make all seem fills.
-            if settled && (!untold || sent.source.is_none()) || end.outcome == Miss {
-                host.misses[usize::from(sent.known)].push(f64::from(filled || end.outcome == Miss), 0.05);
+            host.reported_load = end.report.busy.map(|busy| (now, busy)).or(host.reported_load);
+            host.completed_work += if is_served { work } else { 0.0 };
+            // Without notes only hand-offs that ask for cached copies are counted: served ones are hits, and
+            // counting misses alone would make all answers seem fills.
+            if is_served && (!has_no_note || sent.source.is_none()) || end.outcome == Miss {
+                host.miss_rates[usize::from(sent.was_cached)]
+                    .push(f64::from(is_fill || end.outcome == Miss), 0.05);
             }
-            if let Some(slower) = slower {
-                host.load.push(slower, 0.05, 10, 0.0002);
-                host.late.push(late.max(0.001).ln(), 0.05);
-                let worse = (host.load.slower() / SLOWER_BORNE).max(host.late.value.exp() / LATE_BORNE);
-                let out = f64::from(host.in_flight);
-                host.load.limit = follow_limit(limit, worse, out, sharers, 0.05).max(LIMIT_LEAST / sharers);
+            if let Some(slowdown) = slowdown {
+                host.latency_gradient.push(slowdown, 0.05, 10, 0.0002);
+                host.log_latency_ratio.push(latency_ratio.max(0.001).ln(), 0.05);
+                let excess = (host.latency_gradient.slowdown() / SLOWDOWN_TARGET)
+                    .max(host.log_latency_ratio.value.exp() / HIT_LATENCY_TARGET);
+                let in_flight = f64::from(host.in_flight);
+                host.latency_gradient.limit =
+                    next_limit(limit, excess, in_flight, sharers, 0.05).max(HOST_LIMIT_MIN / sharers);
             }
         }
-        self.learn_of_source(now, sent, end, filled);
-        self.count(sent, -1);
-        self.refund(sent, end.outcome);
-        if !matches!(end.outcome, Cancelled | Moot | Unsent) && !again {
-            self.judge(now, sent.tried, sent.host, failed && !source_at_fault(end), BAD_WEIGHT[0]);
+        self.update_source_stats(now, sent, end, is_fill);
+        self.count_in_flight(sent, -1);
+        self.refund_unsent(sent, end.outcome);
+        if !matches!(end.outcome, Cancelled | Moot | Unsent) && !is_repeat {
+            self.record_health(
+                now,
+                sent.trial_sent_at,
+                sent.host,
+                has_failed && !is_source_at_fault(end),
+                RESULT_WEIGHT[0],
+            );
         }
     }
 
-    fn learn_of_source(&mut self, now: Time, sent: &Sent, end: &Ended, filled: bool) {
+    /// Updates what is known of the source by the end of a hand-off.
+    fn update_source_stats(&mut self, now: Time, sent: &SentHandOff, end: &Ended, is_fill: bool) {
         use {Note::*, Outcome::*};
-        let (work, cost) = (self.sending(sent.band), self.cold_cost(sent.band));
-        let (quoted, blame) = (self.quoted(sent.band), self.blame(sent));
+        let (work, cost) = (self.transfer_seconds(sent.band), self.cold_cost(sent.band));
+        let (quoted, blame) = (self.quoted(sent.band), self.origin_blame(sent));
         let Some(source) = sent.source.and_then(|id| self.hosts.get_mut(&id)) else { return };
-        let (untold, by_source) = (end.note == Untold, source_at_fault(end));
-        let (settled, lacks) = (end.outcome == Settled, sent.held && end.outcome == Miss);
-        let lost = matches!(end.outcome, Error | TimedOut) && untold && !is_hasty(end);
-        // A copy past its fresh time is renewed behind, by a fill that reaches the source.
-        let unasked = !(untold || filled || by_source || lacks || end.note == Aged);
-        source.unused(sent.at, f64::from(unasked) * cost);
-        let by_it = if filled { 1.0 } else { sent.fill_share * f64::from(untold) };
-        source.settled_work += if settled { by_it * work } else { 0.0 };
-        let sure = filled
-            || by_source
-            || lost
-            || sent.fill_share == 1.0 && end.outcome != Cancelled && !is_hasty(end);
-        let part = if sure { 1.0 } else { MAYBE_HIT };
-        let way_told = self.set.ways_told || sent.held;
-        let onward = match end.note {
+        let (has_no_note, is_source_at_fault) = (end.note == Untold, is_source_at_fault(end));
+        let (is_served, has_source_missed) =
+            (end.outcome == Settled, sent.is_cached_only && end.outcome == Miss);
+        let has_failed = matches!(end.outcome, Error | TimedOut) && has_no_note && !is_fast_error(end);
+        // A stale copy is refreshed in the background, by a fill that reaches the source.
+        let is_unused =
+            !(has_no_note || is_fill || is_source_at_fault || has_source_missed || end.note == Aged);
+        source.refund_cold_budget(sent.sent_at, f64::from(is_unused) * cost);
+        let by_it = if is_fill { 1.0 } else { sent.fill_probability * f64::from(has_no_note) };
+        source.completed_work += if is_served { by_it * work } else { 0.0 };
+        let is_certain = is_fill
+            || is_source_at_fault
+            || has_failed
+            || sent.fill_probability == 1.0 && end.outcome != Cancelled && !is_fast_error(end);
+        let part = if is_certain { 1.0 } else { UNCERTAIN_FILL_WEIGHT };
+        let is_source_known = self.settings.ways_told || sent.is_cached_only;
+        let origin_share = match end.note {
             FilledByOrigin | OriginFailed => 1.0,
-            Filled | Joined if way_told => 0.0,
-            _ if sent.held => f64::from(lacks),
+            Filled | Joined if is_source_known => 0.0,
+            _ if sent.is_cached_only => f64::from(has_source_missed),
             _ if end.outcome == TimedOut => blame,
-            _ => sent.origin_share,
+            _ => sent.origin_probability,
         };
-        if filled && way_told || end.note == OriginFailed || lacks || sent.held && settled && untold {
-            self.origin.onward.push(onward, 0.05);
+        if is_fill && is_source_known
+            || end.note == OriginFailed
+            || has_source_missed
+            || sent.is_cached_only && is_served && has_no_note
+        {
+            self.origin_limiter.origin_rate.push(origin_share, 0.05);
         }
-        let jammed = matches!(end.note, NoPlace | OriginFailed);
-        let late = match end.note {
-            _ if jammed || by_source || end.outcome == TimedOut => Some(FAILED_AS.ln()),
-            _ if settled && (filled || untold) => Some((end.took.as_seconds() / quoted).max(0.001).ln()),
+        let is_congested = matches!(end.note, NoPlace | OriginFailed);
+        let log_latency = match end.note {
+            _ if is_congested || is_source_at_fault || end.outcome == TimedOut => {
+                Some(FAILURE_LATENCY_RATIO.ln())
+            }
+            _ if is_served && (is_fill || has_no_note) => {
+                Some((end.took.as_seconds() / quoted).max(0.001).ln())
+            }
             _ => None,
         };
-        // Where it is not told which way a fill took, it speaks for both; those asked for alone tell then.
-        let by_parent = f64::from(sent.held || onward < 1.0);
-        let by_origin = f64::from(!sent.held && onward > 0.0);
-        if let Some(late) = late.filter(|_| !jammed && by_parent > 0.0) {
-            source.late.push(late, 0.3 * part);
-            source.load.push(late.exp(), 0.05 * part, 10, 0.002);
+        // Where notes do not tell the way of a fill, it counts for both limits; fills restricted to cached
+        // copies are known to count for the parents.
+        let by_parent = f64::from(sent.is_cached_only || origin_share < 1.0);
+        let by_origin = f64::from(!sent.is_cached_only && origin_share > 0.0);
+        if let Some(log_latency) = log_latency.filter(|_| !is_congested && by_parent > 0.0) {
+            source.log_latency_ratio.push(log_latency, 0.3 * part);
+            source.latency_gradient.push(log_latency.exp(), 0.05 * part, 10, 0.002);
         }
-        // A hit says nothing of a source on trial: only a part that was not seen at the cache counts there.
-        let (id, bad, trial) = (source.entry.host, source.bad.value, source.shut.is_some());
-        if sure || settled && untold && !(trial && sent.known) {
-            self.judge(now, sent.at, id, by_source || lost, BAD_WEIGHT[1] * part);
+        // A hit says nothing about a source on trial: only parts not known to be cached count for it.
+        let (id, failure_rate, is_on_trial) =
+            (source.entry.host, source.failure_rate.value, source.breaker.is_some());
+        if is_certain || is_served && has_no_note && !(is_on_trial && sent.was_cached) {
+            self.record_health(
+                now,
+                sent.sent_at,
+                id,
+                is_source_at_fault || has_failed,
+                RESULT_WEIGHT[1] * part,
+            );
         }
-        // One source that fails alone is the breaker's matter.
-        let peers_bad = || self.peers(id).map(|h| h.bad.value).fold(0.0, f64::max);
-        if let Some(late) = late.filter(|_| jammed || settled || bad <= BAD_OVER_PEERS * peers_bad()) {
-            self.learn_of_fill(now, late, part, (by_parent, by_origin));
+        // A source that fails alone is handled by its circuit breaker.
+        let peers_failure_rate = || self.peers(id).map(|h| h.failure_rate.value).fold(0.0, f64::max);
+        if let Some(log_latency) = log_latency.filter(|_| {
+            is_congested || is_served || failure_rate <= FAILURE_RATIO_TO_PEERS * peers_failure_rate()
+        }) {
+            self.update_fill_limits(now, log_latency, part, (by_parent, by_origin));
         }
     }
 
-    /// One more fill that took, or has taken by now, such a part of the quoted time (as a logarithm): the
-    /// limits follow. Few answers weigh more each, so that dispatchers of all sizes take about the same time.
-    fn learn_of_fill(&mut self, now: Time, late: f64, part: f64, shares: (f64, f64)) {
-        let gates = [(&mut self.gate, shares.0), (&mut self.origin, shares.1)];
-        for (gate, share) in gates.into_iter().filter(|(_, share)| *share > 0.0) {
-            let weight = ((now - gate.at).as_seconds() / LEARNED_IN).clamp(0.05, 0.1);
-            gate.at = now;
-            gate.late.push(late, weight * share * part);
-            follow(gate, gate.fills, self.set.sharers(), weight * share);
+    /// Adjusts the fill limits by one fill's latency ratio, as a logarithm, finished or so far. Rare samples
+    /// weigh more, so that small and large dispatchers adapt at about the same speed.
+    fn update_fill_limits(&mut self, now: Time, log_latency: f64, part: f64, shares: (f64, f64)) {
+        let limiters = [(&mut self.fill_limiter, shares.0), (&mut self.origin_limiter, shares.1)];
+        for (limiter, share) in limiters.into_iter().filter(|(_, share)| *share > 0.0) {
+            let weight = ((now - limiter.updated_at).as_seconds() / FULL_WEIGHT_SECONDS).clamp(0.05, 0.1);
+            limiter.updated_at = now;
+            limiter.log_latency_ratio.push(log_latency, weight * share * part);
+            adjust_limit(
+                limiter,
+                limiter.expected_fills,
+                self.settings.location_share_count(),
+                weight * share,
+            );
         }
     }
 
-    /// What failed, or takes long, without a word is laid on the slower part.
-    fn blame(&self, sent: &Sent) -> f64 {
-        f64::from(!sent.held && sent.origin_share > 0.0 && self.origin.late.value > self.gate.late.value)
+    /// Share of the blame that the origin has for a fill without a note: all of it if it is the slower part
+    /// of the path, else none.
+    fn origin_blame(&self, sent: &SentHandOff) -> f64 {
+        f64::from(
+            !sent.is_cached_only
+                && sent.origin_probability > 0.0
+                && self.origin_limiter.log_latency_ratio.value > self.fill_limiter.log_latency_ratio.value,
+        )
     }
 
-    /// Shuts a host out when it fails far more often than its peers, and lets it back after some good
-    /// trials. Guards against fast errors, closed ports and broken paths to one host. When most peers fail
-    /// alike the part behind them is at fault, or this dispatcher's own view, and the plain hash goes on.
-    fn judge(&mut self, now: Time, sent: Time, id: HostId, failed: bool, weight: f64) {
-        let peers: Vec<f64> = self.peers(id).filter(|h| h.shut.is_none()).map(|h| h.bad.value).collect();
-        let peers_bad = peers.iter().sum::<f64>() / peers.len().max(1) as f64;
-        let least = if peers.is_empty() { BAD_ALONE } else { BAD_LEAST };
+    /// Records a result of a host: ejects it when it fails far more often than its peers, and readmits it
+    /// after successful trials. Guards against fast errors, closed ports and broken paths to one host. When
+    /// most peers fail alike, the cause is behind them or at this dispatcher, and plain hashing continues.
+    fn record_health(&mut self, now: Time, sent: Time, id: HostId, failed: bool, weight: f64) {
+        let peers: Vec<f64> =
+            self.peers(id).filter(|h| h.breaker.is_none()).map(|h| h.failure_rate.value).collect();
+        let peers_failure_rate = peers.iter().sum::<f64>() / peers.len().max(1) as f64;
+        let threshold = if peers.is_empty() { FAILURE_RATE_MIN_ALONE } else { FAILURE_RATE_MIN };
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        host.judged(now, failed, weight);
-        let (bad, told) = (host.bad.value, host.is_told(now));
-        let Some(shut) = host.shut.as_mut().filter(|shut| sent >= shut.since) else {
-            let often = host.bad.seen >= 4 && bad > least && bad > BAD_OVER_PEERS * peers_bad;
-            if failed && (often || told) {
-                self.shut_out(now, id, Bad::Fails, format!("fails {bad:.2}, its peers {peers_bad:.2}"));
+        host.record_result(now, failed, weight);
+        let (failure_rate, is_reported) = (host.failure_rate.value, host.is_reported_bad(now));
+        let Some(breaker) = host.breaker.as_mut().filter(|breaker| sent >= breaker.opened_at) else {
+            let fails_often = host.failure_rate.seen >= 4
+                && failure_rate > threshold
+                && failure_rate > FAILURE_RATIO_TO_PEERS * peers_failure_rate;
+            if failed && (fails_often || is_reported) {
+                self.open_breaker(
+                    now,
+                    id,
+                    Bad::Fails,
+                    format!("failure rate {failure_rate:.2}, mean of its peers {peers_failure_rate:.2}"),
+                );
             }
             return;
         };
-        shut.tried(now, failed, if told { told_rests(self.set.sharers()) } else { REST });
-        if shut.passed >= TRIALS_TO_OPEN {
-            (host.shut, host.bad) = (None, Mean::default());
-            host.told.iter_mut().for_each(|told| told.passed = told.passed.max(TRIALS_TO_OPEN));
-            // Guards against a process that is new, and cold, before the list tells so: its connections broke
-            // or were refused. Harms a host that only lost its connections: it has a cold one's part until it
-            // would be warm.
-            let anew = std::mem::take(&mut host.broke);
-            host.anew = Some(now).filter(|_| anew);
-            host.anew.into_iter().for_each(|now| host.begins(now, TRIALS_TO_OPEN, self.mean_work.value));
-            let how = if anew { "anew " } else { "" };
-            self.log(format!("host {:x} back {how}after {TRIALS_TO_OPEN} good trials", id.0));
-        }
-    }
-
-    /// Never more than half of the caches are shut out. Parents may all be, since the origin stands in.
-    fn shut_out(&mut self, now: Time, id: HostId, why: Bad, line: String) {
-        let shut = self.peers(id).filter(|h| h.shut.is_some()).count() + 1;
-        let all = self.peers(id).count() + 1;
-        let parent = self.hosts.get(&id).is_some_and(|h| self.is_parent(h));
-        let Some(host) = self.hosts.get_mut(&id).filter(|h| h.shut.is_none()) else { return };
-        if parent || all == 1 || shut * 2 <= all {
-            host.shut(now, REST[0], why);
-            self.log(format!("host {:x} shut out: {line}", id.0));
-            self.call_off(id);
-        }
-    }
-
-    /// Others find a host, started then, bad or new; at `until` that is over. Guards against visits lost to
-    /// it before this dispatcher has tried it often enough itself, and against a cold one that all come back
-    /// to at once. Harms a good host of which wrong is told: it has trials alone until three went well or
-    /// that is over, or a cold one's part.
+        breaker.record_trial(
+            now,
+            failed,
+            if is_reported {
+                reported_trial_intervals(self.settings.location_share_count())
+            } else {
+                TRIAL_INTERVALS
+            },
+        );
+        if breaker.trials_passed >= TRIALS_TO_RECOVER {
+            (host.breaker, host.failure_rate) = (None, Mean::default());
+            host.peer_report
+                .iter_mut()
+                .for_each(|report| report.own_successes = report.own_successes.max(TRIALS_TO_RECOVER));
+            // If its connections broke or were refused, it most likely runs a new process. Guards against
+            // overloading a new, cold process before the list shows it. A host that only lost its connections
+            // gets a cold host's budget meanwhile.
+            let is_restarted = std::mem::take(&mut host.is_connection_broken);
+            host.restart_detected_at = Some(now).filter(|_| is_restarted);
+            host.restart_detected_at
+                .into_iter()
+                .for_each(|now| host.restart_cold_budget(now, TRIALS_TO_RECOVER, self.mean_cache_work.value));
+            let how = if is_restarted { " as a new process" } else { "" };
+            self.log(format!("host {:x} readmitted{how} after {TRIALS_TO_RECOVER} successful trials", id.0));
+        }
+    }
+
+    /// Ejects a host. At most half of the caches are ejected; parents all may be, since the origin replaces
+    /// them.
+    fn open_breaker(&mut self, now: Time, id: HostId, cause: Bad, reason: String) {
+        let ejected = self.peers(id).filter(|h| h.breaker.is_some()).count() + 1;
+        let total = self.peers(id).count() + 1;
+        let is_parent = self.hosts.get(&id).is_some_and(|h| self.is_parent(h));
+        let Some(host) = self.hosts.get_mut(&id).filter(|h| h.breaker.is_none()) else { return };
+        if is_parent || total == 1 || ejected * 2 <= total {
+            host.open_breaker(now, TRIAL_INTERVALS[0], cause);
+            self.log(format!("host {:x} shut out: {reason}", id.0));
+            self.cancel_in_flight(id);
+        }
+    }
+
+    /// Other dispatchers report a host, whose process started at `since`, as bad or new, until `until`.
+    /// Guards against visits lost before this dispatcher has evidence of its own, and against a cold host to
+    /// which all dispatchers return at once. The cost of a wrong report: the host gets trials only, until
+    /// enough of them succeed or the report expires, or a cold host's budget.
     pub fn hearsay(&mut self, now: Time, id: HostId, since: Option<Time>, word: Word, until: Time) {
-        let Some(host) = self.told(now, word, (id, since, until)) else { return };
-        let own = host.good.is_some_and(|at| now < at + OWN_WORD);
+        let Some(host) = self.record_peer_report(now, word, (id, since, until)) else { return };
+        let has_own_success = host.last_success_at.is_some_and(|at| now < at + OWN_SUCCESS_VALIDITY);
         if word == Word::Anew {
-            host.begins(now, 0, 0.0);
-        } else if !own && !host.told.is_some_and(|told| told.is_refuted(now)) {
-            self.shut_out(now, id, Bad::Told, "told by others".into());
+            host.restart_cold_budget(now, 0, 0.0);
+        } else if !has_own_success && !host.peer_report.is_some_and(|report| report.is_refuted(now)) {
+            self.open_breaker(now, id, Bad::Told, "reported as bad by other dispatchers".into());
         }
-        self.spread(now, id);
+        self.spread_trials(now, id);
     }
 
-    /// Spreads the first trials of a host that others find bad over the longer rest. Guards against visits
-    /// lost to trials that all make at once; harms a host wrongly told of, which is tried seconds later.
-    fn spread(&mut self, now: Time, id: HostId) {
-        let most = told_rests(self.set.sharers())[1];
-        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.is_told(now)) else { return };
-        let short = |shut: &&mut Shut| shut.passed == 0 && shut.rest < REST[1];
-        let Some(shut) = host.shut.as_mut().filter(short) else { return };
-        let first = now + most.times(self.chance.gen_range(TOLD_REST[0]..1.0));
-        (shut.rest, shut.next_trial) = (most, shut.next_trial.max(first));
+    /// Spreads the first trial of a host that others report as bad over the longest interval. Guards against
+    /// visits lost to trials of all dispatchers at once. The cost of a wrong report: the trial comes seconds
+    /// later.
+    fn spread_trials(&mut self, now: Time, id: HostId) {
+        let longest = reported_trial_intervals(self.settings.location_share_count())[1];
+        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.is_reported_bad(now)) else { return };
+        let is_new = |breaker: &&mut OpenBreaker| {
+            breaker.trials_passed == 0 && breaker.trial_interval < TRIAL_INTERVALS[1]
+        };
+        let Some(breaker) = host.breaker.as_mut().filter(is_new) else { return };
+        let first = now + longest.times(self.rng.gen_range(REPORTED_TRIAL_FACTORS[0]..1.0));
+        (breaker.trial_interval, breaker.next_trial_at) = (longest, breaker.next_trial_at.max(first));
     }
 
-    /// Others take back that a host is bad, since it went well there: one own good trial is enough now.
-    pub(crate) fn went_well_there(&mut self, now: Time, id: HostId) {
-        let Some(shut) = self.hosts.get_mut(&id).and_then(|host| host.shut.as_mut()) else { return };
-        (shut.next_trial, shut.rest) = (shut.next_trial.min(now), REST[0]);
-        shut.passed = shut.passed.max(TRIALS_TO_OPEN - 1);
+    /// Other dispatchers retract a report because they succeeded: one own successful trial is enough now.
+    pub(crate) fn retract_peer_report(&mut self, now: Time, id: HostId) {
+        let Some(breaker) = self.hosts.get_mut(&id).and_then(|host| host.breaker.as_mut()) else { return };
+        (breaker.next_trial_at, breaker.trial_interval) =
+            (breaker.next_trial_at.min(now), TRIAL_INTERVALS[0]);
+        breaker.trials_passed = breaker.trials_passed.max(TRIALS_TO_RECOVER - 1);
     }
 
-    /// What shut a host out by others' word alone does so no longer once that is over. Guards against word
-    /// that is older than those who gave it would bear.
-    fn untold(&mut self, now: Time, id: HostId) {
-        let over = self.is_told_out(now, id);
-        let Some(host) = self.hosts.get_mut(&id).filter(|_| over) else { return };
-        host.shut.iter_mut().for_each(|shut| shut.rests_at_most(now, REST[1]));
-        if host.shut.take_if(|shut| shut.why == Bad::Told).is_some() {
-            self.log(format!("host {:x} back: others' word on it is over", id.0));
+    /// Readmits a host that was ejected by an expired report alone. Guards against acting on outdated
+    /// reports.
+    fn expire_report(&mut self, now: Time, id: HostId) {
+        let is_expired = self.expire_peer_report(now, id);
+        let Some(host) = self.hosts.get_mut(&id).filter(|_| is_expired) else { return };
+        host.breaker.iter_mut().for_each(|breaker| breaker.cap_trial_interval(now, TRIAL_INTERVALS[1]));
+        if host.breaker.take_if(|breaker| breaker.cause == Bad::Told).is_some() {
+            self.log(format!("host {:x} readmitted: the report of other dispatchers has expired", id.0));
         }
     }
 
-    /// Phi accrual: a host is silent when its present silence is very unlikely given the gaps before.
-    fn watch_silence(&mut self, now: Time) {
-        let phi = |h: &Host| h.phi(now, GAP[0].max(GAP[1] / f64::from(h.gap.seen.max(1))));
-        let waits = |h: &&Host| h.in_flight > 0 && h.shut.is_none() && h.silence(now) > SILENT_LEAST;
-        let found = self.hosts.values().filter(waits).filter(|h| phi(h) > PHI_SILENT && !self.is_origin(h));
-        let found: Vec<(HostId, f64)> = found.map(|h| (h.entry.host, phi(h))).collect();
-        for (id, phi) in found {
-            self.shut_out(now, id, Bad::Silent, format!("silent, phi {phi:.1}"));
+    /// Ejects silent hosts. Phi accrual: a host is silent when its present silence is very unlikely given its
+    /// earlier answer gaps.
+    fn detect_silent_hosts(&mut self, now: Time) {
+        let phi = |h: &Host| {
+            h.phi(
+                now,
+                ANSWER_GAP_MIN_SECONDS[0]
+                    .max(ANSWER_GAP_MIN_SECONDS[1] / f64::from(h.answer_gap.seen.max(1))),
+            )
+        };
+        let is_waiting =
+            |h: &&Host| h.in_flight > 0 && h.breaker.is_none() && h.time_since_answer(now) > SILENCE_MIN;
+        let silent = self
+            .hosts
+            .values()
+            .filter(is_waiting)
+            .filter(|h| phi(h) > SILENCE_PHI_THRESHOLD && !self.is_origin(h));
+        let silent: Vec<(HostId, f64)> = silent.map(|h| (h.entry.host, phi(h))).collect();
+        for (id, phi) in silent {
+            self.open_breaker(now, id, Bad::Silent, format!("no answers, phi {phi:.1}"));
         }
     }
 
-    /// Asks sources how busy they are, those first that were not heard of for longest. Each visit pays for a
-    /// part of a probe: guards against fleets in which many dispatchers with few visits each ask more than
-    /// they serve.
-    fn probe(&mut self) {
-        if !self.set.probes {
+    /// Probes the load of sources, those first whose last report is oldest. Each visit pays for a part of a
+    /// probe: guards against many dispatchers with little traffic that send more probes than requests.
+    fn send_probes(&mut self) {
+        if !self.settings.probes {
             return;
         }
-        let asked = self.hosts.values().filter(|h| h.is_ready() && (self.is_parent(h) || self.is_origin(h)));
-        let mut asked: Vec<_> = asked.map(|h| (h.busy.map(|(at, _)| at), h.entry.host)).collect();
-        asked.sort();
-        let paid = asked.into_iter().take_while(|_| self.probes.take(1.0));
-        self.ready.extend(paid.map(|(_, host)| Decision::Probe { host }));
+        let sources =
+            self.hosts.values().filter(|h| h.is_ready() && (self.is_parent(h) || self.is_origin(h)));
+        let mut sources: Vec<_> =
+            sources.map(|h| (h.reported_load.map(|(at, _)| at), h.entry.host)).collect();
+        sources.sort();
+        let paid = sources.into_iter().take_while(|_| self.probe_budget.try_take(1.0));
+        self.decisions.extend(paid.map(|(_, host)| Decision::Probe { host }));
     }
 
+    /// Updates averages and limits once a second.
     fn each_second(&mut self, now: Time) {
         self.hosts.retain(|_, host| !host.is_gone() || host.in_flight > 0);
         for host in self.hosts.values_mut() {
-            host.carried.push(std::mem::take(&mut host.settled_work), 0.2);
-        }
-        // Guards against fills that hang: what is overdue speaks before it ends.
-        let age = |s: &Sent| (now - s.at).as_seconds() / self.quoted(s.band);
-        let overdue = self.sent.values().filter(|s| s.fill_share > 0.0 && age(s) > 1.0);
-        let overdue: Vec<_> = overdue.map(|s| (age(s).ln(), s.fill_share, self.blame(s))).collect();
-        for (late, part, onward) in overdue {
-            self.learn_of_fill(now, late, part, (1.0 - onward, onward));
-        }
-        self.probe();
-        let sharers = self.set.sharers();
-        // What is usually out at the origin is the measure of what may be: a slow one is spared at once.
-        let origin = &mut self.origin;
-        if !origin.is_late() {
-            origin.usual.push(origin.fills, 0.1);
-            origin.most = 2.0 * origin.usual.value + (origin.usual.value / sharers).sqrt();
-        }
-        for (gate, what) in [(&mut self.gate, "fills"), (&mut self.origin, "fills by the origin")] {
-            let held_back = std::mem::take(&mut gate.looks) > 0;
-            // Old news fades: a gate that lets little through hears little.
-            gate.late.value -= 0.1 * (gate.late.value - gate.borne.ln()).max(0.0);
-            follow(gate, if held_back { gate.limit } else { gate.fills }, sharers, 0.1);
-            if std::mem::replace(&mut gate.holds_back, held_back) != held_back {
-                self.ready.push_back(Decision::Log(gate.line(what)));
+            host.completed_work_rate.push(std::mem::take(&mut host.completed_work), 0.2);
+        }
+        // Guards against fills that hang: overdue ones count before they end.
+        let age = |s: &SentHandOff| (now - s.sent_at).as_seconds() / self.quoted(s.band);
+        let overdue = self.in_flight.values().filter(|s| s.fill_probability > 0.0 && age(s) > 1.0);
+        let overdue: Vec<_> =
+            overdue.map(|s| (age(s).ln(), s.fill_probability, self.origin_blame(s))).collect();
+        for (log_latency, weight, origin_share) in overdue {
+            self.update_fill_limits(now, log_latency, weight, (1.0 - origin_share, origin_share));
+        }
+        self.send_probes();
+        let sharers = self.settings.location_share_count();
+        // The limit at the origin follows what is typically in flight there, so that load on a slow origin
+        // drops at once.
+        let origin = &mut self.origin_limiter;
+        if !origin.exceeds_latency_target() {
+            origin.typical_fills.push(origin.expected_fills, 0.1);
+            origin.max_limit =
+                2.0 * origin.typical_fills.value + (origin.typical_fills.value / sharers).sqrt();
+        }
+        for (limiter, subject) in
+            [(&mut self.fill_limiter, "fills"), (&mut self.origin_limiter, "origin fills")]
+        {
+            let is_restricting = std::mem::take(&mut limiter.restricted_count) > 0;
+            // Old samples fade, since a restrictive limit leaves few new ones.
+            limiter.log_latency_ratio.value -=
+                0.1 * (limiter.log_latency_ratio.value - limiter.latency_target.ln()).max(0.0);
+            adjust_limit(
+                limiter,
+                if is_restricting { limiter.limit } else { limiter.expected_fills },
+                sharers,
+                0.1,
+            );
+            if std::mem::replace(&mut limiter.is_restricting, is_restricting) != is_restricting {
+                self.decisions.push_back(Decision::Log(limiter.state_line(subject)));
             }
         }
-        self.due.put(now + SECOND, Due::Second);
+        self.timers.put(now + SECOND, Timer::EverySecond);
     }
 }
 
-/// Between which bounds trials of a host rest that others find bad as well: longer, as they try it too.
-fn told_rests(sharers: f64) -> [Span; 2] {
-    [REST[0], REST[1].times(sharers.clamp(1.0, TOLD_REST[1]))]
+/// Bounds of the interval between trials of a host that others report as bad too: longer, as they also try
+/// it.
+fn reported_trial_intervals(sharers: f64) -> [Span; 2] {
+    [TRIAL_INTERVALS[0], TRIAL_INTERVALS[1].times(sharers.clamp(1.0, REPORTED_TRIAL_FACTORS[1]))]
 }
 
-fn follow(gate: &mut Gate, out: f64, sharers: f64, weight: f64) {
-    let worse = gate.late.value.exp() / gate.borne;
-    gate.limit = follow_limit(gate.limit, worse, out, sharers, weight).min(gate.most).max(GATE_LEAST);
+/// Adjusts a limiter by its average latency.
+fn adjust_limit(limiter: &mut FillLimiter, in_flight: f64, sharers: f64, weight: f64) {
+    let excess = limiter.log_latency_ratio.value.exp() / limiter.latency_target;
+    limiter.limit = next_limit(limiter.limit, excess, in_flight, sharers, weight)
+        .min(limiter.max_limit)
+        .max(FILL_LIMIT_MIN);
 }
 
-/// The gradient: a limit follows shortest answer time / present one, here how much worse it is than borne.
-/// It is one of several dispatchers' shares of a whole, which keeps the room for growth in sum.
-fn follow_limit(limit: f64, worse: f64, in_flight: f64, sharers: f64, weight: f64) -> f64 {
-    let gradient = (1.0 / worse).clamp(0.5, 1.0);
+/// Gradient rule: the limit is scaled by the target over the present latency, and has room to grow. `excess`
+/// is the present latency over its target. The limit is one of `sharers` parts of a total, and so is its room
+/// to grow.
+fn next_limit(limit: f64, excess: f64, in_flight: f64, sharers: f64, weight: f64) -> f64 {
+    let gradient = (1.0 / excess).clamp(0.5, 1.0);
     if gradient == 1.0 && in_flight <= limit / 2.0 {
         return limit;
     }
-    let wanted = gradient * limit + (limit / sharers).sqrt();
-    limit + weight * (wanted - limit)
+    let target = gradient * limit + (limit / sharers).sqrt();
+    limit + weight * (target - limit)
 }
 
-/// An error that came at once, which may be the visit's own fault.
-fn is_hasty(end: &Ended) -> bool {
-    end.outcome == Outcome::Error && end.took <= AT_ONCE && !source_at_fault(end)
+/// Whether an attempt ended with a fast error, for which the visit itself may be at fault.
+fn is_fast_error(end: &Ended) -> bool {
+    end.outcome == Outcome::Error && end.took <= FAST_FAILURE_MAX && !is_source_at_fault(end)
 }
 
-/// Whether a failure is the source's, not the host's: by the notes, or by the time a turn-away took.
-fn source_at_fault(end: &Ended) -> bool {
+/// Whether the source is at fault, not the host: by the note, or by the time that a refusal took.
+fn is_source_at_fault(end: &Ended) -> bool {
     use Note::*;
-    let late = end.outcome == Outcome::Full && end.note == Untold && end.took > AT_ONCE;
-    late || matches!(end.note, SourceRefused | SourceUnreached | OriginFailed)
+    let is_slow_refusal = end.outcome == Outcome::Full && end.note == Untold && end.took > FAST_FAILURE_MAX;
+    is_slow_refusal || matches!(end.note, SourceRefused | SourceUnreached | OriginFailed)
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -1,137 +1,163 @@
-//! The values that pass between the decision module and its host.
+//! Values passed between the decision module and its caller.
 use crate::ids::*;
 use crate::time::{Span, Time};
 
+/// A client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Visit {
     pub id: VisitId,
     pub band: BandId,
     pub object: ObjectId,
     pub group: GroupId,
+    /// Which part of the object is requested.
     pub part: u32,
+    /// Size of the answer, if known in advance.
     pub kilobytes: Option<f64>,
     pub deadline: Time,
 }
 
+/// State of a listed host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Ready,
+    /// Finishes what it has and takes no new requests.
     Draining,
     Gone,
 }
 
+/// An entry of the list of hosts.
 #[derive(Clone, Copy, Debug)]
 pub struct Listing {
     pub host: HostId,
     pub location: LocationId,
     pub kind: KindId,
     pub cell: CellId,
+    /// Capacity in transfers at full speed, where the settings say that weights are given.
     pub weight: f64,
+    /// Start of the host's process; `None` if it started long ago.
     pub since: Option<Time>,
     pub phase: Phase,
 }
 
+/// How a hand-off ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The host served the request.
     Settled,
     Error,
+    /// The host had no capacity and refused.
     Full,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
+    /// The deadline had passed before the host started.
     Moot,
+    /// The host was asked for a cached copy only and has none.
     Miss,
-    /// It never went out, and by no fault of the host: what was told meanwhile asks for another decision.
+    /// It was not sent, for a reason other than the host: newer information requires another decision.
     Unsent,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the hand-off had no effect.
+    /// Whether the outcome proves that the request was not executed.
     pub fn never_ran(self) -> bool {
         use Outcome::*;
         matches!(self, Full | ConnectFailed | Moot | Miss | Unsent)
     }
 }
 
+/// What the host says about how it handled a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
+    /// It said nothing.
     Untold,
     Hit,
+    /// Filled from the source named in the hand-off.
     Filled,
+    /// Filled by a source that fetched from the origin.
     FilledByOrigin,
+    /// Waited for a fill that was already in flight.
     Joined,
+    /// Served a stale copy, which is refreshed in the background.
     Aged,
     SourceRefused,
     SourceUnreached,
+    /// The source was asked for a cached copy only and has none.
     SourceLacks,
+    /// The host had no capacity for another fill.
     NoPlace,
     OriginFailed,
 }
 
-/// What the asked host tells of itself, where it does.
+/// Load figures that a host reports with its answers or to a probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// How full its link for fills is: transfers over those that fit.
+    /// Load of its link for fills: transfers in progress over those that fit.
     pub link_full: Option<f64>,
-    /// How much of what it can do is in use, by all that ask it.
+    /// Share of its capacity in use by all dispatchers.
     pub busy: Option<f64>,
 }
 
-/// What holds for several dispatchers in sum, where they know of each other.
+/// A limit on the total of several dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Shared {
-    /// Hand-offs out at the origin at once, fills by it counted as they are likely.
+    /// Concurrent hand-offs at the origin; fills count by their probability of reaching it.
     Origin,
-    /// Repeated hand-offs a second.
+    /// Retries a second.
     Further,
-    /// Of what a cold host may be given; the whole is 1.
+    /// Share of a cold host's budget; all dispatchers together have 1.
     Cold(HostId),
 }
 
-/// What of a shared limit was used since that was last asked, and what would have been; in the limit's unit.
+/// Use of a shared limit since the last query, and the use there would have been without the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Wanted {
     pub used: f64,
     pub wanted: f64,
 }
 
+/// Why a host is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
+    /// It fails far more often than its peers.
     Fails,
+    /// It does not answer.
     Silent,
-    /// Others found it bad, and nothing of this dispatcher's own says so.
+    /// Other dispatchers report it as bad; this one has no evidence of its own.
     Told,
 }
 
-/// What this dispatcher finds of a host by itself.
+/// A host's condition as this dispatcher observed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
     pub host: HostId,
-    /// The host's start as listed.
+    /// Start of the host's process as listed.
     pub since: Option<Time>,
     pub what: Found,
-    /// Own hand-offs that it stands on, and when the last of them spoke.
+    /// Number of own hand-offs that support it, and the time of the last of them.
     pub evidence: u32,
     pub at: Time,
 }
 
+/// An observed condition of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Shut out; `unreached` where all that was tried since broke or was refused.
+    /// Ejected; `unreached` if connections to it have only broken or been refused since.
     Shut { why: Bad, unreached: bool },
-    /// It came back with its connections broken: most likely as a new process.
+    /// It recovered after its connections broke, most likely as a new process.
     Anew,
 }
 
-/// What others say of a host.
+/// What other dispatchers report about a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
     Bad,
-    /// Its process is new, and cold, and the list does not tell so yet.
+    /// Its process is new and cold, and the list does not show that yet.
     Anew,
 }
 
+/// The end of a hand-off.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     pub visit: VisitId,
@@ -140,28 +166,37 @@
     pub note: Note,
     pub took: Span,
     pub report: Report,
+    /// Whether the visit has its final answer.
     pub last: bool,
 }
 
+/// How a cache may answer and where it fills from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fill {
+    /// Host to fill from; the cache itself if it may answer from its own copies only.
     pub source: HostId,
+    /// Priority with which the cache keeps the copy.
     pub rank: u8,
+    /// Maximum age of a copy; zero for any age.
     pub oldest: Span,
+    /// Whether the request may wait for a fill that is already in flight.
     pub join: bool,
+    /// Whether a stale copy may be served while it is refreshed in the background.
     pub renew: bool,
-    /// The source gives only what it holds.
+    /// The source answers from its cached copies only.
     pub held: bool,
 }
 
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Without a fill it is a plain look.
+    /// Send a visit to a host. Without `fill` the host runs it by itself.
     HandOff {
         visit: VisitId,
         host: HostId,
+        /// When the attempt times out.
         until: Time,
-        /// It never begins past this, wherever it waits: by then its effects may not be told apart any more.
+        /// It must not be sent after this, wherever it waits: a repeat might no longer be recognized as one.
         latest: Time,
         fill: Option<Fill>,
     },
@@ -169,17 +204,20 @@
         visit: VisitId,
         number: HandOffNo,
     },
-    /// Ask a host how busy it is.
+    /// Ask a host for its load.
     Probe {
         host: HostId,
     },
+    /// Refuse the visit: the client may try again after `retry_after`.
     TurnBack {
         visit: VisitId,
         retry_after: Span,
     },
+    /// Fail the visit: it may have been executed, so the client must not simply try again.
     WriteOff {
         visit: VisitId,
     },
+    /// Call `woken` again after this time.
     Wake {
         after: Span,
     },
--- a/src/containers.rs
+++ b/src/containers.rs
@@ -1,40 +1,44 @@
-//! Plain containers: due times in order, running means, token buckets, and the rendezvous hash.
+//! Timer queue, moving averages, token buckets and rendezvous hashing.
 use crate::ids::HostId;
 use crate::time::Time;
 use std::collections::BTreeMap;
 
+/// Items ordered by due time, then by insertion.
 #[derive(Debug)]
 pub struct DueTimes<T> {
     entries: BTreeMap<(Time, u64), T>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl<T> Default for DueTimes<T> {
     fn default() -> Self {
-        DueTimes { entries: BTreeMap::new(), next: 0 }
+        DueTimes { entries: BTreeMap::new(), next_sequence: 0 }
     }
 }
 
 impl<T> DueTimes<T> {
-    pub fn put(&mut self, at: Time, what: T) {
-        self.entries.insert((at, self.next), what);
-        self.next += 1;
+    pub fn put(&mut self, at: Time, item: T) {
+        self.entries.insert((at, self.next_sequence), item);
+        self.next_sequence += 1;
     }
 
+    /// Due time of the first item.
     pub fn first(&self) -> Option<Time> {
         self.entries.first_key_value().map(|(key, _)| key.0)
     }
 
+    /// Takes the first item out if it is due.
     pub fn pop(&mut self, now: Time) -> Option<T> {
         let first = self.entries.first_entry()?;
         (first.key().0 <= now).then(|| first.remove())
     }
 }
 
-/// An exponentially weighted mean that starts as a plain one.
+/// An exponentially weighted moving average that starts as the arithmetic mean of the first samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Mean {
     pub value: f64,
+    /// Number of samples.
     pub seen: u32,
 }
 
@@ -44,79 +48,87 @@
         self.value += (x - self.value) * weight.max(1.0 / f64::from(self.seen));
     }
 
-    pub fn or(&self, start: f64) -> f64 {
+    /// The average, or `default` before the first sample.
+    pub fn or(&self, default: f64) -> f64 {
         if self.seen == 0 {
-            start
+            default
         } else {
             self.value
         }
     }
 }
 
-/// How slow answers are now against their best, as means of logarithms, and the limit that follows.
+/// Current latency against the best one seen, both as averages of logarithms, and the concurrency limit
+/// derived from them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gradient {
+pub struct LatencyGradient {
     pub limit: f64,
-    pub present: Mean,
-    pub shortest: Option<f64>,
+    pub current: Mean,
+    pub best_log: Option<f64>,
 }
 
-impl Gradient {
-    pub fn push(&mut self, x: f64, weight: f64, after: u32, drift: f64) {
-        self.present.push(x.max(1e-6).ln(), weight);
-        if self.present.seen >= after {
-            let best = self.shortest.map_or(f64::MAX, |best| best + drift);
-            self.shortest = Some(best.min(self.present.value));
+impl LatencyGradient {
+    /// Adds a sample. From `min_samples` on the best latency is tracked, which rises by `drift` with each
+    /// sample so that it follows lasting changes.
+    pub fn push(&mut self, x: f64, weight: f64, min_samples: u32, drift: f64) {
+        self.current.push(x.max(1e-6).ln(), weight);
+        if self.current.seen >= min_samples {
+            let best = self.best_log.map_or(f64::MAX, |best| best + drift);
+            self.best_log = Some(best.min(self.current.value));
         }
     }
 
+    /// Best latency ratio seen, 1 before there is one.
     pub fn best(&self) -> f64 {
-        self.shortest.map_or(1.0, f64::exp)
+        self.best_log.map_or(1.0, f64::exp)
     }
 
-    /// How many times slower than at best.
-    pub fn slower(&self) -> f64 {
-        self.shortest.map_or(1.0, |best| (self.present.value - best).exp())
+    /// Ratio of the current latency to the best one.
+    pub fn slowdown(&self) -> f64 {
+        self.best_log.map_or(1.0, |best| (self.current.value - best).exp())
     }
 }
 
+/// A token bucket. Its level may be negative: tokens can be charged in advance.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Bucket {
+pub struct TokenBucket {
     pub level: f64,
-    at: Time,
-    /// What was taken before is of another one.
-    pub begun: Time,
+    refilled_at: Time,
+    /// Start of the budget: tokens taken earlier were charged to another one.
+    pub started_at: Time,
 }
 
-impl Bucket {
-    /// Empty at that time.
-    pub fn empty(at: Time) -> Bucket {
-        Bucket { level: 0.0, at, begun: at }
+impl TokenBucket {
+    /// A bucket that starts empty at `at`.
+    pub fn empty(at: Time) -> TokenBucket {
+        TokenBucket { level: 0.0, refilled_at: at, started_at: at }
     }
 
-    pub fn refill(&mut self, now: Time, per_second: f64, most: f64) -> f64 {
-        let gained = per_second * (now - self.at).as_seconds();
-        self.level = (self.level + gained).min(most);
-        self.at = now;
+    /// Adds the tokens for the time since the last refill, up to `max`, and returns the level.
+    pub fn refill(&mut self, now: Time, per_second: f64, max: f64) -> f64 {
+        let gained = per_second * (now - self.refilled_at).as_seconds();
+        self.level = (self.level + gained).min(max);
+        self.refilled_at = now;
         self.level
     }
 
-    pub fn take(&mut self, amount: f64) -> bool {
-        let enough = self.level >= amount;
-        if enough {
+    pub fn try_take(&mut self, amount: f64) -> bool {
+        let is_enough = self.level >= amount;
+        if is_enough {
             self.level -= amount;
         }
-        enough
+        is_enough
     }
 }
 
+/// Finalizer of SplitMix64.
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// Weighted rendezvous hash: the host with the highest value is the key's.
+/// Weighted rendezvous hash: a key belongs to the host with the highest value.
 pub fn rendezvous(key: u64, host: HostId, weight: f64) -> f64 {
     let bits = mix(mix(key.wrapping_add(0x9e37_79b9_7f4a_7c15)) ^ mix(host.0 ^ 0x5851_f42d_4c95_7f2d));
     let unit = ((bits >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,12 +1,13 @@
-//! Each kind of id is a type of its own.
+//! Identifier types, one for each kind of entity.
 
-/// Entries of a list of locations, kinds of hosts or classes at most: their ids are places of 16 bits.
+/// Maximum length of a list of locations, host kinds or classes: their ids are 16-bit list indexes.
 pub const PLACES: usize = 1 << 16;
 
+/// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VisitId(pub u32);
 
-/// A cache host, parent or origin: four bytes of address and a port, packed. Only compared and hashed.
+/// A cache, parent or origin: IPv4 address and port, packed. It is only compared and hashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HostId(pub u64);
@@ -15,24 +16,28 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ObjectId(pub u64);
 
-/// A group of objects that may be purged whole.
+/// A group of objects that can be purged as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct GroupId(pub u32);
 
+/// Index of a class of requests in the settings' list of services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BandId(pub u16);
 
-/// A location's place in the settings' list. Forms that others read write it their own way, so it has none here.
+/// Index of a location in the settings' list. Each wire format encodes it in its own way, so it has no serde
+/// implementation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LocationId(pub u16);
 
+/// Index of a host kind in the settings' list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KindId(pub u16);
 
+/// A group of hosts within which repeats of a request can be deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u16);
 
-/// The number of a hand-off within its visit, from 0.
+/// Number of a hand-off within its visit, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HandOffNo(pub u8);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,7 @@
-//! The decisions of cherrypass, without input or output: a host feeds calls and a clock to
-//! [`brain::Brain`] and pulls decisions from it. No transport is known here.
+//! Request routing decisions of cherrypass, free of input and output.
+//!
+//! The caller feeds events and a clock to [`brain::Brain`] and pulls decisions from it. This crate knows
+//! nothing of the transport.
 #![forbid(unsafe_code)]
 
 pub mod brain;
--- a/src/popularity.rs
+++ b/src/popularity.rs
@@ -1,79 +1,85 @@
-//! The bookkeeping behind the popular test: counts by object, the admitted set, and their sums.
+//! Request counts by object, and the admitted set that decides which objects are popular.
 use crate::ids::ObjectId;
 use crate::time::{Span, Time};
 use std::collections::BTreeMap;
 
+/// What is known of the demand for one object.
 #[derive(Debug, Default)]
-pub struct Asked {
-    pub count: f64,
-    pub last: Time,
-    pub parts: u64,
-    pub bytes: f64,
-    pub admitted: bool,
-    /// The shortest answer time of a part found at a cache.
-    pub shortest: Option<Span>,
+pub struct ObjectStats {
+    /// Visits, halved at each decay.
+    pub visits: f64,
+    pub last_visit_at: Time,
+    /// Bit set of the parts that were requested; parts from 63 on share the last bit.
+    pub seen_parts: u64,
+    /// Size of the parts that were requested.
+    pub known_bytes: f64,
+    pub is_admitted: bool,
+    /// Shortest time in which a cache answered a request for a part that it held.
+    pub best_time: Option<Span>,
 }
 
+/// Demand by object, with the sums over all objects and over the admitted set.
 #[derive(Debug, Default)]
 pub struct Popularity {
-    pub asked: BTreeMap<ObjectId, Asked>,
-    pub admitted: u32,
+    pub objects: BTreeMap<ObjectId, ObjectStats>,
+    pub admitted_objects: u32,
     pub admitted_bytes: f64,
-    pub bytes: f64,
-    admitted_count: f64,
+    pub known_bytes: f64,
+    admitted_visits: f64,
 }
 
 impl Popularity {
-    /// Counts one visit of a part; the bytes of a part not seen before are added.
-    pub fn count(&mut self, now: Time, object: ObjectId, part: u32, bytes: f64) {
-        let asked = self.asked.entry(object).or_default();
+    /// Counts one visit; `bytes` is the size of its part, added the first time the part is requested.
+    pub fn record_visit(&mut self, now: Time, object: ObjectId, part: u32, bytes: f64) {
+        let stats = self.objects.entry(object).or_default();
         let part = 1u64 << part.min(63);
-        let new_bytes = if asked.parts & part == 0 { bytes } else { 0.0 };
-        asked.count += 1.0;
-        asked.last = now;
-        asked.parts |= part;
-        asked.bytes += new_bytes;
-        self.bytes += new_bytes;
-        if asked.admitted {
-            self.admitted_count += 1.0;
+        let new_bytes = if stats.seen_parts & part == 0 { bytes } else { 0.0 };
+        stats.visits += 1.0;
+        stats.last_visit_at = now;
+        stats.seen_parts |= part;
+        stats.known_bytes += new_bytes;
+        self.known_bytes += new_bytes;
+        if stats.is_admitted {
+            self.admitted_visits += 1.0;
             self.admitted_bytes += new_bytes;
         }
     }
 
-    /// r_ave: the mean count over the admitted set.
-    pub fn mean(&self) -> f64 {
-        self.admitted_count / f64::from(self.admitted.max(1))
+    /// r_ave: mean visit count over the admitted set.
+    pub fn mean_admitted_visits(&self) -> f64 {
+        self.admitted_visits / f64::from(self.admitted_objects.max(1))
     }
 
     pub fn admit(&mut self, object: ObjectId) {
-        if let Some(asked) = self.asked.get_mut(&object).filter(|asked| !asked.admitted) {
-            asked.admitted = true;
-            self.admitted += 1;
-            self.admitted_count += asked.count;
-            self.admitted_bytes += asked.bytes;
+        if let Some(stats) = self.objects.get_mut(&object).filter(|stats| !stats.is_admitted) {
+            stats.is_admitted = true;
+            self.admitted_objects += 1;
+            self.admitted_visits += stats.visits;
+            self.admitted_bytes += stats.known_bytes;
         }
     }
 
-    /// How many times as long as its shortest an object's answer took; none for the first.
-    pub fn slower(&mut self, object: ObjectId, took: Span) -> Option<f64> {
-        let asked = self.asked.get_mut(&object)?;
-        let before = asked.shortest;
+    /// Ratio of an answer time to the object's shortest one; `None` for the first answer.
+    pub fn slowdown(&mut self, object: ObjectId, took: Span) -> Option<f64> {
+        let stats = self.objects.get_mut(&object)?;
+        let before = stats.best_time;
         let shortest = before.map_or(took, |s| s.min(took));
-        asked.shortest = Some(shortest);
+        stats.best_time = Some(shortest);
         before.map(|_| took.as_seconds() / shortest.as_seconds().max(0.001))
     }
 
-    /// Halves all counts and forgets objects not asked for since the given time.
-    pub fn halve(&mut self, since: Time) {
-        self.asked.retain(|_, asked| asked.last > since);
-        (self.admitted, self.admitted_count, self.admitted_bytes, self.bytes) = (0, 0.0, 0.0, 0.0);
-        for asked in self.asked.values_mut() {
-            asked.count /= 2.0;
-            self.bytes += asked.bytes;
-            if asked.admitted {
-                self.admitted += 1;
-                self.admitted_count += asked.count;
-                self.admitted_bytes += asked.bytes;
+    /// Halves all counts and drops objects that were not requested after `since`.
+    pub fn decay(&mut self, since: Time) {
+        self.objects.retain(|_, stats| stats.last_visit_at > since);
+        (self.admitted_objects, self.admitted_visits, self.admitted_bytes, self.known_bytes) =
+            (0, 0.0, 0.0, 0.0);
+        for stats in self.objects.values_mut() {
+            stats.visits /= 2.0;
+            self.known_bytes += stats.known_bytes;
+            if stats.is_admitted {
+                self.admitted_objects += 1;
+                self.admitted_visits += stats.visits;
+                self.admitted_bytes += stats.known_bytes;
             }
         }
     }
--- a/src/purges.rs
+++ b/src/purges.rs
@@ -1,20 +1,21 @@
-//! Which copies are too old to be served because their object, or its whole group, was purged.
+//! Latest purge of each object and group: copies older than it must not be served.
 //!
-//! Guards rule 5. Hosts drop older copies by themselves, but one that stands still does not, and a fill under way may bring an
-//! old copy back: so a purge binds for as long as this process runs, not for as long as hosts are given to drop copies.
-//! Memory stays bounded: past [`HELD`] purges the oldest ones are folded into [`SLOTS`] slots by hash, each of which binds
-//! all objects and groups of that hash. That is never too young a bound; it costs a fill for those among them that were not
-//! purged and whose copy is older than a purge that many others have followed.
+//! Guards rule 5. A purge stays in force for as long as the process runs, not only while hosts drop older
+//! copies: a stalled host does not drop them, and a fill in flight may bring an old copy back.
+//!
+//! Memory is bounded: beyond [`MAX_TRACKED`] purges the oldest are merged into [`HASH_SLOTS`] slots by hash,
+//! each of which applies to all objects and groups with that hash. A purge is thus never lost; the cost is an
+//! extra fill for unpurged objects that share a slot and whose copies are older than a purge merged into it.
 use crate::ids::{GroupId, ObjectId};
 use crate::time::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Purges that are held one by one: over an hour's at one a second, in about 300 kB.
-pub const HELD: usize = 4096;
-/// Slots that the oldest ones are folded into.
-pub const SLOTS: usize = 1024;
+/// Purges that are tracked individually: more than an hour of them at one a second, in about 300 kB.
+pub const MAX_TRACKED: usize = 4096;
+/// Slots that the oldest purges are merged into.
+pub const HASH_SLOTS: usize = 1024;
 
-/// What a purge names.
+/// Target of a purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Scope {
     Object(ObjectId),
@@ -25,56 +26,56 @@
     fn slot(self) -> usize {
         // Fibonacci hashing: the upper bits of the product depend on all bits.
         const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
-        let number = match self {
+        let key = match self {
             Scope::Object(object) => object.0,
             Scope::Group(group) => u64::from(group.0) ^ u64::MAX,
         };
-        (number.wrapping_mul(GOLDEN) >> (u64::BITS - SLOTS.ilog2())) as usize
+        (key.wrapping_mul(GOLDEN) >> (u64::BITS - HASH_SLOTS.ilog2())) as usize
     }
 }
 
-/// When objects and whole groups were last purged.
+/// Latest purge times of objects and groups.
 #[derive(Debug, Default)]
 pub struct Purges {
-    held: BTreeMap<Scope, Time>,
+    tracked: BTreeMap<Scope, Time>,
     by_time: BTreeSet<(Time, Scope)>,
-    folded: BTreeMap<usize, Time>,
+    slots: BTreeMap<usize, Time>,
 }
 
 impl Purges {
-    /// Notes a purge of an object, or without one of the whole group, made at that time.
-    pub fn note(&mut self, group: GroupId, object: Option<ObjectId>, at: Time) {
+    /// Records a purge made at `at`: of the object, or of the whole group if no object is given.
+    pub fn record(&mut self, group: GroupId, object: Option<ObjectId>, at: Time) {
         let scope = object.map_or(Scope::Group(group), Scope::Object);
-        if let Some(known) = self.held.get(&scope).copied() {
+        if let Some(known) = self.tracked.get(&scope).copied() {
             if known >= at {
                 return;
             }
             self.by_time.remove(&(known, scope));
         }
-        self.held.insert(scope, at);
+        self.tracked.insert(scope, at);
         self.by_time.insert((at, scope));
-        if self.held.len() > HELD {
-            self.fold_oldest();
+        if self.tracked.len() > MAX_TRACKED {
+            self.merge_oldest();
         }
     }
 
-    /// The last purge that an object has to obey.
-    pub fn last(&self, group: GroupId, object: ObjectId) -> Option<Time> {
+    /// The latest purge that applies to an object.
+    pub fn latest(&self, group: GroupId, object: ObjectId) -> Option<Time> {
         let scopes = [Scope::Object(object), Scope::Group(group)];
-        let held = scopes.iter().filter_map(|scope| self.held.get(scope));
-        let folded = scopes.iter().filter_map(|scope| self.folded.get(&scope.slot()));
-        held.chain(folded).max().copied()
+        let tracked = scopes.iter().filter_map(|scope| self.tracked.get(scope));
+        let merged = scopes.iter().filter_map(|scope| self.slots.get(&scope.slot()));
+        tracked.chain(merged).max().copied()
     }
 
-    /// How many purges are held one by one.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Number of purges that are tracked individually.
+    pub fn tracked_count(&self) -> usize {
+        self.tracked.len()
     }
 
-    fn fold_oldest(&mut self) {
+    fn merge_oldest(&mut self) {
         let Some((at, scope)) = self.by_time.pop_first() else { return };
-        self.held.remove(&scope);
-        let slot = self.folded.entry(scope.slot()).or_insert(at);
+        self.tracked.remove(&scope);
+        let slot = self.slots.entry(scope.slot()).or_insert(at);
         *slot = (*slot).max(at);
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,8 @@
-//! What an instance is told once at its start and the module reads.
+//! Settings of an instance, fixed when it starts.
 use crate::ids::{KindId, LocationId};
 use crate::time::Span;
 
+/// Hosts that share one memory of the requests they have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -9,80 +10,109 @@
     Cell,
 }
 
+/// What running a request more than once does, which decides whether it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    Deduplicated { group: Group, memory: Span },
+    /// Hosts of `group` drop a repeat that arrives within `memory` of the first attempt.
+    Deduplicated {
+        group: Group,
+        memory: Span,
+    },
     AtMostOnce,
 }
 
+/// Settings of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Band {
     pub effect: Effect,
+    /// Target latency, without the time that grows with the size of the answer.
     pub quoted: Span,
+    /// Seconds added to the target latency for each second of transfer time.
     pub stretch: f64,
+    /// How long a cached copy counts as fresh; zero where copies do not expire.
     pub fresh: Span,
+    /// How long past its fresh time a copy may be served where it is not filled again.
     pub grace: Span,
+    /// Whether requests change data, and so have to run at the origin.
     pub writes: bool,
 }
 
+/// How load on a freshly started host is limited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdStart {
+    /// Share of its full capacity that a host has when it starts.
     pub share: f64,
+    /// Time from its start until it has its full capacity.
     pub ramp: Span,
+    /// The host fails when it is sent more than this multiple of its present capacity within `window`.
     pub multiple: f64,
     pub window: Span,
 }
 
+/// All settings that the decision module reads.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
+    /// Dispatchers at all locations.
     pub dispatchers: u32,
+    /// The location of this dispatcher.
     pub location: LocationId,
+    /// Dispatchers at this location.
     pub location_dispatchers: u32,
     pub bands: Vec<Band>,
     pub parent_kind: Option<KindId>,
     pub origin_kind: Option<KindId>,
+    /// Whether the list of hosts gives their capacity as a weight.
     pub weights_told: bool,
+    /// Whether these weights are constant, so that they can be used for hashing.
     pub weights_steady: bool,
+    /// Kilobytes a second of one transfer at full speed; 0 where it is not configured.
     pub pace: f64,
+    /// Kilobytes a second of each location's link.
     pub links: Vec<f64>,
+    /// Whether requests may go to parents and the origin without a cache.
     pub direct: bool,
+    /// Whether a cache lets a request wait for a fill of the same part that is already in flight.
     pub joins: bool,
-    /// Whether notes tell a fill by way of the origin apart.
+    /// Whether the notes of answers distinguish fills from a parent's cache and from the origin.
     pub ways_told: bool,
+    /// Whether hand-offs can be cancelled.
     pub cancel: bool,
-    /// Whether hosts may be asked how busy they are, and tell it.
+    /// Whether hosts answer load probes.
     pub probes: bool,
     pub max_hand_offs: u8,
+    /// Upper bound of the retry-after time of a refusal.
     pub retry_after_most: Span,
     pub cold_cache: ColdStart,
     pub cold_parent: ColdStart,
+    /// Time within which hosts drop copies that were purged.
     pub purge_done: Span,
+    /// Time within which a purge has to be obeyed.
     pub purge_grace: Span,
 }
 
 impl Settings {
-    /// How long after a purge an older copy may still turn up.
+    /// How long after a purge an older copy may still be found at a host.
     pub fn purge_memory(&self) -> Span {
         self.purge_done + self.purge_grace
     }
 
-    /// Among how many dispatchers what the own location has is shared.
-    pub fn sharers(&self) -> f64 {
+    /// Number of dispatchers that share this location's hosts and link.
+    pub fn location_share_count(&self) -> f64 {
         f64::from(self.location_dispatchers)
     }
 
-    /// How many transfers at full pace the own location's link carries, where that is told.
-    pub fn link_transfers(&self) -> Option<f64> {
+    /// Transfers at full speed that this location's link carries, if its capacity is configured.
+    pub fn location_link_transfers(&self) -> Option<f64> {
         self.transfers(*self.links.get(usize::from(self.location.0))?)
     }
 
-    /// The same for the links of all locations together.
+    /// Transfers at full speed that the links of all locations carry together.
     pub fn all_links_transfers(&self) -> Option<f64> {
         self.transfers(self.links.iter().sum())
     }
 
-    fn transfers(&self, kilobytes_a_second: f64) -> Option<f64> {
-        Some(kilobytes_a_second / self.pace).filter(|n| n.is_finite() && *n > 0.0)
+    fn transfers(&self, kb_per_second: f64) -> Option<f64> {
+        Some(kb_per_second / self.pace).filter(|n| n.is_finite() && *n > 0.0)
     }
 }
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -1,142 +1,149 @@
-//! What holds for several dispatchers in sum, and what they tell each other of hosts. With nothing told,
-//! nothing of it is in force, and all is decided as by one that is alone.
-use crate::brain::{Brain, ONWARD_START, TRIALS_TO_OPEN, UNANSWERED};
+//! Limits shared by several dispatchers, and their reports on hosts. Without allotments and reports none of
+//! this is in force, and a dispatcher decides on its own.
+use crate::brain::{Brain, ORIGIN_RATE_START, TRIALS_TO_RECOVER, UNREACHED_MIN};
 use crate::calls::{Bad, Finding, Found, Shared, Wanted, Word};
-use crate::containers::Bucket;
+use crate::containers::TokenBucket;
 use crate::ids::HostId;
-use crate::state::{Due, Host, Sent, Shut};
+use crate::state::{Host, OpenBreaker, SentHandOff, Timer};
 use crate::time::Time;
 
-/// An amount past it is none that could be used up.
-const AMOUNT_MOST: f64 = 1e9;
+/// Larger amounts are cut to this, which no dispatcher can use up.
+const MAX_ALLOTMENT: f64 = 1e9;
 
-/// What others told of a host: until when that holds, when it is looked after next, and how many own hand-
-/// offs in a row went well since it began to.
+/// A report of other dispatchers that a host is bad.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    pub(crate) until: Time,
-    pub(crate) due: Time,
-    pub(crate) passed: u32,
+pub struct PeerReport {
+    pub(crate) expires_at: Time,
+    /// When the timer that checks its expiry fires.
+    pub(crate) timer_at: Time,
+    /// Own successful hand-offs in a row since it came into force.
+    pub(crate) own_successes: u32,
 }
 
-impl Told {
+impl PeerReport {
     pub(crate) fn is_refuted(&self, now: Time) -> bool {
-        now < self.until && self.passed >= TRIALS_TO_OPEN
+        now < self.expires_at && self.own_successes >= TRIALS_TO_RECOVER
     }
 }
 
-/// What this dispatcher may use of a shared limit: so much until then, and so much after.
+/// This dispatcher's part of a shared limit: `amount` until `until`, then `amount_after`.
 #[derive(Debug)]
-pub struct Part {
+pub struct Allotment {
     pub(crate) amount: f64,
     pub(crate) until: Time,
-    after: f64,
-    /// Of a limit a second; of another for an amount below one.
-    bucket: Bucket,
+    amount_after: f64,
+    /// Tokens of a limit by the second; for other limits, used only if the amount is below one.
+    bucket: TokenBucket,
 }
 
-impl Part {
-    fn amount(&self, now: Time) -> f64 {
+impl Allotment {
+    fn amount_at(&self, now: Time) -> f64 {
         if now < self.until {
             self.amount
         } else {
-            self.after
+            self.amount_after
         }
     }
 }
 
-/// What was used of a shared limit, and refused for it, since that was last asked.
+/// Use of a shared limit, and what was refused because of it, since the last query.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Use {
+pub struct Usage {
     pub(crate) used: f64,
     pub refused: f64,
-    asked: Time,
+    measured_since: Time,
 }
 
 impl Brain {
-    /// What is told of the use of shared limits, where any is shared.
-    pub(crate) fn count_use(&mut self, sent: &Sent, begins: bool) {
-        if self.parts.is_empty() || !begins {
+    /// Counts a hand-off in the use of shared limits, if there are any.
+    pub(crate) fn record_usage(&mut self, sent: &SentHandOff, begins: bool) {
+        if self.allotments.is_empty() || !begins {
             return;
         }
         let work = self.cold_cost(sent.band);
         for id in [Some(sent.host), sent.source].into_iter().flatten() {
-            self.hosts.get_mut(&id).into_iter().for_each(|host| host.cold_use.used += work);
+            self.hosts.get_mut(&id).into_iter().for_each(|host| host.cold_usage.used += work);
         }
-        self.origin_use.used = self.origin_use.used.max(self.out_at_origin());
-        if sent.held {
-            self.origin_use.refused += sent.fill_share * self.origin.onward.or(ONWARD_START);
+        self.origin_usage.used = self.origin_usage.used.max(self.origin_in_flight());
+        if sent.is_cached_only {
+            self.origin_usage.refused +=
+                sent.fill_probability * self.origin_limiter.origin_rate.or(ORIGIN_RATE_START);
         }
     }
 
-    /// Likely fills by the origin, and what goes there itself.
-    fn out_at_origin(&self) -> f64 {
+    /// Expected fills at the origin plus the hand-offs that go there directly.
+    fn origin_in_flight(&self) -> f64 {
         let itself = self.hosts.values().filter(|host| self.is_origin(host));
-        self.origin.fills + itself.map(|host| f64::from(host.in_flight)).sum::<f64>()
+        self.origin_limiter.expected_fills + itself.map(|host| f64::from(host.in_flight)).sum::<f64>()
     }
 
-    /// From now on this dispatcher may use `amount` of what several may use in sum, and `after` once `until`
-    /// has come, without a further call. What is no amount changes nothing.
+    /// Sets this dispatcher's part of a shared limit: `amount` until `until`, then `after` without a further
+    /// call. Amounts that are negative, infinite or not a number are ignored.
     pub fn allotted(&mut self, shared: Shared, amount: f64, until: Time, after: f64) {
         if [amount, after].iter().any(|amount| !(0.0..=f64::MAX).contains(amount)) {
             return;
         }
         let hosts = &self.hosts;
-        // Parts of hosts that are gone are not kept; that of one that is not listed yet waits for the list.
-        self.parts.retain(|known, _| !matches!(known, Shared::Cold(id) if !hosts.contains_key(id)));
-        let bucket = self.parts.get(&shared).map_or(Bucket::empty(self.last_woken), |part| part.bucket);
-        let (amount, after) = (amount.min(AMOUNT_MOST), after.min(AMOUNT_MOST));
-        self.parts.insert(shared, Part { amount, until, after, bucket });
+        // Drops parts of hosts that are gone. The part of a host that is not listed yet is kept until it is.
+        self.allotments.retain(|known, _| !matches!(known, Shared::Cold(id) if !hosts.contains_key(id)));
+        let bucket =
+            self.allotments.get(&shared).map_or(TokenBucket::empty(self.last_tick_at), |part| part.bucket);
+        let (amount, after) = (amount.min(MAX_ALLOTMENT), after.min(MAX_ALLOTMENT));
+        self.allotments.insert(shared, Allotment { amount, until, amount_after: after, bucket });
     }
 
-    /// What of a cold host's whole budget is this dispatcher's: an equal part, or what was allotted.
-    pub(crate) fn cold_part(&self, now: Time, id: HostId, whole: f64) -> f64 {
+    /// This dispatcher's part of a cold host's budget: what was allotted, else an equal share.
+    pub(crate) fn cold_allotment(&self, now: Time, id: HostId, whole: f64) -> f64 {
         let parent = self.hosts.get(&id).is_some_and(|host| self.is_parent(host));
-        let senders = if parent { self.set.dispatchers } else { self.set.location_dispatchers };
-        let part = self.parts.get(&Shared::Cold(id));
-        part.map_or(whole / f64::from(senders.max(1)), |part| whole * part.amount(now))
+        let senders = if parent { self.settings.dispatchers } else { self.settings.location_dispatchers };
+        let part = self.allotments.get(&Shared::Cold(id));
+        part.map_or(whole / f64::from(senders.max(1)), |part| whole * part.amount_at(now))
     }
 
-    /// Whether one more hand-off of a visit is paid for: by what fresh visits left, and by what is shared.
-    pub(crate) fn may_repeat(&mut self, now: Time) -> bool {
-        if !self.further.take(1.0) {
+    /// Whether a retry fits into this dispatcher's own retry budget and into its part of the shared one.
+    pub(crate) fn may_retry(&mut self, now: Time) -> bool {
+        if !self.retry_budget.try_take(1.0) {
             return false;
         }
-        let Some(part) = self.parts.get_mut(&Shared::Further) else { return true };
-        let most = part.amount(now);
-        part.bucket.refill(now, most, most);
-        let gives = self.gives(Shared::Further, most);
-        let counted = if gives { &mut self.further_use.used } else { &mut self.further_use.refused };
+        let Some(part) = self.allotments.get_mut(&Shared::Further) else { return true };
+        let amount = part.amount_at(now);
+        part.bucket.refill(now, amount, amount);
+        let is_admitted = self.take_token(Shared::Further, amount);
+        let counted = if is_admitted { &mut self.retry_usage.used } else { &mut self.retry_usage.refused };
         *counted += 1.0;
-        gives
+        is_admitted
     }
 
-    /// Whether one more may go to the origin, where that is shared; `sure` is how likely this one would.
-    pub(crate) fn origin_takes(&mut self, now: Time, sure: f64) -> bool {
-        let Some(part) = self.parts.get_mut(&Shared::Origin) else { return true };
-        let most = part.amount(now);
-        part.bucket.refill(now, most, most);
-        let out = self.out_at_origin();
-        let takes =
-            if most < 1.0 { out < most && self.gives(Shared::Origin, most) } else { out + 1.0 <= most };
-        self.origin_use.refused += if takes { 0.0 } else { sure };
-        takes
+    /// Whether one more hand-off may go to the origin, where that limit is shared; `probability` says how
+    /// likely this one reaches it.
+    pub(crate) fn admits_to_origin(&mut self, now: Time, probability: f64) -> bool {
+        let Some(part) = self.allotments.get_mut(&Shared::Origin) else { return true };
+        let amount = part.amount_at(now);
+        part.bucket.refill(now, amount, amount);
+        let in_flight = self.origin_in_flight();
+        let is_admitted = if amount < 1.0 {
+            in_flight < amount && self.take_token(Shared::Origin, amount)
+        } else {
+            in_flight + 1.0 <= amount
+        };
+        self.origin_usage.refused += if is_admitted { 0.0 } else { probability };
+        is_admitted
     }
 
-    /// One from a part's bucket. Less than one is a chance, spent whether it comes or not: guards against
-    /// many small parts that would each give one, far more than all in sum.
-    fn gives(&mut self, shared: Shared, most: f64) -> bool {
-        let Some(part) = self.parts.get_mut(&shared) else { return true };
-        if most >= 1.0 {
-            return part.bucket.take(1.0);
+    /// Takes a token from a part's bucket. A level below one is a probability, spent whether or not it
+    /// admits: guards against many small parts that each round up to one.
+    fn take_token(&mut self, shared: Shared, amount: f64) -> bool {
+        let Some(part) = self.allotments.get_mut(&shared) else { return true };
+        if amount >= 1.0 {
+            return part.bucket.try_take(1.0);
         }
-        let chance = std::mem::take(&mut part.bucket.level);
-        self.has_part(chance)
+        let probability = std::mem::take(&mut part.bucket.level);
+        self.admits(probability)
     }
 
-    /// Notes others' word on a host as it is listed; word on another process than the present one says
-    /// nothing, nor that a host is bad where there is no other.
-    pub(crate) fn told(
+    /// Records a report on a listed host, and returns the host if the report is in force. Reports on another
+    /// process than the present one are ignored, and so are bad reports on a host without peers.
+    pub(crate) fn record_peer_report(
         &mut self,
         now: Time,
         word: Word,
@@ -144,115 +151,138 @@
     ) -> Option<&mut Host> {
         let (id, since, until) = of;
         let known = self.hosts.get(&id).filter(|h| !h.is_gone() && (self.is_cache(h) || self.is_parent(h)));
-        let present = known.filter(|h| h.listed == since)?.entry.since == since;
+        let present = known.filter(|h| h.listed_start == since)?.entry.since == since;
         if now >= until {
-            // It is taken back, also where the process is known to be new by now.
-            let before = self.hosts.get(&id)?.told?.until;
+            // The report is retracted, also if the process is known to be new by now.
+            let before = self.hosts.get(&id)?.peer_report?.expires_at;
             if now < before {
-                self.went_well_there(now, id);
+                self.retract_peer_report(now, id);
             }
-            let told = self.hosts.get_mut(&id)?.told.as_mut()?;
-            (told.until, told.due) = (until, until);
-            self.due.put(until, Due::Told(id));
+            let report = self.hosts.get_mut(&id)?.peer_report.as_mut()?;
+            (report.expires_at, report.timer_at) = (until, until);
+            self.timers.put(until, Timer::PeerReport(id));
             return None;
         }
         Some(()).filter(|()| present)?;
         if word == Word::Anew {
             let host = self.hosts.get_mut(&id)?;
-            host.told_new = true;
-            host.shut.iter_mut().for_each(|shut| shut.next_trial = shut.next_trial.min(now));
+            host.is_reported_restarted = true;
+            host.breaker
+                .iter_mut()
+                .for_each(|breaker| breaker.next_trial_at = breaker.next_trial_at.min(now));
             return Some(host);
         }
         self.peers(id).next()?;
         let host = self.hosts.get_mut(&id)?;
-        let passed = host.told.filter(|told| now < told.until).map_or(0, |told| told.passed);
-        let due = host.told.map(|told| told.due).filter(|due| *due <= until);
+        let passed = host
+            .peer_report
+            .filter(|report| now < report.expires_at)
+            .map_or(0, |report| report.own_successes);
+        let due = host.peer_report.map(|report| report.timer_at).filter(|due| *due <= until);
         if due.is_none() {
-            self.due.put(until, Due::Told(id));
+            self.timers.put(until, Timer::PeerReport(id));
         }
-        host.told = Some(Told { until, due: due.unwrap_or(until), passed });
+        host.peer_report =
+            Some(PeerReport { expires_at: until, timer_at: due.unwrap_or(until), own_successes: passed });
         Some(host)
     }
 
-    /// Whether what others told of a host has come to its end.
-    pub(crate) fn is_told_out(&mut self, now: Time, id: HostId) -> bool {
+    /// Removes the report on a host if it has expired, and returns whether it did.
+    pub(crate) fn expire_peer_report(&mut self, now: Time, id: HostId) -> bool {
         let Some(host) = self.hosts.get_mut(&id) else { return false };
-        let Some(told) = host.told.as_mut().filter(|told| told.due <= now) else { return false };
-        if now < told.until {
-            told.due = told.until;
-            self.due.put(told.until, Due::Told(id));
+        let Some(report) = host.peer_report.as_mut().filter(|report| report.timer_at <= now) else {
+            return false;
+        };
+        if now < report.expires_at {
+            report.timer_at = report.expires_at;
+            self.timers.put(report.expires_at, Timer::PeerReport(id));
             return false;
         }
-        host.told = None;
+        host.peer_report = None;
         true
     }
 
-    /// What this dispatcher finds of hosts now by what it saw itself; nothing that it was only told, nor of
-    /// one whose last trials went well.
+    /// Hosts' conditions by this dispatcher's own evidence. Reports of others are left out, and so are hosts
+    /// whose last trials succeeded.
     pub fn findings(&self, now: Time) -> impl Iterator<Item = Finding> + '_ {
         self.hosts.values().filter(|host| !host.is_gone()).filter_map(move |host| {
             let id = host.entry.host;
-            let anew = host.anew.is_some() && host.anew == host.entry.since;
-            let (what, evidence, at) = match host
-                .shut
-                .filter(|shut| shut.why != Bad::Told && shut.passed + 1 < TRIALS_TO_OPEN)
+            let is_restarted =
+                host.restart_detected_at.is_some() && host.restart_detected_at == host.entry.since;
+            let (condition, evidence, at) = match host
+                .breaker
+                .filter(|breaker| breaker.cause != Bad::Told && breaker.trials_passed + 1 < TRIALS_TO_RECOVER)
             {
-                Some(Shut { why, evidence, at, .. }) => {
-                    (Found::Shut { why, unreached: host.broke || host.heard + UNANSWERED < at }, evidence, at)
-                }
-                None if anew && self.cold_budget(now, id).is_some() => {
-                    (Found::Anew, TRIALS_TO_OPEN, host.anew?)
+                Some(OpenBreaker { cause: why, evidence_count: evidence, last_evidence_at: at, .. }) => (
+                    Found::Shut {
+                        why,
+                        unreached: host.is_connection_broken || host.last_answer_at + UNREACHED_MIN < at,
+                    },
+                    evidence,
+                    at,
+                ),
+                None if is_restarted && self.cold_budget(now, id).is_some() => {
+                    (Found::Anew, TRIALS_TO_RECOVER, host.restart_detected_at?)
                 }
                 None => return None,
             };
-            Some(Finding { host: id, since: host.listed, what, evidence: evidence.max(1), at })
+            Some(Finding {
+                host: id,
+                since: host.listed_start,
+                what: condition,
+                evidence: evidence.max(1),
+                at,
+            })
         })
     }
 
-    /// Hosts of which others told that they are bad, and three own hand-offs in a row went well since.
+    /// Hosts reported as bad with which enough own hand-offs in a row have succeeded since.
     pub fn refuted(&self, now: Time) -> impl Iterator<Item = HostId> + '_ {
-        let refuted = move |host: &&Host| host.told.is_some_and(|told| told.is_refuted(now));
+        let refuted = move |host: &&Host| host.peer_report.is_some_and(|report| report.is_refuted(now));
         self.hosts.values().filter(refuted).map(|host| host.entry.host)
     }
 
+    /// Whether the host is in the list and not gone.
     pub fn is_listed(&self, id: HostId) -> bool {
         self.hosts.get(&id).is_some_and(|host| !host.is_gone())
     }
 
-    /// Hosts that are shut out now, and why.
+    /// Hosts that are ejected, and why.
     pub fn shut_out_now(&self) -> impl Iterator<Item = (HostId, Bad)> + '_ {
-        self.hosts.values().filter_map(|host| Some((host.entry.host, host.shut?.why)))
+        self.hosts.values().filter_map(|host| Some((host.entry.host, host.breaker?.cause)))
     }
 
-    /// Hosts that are cold now.
+    /// Hosts that are cold.
     pub fn cold(&self, now: Time) -> impl Iterator<Item = HostId> + '_ {
         self.hosts.keys().copied().filter(move |id| self.cold_budget(now, *id).is_some())
     }
 
-    /// What was used of a shared limit since this was last asked for it, and what would have been used had
-    /// all that was refused for it gone. Counted from the first allotment on.
+    /// The use of a shared limit since the last query, and the use there would have been had nothing been
+    /// refused. Counted from the first allotment on.
     pub fn wanted(&mut self, now: Time, shared: Shared) -> Wanted {
-        let quoted = self.set.bands.iter().map(|band| band.quoted.as_seconds()).sum::<f64>();
-        let a_fill = self.origin.late.value.exp() * quoted / self.set.bands.len().max(1) as f64;
-        let out = self.out_at_origin();
+        let quoted = self.settings.bands.iter().map(|band| band.quoted.as_seconds()).sum::<f64>();
+        let fill_seconds = self.origin_limiter.log_latency_ratio.value.exp() * quoted
+            / self.settings.bands.len().max(1) as f64;
+        let in_flight = self.origin_in_flight();
         let whole = match shared {
-            Shared::Cold(id) => self.cold_whole(now, id).map_or(f64::INFINITY, |(whole, _)| whole),
+            Shared::Cold(id) => self.total_cold_budget(now, id).map_or(f64::INFINITY, |(whole, _)| whole),
             _ => 1.0,
         };
         let counted = match shared {
-            Shared::Origin => &mut self.origin_use,
-            Shared::Further => &mut self.further_use,
+            Shared::Origin => &mut self.origin_usage,
+            Shared::Further => &mut self.retry_usage,
             Shared::Cold(id) => match self.hosts.get_mut(&id) {
-                Some(host) => &mut host.cold_use,
+                Some(host) => &mut host.cold_usage,
                 None => return Wanted::default(),
             },
         };
-        let seconds = (now - counted.asked).as_seconds().max(0.001);
-        let Use { used, refused, .. } = std::mem::replace(counted, Use { asked: now, ..Use::default() });
+        let seconds = (now - counted.measured_since).as_seconds().max(0.001);
+        let Usage { used, refused, .. } =
+            std::mem::replace(counted, Usage { measured_since: now, ..Usage::default() });
         if shared == Shared::Origin {
-            // What was refused would have been out for as long as fills by the origin take.
-            self.origin_use.used = out;
-            return Wanted { used, wanted: used + refused / seconds * a_fill };
+            // Each refused hand-off would have been in flight for as long as a fill by the origin takes.
+            self.origin_usage.used = in_flight;
+            return Wanted { used, wanted: used + refused / seconds * fill_seconds };
         }
         let used = (used / seconds / whole).max(0.0);
         Wanted { used, wanted: used + refused / seconds / whole }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,86 +1,100 @@
-//! What an instance remembers of hosts, objects, bands, visits and hand-offs: plain fields only.
-use crate::brain::{BAD_WEIGHT, FORGET};
+//! State of the decision module: hosts, objects, classes, visits and hand-offs, and the basic updates to it.
+use crate::brain::{RESULT_WEIGHT, STATS_RETENTION};
 use crate::calls::{Bad, Decision, Fill, Listing, Outcome, Phase, Shared, Visit};
-use crate::containers::{rendezvous, Bucket, DueTimes, Gradient, Mean};
+use crate::containers::{rendezvous, DueTimes, LatencyGradient, Mean, TokenBucket};
 use crate::ids::{BandId, GroupId, HandOffNo, HostId, ObjectId, VisitId};
 use crate::popularity::Popularity;
 use crate::purges::Purges;
 use crate::settings::{Band, Effect, Settings};
-use crate::shared::{Part, Told, Use};
+use crate::shared::{Allotment, PeerReport, Usage};
 use crate::time::{Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// An open circuit breaker: when the next trial visit may go, and how many trials in a row went well.
+/// An open circuit breaker: its host is ejected and gets trial hand-offs only.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shut {
-    pub since: Time,
-    pub next_trial: Time,
-    pub rest: Span,
-    pub passed: u32,
-    pub why: Bad,
-    pub evidence: u32,
-    /// When a hand-off last spoke for it.
-    pub at: Time,
+pub struct OpenBreaker {
+    pub opened_at: Time,
+    pub next_trial_at: Time,
+    pub trial_interval: Span,
+    /// Successful trials in a row.
+    pub trials_passed: u32,
+    pub cause: Bad,
+    /// Number of own hand-offs that support it.
+    pub evidence_count: u32,
+    /// Time of the last hand-off that supports it.
+    pub last_evidence_at: Time,
 }
 
-impl Shut {
-    /// Its next trial is no later than after so long.
-    pub fn rests_at_most(&mut self, now: Time, rest: Span) {
-        self.rest = self.rest.min(rest);
-        self.next_trial = self.next_trial.min(now + self.rest);
+impl OpenBreaker {
+    /// Shortens the trial interval to at most `interval`, also for the next trial.
+    pub fn cap_trial_interval(&mut self, now: Time, interval: Span) {
+        self.trial_interval = self.trial_interval.min(interval);
+        self.next_trial_at = self.next_trial_at.min(now + self.trial_interval);
     }
 
-    /// One more trial has ended; after a bad one it rests for longer, within these bounds.
-    pub fn tried(&mut self, now: Time, failed: bool, rest: [Span; 2]) {
-        self.passed = if failed { 0 } else { self.passed + 1 };
-        self.rest = if failed { (self.rest + self.rest).min(rest[1]) } else { rest[0] };
-        self.next_trial = if failed { now + self.rest } else { now };
+    /// Records the end of a trial. A failure doubles the trial interval, within the bounds `[first,
+    /// longest]`.
+    pub fn record_trial(&mut self, now: Time, failed: bool, bounds: [Span; 2]) {
+        self.trials_passed = if failed { 0 } else { self.trials_passed + 1 };
+        self.trial_interval =
+            if failed { (self.trial_interval + self.trial_interval).min(bounds[1]) } else { bounds[0] };
+        self.next_trial_at = if failed { now + self.trial_interval } else { now };
         if failed {
-            (self.why, self.evidence, self.at) = (Bad::Fails, self.evidence.saturating_add(1), now);
+            (self.cause, self.evidence_count, self.last_evidence_at) =
+                (Bad::Fails, self.evidence_count.saturating_add(1), now);
         }
     }
 }
 
+/// What is known of a listed host.
 #[derive(Debug)]
 pub struct Host {
     pub entry: Listing,
     pub in_flight: u32,
-    /// How busy it last told that it is.
-    pub busy: Option<(Time, f64)>,
-    /// What part of its fills a source is given, by what it tells.
-    pub part: f64,
-    pub heard: Time,
-    /// When a connection to it last broke.
-    pub reset: Time,
-    /// A connection to it broke or was refused, and nothing was answered since, or only trials were.
-    pub broke: bool,
+    /// Load that it last reported, and when.
+    pub reported_load: Option<(Time, f64)>,
+    /// Share of a source's fills that it is given, adjusted by the load it reports.
+    pub fill_admission: f64,
+    /// Time of its last answer; also reset after a pause of this process.
+    pub last_answer_at: Time,
+    /// When a connection to it was last reset.
+    pub last_reset_at: Time,
+    /// A connection to it broke or was refused, and since then it answered nothing or trials only.
+    pub is_connection_broken: bool,
+    /// Since when hand-offs have been in flight without interruption.
     pub waiting_since: Time,
-    pub gap: Mean,
-    pub bad: Mean,
-    pub shut: Option<Shut>,
-    /// When a hand-off to it, or a fill by it, last went well.
-    pub good: Option<Time>,
-    pub told: Option<Told>,
-    /// Its start as listed, and when it came back anew since.
-    pub listed: Option<Time>,
-    pub anew: Option<Time>,
-    /// It counts as just started by others' word alone, until the list tells when it was.
-    pub told_new: bool,
-    /// Then it reset its connections or refused one: another process may answer next.
-    pub cut: Option<Time>,
-    pub cold: Bucket,
-    pub cold_use: Use,
-    pub carried: Mean,
-    pub settled_work: f64,
-    pub load: Gradient,
-    /// Logarithm of what part of the quoted time hits take.
-    pub late: Mean,
-    /// Fills that are likely out at this source.
-    pub fills: f64,
-    /// Share of fills among answers: for parts it was not seen to hold, and for those it was.
-    pub misses: [Mean; 2],
+    pub answer_gap: Mean,
+    pub failure_rate: Mean,
+    /// The open circuit breaker, if the host is ejected.
+    pub breaker: Option<OpenBreaker>,
+    /// When a hand-off to it, or a fill by it, last succeeded.
+    pub last_success_at: Option<Time>,
+    pub peer_report: Option<PeerReport>,
+    /// Start of its process as listed; `entry.since` may be later.
+    pub listed_start: Option<Time>,
+    /// When it recovered as what is most likely a new process.
+    pub restart_detected_at: Option<Time>,
+    /// Other dispatchers report it as restarted, and the list does not show the start yet.
+    pub is_reported_restarted: bool,
+    /// When it reset its connections or refused one, if it has not answered since: a new process may answer
+    /// next.
+    pub connection_lost_at: Option<Time>,
+    /// Seconds of work it may be sent while it is cold.
+    pub cold_bucket: TokenBucket,
+    pub cold_usage: Usage,
+    /// Average seconds of work it completes a second.
+    pub completed_work_rate: Mean,
+    /// Seconds of work completed since the last update of the average.
+    pub completed_work: f64,
+    pub latency_gradient: LatencyGradient,
+    /// Average logarithm of the ratio of answer time to target latency: of hits, or of fills by a source.
+    pub log_latency_ratio: Mean,
+    /// Sum of the fill probabilities of hand-offs in flight that name this source.
+    pub expected_fills: f64,
+    /// Share of misses: for parts not known to be cached there, and for those known to be.
+    pub miss_rates: [Mean; 2],
 }
 
 impl Host {
@@ -88,29 +102,29 @@
         Host {
             entry,
             in_flight: 0,
-            busy: None,
-            part: 1.0,
-            heard: now,
-            reset: Time::default(),
-            broke: false,
+            reported_load: None,
+            fill_admission: 1.0,
+            last_answer_at: now,
+            last_reset_at: Time::default(),
+            is_connection_broken: false,
             waiting_since: now,
-            gap: Mean::default(),
-            bad: Mean::default(),
-            shut: None,
-            good: None,
-            told: None,
-            listed: entry.since,
-            anew: None,
-            told_new: false,
-            cut: None,
-            cold: Bucket::empty(now),
-            cold_use: Use::default(),
-            carried: Mean::default(),
-            settled_work: 0.0,
-            load: Gradient::default(),
-            late: Mean::default(),
-            fills: 0.0,
-            misses: Default::default(),
+            answer_gap: Mean::default(),
+            failure_rate: Mean::default(),
+            breaker: None,
+            last_success_at: None,
+            peer_report: None,
+            listed_start: entry.since,
+            restart_detected_at: None,
+            is_reported_restarted: false,
+            connection_lost_at: None,
+            cold_bucket: TokenBucket::empty(now),
+            cold_usage: Usage::default(),
+            completed_work_rate: Mean::default(),
+            completed_work: 0.0,
+            latency_gradient: LatencyGradient::default(),
+            log_latency_ratio: Mean::default(),
+            expected_fills: 0.0,
+            miss_rates: Default::default(),
         }
     }
 
@@ -122,393 +136,436 @@
         self.entry.phase == Phase::Gone
     }
 
-    /// How unlikely the present silence is, given the gaps before (as if they were exponential).
+    /// Phi accrual failure detector: how unlikely the present silence is, if answer gaps are distributed
+    /// exponentially.
     pub fn phi(&self, now: Time, least_gap: f64) -> f64 {
-        let gap = self.gap.or(1.0).max(least_gap);
-        self.silence(now).as_seconds() / gap * std::f64::consts::LOG10_E
+        let gap = self.answer_gap.or(1.0).max(least_gap);
+        self.time_since_answer(now).as_seconds() / gap * std::f64::consts::LOG10_E
     }
 
-    pub fn silence(&self, now: Time) -> Span {
-        now - self.heard.max(self.waiting_since)
+    /// Time without an answer while hand-offs are in flight.
+    pub fn time_since_answer(&self, now: Time) -> Span {
+        now - self.last_answer_at.max(self.waiting_since)
     }
 
-    /// One more hand-off that speaks for or against it.
-    pub fn judged(&mut self, now: Time, failed: bool, weight: f64) {
-        self.bad.push(f64::from(failed), weight);
-        self.good = Some(now).filter(|_| !failed).or(self.good);
-        self.told
-            .iter_mut()
-            .for_each(|told| told.passed = if failed { 0 } else { told.passed.saturating_add(1) });
+    /// Records the result of a hand-off that counts for or against the host.
+    pub fn record_result(&mut self, now: Time, failed: bool, weight: f64) {
+        self.failure_rate.push(f64::from(failed), weight);
+        self.last_success_at = Some(now).filter(|_| !failed).or(self.last_success_at);
+        self.peer_report.iter_mut().for_each(|report| {
+            report.own_successes = if failed { 0 } else { report.own_successes.saturating_add(1) }
+        });
     }
 
-    /// Opens its breaker. It stands on what is out there, or on what failed of those last counted.
-    pub fn shut(&mut self, now: Time, rest: Span, why: Bad) {
-        let failed = self.bad.value * f64::from(self.bad.seen).min(1.0 / BAD_WEIGHT[0]);
-        let evidence = match why {
+    /// Opens the circuit breaker. Evidence for silence are the hand-offs in flight, for failures the recent
+    /// ones that failed.
+    pub fn open_breaker(&mut self, now: Time, trial_interval: Span, cause: Bad) {
+        let failed = self.failure_rate.value * f64::from(self.failure_rate.seen).min(1.0 / RESULT_WEIGHT[0]);
+        let evidence = match cause {
             Bad::Silent => self.in_flight,
             Bad::Fails => failed.ceil() as u32,
             Bad::Told => 0,
         };
-        let next_trial = now + rest;
-        self.shut = Some(Shut { since: now, next_trial, rest, passed: 0, why, evidence, at: now });
-    }
-
-    /// Whether others' word on it holds.
-    pub fn is_told(&self, now: Time) -> bool {
-        self.told.is_some_and(|told| now < told.until)
-    }
-
-    /// The list's word on it. A start later than the one listed before is another process, which has lost what that
-    /// one held: what was known of it is void. Otherwise the latest start known stays, listed or found. Guards
-    /// against a host that counts as warmer by an earlier start, or by none.
-    pub fn relisted(&mut self, now: Time, entry: Listing) {
+        let next_trial = now + trial_interval;
+        self.breaker = Some(OpenBreaker {
+            opened_at: now,
+            next_trial_at: next_trial,
+            trial_interval: trial_interval,
+            trials_passed: 0,
+            cause: cause,
+            evidence_count: evidence,
+            last_evidence_at: now,
+        });
+    }
+
+    /// Whether a report of other dispatchers that it is bad is in force.
+    pub fn is_reported_bad(&self, now: Time) -> bool {
+        self.peer_report.is_some_and(|report| now < report.expires_at)
+    }
+
+    /// Applies a new list entry. A start later than the one listed before means another process with an empty
+    /// cache: all that was known of the host is discarded. Otherwise the latest known start stays, listed or
+    /// detected. Guards against treating a host as warm because the list gives an earlier start or none.
+    pub fn update_listing(&mut self, now: Time, entry: Listing) {
         let since = self.entry.since.max(entry.since);
-        if entry.since > self.listed {
-            // Where it was found before that it may be new, its budget began then.
-            let found = self.cut.is_some() || self.entry.since >= entry.since;
-            let cold = if found { self.cold } else { Bucket::empty(now) };
-            *self = Host { in_flight: self.in_flight, cold, ..Host::new(entry, now) };
+        if entry.since > self.listed_start {
+            // If the restart was detected earlier, its cold budget began then.
+            let is_detected = self.connection_lost_at.is_some() || self.entry.since >= entry.since;
+            let cold_bucket = if is_detected { self.cold_bucket } else { TokenBucket::empty(now) };
+            *self = Host { in_flight: self.in_flight, cold_bucket, ..Host::new(entry, now) };
         }
-        (self.entry, self.listed) = (Listing { since, ..entry }, self.listed.max(entry.since));
+        (self.entry, self.listed_start) = (Listing { since, ..entry }, self.listed_start.max(entry.since));
     }
 
-    /// For how long its process has run, as far as is known; none where it began long ago. One that may be
-    /// another process than the one that was known counts as just started.
-    pub fn age(&self, now: Time) -> Option<Span> {
-        if self.cut.is_some() {
+    /// Age of its process; `None` if it started long ago. A host that may run a new process counts as just
+    /// started.
+    pub fn process_age(&self, now: Time) -> Option<Span> {
+        if self.connection_lost_at.is_some() {
             return Some(Span::ZERO);
         }
         self.entry.since.map(|since| now - since)
     }
 
-    /// It answered an attempt that was sent then. After a cut that is the first word of a process that may be
-    /// new: its age counts from here, until the list tells its start.
-    pub fn answered(&mut self, now: Time, sent: Time) {
-        self.heard = now;
-        if self.cut.take_if(|cut| *cut <= sent).is_some() {
+    /// Records an answer to an attempt sent at `sent`. The first answer after a lost connection may come from
+    /// a new process: its age counts from now until the list shows its start.
+    pub fn record_answer(&mut self, now: Time, sent: Time) {
+        self.last_answer_at = now;
+        if self.connection_lost_at.take_if(|cut| *cut <= sent).is_some() {
             self.entry.since = self.entry.since.max(Some(now));
         }
     }
 
-    /// It counts as just started, and has had so many hand-offs of such a work: they are of its budget.
-    pub fn begins(&mut self, now: Time, sent: u32, work: f64) {
-        (self.entry.since, self.cold) = (self.entry.since.max(Some(now)), Bucket::empty(now));
-        self.cold.level -= f64::from(sent) * work;
+    /// Treats the host as just started, and charges the hand-offs it has had since to its new cold budget.
+    pub fn restart_cold_budget(&mut self, now: Time, sent: u32, work: f64) {
+        (self.entry.since, self.cold_bucket) = (self.entry.since.max(Some(now)), TokenBucket::empty(now));
+        self.cold_bucket.level -= f64::from(sent) * work;
     }
 
-    /// So much of what it was counted for then was not needed. Guards against a new process that is given what was
-    /// counted for the one before it.
-    pub fn unused(&mut self, sent: Time, work: f64) {
-        if sent >= self.cold.begun {
-            self.cold.level += work;
-            self.cold_use.used -= work;
+    /// Returns work that was charged at `sent` but not needed. Guards against crediting a new process with
+    /// work that was charged to the one before it.
+    pub fn refund_cold_budget(&mut self, sent: Time, work: f64) {
+        if sent >= self.cold_bucket.started_at {
+            self.cold_bucket.level += work;
+            self.cold_usage.used -= work;
         }
     }
 }
 
-/// What this dispatcher knows of one part of an object at one cache.
+/// What is known of one part of an object at one cache.
 #[derive(Debug, Default)]
-pub struct Copy {
-    pub settled: Option<Time>,
-    /// Hand-offs out that likely fill it.
-    pub leads: u32,
+pub struct CachedCopy {
+    /// When the cache last served the part.
+    pub confirmed_at: Option<Time>,
+    /// Hand-offs in flight that likely fill it.
+    pub fills_in_flight: u32,
 }
 
-pub type CopyId = (ObjectId, u32, HostId);
+pub type CachedCopyId = (ObjectId, u32, HostId);
 
+/// Averages over the visits of a class.
 #[derive(Debug, Default)]
-pub struct BandSeen {
-    pub sending: Mean,
+pub struct ClassStats {
+    pub transfer_seconds: Mean,
+    /// Size of answers, where visits tell it.
     pub kilobytes: Mean,
 }
 
+/// A visit without a final answer.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenVisit {
     pub visit: Visit,
     pub hand_offs: u8,
-    pub out: u32,
-    pub popular: bool,
-    pub since: Time,
-    /// The last hand-off only looked, and the cache lacks the object.
-    pub looked: bool,
-    /// So does the parent that was asked for what it holds.
-    pub lacks: bool,
-    /// The first hand-off that may have run: when it was sent and where to.
-    pub may_have_run: Option<(Time, HostId)>,
-    pub avoid: Vec<HostId>,
-    /// Hand-offs that ended in an error, and none in an answer since.
-    pub errors: Vec<Sent>,
+    pub in_flight: u32,
+    pub is_popular: bool,
+    pub arrived_at: Time,
+    /// The last hand-off asked for a cached copy only, and the cache has none.
+    pub has_cache_missed: bool,
+    /// The parent was asked for a cached copy only and has none either.
+    pub has_parent_missed: bool,
+    /// The first hand-off that may have been executed: when it was sent, and to which host.
+    pub first_possible_run: Option<(Time, HostId)>,
+    /// Hosts and sources that failed this visit, which it is not sent to again.
+    pub failed_hosts: Vec<HostId>,
+    /// Hand-offs that ended in a fast error, held until it is known whether hosts or the visit are at fault.
+    pub unattributed_errors: Vec<SentHandOff>,
 }
 
-impl Open {
-    pub fn new(visit: Visit, popular: bool, since: Time) -> Open {
-        Open {
+impl OpenVisit {
+    pub fn new(visit: Visit, popular: bool, since: Time) -> OpenVisit {
+        OpenVisit {
             visit,
             hand_offs: 0,
-            out: 0,
-            popular,
-            since,
-            looked: false,
-            lacks: false,
-            may_have_run: None,
-            avoid: Vec::new(),
-            errors: Vec::new(),
+            in_flight: 0,
+            is_popular: popular,
+            arrived_at: since,
+            has_cache_missed: false,
+            has_parent_missed: false,
+            first_possible_run: None,
+            failed_hosts: Vec::new(),
+            unattributed_errors: Vec::new(),
         }
     }
 }
 
+/// A hand-off in flight.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    pub at: Time,
-    /// The same for a breaker that is open, or long ago: what goes to a host for want of another is no trial.
-    pub tried: Time,
+pub struct SentHandOff {
+    pub sent_at: Time,
+    /// `sent_at` if the hand-off counts as a trial of an open breaker, else the earliest time: hand-offs sent
+    /// for want of another host are no trials.
+    pub trial_sent_at: Time,
     pub host: HostId,
     pub source: Option<HostId>,
     pub band: BandId,
-    pub copy: CopyId,
-    pub known: bool,
-    pub leads: bool,
-    /// How likely the hand-off was held to need a fill.
-    pub fill_share: f64,
-    /// And to need the origin.
-    pub origin_share: f64,
-    pub held: bool,
+    pub copy: CachedCopyId,
+    /// Whether the part was known to be cached at the host.
+    pub was_cached: bool,
+    /// Whether it likely fills a part that is not known to be cached.
+    pub is_first_fill: bool,
+    /// Estimated probability that it needs a fill.
+    pub fill_probability: f64,
+    /// Estimated probability that it reaches the origin.
+    pub origin_probability: f64,
+    /// Whether the source was asked for a cached copy only.
+    pub is_cached_only: bool,
 }
 
-/// What all fills of this dispatcher have in common: its location's link and the parents; or, for those
-/// that go on to the origin, that.
+/// Limits concurrent fills by the latency of the path behind the caches: the location's link and the parents,
+/// or the origin.
 #[derive(Debug, Default)]
-pub struct Gate {
-    pub fills: f64,
-    pub usual: Mean,
-    pub most: f64,
+pub struct FillLimiter {
+    /// Sum of the fill probabilities of hand-offs in flight.
+    pub expected_fills: f64,
+    /// Average of `expected_fills` while latency is below its target.
+    pub typical_fills: Mean,
+    pub max_limit: f64,
     pub limit: f64,
-    /// What part of the quoted time is borne.
-    pub borne: f64,
-    /// Logarithm of what part of the quoted time fills take.
-    pub late: Mean,
-    /// When answers last told of it.
-    pub at: Time,
-    /// Share of fills that go on to the origin.
-    pub onward: Mean,
-    /// How full the location's link was last reported.
-    pub link: Option<(Time, f64)>,
-    pub looks: u32,
-    pub holds_back: bool,
+    /// Fill latency to aim for, as a share of the class's target latency.
+    pub latency_target: f64,
+    /// Average logarithm of the ratio of fill latency to the class's target latency.
+    pub log_latency_ratio: Mean,
+    /// Time of the last latency sample.
+    pub updated_at: Time,
+    /// Share of fills that reach the origin.
+    pub origin_rate: Mean,
+    /// Load of the location's link that a cache last reported, and when.
+    pub reported_link_load: Option<(Time, f64)>,
+    /// Hand-offs since the last update that were restricted to cached copies.
+    pub restricted_count: u32,
+    pub is_restricting: bool,
 }
 
-impl Gate {
-    pub fn is_late(&self) -> bool {
-        self.late.value > self.borne.ln()
+impl FillLimiter {
+    pub fn exceeds_latency_target(&self) -> bool {
+        self.log_latency_ratio.value > self.latency_target.ln()
     }
 
-    pub fn line(&self, what: &str) -> String {
-        let word = if self.holds_back { "held back" } else { "flow again" };
-        let (limit, late, link) =
-            (self.limit, self.late.value.exp(), self.link.map_or(0.0, |(_, full)| full));
-        format!("{what} {word}: limit {limit:.1}, at {late:.1} of the quoted time, link {link:.1}")
+    /// Log line for a change of `is_restricting`.
+    pub fn state_line(&self, subject: &str) -> String {
+        let state = if self.is_restricting { "restricted" } else { "no longer restricted" };
+        let (limit, latency, link) = (
+            self.limit,
+            self.log_latency_ratio.value.exp(),
+            self.reported_link_load.map_or(0.0, |(_, full)| full),
+        );
+        format!(
+            "{subject} {state}: limit {limit:.1}, latency {latency:.1} of its target, link load {link:.1}"
+        )
     }
 }
 
+/// What a timer is for.
 #[derive(Clone, Copy, Debug)]
-pub enum Due {
+pub enum Timer {
     Deadline(VisitId),
-    Halve,
-    Second,
-    /// What others told of a host may be over.
-    Told(HostId),
+    DecayCounts,
+    EverySecond,
+    /// The report of other dispatchers on a host may have expired.
+    PeerReport(HostId),
 }
 
-/// What is to become of a visit now.
+/// The next step for a visit.
 pub enum Choice {
     HandOff(HostId, Option<Fill>),
     Wait,
     GiveUp,
 }
 
+/// The decision module of one dispatcher.
 pub struct Brain {
-    pub(crate) set: Settings,
-    pub(crate) chance: Pcg64Mcg,
+    pub(crate) settings: Settings,
+    pub(crate) rng: Pcg64Mcg,
     pub(crate) hosts: BTreeMap<HostId, Host>,
-    pub(crate) visits: BTreeMap<VisitId, Open>,
-    pub(crate) sent: BTreeMap<(VisitId, HandOffNo), Sent>,
+    pub(crate) visits: BTreeMap<VisitId, OpenVisit>,
+    pub(crate) in_flight: BTreeMap<(VisitId, HandOffNo), SentHandOff>,
     pub(crate) popularity: Popularity,
     pub(crate) purges: Purges,
-    /// While purges may have been told that are not known here: the time in which any has to be obeyed.
-    pub(crate) unproven: Option<Span>,
-    /// While the change log is not heard: the time after which what it has to tell binds all the same.
-    pub(crate) unheard: Option<Span>,
-    pub(crate) copies: BTreeMap<CopyId, Copy>,
-    pub(crate) bands: Vec<BandSeen>,
-    /// Seconds of work of a hand-off to a cache.
-    pub(crate) mean_work: Mean,
-    pub(crate) due: DueTimes<Due>,
-    pub(crate) waiting: VecDeque<VisitId>,
-    pub(crate) ready: VecDeque<Decision>,
-    /// Visits that wait behind an own fill, until the next round.
-    pub(crate) parked: Vec<VisitId>,
-    pub(crate) further: Bucket,
-    pub(crate) probes: Bucket,
-    pub(crate) last_woken: Time,
-    pub(crate) gate: Gate,
-    pub(crate) origin: Gate,
-    /// What of limits that several share is this dispatcher's.
-    pub(crate) parts: BTreeMap<Shared, Part>,
-    pub(crate) origin_use: Use,
-    pub(crate) further_use: Use,
+    /// Maximum age of copies while purges may have been missed: the time in which a purge has to be obeyed.
+    pub(crate) unverified_max_age: Option<Span>,
+    /// Maximum age of copies while the change log is silent: the time after which its purges have to be
+    /// obeyed whether or not they arrived.
+    pub(crate) log_silence_max_age: Option<Span>,
+    pub(crate) cached_copies: BTreeMap<CachedCopyId, CachedCopy>,
+    pub(crate) class_stats: Vec<ClassStats>,
+    /// Average seconds of work of a hand-off to a cache.
+    pub(crate) mean_cache_work: Mean,
+    pub(crate) timers: DueTimes<Timer>,
+    pub(crate) undecided: VecDeque<VisitId>,
+    pub(crate) decisions: VecDeque<Decision>,
+    /// Visits that wait until the next tick for a fill of this dispatcher.
+    pub(crate) awaiting_fill: Vec<VisitId>,
+    pub(crate) retry_budget: TokenBucket,
+    pub(crate) probe_budget: TokenBucket,
+    pub(crate) last_tick_at: Time,
+    pub(crate) fill_limiter: FillLimiter,
+    pub(crate) origin_limiter: FillLimiter,
+    /// This dispatcher's parts of shared limits.
+    pub(crate) allotments: BTreeMap<Shared, Allotment>,
+    pub(crate) origin_usage: Usage,
+    pub(crate) retry_usage: Usage,
 }
 
 impl Brain {
-    pub(crate) fn empty(set: Settings, seed: u64) -> Brain {
+    pub(crate) fn with_settings(set: Settings, seed: u64) -> Brain {
         Brain {
-            bands: set.bands.iter().map(|_| BandSeen::default()).collect(),
-            set,
-            mean_work: Default::default(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            class_stats: set.bands.iter().map(|_| ClassStats::default()).collect(),
+            settings: set,
+            mean_cache_work: Default::default(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             hosts: Default::default(),
             visits: Default::default(),
-            sent: Default::default(),
+            in_flight: Default::default(),
             popularity: Default::default(),
             purges: Default::default(),
-            unproven: None,
-            unheard: None,
-            copies: Default::default(),
-            due: Default::default(),
-            waiting: Default::default(),
-            ready: Default::default(),
-            parked: Default::default(),
-            further: Default::default(),
-            probes: Default::default(),
-            last_woken: Default::default(),
-            gate: Default::default(),
-            origin: Default::default(),
-            parts: Default::default(),
-            origin_use: Default::default(),
-            further_use: Default::default(),
+            unverified_max_age: None,
+            log_silence_max_age: None,
+            cached_copies: Default::default(),
+            timers: Default::default(),
+            undecided: Default::default(),
+            decisions: Default::default(),
+            awaiting_fill: Default::default(),
+            retry_budget: Default::default(),
+            probe_budget: Default::default(),
+            last_tick_at: Default::default(),
+            fill_limiter: Default::default(),
+            origin_limiter: Default::default(),
+            allotments: Default::default(),
+            origin_usage: Default::default(),
+            retry_usage: Default::default(),
         }
     }
 
-    /// A list of hosts, whole or only what changed. Hosts missing from a whole list are gone.
+    /// Applies a list of hosts. If it is `whole`, hosts missing from it are gone; else it holds changes only.
     pub fn listed(&mut self, now: Time, entries: &[Listing], whole: bool) {
         self.hosts.values_mut().filter(|_| whole).for_each(|host| host.entry.phase = Phase::Gone);
         for entry in entries {
             let host = self.hosts.entry(entry.host).or_insert_with(|| Host::new(*entry, now));
-            host.relisted(now, *entry);
+            host.update_listing(now, *entry);
         }
         let gone = self.hosts.values().filter(|h| h.is_gone() && h.in_flight > 0);
         let gone: Vec<HostId> = gone.map(|h| h.entry.host).collect();
-        gone.into_iter().for_each(|host| self.call_off(host));
+        gone.into_iter().for_each(|host| self.cancel_in_flight(host));
     }
 
-    /// The listed start of a host's process is known to have been earlier than it was dated at first. What was found since
-    /// of a later one stays.
+    /// Corrects the listed start of a host's process to an earlier time. A later restart that was detected
+    /// stays.
     pub fn redated(&mut self, id: HostId, since: Time) {
-        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.listed > Some(since)) else { return };
-        if host.entry.since == host.listed {
+        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.listed_start > Some(since)) else {
+            return;
+        };
+        if host.entry.since == host.listed_start {
             host.entry.since = Some(since);
         }
-        host.listed = Some(since);
+        host.listed_start = Some(since);
     }
 
-    /// Forgets a visit whose client has left or has its final answer, and calls off what is still out for it.
+    /// Drops a visit whose client has left or has its final answer, and cancels its hand-offs in flight.
     pub fn left(&mut self, id: VisitId) {
-        if self.visits.remove(&id).is_none() || !self.set.cancel {
+        if self.visits.remove(&id).is_none() || !self.settings.cancel {
             return;
         }
-        let out = self.sent.range((id, HandOffNo(0))..=(id, HandOffNo(u8::MAX)));
-        self.ready.extend(out.map(|(&(visit, number), _)| Decision::Cancel { visit, number }));
-    }
-
-    /// Calls off what is out at a host that is not expected to answer, where a repeat does no harm.
-    pub(crate) fn call_off(&mut self, id: HostId) {
-        let harmless = |band: BandId| self.band(band).is_some_and(|b| b.effect == Effect::Idempotent);
-        let out = self.sent.iter().filter(|(_, s)| self.set.cancel && s.host == id && harmless(s.band));
+        let out = self.in_flight.range((id, HandOffNo(0))..=(id, HandOffNo(u8::MAX)));
+        self.decisions.extend(out.map(|(&(visit, number), _)| Decision::Cancel { visit, number }));
+    }
+
+    /// Cancels the idempotent hand-offs in flight at a host that is not expected to answer.
+    pub(crate) fn cancel_in_flight(&mut self, id: HostId) {
+        let is_idempotent =
+            |band: BandId| self.class_settings(band).is_some_and(|b| b.effect == Effect::Idempotent);
+        let out = self
+            .in_flight
+            .iter()
+            .filter(|(_, s)| self.settings.cancel && s.host == id && is_idempotent(s.band));
         let out: Vec<_> = out.map(|(&(visit, number), _)| Decision::Cancel { visit, number }).collect();
-        self.ready.extend(out);
+        self.decisions.extend(out);
     }
 
-    /// A host reset its connections or refused a new one: another process may answer next.
-    /// Guards against one that is new, and cold, before the list tells so; harms one that did so for another
-    /// reason, which has a cold one's part until it would be warm.
+    /// A host reset its connections or refused a new one, so a new process may answer next. Guards against
+    /// overloading a new, cold process before the list shows it. A host that closed its connections for
+    /// another reason gets a cold host's budget meanwhile.
     pub fn cut(&mut self, now: Time, id: HostId) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        if host.cut.is_none() {
-            host.cold = Bucket::empty(now);
+        if host.connection_lost_at.is_none() {
+            host.cold_bucket = TokenBucket::empty(now);
         }
-        host.cut = Some(now);
+        host.connection_lost_at = Some(now);
     }
 
-    /// Gives back what an attempt was counted for at cold hosts, where its end says that it never went out.
-    pub(crate) fn refund(&mut self, sent: &Sent, outcome: Outcome) {
+    /// Returns the work charged to cold hosts for an attempt that was never sent.
+    pub(crate) fn refund_unsent(&mut self, sent: &SentHandOff, outcome: Outcome) {
         if !matches!(outcome, Outcome::Moot | Outcome::Unsent) {
             return;
         }
         let work = self.cold_cost(sent.band);
         for id in [Some(sent.host), sent.source].into_iter().flatten() {
-            self.hosts.get_mut(&id).into_iter().for_each(|host| host.unused(sent.at, work));
+            self.hosts.get_mut(&id).into_iter().for_each(|host| host.refund_cold_budget(sent.sent_at, work));
         }
     }
 
-    /// An earlier try of a visit that has just arrived may have run, sent then and to that host. Guards
-    /// against a repeat past the group that drops it, after a dispatcher's end; harms only where that try
-    /// never ran.
+    /// Notes that an earlier attempt of a visit that has just arrived was sent to `host` at `at` and may have
+    /// been executed. Guards against a repeat outside the group that deduplicates it, after a restart of the
+    /// dispatcher.
     pub fn ran_before(&mut self, id: VisitId, at: Time, host: HostId) {
-        self.visits.get_mut(&id).into_iter().for_each(|open| open.may_have_run = Some((at, host)));
+        self.visits.get_mut(&id).into_iter().for_each(|open| open.first_possible_run = Some((at, host)));
     }
 
+    /// Records a purge of an object, or of its whole group if no object is given, made `ago` before now.
     pub fn purged(&mut self, now: Time, group: GroupId, object: Option<ObjectId>, ago: Span) {
-        self.purges.note(group, object, now - ago);
+        self.purges.record(group, object, now - ago);
     }
 
-    /// Whether purges may have been told that this dispatcher has not heard of, until it is told otherwise.
+    /// Sets whether purges may have been missed.
     pub fn unproven(&mut self, unproven: bool) {
-        self.unproven = unproven.then_some(self.set.purge_grace.max(Span(1)));
+        self.unverified_max_age = unproven.then_some(self.settings.purge_grace.max(Span(1)));
     }
 
-    /// The change log was not heard for so long that what it has to tell counts as told within `told_within`, whether it
-    /// arrived or not; none once it is heard again.
+    /// The change log has been silent for so long that its purges count as known within `told_within` whether
+    /// or not they arrived; `None` once it is heard again.
     pub fn unheard(&mut self, told_within: Option<Span>) {
-        self.unheard = told_within.map(|told| told + self.set.purge_grace);
+        self.log_silence_max_age = told_within.map(|span| span + self.settings.purge_grace);
     }
 
-    /// Counts a hand-off in (1) or out (-1): at its host; its likely fill at source, part and both limits.
-    pub(crate) fn count(&mut self, sent: &Sent, by: i32) {
+    /// Adds (1) or removes (-1) a hand-off in the counts of its host, and its expected fill in those of its
+    /// source, its part and both fill limits.
+    pub(crate) fn count_in_flight(&mut self, sent: &SentHandOff, change: i32) {
         if let Some(host) = self.hosts.get_mut(&sent.host) {
             if host.in_flight == 0 {
-                host.waiting_since = sent.at;
+                host.waiting_since = sent.sent_at;
             }
-            host.in_flight = host.in_flight.saturating_add_signed(by);
+            host.in_flight = host.in_flight.saturating_add_signed(change);
         }
-        if sent.leads {
-            let copy = self.copies.entry(sent.copy).or_default();
-            copy.leads = copy.leads.saturating_add_signed(by);
+        if sent.is_first_fill {
+            let copy = self.cached_copies.entry(sent.copy).or_default();
+            copy.fills_in_flight = copy.fills_in_flight.saturating_add_signed(change);
         }
-        let by = f64::from(by);
-        self.gate.fills = (self.gate.fills + by * sent.fill_share).max(0.0);
-        self.origin.fills = (self.origin.fills + by * sent.origin_share).max(0.0);
+        let change = f64::from(change);
+        self.fill_limiter.expected_fills =
+            (self.fill_limiter.expected_fills + change * sent.fill_probability).max(0.0);
+        self.origin_limiter.expected_fills =
+            (self.origin_limiter.expected_fills + change * sent.origin_probability).max(0.0);
         if let Some(source) = sent.source.and_then(|id| self.hosts.get_mut(&id)) {
-            source.fills = (source.fills + by * sent.fill_share).max(0.0);
+            source.expected_fills = (source.expected_fills + change * sent.fill_probability).max(0.0);
         }
-        self.count_use(sent, by > 0.0);
-        let by_cache = by > 0.0 && self.hosts.get(&sent.host).is_some_and(|host| self.is_cache(host));
-        let work = Some(self.sending(sent.band)).filter(|_| by_cache);
-        work.into_iter().for_each(|work| self.mean_work.push(work, 0.01));
+        self.record_usage(sent, change > 0.0);
+        let by_cache = change > 0.0 && self.hosts.get(&sent.host).is_some_and(|host| self.is_cache(host));
+        let work = Some(self.transfer_seconds(sent.band)).filter(|_| by_cache);
+        work.into_iter().for_each(|work| self.mean_cache_work.push(work, 0.01));
     }
 
     pub(crate) fn is_cache(&self, host: &Host) -> bool {
-        !self.is_parent(host) && !self.is_origin(host) && host.entry.location == self.set.location
+        !self.is_parent(host) && !self.is_origin(host) && host.entry.location == self.settings.location
     }
 
     pub(crate) fn is_parent(&self, host: &Host) -> bool {
-        Some(host.entry.kind) == self.set.parent_kind
+        Some(host.entry.kind) == self.settings.parent_kind
     }
 
     pub(crate) fn is_origin(&self, host: &Host) -> bool {
-        Some(host.entry.kind) == self.set.origin_kind
+        Some(host.entry.kind) == self.settings.origin_kind
     }
 
-    /// The listed ready hosts of one sort in the rendezvous order of an object.
-    pub(crate) fn by_hash(&self, key: u64, sort: impl Fn(&Host) -> bool) -> Vec<HostId> {
+    /// Ready hosts that satisfy `sort`, in rendezvous order for a key.
+    pub(crate) fn hosts_by_hash(&self, key: u64, sort: impl Fn(&Host) -> bool) -> Vec<HostId> {
         let listed = self.hosts.values().filter(|h| h.is_ready() && sort(h));
         let value = |h: &Host| rendezvous(key, h.entry.host, self.hash_weight(h));
         let mut order: Vec<(f64, HostId)> = listed.map(|h| (value(h), h.entry.host)).collect();
@@ -516,65 +573,73 @@
         order.into_iter().map(|(_, host)| host).collect()
     }
 
-    pub(crate) fn band(&self, id: BandId) -> Option<&Band> {
-        self.set.bands.get(usize::from(id.0))
+    pub(crate) fn class_settings(&self, id: BandId) -> Option<&Band> {
+        self.settings.bands.get(usize::from(id.0))
     }
 
-    /// The band's mean sending time in seconds: by size where that is told, else by answers; before any is
-    /// known the quoted time stands for it, which is more.
-    pub(crate) fn sending(&self, id: BandId) -> f64 {
-        let (Some(band), Some(seen)) = (self.band(id), self.bands.get(usize::from(id.0))) else { return 1.0 };
-        if seen.kilobytes.seen > 0 && self.set.pace > 0.0 {
-            return seen.kilobytes.value / self.set.pace;
+    /// Mean transfer time of a class in seconds: by size where visits tell it, else by answer times. Before
+    /// any is known the target latency is used, which is longer.
+    pub(crate) fn transfer_seconds(&self, id: BandId) -> f64 {
+        let (Some(class), Some(stats)) = (self.class_settings(id), self.class_stats.get(usize::from(id.0)))
+        else {
+            return 1.0;
+        };
+        if stats.kilobytes.seen > 0 && self.settings.pace > 0.0 {
+            return stats.kilobytes.value / self.settings.pace;
         }
-        seen.sending.or(band.quoted.as_seconds())
+        stats.transfer_seconds.or(class.quoted.as_seconds())
     }
 
-    /// What a hand-off is counted for at a cold host: its work, or the mean hand-off's to a cache where that
-    /// is more. Guards against many small ones, where a fall is told by their number; harms them alone.
+    /// Work charged for a hand-off to a cold host: its own, or that of the mean hand-off to a cache if that
+    /// is more. Guards against overload by the mere number of small requests.
     pub(crate) fn cold_cost(&self, id: BandId) -> f64 {
-        self.sending(id).max(self.mean_work.value)
+        self.transfer_seconds(id).max(self.mean_cache_work.value)
     }
 
-    /// The quoted time of a band's mean visit, in seconds.
+    /// Target latency of a class's mean visit, in seconds.
     pub fn quoted(&self, id: BandId) -> f64 {
-        self.band(id).map_or(1.0, |b| b.quoted.as_seconds() + b.stretch * self.sending(id))
+        self.class_settings(id)
+            .map_or(1.0, |class| class.quoted.as_seconds() + class.stretch * self.transfer_seconds(id))
     }
 
+    /// Other ready hosts of the same role: parents for a parent, else this location's caches.
     pub(crate) fn peers(&self, id: HostId) -> impl Iterator<Item = &Host> {
         let parent = self.hosts.get(&id).is_some_and(|h| self.is_parent(h));
-        let alike = move |h: &Host| if parent { self.is_parent(h) } else { self.is_cache(h) };
-        self.hosts.values().filter(move |h| h.entry.host != id && h.is_ready() && alike(h))
+        let is_peer = move |h: &Host| if parent { self.is_parent(h) } else { self.is_cache(h) };
+        self.hosts.values().filter(move |h| h.entry.host != id && h.is_ready() && is_peer(h))
     }
 
-    /// Whether another of this dispatcher's hand-offs likely fills the part at that cache now.
-    pub(crate) fn is_led(&self, now: Time, visit: &Visit, cache: HostId) -> bool {
-        let copy = self.copies.get(&(visit.object, visit.part, cache));
-        copy.is_some_and(|copy| copy.leads > 0) && !self.knows(now, visit, cache)
+    /// Whether another hand-off of this dispatcher is likely filling the part at that cache.
+    pub(crate) fn is_fill_in_flight(&self, now: Time, visit: &Visit, cache: HostId) -> bool {
+        let copy = self.cached_copies.get(&(visit.object, visit.part, cache));
+        copy.is_some_and(|copy| copy.fills_in_flight > 0) && !self.is_known_cached(now, visit, cache)
     }
 
     pub(crate) fn hash_weight(&self, host: &Host) -> f64 {
-        Some(host.entry.weight).filter(|weight| self.set.weights_steady && *weight > 0.0).unwrap_or(1.0)
+        Some(host.entry.weight).filter(|weight| self.settings.weights_steady && *weight > 0.0).unwrap_or(1.0)
     }
 
-    pub(crate) fn busy(&self, id: HostId) -> f64 {
+    /// Hand-offs in flight at a host over its limit.
+    pub(crate) fn utilization(&self, id: HostId) -> f64 {
         self.hosts.get(&id).map_or(f64::MAX, |h| f64::from(h.in_flight) / self.limit(h))
     }
 
-    /// Whether a share of room takes one more: below one by chance, so that many shares hold in sum.
-    pub(crate) fn has_part(&mut self, room: f64) -> bool {
-        room >= 1.0 || room > 0.0 && self.chance.gen_bool(room)
+    /// Whether one more fits into the remaining capacity `room`. Fractions below one admit with that
+    /// probability, so that the shares of many dispatchers hold in total.
+    pub(crate) fn admits(&mut self, room: f64) -> bool {
+        room >= 1.0 || room > 0.0 && self.rng.gen_bool(room)
     }
 
-    /// Whether a cache was seen to hold a part since it started, since the part's last purge, and lately.
-    pub(crate) fn knows(&self, now: Time, visit: &Visit, cache: HostId) -> bool {
-        let copy = self.copies.get(&(visit.object, visit.part, cache));
-        let void = self.purges.last(visit.group, visit.object);
-        let void = void.max(self.hosts.get(&cache).and_then(|h| h.entry.since));
-        copy.and_then(|c| c.settled).is_some_and(|at| now < at + FORGET && Some(at) > void)
+    /// Whether a cache recently served a part, after its own start and after the part's last purge.
+    pub(crate) fn is_known_cached(&self, now: Time, visit: &Visit, cache: HostId) -> bool {
+        let copy = self.cached_copies.get(&(visit.object, visit.part, cache));
+        let invalid_until = self.purges.latest(visit.group, visit.object);
+        let invalid_until = invalid_until.max(self.hosts.get(&cache).and_then(|h| h.entry.since));
+        copy.and_then(|c| c.confirmed_at)
+            .is_some_and(|at| now < at + STATS_RETENTION && Some(at) > invalid_until)
     }
 
     pub(crate) fn log(&mut self, line: String) {
-        self.ready.push_back(Decision::Log(line));
+        self.decisions.push_back(Decision::Log(line));
     }
 }
