--- a/src/time.rs
+++ b/src/time.rs
@@ -1,18 +1,19 @@
-//! Points in time and spans between them, in microseconds; none of them mixes with another.
+//! Points in time and durations, in microseconds, as distinct types.
 //!
-//! [`Time`] is read from a clock that never steps, and means something within one process alone. [`UnixTime`] is what wires
-//! and folders speak. There is no way from one to the other here: whoever holds both clocks makes it at the border, once.
+//! [`Time`] comes from a monotonic clock and is meaningful within one process only. [`UnixTime`] is used on
+//! wires and in files. This module does not convert between the two: the code that reads both clocks does.
 use std::ops::{Add, Sub};
 
-/// A point in time of the process's own clock, which never steps.
+/// A point in time of the process's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
-/// A point in time as wires and folders tell it, in microseconds since 1970; the clock it is read from may be wrong and step.
+/// Microseconds since 1970, as used on wires and in files. Its clock may be wrong and may jump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct UnixTime(pub u64);
 
+/// A non-negative duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Span(pub u64);
@@ -63,7 +64,7 @@
             }
         }
 
-        /// The span from an earlier point to a later one; zero where the order is the other way round.
+        /// Time elapsed since `earlier`, or zero if `earlier` is the later point.
         impl Sub for $point {
             type Output = Span;
             fn sub(self, earlier: $point) -> Span {
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -1,6 +1,6 @@
 //! Purges bind for as long as the process runs, in bounded memory.
 use cherrypass::ids::{GroupId, ObjectId};
-use cherrypass::purges::{Purges, HELD, SLOTS};
+use cherrypass::purges::{Purges, HASH_SLOTS, MAX_TRACKED};
 use cherrypass::time::Time;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,26 +14,26 @@
     let mut purges = Purges::default();
     let mut truth: BTreeMap<ObjectId, Time> = BTreeMap::new();
     let mut groups: BTreeMap<GroupId, Time> = BTreeMap::new();
-    for second in 1..=3 * HELD as u64 {
+    for second in 1..=3 * MAX_TRACKED as u64 {
         // Now and then one is heard late, after younger ones.
         let at = Time(second * 1_000_000 - chance.gen_range(0..9_000_000).min(second * 1_000_000));
         if chance.gen_bool(0.01) {
             let group = GroupId(chance.gen_range(0..GROUPS));
-            purges.note(group, None, at);
+            purges.record(group, None, at);
             let known = groups.entry(group).or_insert(at);
             *known = at.max(*known);
         } else {
             let object = ObjectId(chance.gen_range(0..20_000));
-            purges.note(GroupId(0), Some(object), at);
+            purges.record(GroupId(0), Some(object), at);
             let known = truth.entry(object).or_insert(at);
             *known = at.max(*known);
         }
-        assert!(purges.held() <= HELD);
+        assert!(purges.tracked_count() <= MAX_TRACKED);
     }
     for (object, at) in &truth {
         let group = GroupId(object.0 as u32 % GROUPS);
         let must = groups.get(&group).max(Some(at)).copied();
-        assert!(purges.last(group, *object) >= must, "{object:?} was purged at {must:?}");
+        assert!(purges.latest(group, *object) >= must, "{object:?} was purged at {must:?}");
     }
 }
 
@@ -41,22 +41,23 @@
 fn what_was_not_purged_is_bound_by_old_purges_alone() {
     let mut purges = Purges::default();
     let never = (0..1000).map(|number| ObjectId((1 << 40) | (number * 7919)));
-    (0..HELD as u64).for_each(|number| purges.note(GroupId(0), Some(ObjectId(number)), Time(number)));
-    assert_eq!(never.clone().filter_map(|object| purges.last(GroupId(1), object)).count(), 0);
-    let more = HELD as u64..(HELD + SLOTS) as u64;
-    more.for_each(|number| purges.note(GroupId(0), Some(ObjectId(number)), Time(number)));
-    let bound: Vec<Time> = never.filter_map(|object| purges.last(GroupId(1), object)).collect();
-    assert!(bound.iter().all(|at| at.0 < SLOTS as u64), "bound by one that is held");
+    (0..MAX_TRACKED as u64)
+        .for_each(|number| purges.record(GroupId(0), Some(ObjectId(number)), Time(number)));
+    assert_eq!(never.clone().filter_map(|object| purges.latest(GroupId(1), object)).count(), 0);
+    let more = MAX_TRACKED as u64..(MAX_TRACKED + HASH_SLOTS) as u64;
+    more.for_each(|number| purges.record(GroupId(0), Some(ObjectId(number)), Time(number)));
+    let bound: Vec<Time> = never.filter_map(|object| purges.latest(GroupId(1), object)).collect();
+    assert!(bound.iter().all(|at| at.0 < HASH_SLOTS as u64), "bound by one that is held");
     assert!(bound.len() < 900, "{} of 1000 are bound", bound.len());
 }
 
 #[test]
 fn a_purge_heard_late_takes_nothing_back() {
     let mut purges = Purges::default();
-    purges.note(GroupId(3), Some(ObjectId(7)), Time(50));
-    purges.note(GroupId(3), Some(ObjectId(7)), Time(20));
-    purges.note(GroupId(3), None, Time(30));
-    assert_eq!(purges.last(GroupId(3), ObjectId(7)), Some(Time(50)));
-    assert_eq!(purges.last(GroupId(3), ObjectId(8)), Some(Time(30)));
-    assert_eq!(purges.last(GroupId(4), ObjectId(8)), None);
+    purges.record(GroupId(3), Some(ObjectId(7)), Time(50));
+    purges.record(GroupId(3), Some(ObjectId(7)), Time(20));
+    purges.record(GroupId(3), None, Time(30));
+    assert_eq!(purges.latest(GroupId(3), ObjectId(7)), Some(Time(50)));
+    assert_eq!(purges.latest(GroupId(3), ObjectId(8)), Some(Time(30)));
+    assert_eq!(purges.latest(GroupId(4), ObjectId(8)), None);
 }
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -20,7 +20,7 @@
 /// It is found anew at 40 s, after three trials.
 fn found_anew(listed: Option<Time>) -> Host {
     let mut host = Host::new(entry(listed), Time(0));
-    host.begins(at(40).unwrap(), 3, WORK);
+    host.restart_cold_budget(at(40).unwrap(), 3, WORK);
     host
 }
 
@@ -29,11 +29,11 @@
 #[test_case(42, 0.0; "another one")]
 fn what_it_was_sent_since_it_was_found_stays_counted(told: u64, owed: f64) {
     let mut host = found_anew(at(5));
-    host.relisted(at(45).unwrap(), entry(at(told)));
+    host.update_listing(at(45).unwrap(), entry(at(told)));
     assert_eq!(host.entry.since, at(told.max(40)));
-    assert!((host.cold.level + owed).abs() < 1e-9, "{}", host.cold.level);
-    host.relisted(at(60).unwrap(), entry(at(59)));
-    assert_eq!((host.entry.since, host.cold.level), (at(59), 0.0));
+    assert!((host.cold_bucket.level + owed).abs() < 1e-9, "{}", host.cold_bucket.level);
+    host.update_listing(at(60).unwrap(), entry(at(59)));
+    assert_eq!((host.entry.since, host.cold_bucket.level), (at(59), 0.0));
 }
 
 #[test_case(at(5); "the same")]
@@ -41,10 +41,10 @@
 #[test_case(None; "none")]
 fn no_news_leaves_all_that_is_known(told: Option<Time>) {
     let mut host = found_anew(at(5));
-    host.judged(at(41).unwrap(), true, 1.0);
-    host.relisted(at(45).unwrap(), entry(told));
-    assert_eq!((host.entry.since, host.listed, host.bad.seen), (at(40), at(5), 1));
-    assert!(host.cold.level < 0.0);
+    host.record_result(at(41).unwrap(), true, 1.0);
+    host.update_listing(at(45).unwrap(), entry(told));
+    assert_eq!((host.entry.since, host.listed_start, host.failure_rate.seen), (at(40), at(5), 1));
+    assert!(host.cold_bucket.level < 0.0);
 }
 
 /// After a cut its budget began with that, whenever the list then tells the start.
@@ -52,20 +52,20 @@
 #[test_case(42; "after it")]
 fn what_it_was_sent_since_a_cut_stays_counted(told: u64) {
     let mut host = found_anew(at(5));
-    host.cut = at(41);
-    host.relisted(at(45).unwrap(), entry(at(told)));
-    assert!((host.cold.level + 3.0 * WORK).abs() < 1e-9, "{}", host.cold.level);
-    assert!(host.cut.is_none());
+    host.connection_lost_at = at(41);
+    host.update_listing(at(45).unwrap(), entry(at(told)));
+    assert!((host.cold_bucket.level + 3.0 * WORK).abs() < 1e-9, "{}", host.cold_bucket.level);
+    assert!(host.connection_lost_at.is_none());
 }
 
 /// Its first answer after a cut says that it runs by now, not that it runs for longer than the list has it.
 #[test]
 fn an_answer_after_a_cut_sets_no_start_back() {
     let mut host = Host::new(entry(at(90)), Time(0));
-    host.cut = at(40);
-    host.answered(at(42).unwrap(), at(41).unwrap());
+    host.connection_lost_at = at(40);
+    host.record_answer(at(42).unwrap(), at(41).unwrap());
     assert_eq!(host.entry.since, at(90));
-    host.begins(at(43).unwrap(), 0, 0.0);
+    host.restart_cold_budget(at(43).unwrap(), 0, 0.0);
     assert_eq!(host.entry.since, at(90));
 }
 
@@ -73,9 +73,9 @@
 #[test]
 fn a_new_process_is_given_back_nothing_of_the_one_before() {
     let mut host = Host::new(entry(None), Time(0));
-    host.relisted(at(45).unwrap(), entry(at(44)));
-    host.unused(at(44).unwrap(), WORK);
-    assert_eq!(host.cold.level, 0.0);
-    host.unused(at(45).unwrap(), WORK);
-    assert_eq!(host.cold.level, WORK);
+    host.update_listing(at(45).unwrap(), entry(at(44)));
+    host.refund_cold_budget(at(44).unwrap(), WORK);
+    assert_eq!(host.cold_bucket.level, 0.0);
+    host.refund_cold_budget(at(45).unwrap(), WORK);
+    assert_eq!(host.cold_bucket.level, WORK);
 }
