--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,9 +1,9 @@
-//! Refuses settings that can't be meant: a key of the wrong type or out of range, or keys of two deployments' shapes
-//! in one configuration. What is absent has its usual meaning and is never refused.
+//! Validates settings: types, ranges and consistency between keys. Absent keys have defaults and are valid,
+//! unless another key requires them.
 use cherrypass::ids::PLACES;
 use serde_json::Value;
 
-/// The settings' key that can't be used, and why.
+/// An invalid key of the settings, and the reason.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("settings/{key} {why}")]
 pub struct Fault {
@@ -11,74 +11,78 @@
     pub why: String,
 }
 
+/// What a key has to hold.
 #[derive(Clone, Copy)]
-enum Form {
-    Flag,
+enum ValueType {
+    Boolean,
+    /// Least and greatest value.
     Number(f64, f64),
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
+    /// A list of non-negative numbers.
     Numbers,
-    Flags,
-    Words,
+    Booleans,
+    Strings,
 }
 
-const ANY: Form = Form::Number(0.0, f64::MAX);
-const SHARE: Form = Form::Number(0.0, 1.0);
-/// The last place that an id of 16 bits can tell.
-const LAST: f64 = (PLACES - 1) as f64;
-const KIND: Form = Form::Number(-1.0, LAST);
+const NON_NEGATIVE: ValueType = ValueType::Number(0.0, f64::MAX);
+const FRACTION: ValueType = ValueType::Number(0.0, 1.0);
+/// Largest list index that a 16-bit id can express.
+const MAX_INDEX: f64 = (PLACES - 1) as f64;
+const KIND_INDEX: ValueType = ValueType::Number(-1.0, MAX_INDEX);
 
-/// The keys that are read, and those that a configuration of another shape differs in; beside those of bands.
-const KEYS: [(&str, Form); 37] = [
-    ("balancers", Form::Number(1.0, 65_535.0)),
-    ("zone", Form::Number(0.0, LAST)),
-    ("zones", Form::Words),
-    ("models", Form::Words),
-    ("weight_source", Form::Word(&["", "none", "nominal", "rough", "live"])),
-    ("stats/how", Form::Word(&["answers", "probe", "none"])),
-    ("stats/columns", Form::Words),
-    ("bounds/cancel", Form::Flag),
-    ("bounds/probing", Form::Flag),
-    ("bounds/retry_after", Form::Flag),
-    ("bounds/max_retry_after", ANY),
-    ("bounds/max_attempts", Form::Number(1.0, f64::MAX)),
-    ("bounds/connect_timeout", ANY),
-    ("bounds/conn_idle", ANY),
-    ("bounds/streams_per_conn", ANY),
-    ("rules/cold_from", SHARE),
-    ("rules/cold", ANY),
-    ("rules/overload_factor", ANY),
-    ("rules/overload_for", ANY),
-    ("rules/drain_grace", ANY),
-    ("domain/may_pass_by", Form::Flag),
-    ("domain/joins", Form::Flag),
-    ("domain/detail", Form::Word(&["all", "hit", "none"])),
-    ("domain/peers_fill", Form::Word(&["none", "location", "any"])),
-    ("domain/parent_kind", KIND),
-    ("domain/source_kind", KIND),
-    ("domain/parent_starts_at", SHARE),
-    ("domain/parent_ramp", ANY),
-    ("domain/parent_limit_factor", ANY),
-    ("domain/pace_kb_per_s", ANY),
-    ("domain/purge_done", ANY),
-    ("domain/obey_after", ANY),
-    ("domain/class_fresh", Form::Numbers),
-    ("domain/stale_for", Form::Numbers),
-    ("domain/goes_through", Form::Flags),
-    ("domain/count_by_zone", Form::Numbers),
-    ("domain/zone_link_kb_per_s", Form::Numbers),
+/// Keys outside the services. Some are not read, but tell a configuration for another kind of deployment.
+const KEYS: [(&str, ValueType); 37] = [
+    ("balancers", ValueType::Number(1.0, 65_535.0)),
+    ("zone", ValueType::Number(0.0, MAX_INDEX)),
+    ("zones", ValueType::Strings),
+    ("models", ValueType::Strings),
+    ("weight_source", ValueType::OneOf(&["", "none", "nominal", "rough", "live"])),
+    ("stats/how", ValueType::OneOf(&["answers", "probe", "none"])),
+    ("stats/columns", ValueType::Strings),
+    ("bounds/cancel", ValueType::Boolean),
+    ("bounds/probing", ValueType::Boolean),
+    ("bounds/retry_after", ValueType::Boolean),
+    ("bounds/max_retry_after", NON_NEGATIVE),
+    ("bounds/max_attempts", ValueType::Number(1.0, f64::MAX)),
+    ("bounds/connect_timeout", NON_NEGATIVE),
+    ("bounds/conn_idle", NON_NEGATIVE),
+    ("bounds/streams_per_conn", NON_NEGATIVE),
+    ("rules/cold_from", FRACTION),
+    ("rules/cold", NON_NEGATIVE),
+    ("rules/overload_factor", NON_NEGATIVE),
+    ("rules/overload_for", NON_NEGATIVE),
+    ("rules/drain_grace", NON_NEGATIVE),
+    ("domain/may_pass_by", ValueType::Boolean),
+    ("domain/joins", ValueType::Boolean),
+    ("domain/detail", ValueType::OneOf(&["all", "hit", "none"])),
+    ("domain/peers_fill", ValueType::OneOf(&["none", "location", "any"])),
+    ("domain/parent_kind", KIND_INDEX),
+    ("domain/source_kind", KIND_INDEX),
+    ("domain/parent_starts_at", FRACTION),
+    ("domain/parent_ramp", NON_NEGATIVE),
+    ("domain/parent_limit_factor", NON_NEGATIVE),
+    ("domain/pace_kb_per_s", NON_NEGATIVE),
+    ("domain/purge_done", NON_NEGATIVE),
+    ("domain/obey_after", NON_NEGATIVE),
+    ("domain/class_fresh", ValueType::Numbers),
+    ("domain/stale_for", ValueType::Numbers),
+    ("domain/goes_through", ValueType::Booleans),
+    ("domain/count_by_zone", ValueType::Numbers),
+    ("domain/zone_link_kb_per_s", ValueType::Numbers),
 ];
 
-const OF_BAND: [(&str, Form); 6] = [
-    ("effect", Form::Word(&["idempotent", "deduplicated", "at_most_once"])),
-    ("aim", ANY),
-    ("aim_stretch", ANY),
-    ("deadline", ANY),
-    ("memory_span", ANY),
-    ("group", Form::Word(&["all", "zone", "cell"])),
+/// Keys of each service.
+const CLASS_KEYS: [(&str, ValueType); 6] = [
+    ("effect", ValueType::OneOf(&["idempotent", "deduplicated", "at_most_once"])),
+    ("aim", NON_NEGATIVE),
+    ("aim_stretch", NON_NEGATIVE),
+    ("deadline", NON_NEGATIVE),
+    ("memory_span", NON_NEGATIVE),
+    ("group", ValueType::OneOf(&["all", "zone", "cell"])),
 ];
 
-/// Lists that have a place for each entry of another one.
-const AS_LONG_AS: [(&str, &str); 5] = [
+/// Lists that have one entry for each entry of another list.
+const PARALLEL_LISTS: [(&str, &str); 5] = [
     ("domain/class_fresh", "services"),
     ("domain/stale_for", "services"),
     ("domain/goes_through", "services"),
@@ -86,62 +90,62 @@
     ("domain/zone_link_kb_per_s", "zones"),
 ];
 
-fn fault<T>(key: &str, why: impl Into<String>) -> Result<T, Fault> {
+fn invalid<T>(key: &str, why: impl Into<String>) -> Result<T, Fault> {
     Err(Fault { key: key.into(), why: why.into() })
 }
 
-fn at<'a>(all: &'a Value, key: &str) -> Option<&'a Value> {
-    all.pointer(&format!("/{key}")).filter(|value| !value.is_null())
+fn get<'a>(root: &'a Value, key: &str) -> Option<&'a Value> {
+    root.pointer(&format!("/{key}")).filter(|value| !value.is_null())
 }
 
-fn list<'a>(all: &'a Value, key: &str) -> &'a [Value] {
-    crate::list(all, &format!("/{key}"))
+fn list<'a>(root: &'a Value, key: &str) -> &'a [Value] {
+    crate::list(root, &format!("/{key}"))
 }
 
-fn number(all: &Value, key: &str) -> Option<f64> {
-    at(all, key)?.as_f64()
+fn number(root: &Value, key: &str) -> Option<f64> {
+    get(root, key)?.as_f64()
 }
 
-fn holds(key: &str, value: &Value, form: Form) -> Result<(), Fault> {
+fn check_value(key: &str, value: &Value, value_type: ValueType) -> Result<(), Fault> {
     let each = |fits: fn(&Value) -> bool| value.as_array().is_some_and(|all| all.iter().all(fits));
-    let (right, wanted) = match form {
-        Form::Flag => (value.is_boolean(), "true or false"),
-        Form::Number(least, most) => match value.as_f64() {
+    let (is_valid, expected) = match value_type {
+        ValueType::Boolean => (value.is_boolean(), "true or false"),
+        ValueType::Number(least, most) => match value.as_f64() {
             Some(number) if !(least..=most).contains(&number) => {
                 let most = if most < f64::MAX { format!(" to {most}") } else { " on".to_owned() };
-                return fault(key, format!("is out of range: {number}; it has to be from {least}{most}"));
+                return invalid(key, format!("is out of range: {number}; it has to be from {least}{most}"));
             }
             number => (number.is_some(), "a number"),
         },
-        Form::Word(words) => match value.as_str() {
+        ValueType::OneOf(words) => match value.as_str() {
             Some(word) if !words.contains(&word) => {
-                return fault(key, format!("has to be one of {}, not {value}", words.join(" ").trim()));
+                return invalid(key, format!("has to be one of {}, not {value}", words.join(" ").trim()));
             }
-            word => (word.is_some(), "a word"),
+            word => (word.is_some(), "a string"),
         },
-        Form::Numbers => {
-            let right = each(|one| one.as_f64().is_some_and(|number| number >= 0.0));
-            (right, "a list of numbers, none below 0")
+        ValueType::Numbers => {
+            let is_valid = each(|one| one.as_f64().is_some_and(|number| number >= 0.0));
+            (is_valid, "a list of numbers, none of them negative")
         }
-        Form::Flags => (each(Value::is_boolean), "a list of true and false"),
-        Form::Words => (each(Value::is_string), "a list of words"),
+        ValueType::Booleans => (each(Value::is_boolean), "a list of true and false"),
+        ValueType::Strings => (each(Value::is_string), "a list of strings"),
     };
-    if right {
+    if is_valid {
         Ok(())
     } else {
-        fault(key, format!("has to be {wanted}"))
+        invalid(key, format!("has to be {expected}"))
     }
 }
 
-/// Lists whose places are ids.
-const LISTS: [&str; 3] = ["zones", "models", "services"];
+/// Lists whose indexes are used as ids.
+const INDEXED_LISTS: [&str; 3] = ["zones", "models", "services"];
 
-/// Guards against an entry whose place no id can tell: it would be taken for another one.
-fn lengths(all: &Value) -> Result<(), Fault> {
-    for key in LISTS {
-        let found = list(all, key).len();
+/// Guards against lists longer than the range of ids: an entry beyond it would be mistaken for another one.
+fn check_lengths(root: &Value) -> Result<(), Fault> {
+    for key in INDEXED_LISTS {
+        let found = list(root, key).len();
         if found > PLACES {
-            return fault(
+            return invalid(
                 key,
                 format!("has {found} entries, {PLACES} are taken: leave out those without use"),
             );
@@ -150,78 +154,85 @@
     Ok(())
 }
 
-pub fn check(all: &Value) -> Result<(), Fault> {
-    lengths(all)?;
-    for (key, form) in KEYS {
-        at(all, key).map_or(Ok(()), |value| holds(key, value, form))?;
+/// Checks the settings, and returns the first invalid key.
+pub fn check(root: &Value) -> Result<(), Fault> {
+    check_lengths(root)?;
+    for (key, value_type) in KEYS {
+        get(root, key).map_or(Ok(()), |value| check_value(key, value, value_type))?;
     }
-    let bands = list(all, "services");
-    for (place, band) in bands.iter().enumerate() {
-        for (key, form) in OF_BAND {
-            let value = band.get(key).filter(|value| !value.is_null());
-            value.map_or(Ok(()), |value| holds(&format!("services/{place}/{key}"), value, form))?;
+    let services = list(root, "services");
+    for (index, service) in services.iter().enumerate() {
+        for (key, value_type) in CLASS_KEYS {
+            let value = service.get(key).filter(|value| !value.is_null());
+            value
+                .map_or(Ok(()), |value| check_value(&format!("services/{index}/{key}"), value, value_type))?;
         }
-        if band.get("effect").and_then(Value::as_str) == Some("deduplicated")
-            && band.get("memory_span").is_none()
+        if service.get("effect").and_then(Value::as_str) == Some("deduplicated")
+            && service.get("memory_span").is_none()
         {
-            return fault(&format!("services/{place}/memory_span"), "is wanted: the band is deduplicated");
+            return invalid(
+                &format!("services/{index}/memory_span"),
+                "is required where the effect is deduplicated",
+            );
         }
     }
-    mixed(all, bands.len())
+    check_consistency(root, services.len())
 }
 
-/// Keys that can't be of one deployment.
-fn mixed(all: &Value, bands: usize) -> Result<(), Fault> {
-    for (key, of) in AS_LONG_AS {
-        let (own, other) = (list(all, key).len(), if of == "services" { bands } else { list(all, of).len() });
+/// Checks that keys do not contradict each other.
+fn check_consistency(root: &Value, service_count: usize) -> Result<(), Fault> {
+    for (key, of) in PARALLEL_LISTS {
+        let (own, other) =
+            (list(root, key).len(), if of == "services" { service_count } else { list(root, of).len() });
         if own > 0 && other > 0 && own != other {
-            return fault(key, format!("has {own} places, settings/{of} has {other}"));
+            return invalid(key, format!("has {own} places, settings/{of} has {other}"));
         }
     }
-    let (zones, kinds) = (list(all, "zones").len(), list(all, "models").len());
-    for (key, most) in [("zone", zones), ("domain/parent_kind", kinds), ("domain/source_kind", kinds)] {
-        if let Some(place) = number(all, key).filter(|place| most > 0 && *place >= most as f64) {
-            return fault(key, format!("names place {place} of {most}"));
+    let (zones, kinds) = (list(root, "zones").len(), list(root, "models").len());
+    for (key, length) in [("zone", zones), ("domain/parent_kind", kinds), ("domain/source_kind", kinds)] {
+        if let Some(index) = number(root, key).filter(|index| length > 0 && *index >= length as f64) {
+            return invalid(key, format!("is index {index}, and its list has {length} entries"));
         }
     }
-    let (parent, origin) = (number(all, "domain/parent_kind"), number(all, "domain/source_kind"));
+    let (parent, origin) = (number(root, "domain/parent_kind"), number(root, "domain/source_kind"));
     if parent.is_some() && parent == origin {
-        return fault("domain/parent_kind", "is the same as settings/domain/source_kind");
+        return invalid("domain/parent_kind", "is the same as settings/domain/source_kind");
     }
-    let direct = at(all, "domain/may_pass_by").and_then(Value::as_bool);
+    let direct = get(root, "domain/may_pass_by").and_then(Value::as_bool);
     if direct == Some(false) && origin.is_none_or(|kind| kind < 0.0) {
-        return fault("domain/source_kind", "is wanted where settings/domain/may_pass_by is false");
+        return invalid("domain/source_kind", "is required where settings/domain/may_pass_by is false");
     }
-    for (place, grace) in list(all, "domain/stale_for").iter().enumerate() {
-        let fresh = number(all, &format!("domain/class_fresh/{place}")).unwrap_or(0.0);
+    for (index, grace) in list(root, "domain/stale_for").iter().enumerate() {
+        let fresh = number(root, &format!("domain/class_fresh/{index}")).unwrap_or(0.0);
         if grace.as_f64().unwrap_or(0.0) > 0.0 && fresh == 0.0 {
-            return fault(
-                &format!("domain/stale_for/{place}"),
+            return invalid(
+                &format!("domain/stale_for/{index}"),
                 "has no settings/domain/class_fresh beside it",
             );
         }
     }
-    let links = list(all, "domain/zone_link_kb_per_s");
-    let told = |place: usize| links.get(place).and_then(Value::as_f64).unwrap_or(0.0) > 0.0;
-    let served = list(all, "domain/count_by_zone").iter().map(|count| count.as_f64().unwrap_or(0.0) > 0.0);
+    let links = list(root, "domain/zone_link_kb_per_s");
+    let has_link = |index: usize| links.get(index).and_then(Value::as_f64).unwrap_or(0.0) > 0.0;
+    let served = list(root, "domain/count_by_zone").iter().map(|count| count.as_f64().unwrap_or(0.0) > 0.0);
     let served: Vec<usize> =
-        served.enumerate().filter_map(|(place, served)| served.then_some(place)).collect();
-    if served.iter().any(|place| told(*place)) && !served.iter().all(|place| told(*place)) {
-        return fault(
+        served.enumerate().filter_map(|(index, is_served)| is_served.then_some(index)).collect();
+    if served.iter().any(|index| has_link(*index)) && !served.iter().all(|index| has_link(*index)) {
+        return invalid(
             "domain/zone_link_kb_per_s",
-            "tells the links of some locations with dispatchers, not of all",
+            "gives the link capacity of some locations with dispatchers, but not of all",
         );
     }
-    let any_told = (0..links.len()).any(told);
-    if any_told && number(all, "domain/pace_kb_per_s").is_none_or(|pace| pace == 0.0) {
-        return fault(
+    let has_any_link = (0..links.len()).any(has_link);
+    if has_any_link && number(root, "domain/pace_kb_per_s").is_none_or(|pace| pace == 0.0) {
+        return invalid(
             "domain/pace_kb_per_s",
-            "is wanted where settings/domain/zone_link_kb_per_s tells links",
+            "is wanted where settings/domain/zone_link_kb_per_s gives link capacities",
         );
     }
-    let reported = list(all, "stats/columns").iter().any(|name| name.as_str() == Some(crate::LINK_FULL));
-    if reported && at(all, "domain/report_x1").is_some_and(|told| told.as_str() == Some("")) {
-        return fault("domain/report_x1", "is empty, and settings/stats/columns names x1");
+    let has_link_load =
+        list(root, "stats/columns").iter().any(|name| name.as_str() == Some(crate::LINK_FULL));
+    if has_link_load && get(root, "domain/report_x1").is_some_and(|column| column.as_str() == Some("")) {
+        return invalid("domain/report_x1", "is empty, and settings/stats/columns names x1");
     }
     Ok(())
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -170,9 +170,9 @@
         self.breaker = Some(OpenBreaker {
             opened_at: now,
             next_trial_at: next_trial,
-            trial_interval: trial_interval,
+            trial_interval,
             trials_passed: 0,
-            cause: cause,
+            cause,
             evidence_count: evidence,
             last_evidence_at: now,
         });
