--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -1,5 +1,5 @@
-//! The bench's wire: frames of events in, frames of actions out. Decodes events into calls of the
-//! decision module and encodes its decisions; decides nothing itself.
+//! Adapter between the benchmark's wire format and the decision module: decodes frames of events into calls,
+//! and encodes decisions as frames of actions.
 #![forbid(unsafe_code)]
 
 mod link;
--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -1,5 +1,5 @@
-//! The loop over batches and the instances behind it.
-use crate::wire::{Error, Fields, Frame, Reply, ENTRY};
+//! Applies batches of events to the instances of the decision module, and encodes their decisions.
+use crate::wire::{action, event, Error, Fields, Frame, Reply, LIST_ENTRY_BYTES};
 use cherrypass::brain::Brain;
 use cherrypass::calls::*;
 use cherrypass::ids::*;
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 
-/// Answers batches until the input ends.
+/// Answers batches of events from `input` on `output` until the input ends.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Error> {
-    let mut link = Link::default();
+    let mut adapter = Adapter::default();
     while let Some(frame) = Frame::read(&mut input)? {
-        let reply = link.answer(&frame)?;
+        let reply = adapter.process(&frame)?;
         output.write_all(&reply.into_bytes(frame.batch))?;
         output.flush()?;
     }
@@ -21,81 +21,90 @@
 }
 
 #[derive(Default)]
-struct Link {
-    /// Each instance with the places of what it takes from a load report: its link, how busy it is.
+struct Adapter {
+    /// Instances, each with the positions of link load and load in its load reports.
     instances: BTreeMap<u16, (Brain, [Option<usize>; 2])>,
-    sheets: BTreeMap<u16, Vec<Listing>>,
+    lists: BTreeMap<u16, Vec<Listing>>,
 }
 
-impl Link {
-    fn answer(&mut self, frame: &Frame) -> Result<Reply, Error> {
+impl Adapter {
+    fn process(&mut self, frame: &Frame) -> Result<Reply, Error> {
         let now = Time(frame.clock);
-        let mut touched: Vec<u16> = Vec::new();
+        let mut changed: Vec<u16> = Vec::new();
         for record in frame.records() {
             let code = record.u16(0);
-            if code == 267 {
-                let sheet = frame.tail(record, 4, ENTRY)?;
-                let listings = sheet.chunks_exact(ENTRY).map(|entry| listing(frame, Fields(entry)));
+            if code == event::LIST_CONTENT {
+                let list = frame.tail(record, 4, LIST_ENTRY_BYTES)?;
+                let listings = list.chunks_exact(LIST_ENTRY_BYTES).map(|entry| listing(frame, Fields(entry)));
                 let listings = listings.collect::<Result<Vec<_>, Error>>()?;
-                self.sheets.insert(record.u16(2), listings);
+                self.lists.insert(record.u16(2), listings);
                 continue;
             }
             let instance = record.u16(2);
-            self.take(frame, now, code, instance, record)?;
-            if !touched.contains(&instance) {
-                touched.push(instance);
+            self.apply_event(frame, now, code, instance, record)?;
+            if !changed.contains(&instance) {
+                changed.push(instance);
             }
         }
         let mut reply = Reply::default();
-        for instance in touched {
+        for instance in changed {
             if let Some((brain, _)) = self.instances.get_mut(&instance) {
                 while let Some(decision) = brain.next(now) {
-                    encode(&mut reply, instance, decision);
+                    encode_decision(&mut reply, instance, decision);
                 }
             }
         }
         Ok(reply)
     }
 
-    fn take(&mut self, frame: &Frame, now: Time, code: u16, who: u16, record: Fields) -> Result<(), Error> {
-        if code == 256 {
-            let env = frame.tail(record, 12, 1)?;
-            let all: Value = serde_json::from_slice(env)
-                .map_err(|error| frame.fault(format!("the settings aren't JSON: {error}")))?;
-            let set = settings::read(&all).map_err(|what| frame.fault(what))?;
-            let columns = settings::columns(&all);
-            let place = |names: &[&str]| columns.iter().position(|known| names.contains(known));
-            let places = [place(&[settings::LINK_FULL]), place(&settings::BUSY)];
-            self.instances.insert(who, (Brain::start(set, record.u64(4), now), places));
+    fn apply_event(
+        &mut self,
+        frame: &Frame,
+        now: Time,
+        code: u16,
+        instance: u16,
+        record: Fields,
+    ) -> Result<(), Error> {
+        if code == event::START {
+            let settings_text = frame.tail(record, 12, 1)?;
+            let root: Value = serde_json::from_slice(settings_text)
+                .map_err(|error| frame.error(format!("the settings aren't JSON: {error}")))?;
+            let set = settings::read(&root).map_err(|error| frame.error(error))?;
+            let columns = settings::report_columns(&root);
+            let position = |names: &[&str]| columns.iter().position(|known| names.contains(known));
+            let columns = [position(&[settings::LINK_FULL]), position(&settings::BUSY)];
+            self.instances.insert(instance, (Brain::start(set, record.u64(4), now), columns));
             return Ok(());
         }
-        if !(257..=266).contains(&code) {
-            return Err(frame.fault(format!("unknown event code {code}")));
+        if !(event::LIST..=event::PURGE).contains(&code) {
+            return Err(frame.error(format!("unknown event code {code}")));
         }
-        let unknown = || frame.fault(format!("event {code} for instance {who}, which has not started"));
-        if code == 265 {
-            return self.instances.remove(&who).map(drop).ok_or_else(unknown);
+        let unknown = || frame.error(format!("event {code} for instance {instance}, which has not started"));
+        if code == event::STOP {
+            return self.instances.remove(&instance).map(drop).ok_or_else(unknown);
         }
-        let (brain, places) = self.instances.get_mut(&who).ok_or_else(unknown)?;
+        let (brain, columns) = self.instances.get_mut(&instance).ok_or_else(unknown)?;
         match code {
-            257 => {
+            event::LIST => {
                 let whole = match record.u8(4) {
                     0 => return Ok(()),
                     1 | 4 => true,
                     3 => false,
-                    other => return Err(frame.fault(format!("unknown kind of list {other}"))),
+                    other => return Err(frame.error(format!("unknown kind of list {other}"))),
                 };
                 let number = record.u16(9);
-                let sheet = self.sheets.get(&number);
-                let sheet = sheet.ok_or_else(|| frame.fault(format!("list {number} was never given")))?;
-                brain.listed(now, sheet, whole);
+                let list = self.lists.get(&number);
+                let list = list.ok_or_else(|| {
+                    frame.error(format!("list {number} was not sent before it is referred to"))
+                })?;
+                brain.listed(now, list, whole);
             }
-            258 => brain.arrived(now, visit(record)),
-            260 => brain.ended(now, ended(frame, record, *places)?),
-            261 => brain.left(VisitId(record.u32(4))),
-            262 => brain.woken(now),
-            263 => brain.probed(now, host(record, 6), report(record, 16, *places)),
-            266 => {
+            event::VISIT => brain.arrived(now, visit(record)),
+            event::HAND_OFF_ENDED => brain.ended(now, ended(frame, record, *columns)?),
+            event::CLIENT_LEFT => brain.left(VisitId(record.u32(4))),
+            event::WAKE => brain.woken(now),
+            event::PROBE_ANSWERED => brain.probed(now, host(record, 6), report(record, 16, *columns)),
+            event::PURGE => {
                 let object = Some(record.u64(10)).filter(|key| *key != 0).map(ObjectId);
                 let ago = Span(u64::from(record.u32(4)));
                 brain.purged(now, GroupId(u32::from(record.u16(8))), object, ago);
@@ -128,7 +137,7 @@
             0 => Phase::Gone,
             1 => Phase::Ready,
             2 => Phase::Draining,
-            other => return Err(frame.fault(format!("unknown phase {other} of a list's entry"))),
+            other => return Err(frame.error(format!("unknown phase {other} of a list's entry"))),
         },
     })
 }
@@ -146,20 +155,22 @@
     }
 }
 
-fn report(record: Fields, at: usize, places: [Option<usize>; 2]) -> Report {
-    let told = |place: &usize| *place < usize::from(record.u8(at));
-    let value = |place: Option<usize>| place.filter(told).map(|place| record.f32(at + 1 + 4 * place).into());
-    Report { link_full: value(places[0]), busy: value(places[1]) }
+fn report(record: Fields, at: usize, columns: [Option<usize>; 2]) -> Report {
+    let is_present = |column: &usize| *column < usize::from(record.u8(at));
+    let value = |column: Option<usize>| {
+        column.filter(is_present).map(|column| record.f32(at + 1 + 4 * column).into())
+    };
+    Report { link_full: value(columns[0]), busy: value(columns[1]) }
 }
 
-fn ended(frame: &Frame, record: Fields, places: [Option<usize>; 2]) -> Result<Ended, Error> {
+fn ended(frame: &Frame, record: Fields, columns: [Option<usize>; 2]) -> Result<Ended, Error> {
     use Note::*;
     use Outcome::*;
     Ok(Ended {
         visit: VisitId(record.u32(4)),
         number: HandOffNo(record.u8(20)),
         took: Span(u64::from(record.u32(16))),
-        report: report(record, 30, places),
+        report: report(record, 30, columns),
         last: record.u8(29) != 0,
         outcome: match record.u16(27) {
             1 => Settled,
@@ -171,7 +182,7 @@
             7 => Cancelled,
             8 => Moot,
             9 => Miss,
-            other => return Err(frame.fault(format!("unknown outcome {other}"))),
+            other => return Err(frame.error(format!("unknown outcome {other}"))),
         },
         note: match record.u32(12) {
             1 => Hit,
@@ -189,10 +200,11 @@
     })
 }
 
-fn encode(reply: &mut Reply, who: u16, decision: Decision) {
+fn encode_decision(reply: &mut Reply, instance: u16, decision: Decision) {
     match decision {
         Decision::HandOff { visit, host, until, fill, .. } => {
-            let mut record = reply.record(if fill.is_some() { 264 } else { 261 }, who);
+            let mut record =
+                reply.record(if fill.is_some() { action::READ_THROUGH } else { action::HAND_OFF }, instance);
             record.put(4, &visit.0.to_le_bytes());
             record.put(8, &host_bytes(host)).put(14, &until.0.to_le_bytes());
             if let Some(fill) = fill {
@@ -203,22 +215,22 @@
             }
         }
         Decision::Cancel { visit, number } => {
-            reply.record(263, who).put(4, &visit.0.to_le_bytes()).put(8, &[number.0]);
+            reply.record(action::CANCEL, instance).put(4, &visit.0.to_le_bytes()).put(8, &[number.0]);
         }
         Decision::Probe { host } => {
-            reply.record(259, who).put(4, &host_bytes(host));
+            reply.record(action::PROBE, instance).put(4, &host_bytes(host));
         }
         Decision::TurnBack { visit, retry_after } => {
             let wait = retry_after.0.min(u64::from(u32::MAX)) as u32;
-            reply.record(260, who).put(4, &visit.0.to_le_bytes()).put(8, &wait.to_le_bytes());
+            reply.record(action::REFUSE, instance).put(4, &visit.0.to_le_bytes()).put(8, &wait.to_le_bytes());
         }
         Decision::WriteOff { visit } => {
-            reply.record(266, who).put(4, &visit.0.to_le_bytes());
+            reply.record(action::FAIL, instance).put(4, &visit.0.to_le_bytes());
         }
         Decision::Wake { after } => {
             let wait = after.0.min(u64::from(u32::MAX)) as u32;
-            reply.record(262, who).put(4, &wait.to_le_bytes());
+            reply.record(action::WAKE, instance).put(4, &wait.to_le_bytes());
         }
-        Decision::Log(line) => reply.record(265, who).put_tail(4, line.as_bytes()),
+        Decision::Log(line) => reply.record(action::LOG, instance).put_tail(4, line.as_bytes()),
     }
 }
