--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -137,7 +137,7 @@
             multiple: number(root, "/domain/parent_limit_factor").unwrap_or(1.0),
             window,
         },
-        purge_done: span(root, "/domain/purge_done"),
+        purge_drop_time: span(root, "/domain/purge_done"),
         purge_grace: span(root, "/domain/obey_after"),
     })
 }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -451,9 +451,10 @@
         let Some(open) = self.visits.get(&id) else { return };
         let (visit, latest) = (open.visit, self.latest_hand_off(open));
         let (copy, until) = ((visit.object, visit.part, host), visit.deadline - ANSWER_MARGIN);
-        let known = self.is_known_cached(now, &visit, host);
-        let start = MISS_RATES_START[usize::from(known)];
-        let misses = self.hosts.get(&host).map_or(start, |h| h.miss_rates[usize::from(known)].or(start));
+        let was_cached = self.is_known_cached(now, &visit, host);
+        let start = MISS_RATES_START[usize::from(was_cached)];
+        let miss_rate =
+            self.hosts.get(&host).map_or(start, |h| h.miss_rates[usize::from(was_cached)].or(start));
         let source = fill.map(|fill| fill.source).filter(|source| *source != host);
         let to_origin = source.and_then(|id| self.hosts.get(&id)).is_some_and(|h| self.is_origin(h));
         let joins_fill = self.settings.joins && self.is_fill_in_flight(now, &visit, host);
@@ -465,15 +466,15 @@
         let is_certain =
             std::mem::take(&mut open.has_cache_missed) || fill.is_some_and(|fill| fill.rank == 0);
         let has_parent_missed = std::mem::take(&mut open.has_parent_missed);
-        let share = if is_certain { 1.0 } else { misses };
-        let fill_share = if source.is_none() || joins_fill { 0.0 } else { share };
-        let due =
+        let miss_probability = if is_certain { 1.0 } else { miss_rate };
+        let fill_probability = if source.is_none() || joins_fill { 0.0 } else { miss_probability };
+        let is_trial_due =
             self.hosts.get(&host).and_then(|h| h.breaker).is_none_or(|breaker| now >= breaker.next_trial_at);
-        let tried = if due { now } else { Time::default() };
+        let trial_sent_at = if is_trial_due { now } else { Time::default() };
         for id in [Some(host), source].into_iter().flatten() {
-            let Some(known) = self.hosts.get_mut(&id) else { continue };
-            known.cold_bucket.level -= work;
-            known
+            let Some(loaded) = self.hosts.get_mut(&id) else { continue };
+            loaded.cold_bucket.level -= work;
+            loaded
                 .breaker
                 .iter_mut()
                 .filter(|s| now >= s.next_trial_at)
@@ -484,26 +485,26 @@
             [Some(host), source].into_iter().flatten().filter_map(|id| self.total_cold_budget(now, id));
         let latest = waits
             .fold(latest, |at, (_, window)| at.min(now + Span::seconds(COLD_SEND_WINDOW_FRACTION * window)));
-        let held = fill.is_some_and(|fill| fill.held);
+        let is_cached_only = fill.is_some_and(|fill| fill.held);
         let origin_rate = if has_parent_missed || to_origin {
             1.0
         } else {
             self.origin_limiter.origin_rate.or(ORIGIN_RATE_START)
         };
-        let origin_share = if held { 0.0 } else { fill_share * origin_rate };
-        let (leads, band) = (!known && fill_share > 0.0, visit.band);
+        let origin_probability = if is_cached_only { 0.0 } else { fill_probability * origin_rate };
+        let (is_first_fill, band) = (!was_cached && fill_probability > 0.0, visit.band);
         let sent = SentHandOff {
             sent_at: now,
-            trial_sent_at: tried,
+            trial_sent_at,
             host,
             source,
             band,
             copy,
-            was_cached: known,
-            is_first_fill: leads,
-            fill_probability: fill_share,
-            origin_probability: origin_share,
-            is_cached_only: held,
+            was_cached,
+            is_first_fill,
+            fill_probability,
+            origin_probability,
+            is_cached_only,
         };
         self.count_in_flight(&sent, 1);
         self.in_flight.insert((id, number), sent);
@@ -548,8 +549,8 @@
     /// seconds: a part of `multiple` x present capacity, which rises linearly from the initial share. Guards
     /// rule 4.
     pub(crate) fn cold_budget(&self, now: Time, id: HostId) -> Option<(f64, f64)> {
-        let (whole, window) = self.total_cold_budget(now, id)?;
-        Some((self.cold_allotment(now, id, whole), window))
+        let (total, window) = self.total_cold_budget(now, id)?;
+        Some((self.cold_allotment(now, id, total), window))
     }
 
     /// Budget of all dispatchers together, by the host's age half a window ago, since the bound applies to
@@ -559,8 +560,9 @@
         let rules = if self.is_parent(host) { self.settings.cold_parent } else { self.settings.cold_cache };
         let age = host.process_age(now).filter(|age| *age < rules.ramp)?;
         let (window, ramp) = (rules.window.as_seconds(), rules.ramp.as_seconds());
-        let warm = rules.share + (1.0 - rules.share) * (age.as_seconds() - window / 2.0).max(0.0) / ramp;
-        Some((COLD_BUDGET_FRACTION * rules.multiple * warm * self.capacity(host), window))
+        let capacity_share =
+            rules.share + (1.0 - rules.share) * (age.as_seconds() - window / 2.0).max(0.0) / ramp;
+        Some((COLD_BUDGET_FRACTION * rules.multiple * capacity_share * self.capacity(host), window))
     }
 
     /// Whether a source gets this fill. One whose fills take too much of the target latency, and longer than
@@ -766,12 +768,12 @@
 
     /// Adjusts the fill limits by one fill's latency ratio, as a logarithm, finished or so far. Rare samples
     /// weigh more, so that small and large dispatchers adapt at about the same speed.
-    fn update_fill_limits(&mut self, now: Time, log_latency: f64, part: f64, shares: (f64, f64)) {
+    fn update_fill_limits(&mut self, now: Time, log_latency: f64, sample_weight: f64, shares: (f64, f64)) {
         let limiters = [(&mut self.fill_limiter, shares.0), (&mut self.origin_limiter, shares.1)];
         for (limiter, share) in limiters.into_iter().filter(|(_, share)| *share > 0.0) {
             let weight = ((now - limiter.updated_at).as_seconds() / FULL_WEIGHT_SECONDS).clamp(0.05, 0.1);
             limiter.updated_at = now;
-            limiter.log_latency_ratio.push(log_latency, weight * share * part);
+            limiter.log_latency_ratio.push(log_latency, weight * share * sample_weight);
             adjust_limit(
                 limiter,
                 limiter.expected_fills,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -86,7 +86,7 @@
     pub cold_cache: ColdStart,
     pub cold_parent: ColdStart,
     /// Time within which hosts drop copies that were purged.
-    pub purge_done: Span,
+    pub purge_drop_time: Span,
     /// Time within which a purge has to be obeyed.
     pub purge_grace: Span,
 }
@@ -94,7 +94,7 @@
 impl Settings {
     /// How long after a purge an older copy may still be found at a host.
     pub fn purge_memory(&self) -> Span {
-        self.purge_done + self.purge_grace
+        self.purge_drop_time + self.purge_grace
     }
 
     /// Number of dispatchers that share this location's hosts and link.
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -56,8 +56,8 @@
 
 impl Brain {
     /// Counts a hand-off in the use of shared limits, if there are any.
-    pub(crate) fn record_usage(&mut self, sent: &SentHandOff, begins: bool) {
-        if self.allotments.is_empty() || !begins {
+    pub(crate) fn record_usage(&mut self, sent: &SentHandOff, is_start: bool) {
+        if self.allotments.is_empty() || !is_start {
             return;
         }
         let work = self.cold_cost(sent.band);
@@ -84,20 +84,22 @@
             return;
         }
         let hosts = &self.hosts;
-        // Drops parts of hosts that are gone. The part of a host that is not listed yet is kept until it is.
+        // Drops parts of hosts that are gone. The allotment of a host that is not listed yet is kept until it is.
         self.allotments.retain(|known, _| !matches!(known, Shared::Cold(id) if !hosts.contains_key(id)));
-        let bucket =
-            self.allotments.get(&shared).map_or(TokenBucket::empty(self.last_tick_at), |part| part.bucket);
+        let bucket = self
+            .allotments
+            .get(&shared)
+            .map_or(TokenBucket::empty(self.last_tick_at), |allotment| allotment.bucket);
         let (amount, after) = (amount.min(MAX_ALLOTMENT), after.min(MAX_ALLOTMENT));
         self.allotments.insert(shared, Allotment { amount, until, amount_after: after, bucket });
     }
 
     /// This dispatcher's part of a cold host's budget: what was allotted, else an equal share.
-    pub(crate) fn cold_allotment(&self, now: Time, id: HostId, whole: f64) -> f64 {
+    pub(crate) fn cold_allotment(&self, now: Time, id: HostId, total: f64) -> f64 {
         let parent = self.hosts.get(&id).is_some_and(|host| self.is_parent(host));
         let senders = if parent { self.settings.dispatchers } else { self.settings.location_dispatchers };
-        let part = self.allotments.get(&Shared::Cold(id));
-        part.map_or(whole / f64::from(senders.max(1)), |part| whole * part.amount_at(now))
+        let allotment = self.allotments.get(&Shared::Cold(id));
+        allotment.map_or(total / f64::from(senders.max(1)), |allotment| total * allotment.amount_at(now))
     }
 
     /// Whether a retry fits into this dispatcher's own retry budget and into its part of the shared one.
@@ -105,9 +107,9 @@
         if !self.retry_budget.try_take(1.0) {
             return false;
         }
-        let Some(part) = self.allotments.get_mut(&Shared::Further) else { return true };
-        let amount = part.amount_at(now);
-        part.bucket.refill(now, amount, amount);
+        let Some(allotment) = self.allotments.get_mut(&Shared::Further) else { return true };
+        let amount = allotment.amount_at(now);
+        allotment.bucket.refill(now, amount, amount);
         let is_admitted = self.take_token(Shared::Further, amount);
         let counted = if is_admitted { &mut self.retry_usage.used } else { &mut self.retry_usage.refused };
         *counted += 1.0;
@@ -117,9 +119,9 @@
     /// Whether one more hand-off may go to the origin, where that limit is shared; `probability` says how
     /// likely this one reaches it.
     pub(crate) fn admits_to_origin(&mut self, now: Time, probability: f64) -> bool {
-        let Some(part) = self.allotments.get_mut(&Shared::Origin) else { return true };
-        let amount = part.amount_at(now);
-        part.bucket.refill(now, amount, amount);
+        let Some(allotment) = self.allotments.get_mut(&Shared::Origin) else { return true };
+        let amount = allotment.amount_at(now);
+        allotment.bucket.refill(now, amount, amount);
         let in_flight = self.origin_in_flight();
         let is_admitted = if amount < 1.0 {
             in_flight < amount && self.take_token(Shared::Origin, amount)
@@ -133,11 +135,11 @@
     /// Takes a token from a part's bucket. A level below one is a probability, spent whether or not it
     /// admits: guards against many small parts that each round up to one.
     fn take_token(&mut self, shared: Shared, amount: f64) -> bool {
-        let Some(part) = self.allotments.get_mut(&shared) else { return true };
+        let Some(allotment) = self.allotments.get_mut(&shared) else { return true };
         if amount >= 1.0 {
-            return part.bucket.try_take(1.0);
+            return allotment.bucket.try_take(1.0);
         }
-        let probability = std::mem::take(&mut part.bucket.level);
+        let probability = std::mem::take(&mut allotment.bucket.level);
         self.admits(probability)
     }
 
@@ -151,7 +153,7 @@
     ) -> Option<&mut Host> {
         let (id, since, until) = of;
         let known = self.hosts.get(&id).filter(|h| !h.is_gone() && (self.is_cache(h) || self.is_parent(h)));
-        let present = known.filter(|h| h.listed_start == since)?.entry.since == since;
+        let is_present_process = known.filter(|h| h.listed_start == since)?.entry.since == since;
         if now >= until {
             // The report is retracted, also if the process is known to be new by now.
             let before = self.hosts.get(&id)?.peer_report?.expires_at;
@@ -163,7 +165,7 @@
             self.timers.put(until, Timer::PeerReport(id));
             return None;
         }
-        Some(()).filter(|()| present)?;
+        Some(()).filter(|()| is_present_process)?;
         if word == Word::Anew {
             let host = self.hosts.get_mut(&id)?;
             host.is_reported_restarted = true;
@@ -174,16 +176,16 @@
         }
         self.peers(id).next()?;
         let host = self.hosts.get_mut(&id)?;
-        let passed = host
+        let own_successes = host
             .peer_report
             .filter(|report| now < report.expires_at)
             .map_or(0, |report| report.own_successes);
-        let due = host.peer_report.map(|report| report.timer_at).filter(|due| *due <= until);
-        if due.is_none() {
+        let timer_at = host.peer_report.map(|report| report.timer_at).filter(|timer_at| *timer_at <= until);
+        if timer_at.is_none() {
             self.timers.put(until, Timer::PeerReport(id));
         }
         host.peer_report =
-            Some(PeerReport { expires_at: until, timer_at: due.unwrap_or(until), own_successes: passed });
+            Some(PeerReport { expires_at: until, timer_at: timer_at.unwrap_or(until), own_successes });
         Some(host)
     }
 
@@ -260,12 +262,12 @@
     /// The use of a shared limit since the last query, and the use there would have been had nothing been
     /// refused. Counted from the first allotment on.
     pub fn wanted(&mut self, now: Time, shared: Shared) -> Wanted {
-        let quoted = self.settings.bands.iter().map(|band| band.quoted.as_seconds()).sum::<f64>();
-        let fill_seconds = self.origin_limiter.log_latency_ratio.value.exp() * quoted
+        let total_target = self.settings.bands.iter().map(|band| band.quoted.as_seconds()).sum::<f64>();
+        let fill_seconds = self.origin_limiter.log_latency_ratio.value.exp() * total_target
             / self.settings.bands.len().max(1) as f64;
         let in_flight = self.origin_in_flight();
-        let whole = match shared {
-            Shared::Cold(id) => self.total_cold_budget(now, id).map_or(f64::INFINITY, |(whole, _)| whole),
+        let total = match shared {
+            Shared::Cold(id) => self.total_cold_budget(now, id).map_or(f64::INFINITY, |(total, _)| total),
             _ => 1.0,
         };
         let counted = match shared {
@@ -284,7 +286,7 @@
             self.origin_usage.used = in_flight;
             return Wanted { used, wanted: used + refused / seconds * fill_seconds };
         }
-        let used = (used / seconds / whole).max(0.0);
-        Wanted { used, wanted: used + refused / seconds / whole }
+        let used = (used / seconds / total).max(0.0);
+        Wanted { used, wanted: used + refused / seconds / total }
     }
 }
--- a/tests/cold_in_sum.rs
+++ b/tests/cold_in_sum.rs
@@ -1,162 +1,170 @@
-//! What all dispatchers together send hosts that just started, in virtual time and on made traffic: at most
-//! N + 2 root N + 2 requests of mean work within the window, N being what the settings allow then; only what
-//! is beyond N is put down to chance. Traffic is uneven, attempts fail and are repeated, clients come again,
-//! and dispatchers are restarted meanwhile: each then begins anew, with what the list told alone.
+//! Total load that all dispatchers send to hosts that just started, in virtual time with generated traffic.
 //!
-//! A start counts as told once it is in the change log, whatever a dispatcher has heard of it; by each
-//! dispatcher's own hearing only in the first cases, which are older, and in one beside them. Connections come up late, watches of the change
-//! log are late or silent, addresses are used again, weights are not told. A case of these counts only if
-//! what is asked of a cold host is above N, and what comes reaches 0.6 of N.
-mod bed;
-use bed::{host, Bed, Class, START, STEP};
+//! N is the number of requests of mean work that the settings allow a cold host within a window. At most N +
+//! 2√N + 2 may arrive; the part above N allows for random variation. Traffic is uneven, attempts fail and are
+//! retried, clients retry, and dispatchers restart, after which they know the list of hosts only.
+//!
+//! A start counts as known once it is in the change log, whether or not a dispatcher has read it. In the
+//! first cases, and in one of the later ones, it counts per dispatcher once that has read it. Connections
+//! come up late, change log updates are late or missing, addresses are reused, and weights are not given.
+//! Cases under demand count only if more than N is requested of a cold host, and at least
+//! `MIN_USE_UNDER_DEMAND` of N arrives.
+mod simulation;
 use cherrypass::calls::{Listing, Phase};
 use cherrypass::containers::rendezvous;
 use cherrypass::ids::*;
 use cherrypass::settings::*;
 use cherrypass::time::{Span, Time};
 use rand::Rng;
+use simulation::{listing, Class, Simulation, START, STEP};
 use test_case::{test_case, test_matrix};
 
-const LASTS: u64 = 8_000_000;
-/// Of what all caches can do, warm: more than a cold one bears.
+/// Simulated microseconds, like all times here.
+const DURATION: u64 = 8_000_000;
+/// Load as a share of what all caches can serve when warm: more than a cold one is allowed.
 const LOAD: f64 = 1.2;
-/// Work in seconds and share of the requests: a large object's part, a small object.
-const BANDS: [(f64, f64); 2] = [(0.3, 0.55), (0.055, 0.45)];
+/// Work in seconds and share of the requests: a part of a large object, and a small object.
+const CLASSES: [(f64, f64); 2] = [(0.3, 0.55), (0.055, 0.45)];
 const WEIGHT: f64 = 12.0;
 const CACHES: u64 = 8;
-/// Hosts bear all that comes, so that nothing but the module holds it back.
-const BEARS_ALL: f64 = 1e6;
+/// Hosts never queue, so that the decision module alone limits the load.
+const UNLIMITED_SLOTS: f64 = 1e6;
 const PACE: f64 = 5_000.0;
-/// What has to come of N where more is asked, so that a case says something.
-const REACHES: f64 = 0.6;
-/// When a host that starts later does so, and how long one that comes back was away.
-const STARTS: u64 = 4_000_000;
-const AWAY: u64 = 2_000_000;
-/// How long the old name of an address stays listed beside the new one.
-const OLD_NAME: u64 = 2_000_000;
-
-/// What the settings allow cold caches, and parents.
+/// Share of N that has to arrive if more than N is requested, so that a case is meaningful.
+const MIN_USE_UNDER_DEMAND: f64 = 0.6;
+/// When hosts start in cases with a later start, and how long a returning one was unreachable.
+const HOST_START: u64 = 4_000_000;
+const AWAY_FOR: u64 = 2_000_000;
+/// How long the old id of an address stays listed beside the new one.
+const OLD_NAME_LISTED_FOR: u64 = 2_000_000;
+
+/// Cold start settings; `initial_shares` are those of caches and of parents.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    shares: [f64; 2],
-    multiple: f64,
+    initial_shares: [f64; 2],
+    overload_factor: f64,
     window: u64,
     ramp: u64,
 }
 
-const RULES: Rules = Rules { shares: [0.25, 0.1], multiple: 2.0, window: 1_500_000, ramp: 12_000_000 };
+const RULES: Rules =
+    Rules { initial_shares: [0.25, 0.1], overload_factor: 2.0, window: 1_500_000, ramp: 12_000_000 };
 
+/// How dispatchers restart.
 #[derive(Clone, Copy, Debug)]
 enum Restarts {
     None,
-    /// A tenth each 0.7 s.
+    /// A tenth of them every 0.7 s.
     Steps,
-    /// Seven tenths at once, 3 s in.
+    /// Seven tenths at once, after 3 s.
     Killed,
-    /// All of them, twice within a window: more than any day does.
+    /// All of them, twice within a window.
     Twice,
-    /// All of them each 0.2 s, as where they end at once over and over.
+    /// All of them every 0.2 s, as in a crash loop.
     Loop,
 }
 
 const RESTARTS: [Restarts; 4] = [Restarts::None, Restarts::Steps, Restarts::Killed, Restarts::Twice];
 
+/// Which hosts are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Cold {
+enum ColdHosts {
     Cache,
-    /// A location that returns whole, of hosts of several sizes.
+    /// All caches of a location, of several sizes.
     Caches,
     Parents,
-    /// Caches and a parent that start 2 s in, under the traffic of all; each dispatcher is told up to a second
-    /// later.
-    ToldLate,
+    /// Caches and a parent that start after 2 s under full traffic; each dispatcher learns of it up to a
+    /// second later.
+    StartKnownLate,
     /// More than half of the caches, and of the parents.
     Most,
-    /// Caches and parents, of which six in ten of all attempts fail for the first two seconds: trials and
-    /// further attempts count like any other.
+    /// Caches and parents at which 60 % of all attempts fail for the first two seconds: trials and retries
+    /// count like any other attempt.
     Failing,
 }
 
-/// How a host's process starts under the traffic of all, and who knows of it.
+/// How a host's process starts under full traffic, and who knows of it.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    how: How,
-    /// So much later the change log has it, and each dispatcher hears of it from then.
+    kind: StartKind,
+    /// Delay until the change log has the start, and the longest further delay until a dispatcher reads it.
     logged_after: u64,
-    heard: u64,
+    heard_within: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum How {
-    /// The connections to the process before are reset.
+enum StartKind {
+    /// The connections to the previous process are reset.
     Restarts,
-    /// The one before vanished without a word some time ago: each of its connections is reset when used.
+    /// The previous process vanished some time ago: each of its connections is reset when it is used.
     Returns,
-    /// It has another name, at the address of the one before, which stays listed for a while.
+    /// It has another id at the address of the previous one, which stays listed for a while.
     Renamed,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
     dispatchers: usize,
-    cold: Cold,
+    cold_hosts: ColdHosts,
     restarts: Restarts,
-    lasts: u64,
+    duration: u64,
     seed: u64,
     rules: Rules,
     weight: f64,
     load: f64,
     start: Option<Start>,
-    /// As the bed has it.
-    connects: Option<u64>,
+    /// As in `Simulation`.
+    max_connect_time: Option<u64>,
     weights_told: bool,
-    /// A start counts as told by the change log, not by each dispatcher's own hearing.
-    told_by_log: bool,
+    /// As in `Simulation`.
+    starts_known_by_log: bool,
 }
 
-const CASE: Case = Case {
+const BASE_CASE: Case = Case {
     dispatchers: 8,
-    cold: Cold::Cache,
+    cold_hosts: ColdHosts::Cache,
     restarts: Restarts::None,
-    lasts: LASTS,
+    duration: DURATION,
     seed: 0,
     rules: RULES,
     weight: WEIGHT,
     load: LOAD,
     start: None,
-    connects: None,
+    max_connect_time: None,
     weights_told: true,
-    told_by_log: false,
+    starts_known_by_log: false,
 };
 
-/// The watch lags by up to so long: one that falls silent is found out and asked anew by then.
-const LAGS: u64 = 500_000;
-const AT_ONCE: u64 = 0;
-
-/// Caches and a parent whose processes start anew under the traffic of all.
-const ANEW: Case = Case {
-    cold: Cold::ToldLate,
-    lasts: STARTS + 5_000_000,
-    start: Some(Start { how: How::Restarts, logged_after: 0, heard: LAGS }),
-    connects: Some(0),
-    told_by_log: true,
-    ..CASE
+/// Longest lag of the change log: by then a watch that went silent is detected and renewed.
+const LOG_LAG: u64 = 500_000;
+const NO_LAG: u64 = 0;
+
+/// Caches and a parent whose processes restart under full traffic.
+const RESTART_CASE: Case = Case {
+    cold_hosts: ColdHosts::StartKnownLate,
+    duration: HOST_START + 5_000_000,
+    start: Some(Start { kind: StartKind::Restarts, logged_after: 0, heard_within: LOG_LAG }),
+    max_connect_time: Some(0),
+    starts_known_by_log: true,
+    ..BASE_CASE
 };
 
-/// The most that came within a window, over what is borne and over N; the same with each request counted as
-/// one; and how many windows there were, apart from each other.
+/// Load measured at cold hosts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
-    borne: f64,
-    of_n: f64,
-    by_count: f64,
+struct Measurement {
+    /// Largest work within a window, over the bound and over N.
+    work_over_bound: f64,
+    work_over_n: f64,
+    /// Largest number of requests within a window, over the bound.
+    count_over_bound: f64,
+    /// Disjoint windows.
     windows: usize,
-    reached: usize,
-    /// Of the windows in which more than N was asked: the most that came over N, the sum of what came over
-    /// N, and how many lie apart.
-    pressed: f64,
-    used: f64,
-    pressing: usize,
+    arrivals: usize,
+    /// Of windows in which more than N was requested: largest load over N, sum of work over N, and the number
+    /// of disjoint ones.
+    max_use_under_demand: f64,
+    total_use_under_demand: f64,
+    windows_under_demand: usize,
 }
 
 fn settings(case: &Case) -> Settings {
@@ -169,7 +177,7 @@
         writes: false,
     };
     let (ramp, window) = (Span(case.rules.ramp), Span(case.rules.window));
-    let cold = |share| ColdStart { share, ramp, multiple: case.rules.multiple, window };
+    let cold = |share| ColdStart { share, ramp, multiple: case.rules.overload_factor, window };
     let dispatchers = case.dispatchers as u32;
     Settings {
         dispatchers,
@@ -183,63 +191,68 @@
         direct: true,
         ways_told: true,
         cancel: true,
-        // Fills are held back by the parents' budgets alone.
+        // Large enough that only the parents' budgets limit fills.
         links: vec![PACE * 500.0],
         max_hand_offs: 6,
         retry_after_most: Span::millis(2000),
-        cold_cache: cold(case.rules.shares[0]),
-        cold_parent: cold(case.rules.shares[1]),
+        cold_cache: cold(case.rules.initial_shares[0]),
+        cold_parent: cold(case.rules.initial_shares[1]),
         ..Settings::default()
     }
 }
 
-fn mean() -> f64 {
-    BANDS.iter().map(|(work, share)| work * share).sum()
+fn mean_work() -> f64 {
+    CLASSES.iter().map(|(work, share)| work * share).sum()
 }
 
-fn begin(case: &Case, told: Option<f64>) -> (Bed, Vec<HostId>) {
-    let cold_ones: Vec<u64> = match case.cold {
-        Cold::Cache => vec![1],
-        Cold::Caches => (1..=CACHES).collect(),
-        Cold::Parents => (11..=14).collect(),
-        Cold::ToldLate => vec![1, 2, 11],
-        Cold::Most => vec![1, 2, 3, 4, 5, 11, 12, 13],
-        Cold::Failing => vec![1, 2, 3, 11, 12],
+fn new_simulation(case: &Case, kb_per_s: Option<f64>) -> (Simulation, Vec<HostId>) {
+    let cold_ids: Vec<u64> = match case.cold_hosts {
+        ColdHosts::Cache => vec![1],
+        ColdHosts::Caches => (1..=CACHES).collect(),
+        ColdHosts::Parents => (11..=14).collect(),
+        ColdHosts::StartKnownLate => vec![1, 2, 11],
+        ColdHosts::Most => vec![1, 2, 3, 4, 5, 11, 12, 13],
+        ColdHosts::Failing => vec![1, 2, 3, 11, 12],
     };
     let mut entries = Vec::new();
     for (id, kind) in (1..=CACHES).map(|id| (id, 0)).chain((11..=14).map(|id| (id, 1))).chain([(21, 2)]) {
-        let weight = if case.cold == Cold::Caches { 4.0 + 2.0 * (id % 5) as f64 } else { case.weight };
-        let since = case.start.is_none() && case.cold != Cold::ToldLate && cold_ones.contains(&id);
-        entries.push(host(id, kind, weight, since.then_some(Time(START))));
+        let weight =
+            if case.cold_hosts == ColdHosts::Caches { 4.0 + 2.0 * (id % 5) as f64 } else { case.weight };
+        let since =
+            case.start.is_none() && case.cold_hosts != ColdHosts::StartKnownLate && cold_ids.contains(&id);
+        entries.push(listing(id, kind, weight, since.then_some(Time(START))));
     }
-    let classes = BANDS.iter().map(|(work, share)| Class {
-        work: *work,
-        share: *share,
-        spread: 0.0,
+    let classes = CLASSES.iter().map(|(work, share)| Class {
+        mean_work: *work,
+        traffic_share: *share,
+        size_spread: 0.0,
         deadline: 3_000_000,
-        told,
+        announced_kb_per_s: kb_per_s,
     });
-    // Where weights are not told, warm hosts show what they can do.
-    let places = if case.weights_told { BEARS_ALL } else { 1.0 };
-    let mut bed = Bed::new(settings(case), entries, places, classes.collect(), case.seed);
-    bed.tries = 2;
-    (bed.told_by_log, bed.connects) = (case.told_by_log, case.connects);
-    let cold_ones: Vec<HostId> = cold_ones.into_iter().map(HostId).collect();
-    cold_ones.iter().for_each(|id| bed.hosts.get_mut(id).unwrap().places = BEARS_ALL as usize);
-    (bed, cold_ones)
-}
-
-fn play(case: &Case) -> Held {
-    let (dispatchers, cold, restarts) = (case.dispatchers, case.cold, case.restarts);
-    // Who always begins anew learns no work by answers, and would count each request as too much.
-    let told = Some(PACE).filter(|_| matches!(restarts, Restarts::Loop) || cold == Cold::Parents);
-    let (mut bed, cold_ones) = begin(case, told);
-    if cold == Cold::Parents {
-        bed.misses = [0.9, 0.0];
+    // If weights are not given, capacity is estimated by what warm hosts carry.
+    let slots_per_weight = if case.weights_told { UNLIMITED_SLOTS } else { 1.0 };
+    let mut simulation =
+        Simulation::new(settings(case), entries, slots_per_weight, classes.collect(), case.seed);
+    simulation.retries = 2;
+    (simulation.starts_known_by_log, simulation.max_connect_time) =
+        (case.starts_known_by_log, case.max_connect_time);
+    let cold_ids: Vec<HostId> = cold_ids.into_iter().map(HostId).collect();
+    cold_ids.iter().for_each(|id| simulation.hosts.get_mut(id).unwrap().slots = UNLIMITED_SLOTS as usize);
+    (simulation, cold_ids)
+}
+
+fn run_case(case: &Case) -> Measurement {
+    let (dispatchers, cold, restarts) = (case.dispatchers, case.cold_hosts, case.restarts);
+    // Dispatchers that restart all the time never learn the work of requests from answers, and would
+    // overcharge each request.
+    let kb_per_s = Some(PACE).filter(|_| matches!(restarts, Restarts::Loop) || cold == ColdHosts::Parents);
+    let (mut simulation, cold_ids) = new_simulation(case, kb_per_s);
+    if cold == ColdHosts::Parents {
+        simulation.miss_rates = [0.9, 0.0];
     }
-    let requests = case.load * CACHES as f64 * case.weight / mean();
-    let (mut begun, mut untold) = (0, Vec::new());
-    for now in (START..START + case.lasts).step_by(STEP as usize) {
+    let requests = case.load * CACHES as f64 * case.weight / mean_work();
+    let (mut restarted, mut pending_updates) = (0, Vec::new());
+    for now in (START..START + case.duration).step_by(STEP as usize) {
         let since = now - START;
         let to = match restarts {
             Restarts::None | Restarts::Loop => 0,
@@ -247,157 +260,171 @@
             Restarts::Killed => dispatchers * 7 / 10 * usize::from(since >= 3_000_000),
             Restarts::Twice => dispatchers * usize::from(since >= 2_000_000),
         };
-        (begun..to).for_each(|place| bed.restart(now, place));
-        begun = begun.max(to);
+        (restarted..to).for_each(|dispatcher| simulation.restart_dispatcher(now, dispatcher));
+        restarted = restarted.max(to);
         let all_again = match restarts {
             Restarts::Twice => since == 2_700_000,
             Restarts::Loop => since.is_multiple_of(200_000),
             _ => false,
         };
         if all_again {
-            (0..dispatchers).for_each(|place| bed.restart(now, place));
+            (0..dispatchers).for_each(|dispatcher| simulation.restart_dispatcher(now, dispatcher));
         }
         if let Some(start) = case.start {
-            begin_anew(&mut bed, now, &cold_ones, start);
-        } else if cold == Cold::ToldLate && since == 2_000_000 {
-            cold_ones.iter().for_each(|id| bed.begins(now, *id));
-            let later = |place| (now + bed.chance.gen_range(0..1_000_000), place);
-            untold = (0..dispatchers).map(later).collect();
+            apply_start(&mut simulation, now, &cold_ids, start);
+        } else if cold == ColdHosts::StartKnownLate && since == 2_000_000 {
+            cold_ids.iter().for_each(|id| simulation.restart_listed_host(now, *id));
+            let later = |dispatcher| (now + simulation.rng.gen_range(0..1_000_000), dispatcher);
+            pending_updates = (0..dispatchers).map(later).collect();
         }
-        for (_, place) in untold.extract_if(.., |(at, _)| *at <= now) {
-            cold_ones.iter().for_each(|id| bed.tell(now, place, *id));
+        for (_, dispatcher) in pending_updates.extract_if(.., |(at, _)| *at <= now) {
+            cold_ids.iter().for_each(|id| simulation.update_dispatcher(now, dispatcher, *id));
         }
-        if cold == Cold::Failing {
+        if cold == ColdHosts::Failing {
             let errors = if since < 2_000_000 { 0.6 } else { 0.0 };
-            cold_ones.iter().for_each(|id| bed.hosts.get_mut(id).unwrap().errors = errors);
+            cold_ids.iter().for_each(|id| simulation.hosts.get_mut(id).unwrap().error_rate = errors);
         }
-        bed.step(now, requests);
+        simulation.step(now, requests);
     }
-    let renamed = case.start.is_some_and(|start| start.how == How::Renamed);
-    let all = cold_ones.iter().map(|id| worst(&bed, if renamed { new_name(id) } else { *id }, case));
-    all.fold(Held::default(), Held::and)
+    let renamed = case.start.is_some_and(|start| start.kind == StartKind::Renamed);
+    let all =
+        cold_ids.iter().map(|id| measure_host(&simulation, if renamed { new_name(id) } else { *id }, case));
+    all.fold(Measurement::default(), Measurement::merge)
 }
 
 fn new_name(old: &HostId) -> HostId {
     HostId(old.0 + 100)
 }
 
-/// What happens at this moment of the start of these hosts.
-fn begin_anew(bed: &mut Bed, now: u64, ids: &[HostId], start: Start) {
+/// Applies what happens at this moment of the start of these hosts.
+fn apply_start(simulation: &mut Simulation, now: u64, ids: &[HostId], start: Start) {
     let since = now - START;
-    let new: Vec<HostId> = ids.iter().map(new_name).collect();
-    if start.how == How::Returns && since == STARTS - AWAY {
-        ids.iter().for_each(|id| bed.vanishes(*id));
+    let new_ids: Vec<HostId> = ids.iter().map(new_name).collect();
+    if start.kind == StartKind::Returns && since == HOST_START - AWAY_FOR {
+        ids.iter().for_each(|id| simulation.make_unreachable(*id));
     }
-    if since == STARTS {
+    if since == HOST_START {
         for id in ids {
-            match start.how {
-                How::Restarts => bed.starts(now, *id),
-                How::Returns => bed.returns(now, *id),
-                How::Renamed => bed.replaces(now, *id, new_name(id)),
+            match start.kind {
+                StartKind::Restarts => simulation.restart_host(now, *id),
+                StartKind::Returns => simulation.return_as_new_process(now, *id),
+                StartKind::Renamed => simulation.replace_host(now, *id, new_name(id)),
             }
         }
     }
-    if since == STARTS + start.logged_after {
-        bed.logs(now, if start.how == How::Renamed { &new } else { ids }, start.heard);
+    if since == HOST_START + start.logged_after {
+        simulation.log_starts(
+            now,
+            if start.kind == StartKind::Renamed { &new_ids } else { ids },
+            start.heard_within,
+        );
     }
-    if start.how == How::Renamed && since == STARTS + start.logged_after + OLD_NAME {
-        bed.logs_gone(now, ids, start.heard);
+    if start.kind == StartKind::Renamed && since == HOST_START + start.logged_after + OLD_NAME_LISTED_FOR {
+        simulation.log_removals(now, ids, start.heard_within);
     }
 }
 
-/// What is asked of a host by itself, each request once: when, and the work. A parent is asked for misses.
-fn asked_of(bed: &Bed, entry: &Listing) -> Vec<(u64, f64)> {
+/// Time and work of the requests whose designated host this is, each counted once; for a parent, of their
+/// misses.
+fn requested_from(simulation: &Simulation, entry: &Listing) -> Vec<(u64, f64)> {
     let alike = |other: &&Listing| other.kind == entry.kind && other.phase == Phase::Ready;
-    let weight = |entry: &Listing| if bed.set.weights_steady { entry.weight } else { 1.0 };
-    let misses = if entry.kind == KindId(1) { bed.misses[0] } else { 1.0 };
+    let weight = |entry: &Listing| if simulation.settings.weights_steady { entry.weight } else { 1.0 };
+    let misses = if entry.kind == KindId(1) { simulation.miss_rates[0] } else { 1.0 };
     let home = |object: u64| {
         let value = |entry: &Listing| rendezvous(object, entry.host, weight(entry));
-        let all = bed.entries.iter().filter(alike);
+        let all = simulation.entries.iter().filter(alike);
         all.max_by(|a, b| value(a).total_cmp(&value(b))).unwrap().host
     };
-    let own = bed.asked.iter().filter(|asked| home(asked.object) == entry.host);
-    own.map(|asked| (asked.at, misses * bed.classes[asked.class].work * asked.size)).collect()
-}
-
-/// The work that was asked for after one time and until another.
-fn within(asked: &[(u64, f64)], after: u64, until: u64) -> f64 {
-    let place = |at: u64| asked.partition_point(|(known, _)| *known <= at);
-    asked[place(after)..place(until)].iter().map(|(_, work)| work).sum()
-}
-
-/// The most that came to one within any window, as `Held` has it. A window counts against the rule if over
-/// two thirds of what came were sent by dispatchers that had been told of the start.
-fn worst(bed: &Bed, id: HostId, case: &Case) -> Held {
-    let Rules { shares, multiple, window, ramp } = case.rules;
-    let entry = bed.entries.iter().find(|entry| entry.host == id).unwrap();
-    let (share, began) = (shares[usize::from(entry.kind == KindId(1))], entry.since.unwrap().0);
-    let (asked, ends) = (asked_of(bed, entry), START + case.lasts);
-    // What the settings allow from then on for a window: what it can do at the begin is the least.
+    let requests = simulation.requests.iter().filter(|request| home(request.object) == entry.host);
+    requests
+        .map(|request| {
+            (request.arrived_at, misses * simulation.classes[request.class].mean_work * request.relative_size)
+        })
+        .collect()
+}
+
+/// The work requested after one time and until another.
+fn work_between(requested: &[(u64, f64)], after: u64, until: u64) -> f64 {
+    let position = |at: u64| requested.partition_point(|(known, _)| *known <= at);
+    requested[position(after)..position(until)].iter().map(|(_, work)| work).sum()
+}
+
+/// Measures the load at a host. A window counts if over two thirds of the work were sent by dispatchers that
+/// knew of the start.
+fn measure_host(simulation: &Simulation, id: HostId, case: &Case) -> Measurement {
+    let Rules { initial_shares: shares, overload_factor: multiple, window, ramp } = case.rules;
+    let entry = simulation.entries.iter().find(|entry| entry.host == id).unwrap();
+    let (share, started_at) = (shares[usize::from(entry.kind == KindId(1))], entry.since.unwrap().0);
+    let (requested, ends) = (requested_from(simulation, entry), START + case.duration);
+    // N for a window that begins at `from`; capacity is lowest at its beginning.
     let allowed = |from: u64| {
-        let age = from.saturating_sub(began) as f64 / ramp as f64;
-        multiple * (share + (1.0 - share) * age.min(1.0)) * entry.weight * (window as f64 / 1e6) / mean()
+        let age = from.saturating_sub(started_at) as f64 / ramp as f64;
+        multiple * (share + (1.0 - share) * age.min(1.0)) * entry.weight * (window as f64 / 1e6) / mean_work()
+    };
+    let arrived: Vec<_> = simulation.arrivals.iter().filter(|r| r.host == id && r.at >= started_at).collect();
+    let mut measured = Measurement {
+        windows: ((ends - started_at) / window) as usize,
+        arrivals: arrived.len(),
+        ..Measurement::default()
     };
-    let came: Vec<_> = bed.reached.iter().filter(|r| r.host == id && r.at >= began).collect();
-    let mut held =
-        Held { windows: ((ends - began) / window) as usize, reached: came.len(), ..Held::default() };
-    let (mut first, mut sum, mut told) = (0, 0.0, 0.0);
-    for (place, last) in came.iter().enumerate() {
+    let (mut first, mut sum, mut work_with_known_start) = (0, 0.0, 0.0);
+    for (index, last) in arrived.iter().enumerate() {
         sum += last.work;
-        told += if last.told { last.work } else { 0.0 };
-        while came[first].at + window < last.at {
-            sum -= came[first].work;
-            told -= if came[first].told { came[first].work } else { 0.0 };
+        work_with_known_start += if last.is_start_known { last.work } else { 0.0 };
+        while arrived[first].at + window < last.at {
+            sum -= arrived[first].work;
+            work_with_known_start -= if arrived[first].is_start_known { arrived[first].work } else { 0.0 };
             first += 1;
         }
         let allowed = allowed(last.at - window);
-        let borne = allowed + 2.0 * allowed.sqrt() + 2.0;
-        if told * 3.0 > sum * 2.0 {
-            held.borne = held.borne.max(sum / mean() / borne);
-            held.of_n = held.of_n.max(sum / mean() / allowed);
-            held.by_count = held.by_count.max((place + 1 - first) as f64 / borne);
-            let presses = within(&asked, last.at - window, last.at) / mean() > allowed;
-            // Whichever of work and number is nearer to N is what holds back.
-            let came = (sum / mean()).max((place + 1 - first) as f64);
-            held.pressed = held.pressed.max(if presses { came / allowed } else { 0.0 });
+        let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
+        if work_with_known_start * 3.0 > sum * 2.0 {
+            measured.work_over_bound = measured.work_over_bound.max(sum / mean_work() / bound);
+            measured.work_over_n = measured.work_over_n.max(sum / mean_work() / allowed);
+            measured.count_over_bound = measured.count_over_bound.max((index + 1 - first) as f64 / bound);
+            let is_under_demand = work_between(&requested, last.at - window, last.at) / mean_work() > allowed;
+            // The nearer to N of work and number is what limits.
+            let arrived = (sum / mean_work()).max((index + 1 - first) as f64);
+            measured.max_use_under_demand =
+                measured.max_use_under_demand.max(if is_under_demand { arrived / allowed } else { 0.0 });
         }
     }
-    let work: Vec<_> = came.iter().map(|reached| (reached.at, reached.work)).collect();
-    for from in (began..=ends - window).step_by(window as usize) {
-        let allowed = allowed(from) * mean();
-        if within(&asked, from, from + window) > allowed {
-            held.used += within(&work, from, from + window) / allowed;
-            held.pressing += 1;
+    let work: Vec<_> = arrived.iter().map(|reached| (reached.at, reached.work)).collect();
+    for from in (started_at..=ends - window).step_by(window as usize) {
+        let allowed = allowed(from) * mean_work();
+        if work_between(&requested, from, from + window) > allowed {
+            measured.total_use_under_demand += work_between(&work, from, from + window) / allowed;
+            measured.windows_under_demand += 1;
         }
     }
-    held
+    measured
 }
 
-impl Held {
-    fn bears(&self) -> bool {
-        self.borne <= 1.0 && self.by_count <= 1.0
+impl Measurement {
+    fn is_within_bound(&self) -> bool {
+        self.work_over_bound <= 1.0 && self.count_over_bound <= 1.0
     }
 
-    fn and(self, other: Held) -> Held {
-        Held {
-            borne: self.borne.max(other.borne),
-            of_n: self.of_n.max(other.of_n),
-            by_count: self.by_count.max(other.by_count),
+    fn merge(self, other: Measurement) -> Measurement {
+        Measurement {
+            work_over_bound: self.work_over_bound.max(other.work_over_bound),
+            work_over_n: self.work_over_n.max(other.work_over_n),
+            count_over_bound: self.count_over_bound.max(other.count_over_bound),
             windows: self.windows + other.windows,
-            reached: self.reached + other.reached,
-            pressed: self.pressed.max(other.pressed),
-            used: self.used + other.used,
-            pressing: self.pressing + other.pressing,
+            arrivals: self.arrivals + other.arrivals,
+            max_use_under_demand: self.max_use_under_demand.max(other.max_use_under_demand),
+            total_use_under_demand: self.total_use_under_demand + other.total_use_under_demand,
+            windows_under_demand: self.windows_under_demand + other.windows_under_demand,
         }
     }
 
-    /// Whether more than N was asked, and what came then reached its part.
-    fn presses(&self) -> bool {
-        self.pressing > 0 && self.pressed >= REACHES
+    /// Whether more than N was requested, and enough of it arrived.
+    fn uses_budget(&self) -> bool {
+        self.windows_under_demand > 0 && self.max_use_under_demand >= MIN_USE_UNDER_DEMAND
     }
 
-    fn mean_use(&self) -> f64 {
-        self.used / self.pressing.max(1) as f64
+    fn mean_use_under_demand(&self) -> f64 {
+        self.total_use_under_demand / self.windows_under_demand.max(1) as f64
     }
 }
 
@@ -406,41 +433,48 @@
 #[test_case(Restarts::Killed)]
 #[test_case(Restarts::Twice)]
 #[test_case(Restarts::Loop)]
-fn a_cold_host_is_not_pushed_over(restarts: Restarts) {
-    let cold = if matches!(restarts, Restarts::Loop) { Cold::Caches } else { Cold::Cache };
+fn a_cold_host_is_not_overloaded(restarts: Restarts) {
+    let cold = if matches!(restarts, Restarts::Loop) { ColdHosts::Caches } else { ColdHosts::Cache };
     for dispatchers in [8, 60] {
         for seed in 0..3 {
-            let held = play(&Case { dispatchers, cold, restarts, seed, ..CASE });
-            println!("{restarts:?}, {dispatchers} dispatchers, seed {seed}: {held:.2?}");
-            assert!(held.bears(), "{dispatchers} dispatchers, seed {seed}: {held:?}");
+            let measured = run_case(&Case { dispatchers, cold_hosts: cold, restarts, seed, ..BASE_CASE });
+            println!("{restarts:?}, {dispatchers} dispatchers, seed {seed}: {measured:.2?}");
+            assert!(measured.is_within_bound(), "{dispatchers} dispatchers, seed {seed}: {measured:?}");
         }
     }
 }
 
-/// Two thousand windows in all, those that lie apart counted.
-#[test_case(Cold::Caches, 832)]
-#[test_case(Cold::Parents, 416)]
-#[test_case(Cold::ToldLate, 234)]
-#[test_case(Cold::Failing, 520)]
-fn cold_hosts_bear_what_a_fleet_sends(cold: Cold, windows: usize) {
-    let mut all = Held::default();
+/// Two thousand disjoint windows in total.
+#[test_case(ColdHosts::Caches, 832)]
+#[test_case(ColdHosts::Parents, 416)]
+#[test_case(ColdHosts::StartKnownLate, 234)]
+#[test_case(ColdHosts::Failing, 520)]
+fn cold_hosts_stay_within_the_bound(cold: ColdHosts, windows: usize) {
+    let mut all = Measurement::default();
     for dispatchers in [4, 20, 30, 300] {
-        let mut held = Held::default();
+        let mut measured = Measurement::default();
         let fewer = if dispatchers == 300 { 3 } else { 0 };
         for (seed, restarts) in RESTARTS.into_iter().enumerate().skip(fewer) {
-            let case = Case { dispatchers, cold, restarts, lasts: RULES.ramp, seed: seed as u64, ..CASE };
-            held = held.and(play(&case));
+            let case = Case {
+                dispatchers,
+                cold_hosts: cold,
+                restarts,
+                duration: RULES.ramp,
+                seed: seed as u64,
+                ..BASE_CASE
+            };
+            measured = measured.merge(run_case(&case));
         }
-        println!("{cold:?}, {dispatchers} dispatchers: {held:.2?}");
-        assert!(held.bears(), "{cold:?}, {dispatchers} dispatchers: {held:?}");
-        all = all.and(held);
+        println!("{cold:?}, {dispatchers} dispatchers: {measured:.2?}");
+        assert!(measured.is_within_bound(), "{cold:?}, {dispatchers} dispatchers: {measured:?}");
+        all = all.merge(measured);
     }
     assert!(all.windows >= windows, "{all:?}");
 }
 
-/// The load at which each dispatcher wants a cold host about twice in a window. A part far below one attempt
-/// that is asked for less often stays unused, as it may not pile up against all asking at once.
-fn pressing(dispatchers: usize) -> f64 {
+/// The load at which each dispatcher needs a cold host about twice in a window. With fewer requests, shares
+/// far below one attempt stay unused, since they must not accumulate.
+fn load_above_budget(dispatchers: usize) -> f64 {
     if dispatchers < 100 {
         2.0
     } else {
@@ -448,37 +482,36 @@
     }
 }
 
-/// What comes to cold hosts that all know where more than N is asked of them: not more than they bear, and at
-/// least a stated part of N. All cases are played before any is held against this.
-fn hold_under_demand(cases: impl IntoIterator<Item = (String, Case)>) {
-    play_all(cases, true);
+/// Checks cold hosts that all dispatchers know of and of which more than N is requested: load is within the
+/// bound, and uses enough of N.
+fn check_under_demand(cases: impl IntoIterator<Item = (String, Case)>) {
+    check_cases(cases, true);
 }
 
-/// What comes to hosts that start under traffic: not more than they bear. That these cases press shows in that
-/// they were over the bound before connections that are cut counted as a start.
-fn hold(cases: impl IntoIterator<Item = (String, Case)>) {
-    play_all(cases, false);
+/// Checks that the load of hosts that start under traffic is within the bound.
+fn check_bound(cases: impl IntoIterator<Item = (String, Case)>) {
+    check_cases(cases, false);
 }
 
-fn play_all(cases: impl IntoIterator<Item = (String, Case)>, has_to_press: bool) {
+fn check_cases(cases: impl IntoIterator<Item = (String, Case)>, needs_use: bool) {
     let mut failed = Vec::new();
     for (what, case) in cases {
-        let plays = seeds(case.dispatchers).map(|seed| play(&Case { seed, ..case }));
-        let all = plays.fold(Held::default(), Held::and);
-        let verdict = match (all.bears(), all.presses() || !has_to_press) {
+        let plays = seeds(case.dispatchers).map(|seed| run_case(&Case { seed, ..case }));
+        let all = plays.fold(Measurement::default(), Measurement::merge);
+        let verdict = match (all.is_within_bound(), all.uses_budget() || !needs_use) {
             (true, true) => "holds",
-            (false, _) => "FAILS, more than it bears",
-            (true, false) => "FAILS, does not press",
+            (false, _) => "FAILS, over the bound",
+            (true, false) => "FAILS, too little use under demand",
         };
         let line = format!(
-            "{what}, {} dispatchers: {:.2} of the bound by work, {:.2} by number; most {:.2} of N, mean {:.2} \
-             of N in {} pressing windows: {verdict}",
+            "{what}, {} dispatchers: {:.2} of the bound by work, {:.2} by number; at most {:.2} of N, mean {:.2} \
+             of N in {} windows under demand: {verdict}",
             case.dispatchers,
-            all.borne,
-            all.by_count,
-            all.pressed,
-            all.mean_use(),
-            all.pressing
+            all.work_over_bound,
+            all.count_over_bound,
+            all.max_use_under_demand,
+            all.mean_use_under_demand(),
+            all.windows_under_demand
         );
         println!("{line}");
         failed.extend((verdict != "holds").then_some(line));
@@ -486,30 +519,30 @@
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// As many seeds as are played in a like time.
+/// Fewer seeds for large fleets, so that all cases take about the same time.
 fn seeds(dispatchers: usize) -> std::ops::Range<u64> {
     0..if dispatchers < 100 { 3 } else { 1 }
 }
 
-fn started(how: How, logged_after: u64, heard: u64) -> Option<Start> {
-    Some(Start { how, logged_after, heard })
+fn start_of(kind: StartKind, logged_after: u64, heard_within: u64) -> Option<Start> {
+    Some(Start { kind, logged_after, heard_within })
 }
 
-/// Of caches, or parents, that all dispatchers know to be cold.
+/// More than N is requested of caches, or parents, that all dispatchers know to be cold.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
-fn a_pressing_demand(dispatchers: usize) {
-    let known = Case { dispatchers, load: pressing(dispatchers), ..CASE };
-    hold_under_demand([
-        ("pressing, a cache".to_string(), known),
-        ("pressing, all parents".to_string(), Case { cold: Cold::Parents, ..known }),
+fn demand_above_the_budget(dispatchers: usize) {
+    let known = Case { dispatchers, load: load_above_budget(dispatchers), ..BASE_CASE };
+    check_under_demand([
+        ("demand above N, a cache".to_string(), known),
+        ("demand above N, all parents".to_string(), Case { cold_hosts: ColdHosts::Parents, ..known }),
     ]);
 }
 
-/// Factor, window and ramp at both ends of their ranges, for an N of so many.
+/// Factor, window and ramp at both ends of their ranges, for a given N.
 fn rules_for(n: u32) -> Rules {
     let (share, multiple, window, ramp) = match n {
         3 => (0.1, 2.0, 1_200_000, 8_000_000),
@@ -519,66 +552,80 @@
         47 => (0.1, 3.0, 2_000_000, 8_000_000),
         _ => (0.25, 2.0, 1_200_000, 20_000_000),
     };
-    Rules { shares: [share, 0.1], multiple, window, ramp }
+    Rules { initial_shares: [share, 0.1], overload_factor: multiple, window, ramp }
 }
 
-/// N of so many requests of mean work in a window: known to be cold, logged as it starts, and with late
+/// Few and many requests in a window: with a host known to be cold, one logged as it starts, and late
 /// connections.
 #[test_matrix([3, 5, 8, 15, 47, 100], [4, 20, 300])]
 fn few_and_many_in_a_window(n: u32, dispatchers: usize) {
     let rules = rules_for(n);
-    let weight = f64::from(n) * mean() / (rules.multiple * rules.shares[0] * rules.window as f64 / 1e6);
-    let known = Case { dispatchers, rules, weight, load: pressing(dispatchers), ..CASE };
-    let anew = Case { dispatchers, rules, weight, cold: Cold::Cache, ..ANEW };
-    let late = Case { start: started(How::Restarts, 0, AT_ONCE), connects: Some(1_000_000), ..anew };
-    // A few requests of a window can't be asked for by each of many dispatchers: there only the bound counts.
+    let weight = f64::from(n) * mean_work()
+        / (rules.overload_factor * rules.initial_shares[0] * rules.window as f64 / 1e6);
+    let known = Case { dispatchers, rules, weight, load: load_above_budget(dispatchers), ..BASE_CASE };
+    let restarted = Case { dispatchers, rules, weight, cold_hosts: ColdHosts::Cache, ..RESTART_CASE };
+    let late = Case {
+        start: start_of(StartKind::Restarts, 0, NO_LAG),
+        max_connect_time: Some(1_000_000),
+        ..restarted
+    };
+    // Many dispatchers can't all need one of a few requests in a window: only the bound is checked then.
     if n * 2 < dispatchers as u32 {
-        hold([(format!("N of {n}"), known)]);
+        check_bound([(format!("N of {n}"), known)]);
     } else {
-        hold_under_demand([(format!("N of {n}"), known)]);
+        check_under_demand([(format!("N of {n}"), known)]);
     }
-    hold([
-        (format!("N of {n}, logged at once"), anew),
-        (format!("N of {n}, late connects, heard as it starts"), late),
+    check_bound([
+        (format!("N of {n}, logged at once"), restarted),
+        (format!("N of {n}, late connects, known as it starts"), late),
     ]);
 }
 
-/// The change log has it at once, or up to 2.3 s later; each dispatcher hears of it within a second.
+/// The change log has the start immediately, or up to 2.3 s later, and dispatchers read it after a further
+/// lag.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
-fn told_by_the_change_log(dispatchers: usize) {
-    hold([0, 1_100, 2_300].map(|after| {
-        let start = started(How::Restarts, after * 1_000, LAGS);
-        (format!("logged after {after} ms"), Case { dispatchers, start, ..ANEW })
+fn starts_known_by_the_change_log(dispatchers: usize) {
+    check_bound([0, 1_100, 2_300].map(|after| {
+        let start = start_of(StartKind::Restarts, after * 1_000, LOG_LAG);
+        (format!("logged after {after} ms"), Case { dispatchers, start, ..RESTART_CASE })
     }));
 }
 
-/// Each new connection comes up within a second: to a host that all know to be cold, and to new processes, of
-/// which all hear as they start, or within a second.
+/// New connections take up to a second: to a host known to be cold, and to new processes of which dispatchers
+/// learn immediately or later.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
 fn connections_come_up_late(dispatchers: usize) {
-    let known = Case { dispatchers, connects: Some(1_000_000), load: pressing(dispatchers), ..CASE };
-    let anew = |logged_after, heard| {
-        let start = started(How::Restarts, logged_after, heard);
-        Case { dispatchers, connects: Some(1_000_000), start, ..ANEW }
+    let known = Case {
+        dispatchers,
+        max_connect_time: Some(1_000_000),
+        load: load_above_budget(dispatchers),
+        ..BASE_CASE
     };
-    hold([
+    let restarted = |logged_after, heard_within| {
+        let start = start_of(StartKind::Restarts, logged_after, heard_within);
+        Case { dispatchers, max_connect_time: Some(1_000_000), start, ..RESTART_CASE }
+    };
+    check_bound([
         ("late connects, known to be cold".to_string(), known),
-        ("late connects, heard as it starts".to_string(), anew(0, AT_ONCE)),
-        ("late connects, logged at once".to_string(), anew(0, LAGS)),
-        ("late connects, told by own hearing".to_string(), Case { told_by_log: false, ..anew(0, LAGS) }),
-        ("late connects, logged after 1100 ms".to_string(), anew(1_100_000, LAGS)),
+        ("late connects, known as it starts".to_string(), restarted(0, NO_LAG)),
+        ("late connects, logged at once".to_string(), restarted(0, LOG_LAG)),
+        (
+            "late connects, known when a dispatcher reads it".to_string(),
+            Case { starts_known_by_log: false, ..restarted(0, LOG_LAG) },
+        ),
+        ("late connects, logged after 1100 ms".to_string(), restarted(1_100_000, LOG_LAG)),
     ]);
 }
 
-/// Watches of the change log are late, or silent, for twice as long as one that is silent is found out in.
+/// Change log updates are late, by up to twice the time in which a silent watch is detected.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
@@ -586,76 +633,81 @@
 #[test_case(350; "with_350")]
 fn watches_are_late(dispatchers: usize) {
     let case = |within: u64, late: u64| {
-        let heard = within * 1_000_000;
-        let lasts = STARTS + (within + 3) * 1_000_000;
-        let (start, connects) = (started(How::Restarts, 0, heard), Some(late * 1_000_000));
+        let heard_within = within * 1_000_000;
+        let duration = HOST_START + (within + 3) * 1_000_000;
+        let (start, connects) = (start_of(StartKind::Restarts, 0, heard_within), Some(late * 1_000_000));
         (
             format!("watches late or silent for up to {within} s, connects within {late} s"),
-            Case { dispatchers, start, connects, lasts, ..ANEW },
+            Case { dispatchers, start, max_connect_time: connects, duration, ..RESTART_CASE },
         )
     };
-    hold([case(1, 0), case(1, 1)]);
+    check_bound([case(1, 0), case(1, 1)]);
 }
 
-/// Hosts that start in such a way: logged as they do, or 1.1 s later with connects up to 1 s late.
-fn logged_at_once_and_late(what: &str, how: How, dispatchers: usize) -> [(String, Case); 2] {
+/// A kind of start, logged immediately, or 1.1 s later with connections up to 1 s late.
+fn logged_at_once_and_late(what: &str, kind: StartKind, dispatchers: usize) -> [(String, Case); 2] {
     [(0, 0), (1_100, 1)].map(|(after, late)| {
-        let (start, connects) = (started(how, after * 1_000, LAGS), Some(late * 1_000_000));
+        let (start, connects) = (start_of(kind, after * 1_000, LOG_LAG), Some(late * 1_000_000));
         let name = format!("{what}, logged after {after} ms, connects within {late} s");
-        (name, Case { dispatchers, start, connects, ..ANEW })
+        (name, Case { dispatchers, start, max_connect_time: connects, ..RESTART_CASE })
     })
 }
 
-/// A host that was away without a word is back as a new process.
+/// A host that was unreachable is back as a new process.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
 fn hosts_vanish_and_return(dispatchers: usize) {
-    hold(logged_at_once_and_late("returned", How::Returns, dispatchers));
+    check_bound(logged_at_once_and_late("returned", StartKind::Returns, dispatchers));
 }
 
-/// A new process has the address of one before, which stays listed for a while: both names lead there.
+/// A new process has the address of a previous one that stays listed for a while: both ids lead to it.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
 fn addresses_are_used_again(dispatchers: usize) {
-    hold(logged_at_once_and_late("renamed", How::Renamed, dispatchers));
+    check_bound(logged_at_once_and_late("renamed", StartKind::Renamed, dispatchers));
 }
 
-/// Weights are not told: what a cold host can do is estimated by what its peers carry, which are more or less
-/// in use, or overflow where most hosts are cold.
+/// Weights are not given: a cold host's capacity is estimated by what its peers carry, whose load varies and
+/// which are overloaded if most hosts are cold.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
 fn weights_are_not_told(dispatchers: usize) {
-    let case = Case { dispatchers, weights_told: false, start: started(How::Restarts, 0, AT_ONCE), ..ANEW };
-    let late = started(How::Restarts, 1_100_000, LAGS);
-    hold([
-        ("untold weights, load 0.8".to_string(), Case { load: 0.8, ..case }),
-        ("untold weights, load 1.2".to_string(), case),
-        ("untold weights, most are cold".to_string(), Case { cold: Cold::Most, ..case }),
+    let case = Case {
+        dispatchers,
+        weights_told: false,
+        start: start_of(StartKind::Restarts, 0, NO_LAG),
+        ..RESTART_CASE
+    };
+    let late = start_of(StartKind::Restarts, 1_100_000, LOG_LAG);
+    check_bound([
+        ("unknown weights, load 0.8".to_string(), Case { load: 0.8, ..case }),
+        ("unknown weights, load 1.2".to_string(), case),
+        ("unknown weights, most are cold".to_string(), Case { cold_hosts: ColdHosts::Most, ..case }),
         (
-            "untold weights, most are cold, logged after 1100 ms".to_string(),
-            Case { cold: Cold::Most, start: late, ..case },
+            "unknown weights, most are cold, logged after 1100 ms".to_string(),
+            Case { cold_hosts: ColdHosts::Most, start: late, ..case },
         ),
     ]);
 }
 
-/// All of it at once, while dispatchers are restarted in steps.
+/// Late log, late connections and restarting dispatchers, all at once.
 #[test_case(4; "with_4")]
 #[test_case(20; "with_20")]
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
 fn all_at_once(dispatchers: usize) {
-    let start = started(How::Restarts, 1_100_000, LAGS);
+    let start = start_of(StartKind::Restarts, 1_100_000, LOG_LAG);
     let (connects, restarts) = (Some(1_000_000), Restarts::Steps);
-    let case = Case { dispatchers, start, connects, restarts, ..ANEW };
-    hold([("all at once".to_string(), case)]);
+    let case = Case { dispatchers, start, max_connect_time: connects, restarts, ..RESTART_CASE };
+    check_bound([("all at once".to_string(), case)]);
 }
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -1,4 +1,4 @@
-//! Purges bind for as long as the process runs, in bounded memory.
+//! Purges stay in force for as long as the process runs, in bounded memory.
 use cherrypass::ids::{GroupId, ObjectId};
 use cherrypass::purges::{Purges, HASH_SLOTS, MAX_TRACKED};
 use cherrypass::time::Time;
@@ -15,7 +15,7 @@
     let mut truth: BTreeMap<ObjectId, Time> = BTreeMap::new();
     let mut groups: BTreeMap<GroupId, Time> = BTreeMap::new();
     for second in 1..=3 * MAX_TRACKED as u64 {
-        // Now and then one is heard late, after younger ones.
+        // Some purges arrive late, after more recent ones.
         let at = Time(second * 1_000_000 - chance.gen_range(0..9_000_000).min(second * 1_000_000));
         if chance.gen_bool(0.01) {
             let group = GroupId(chance.gen_range(0..GROUPS));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_was_not_purged_is_bound_by_old_purges_alone() {
+fn unpurged_objects_are_affected_by_old_purges_only() {
     let mut purges = Purges::default();
     let never = (0..1000).map(|number| ObjectId((1 << 40) | (number * 7919)));
     (0..MAX_TRACKED as u64)
@@ -47,12 +47,15 @@
     let more = MAX_TRACKED as u64..(MAX_TRACKED + HASH_SLOTS) as u64;
     more.for_each(|number| purges.record(GroupId(0), Some(ObjectId(number)), Time(number)));
     let bound: Vec<Time> = never.filter_map(|object| purges.latest(GroupId(1), object)).collect();
-    assert!(bound.iter().all(|at| at.0 < HASH_SLOTS as u64), "bound by one that is held");
-    assert!(bound.len() < 900, "{} of 1000 are bound", bound.len());
+    assert!(
+        bound.iter().all(|at| at.0 < HASH_SLOTS as u64),
+        "affected by a purge that is tracked individually"
+    );
+    assert!(bound.len() < 900, "{} of 1000 are affected", bound.len());
 }
 
 #[test]
-fn a_purge_heard_late_takes_nothing_back() {
+fn a_late_purge_does_not_replace_a_later_one() {
     let mut purges = Purges::default();
     purges.record(GroupId(3), Some(ObjectId(7)), Time(50));
     purges.record(GroupId(3), Some(ObjectId(7)), Time(20));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,21 +1,38 @@
-//! Plays the scenarios in `tests/scenarios/`: commands on lines or between `;`, `#` starts a comment.
-//! `band NAME EFFECT KEY=VALUE..`, `host NAME SORT WEIGHT`, `fleet` (six hosts, band video), `untold` (sizes),
-//! `probes` (hosts may be asked how busy they are), `hits-only` (notes don't tell a fill's way),
-//! `dispatchers N`, `sharers N` (at the location) and `elsewhere N` (caches of other locations) come first, then
-//! `part N` (of all visits from now on),
-//! `at MS` (time passes, the timer fires), `pause MS` (it does not), `list NAME PHASE [SINCE|none]`, `visit ID BAND OBJECT [LIMIT]`,
-//! `ran HOST AGO ID BAND OBJECT` (a visit whose earlier try may have run there), `purge OBJECT|group AGO`, `unproven on|off` (purges may be unheard),
-//! `leave ID`, `end ID OUTCOME [NOTE]` (of its newest hand-off),
-//! `busy NAME VALUE` (so it tells with answers and when it is asked; one without is silent then),
-//! `answer NAME,..|from:NAME OUTCOME NOTE MS` (from now on by itself; `silent` never), `flow N BAND EVERY OBJECTS`,
-//! `name NEW to|from ID` (a further name for where a visit went or was filled from), `mark` (counts start anew),
-//! `allot origin|further|NAME AMOUNT MS AFTER` (a part of what several share, until so long from now, and after that),
-//! `word|new NAME MS [SINCE]` (others find it bad, or just started, for so long; with the start that they know, without one as listed),
-//! `expect ID to|from|rank|oldest|hand-offs|final WORD` and `expect sent|filled|held|asked NAME OP NUMBER` (held: asked for
-//! what it holds alone; asked: how busy it is).
+//! Runs the scenarios in `tests/scenarios/`. Commands stand on lines or between `;`; `#` starts a comment.
 //!
-//! Always checked: one final answer a visit, nothing after it, never two hand-offs out at once, and a retry-after
-//! time with each turn-back.
+//! Setup, before all other commands:
+//! - `band NAME EFFECT KEY=VALUE..`: a class of requests
+//! - `host NAME SORT WEIGHT`: a host
+//! - `fleet`: six hosts, and the class video
+//! - `untold`: weights are not given
+//! - `probes`: hosts answer load probes
+//! - `hits-only`: notes do not tell fills by parents and by the origin apart
+//! - `dispatchers N`, and `sharers N` of them at this location
+//! - `elsewhere N`: caches at other locations
+//!
+//! Events:
+//! - `part N`: the part that all later visits request
+//! - `at MS`: time passes, with timers; `pause MS`: without
+//! - `list NAME PHASE [SINCE|none]`: a list entry changes
+//! - `visit ID BAND OBJECT [LIMIT]`; `leave ID`: its client leaves
+//! - `ran HOST AGO ID BAND OBJECT`: a visit of which an earlier attempt may have been executed at HOST
+//! - `end ID OUTCOME [NOTE]`: the visit's latest hand-off ends
+//! - `purge OBJECT|group AGO`; `unproven on|off`: purges may have been missed
+//! - `busy NAME VALUE`: the load that a host reports with answers and to probes; without it none is reported
+//! - `answer NAME,..|from:NAME OUTCOME NOTE MS`: how hosts answer from now on; `silent`: never
+//! - `flow N BAND EVERY OBJECTS`: a series of visits
+//! - `name NEW to|from ID`: another name for the host that a visit was sent to or filled from
+//! - `mark`: resets the counts
+//! - `allot origin|further|NAME AMOUNT MS AFTER`: a part of a shared limit, for MS and after that
+//! - `word|new NAME MS [SINCE]`: others report a host as bad, or as restarted, for MS; SINCE is the start
+//!   they know, by default the listed one
+//!
+//! Checks:
+//! - `expect ID to|from|rank|oldest|hand-offs|final WORD`
+//! - `expect sent|filled|held|asked NAME OP NUMBER`: hand-offs, fills, fills of cached copies only, probes
+//!
+//! Always checked: each visit gets one final answer and no hand-off after it, never has two hand-offs in
+//! flight, and each refusal has a retry-after time.
 use cherrypass::brain::Brain;
 use cherrypass::calls::*;
 use cherrypass::ids::*;
@@ -26,54 +43,55 @@
 
 const START: u64 = 1_000_000_000;
 
+/// What happened to a visit.
 #[derive(Default)]
-struct Seen {
-    number: u8,
-    to: Option<HostId>,
+struct VisitRecord {
+    last_number: u8,
+    sent_to: Option<HostId>,
     fill: Option<Fill>,
-    at: u64,
-    out: u32,
-    finals: Vec<&'static str>,
+    sent_at: u64,
+    in_flight: u32,
+    final_answers: Vec<&'static str>,
 }
 
+/// A decision module, its simulated hosts, and what was decided so far.
 #[derive(Default)]
-struct Play {
-    set: Settings,
+struct ScenarioRunner {
+    settings: Settings,
     names: BTreeMap<String, HostId>,
     listings: BTreeMap<HostId, Listing>,
     brain: Option<Brain>,
     now: u64,
-    wake: u64,
-    visits: BTreeMap<u32, Seen>,
-    bands: Vec<(String, u64)>,
+    next_wake: u64,
+    visits: BTreeMap<u32, VisitRecord>,
+    classes: Vec<(String, u64)>,
     part: u32,
     answers: BTreeMap<String, (String, String, u64)>,
-    pending: BTreeMap<(u64, u32, u8), (String, String)>,
-    sent: BTreeMap<HostId, f64>,
-    filled: BTreeMap<HostId, f64>,
-    held: BTreeMap<HostId, f64>,
-    busy: BTreeMap<HostId, f64>,
-    probes: Vec<HostId>,
-    asked: BTreeMap<HostId, f64>,
+    pending_answers: BTreeMap<(u64, u32, u8), (String, String)>,
+    hand_off_counts: BTreeMap<HostId, f64>,
+    fill_counts: BTreeMap<HostId, f64>,
+    cached_only_counts: BTreeMap<HostId, f64>,
+    reported_loads: BTreeMap<HostId, f64>,
+    open_probes: Vec<HostId>,
+    probe_counts: BTreeMap<HostId, f64>,
 }
 
-fn ms(word: &str) -> u64 {
+fn micros(word: &str) -> u64 {
     word.parse::<u64>().unwrap_or_else(|_| panic!("not a number: {word}")) * 1000
 }
 
-/// The value whose name a word gives, written `timed-out` for `TimedOut`.
-fn named<T: Copy + std::fmt::Debug>(values: &[T], word: &str) -> T {
-    let plain = word.replace('-', "");
-    let found = values.iter().find(|value| format!("{value:?}").eq_ignore_ascii_case(&plain));
-    *found.unwrap_or_else(|| panic!("no such name: {word}"))
+/// The value for a word of the notation.
+fn parse_word<T: Copy>(words: &[(&str, T)], word: &str) -> T {
+    let found = words.iter().find(|(known, _)| *known == word);
+    found.unwrap_or_else(|| panic!("no such name: {word}")).1
 }
 
-fn pairs<'a>(words: &[&'a str]) -> BTreeMap<&'a str, &'a str> {
+fn key_values<'a>(words: &[&'a str]) -> BTreeMap<&'a str, &'a str> {
     words.iter().map(|word| word.split_once('=').unwrap_or((word, "1"))).collect()
 }
 
-impl Play {
-    fn new() -> Play {
+impl ScenarioRunner {
+    fn new() -> ScenarioRunner {
         let cold = |share: f64, seconds: u64| ColdStart {
             share,
             ramp: Span::millis(seconds * 1000),
@@ -97,49 +115,55 @@
             retry_after_most: Span::millis(2000),
             cold_cache: cold(0.2, 15),
             cold_parent: cold(0.1, 20),
-            purge_done: Span::millis(6000),
+            purge_drop_time: Span::millis(6000),
             purge_grace: Span::millis(500),
             ..Settings::default()
         };
-        Play { set, now: START, wake: START, ..Play::default() }
+        ScenarioRunner { settings: set, now: START, next_wake: START, ..ScenarioRunner::default() }
     }
 
-    fn call(&mut self, input: impl FnOnce(&mut Brain, Time)) {
+    fn call_module(&mut self, input: impl FnOnce(&mut Brain, Time)) {
         let now = Time(self.now);
         if self.brain.is_none() {
-            let mut brain = Brain::start(self.set.clone(), 7, now);
+            let mut brain = Brain::start(self.settings.clone(), 7, now);
             brain.listed(now, &self.listings.values().copied().collect::<Vec<_>>(), true);
             self.brain = Some(brain);
         }
         input(self.brain.as_mut().unwrap(), now);
         while let Some(decision) = self.brain.as_mut().unwrap().next(now) {
-            self.take(decision);
+            self.apply_decision(decision);
         }
-        for host in std::mem::take(&mut self.probes) {
+        for host in std::mem::take(&mut self.open_probes) {
             let report = self.report(host);
             self.brain.as_mut().unwrap().probed(now, host, report);
         }
     }
 
     fn report(&self, host: HostId) -> Report {
-        Report { busy: self.busy.get(&host).copied(), ..Report::default() }
+        Report { busy: self.reported_loads.get(&host).copied(), ..Report::default() }
     }
 
-    fn take(&mut self, decision: Decision) {
+    fn apply_decision(&mut self, decision: Decision) {
         match decision {
             Decision::HandOff { visit, host, fill, .. } => {
-                let seen = self.visits.get_mut(&visit.0).expect("a known visit");
-                assert!(seen.finals.is_empty(), "visit {} handed off after its final answer", visit.0);
-                assert_eq!(seen.out, 0, "visit {} has two hand-offs out", visit.0);
-                seen.number += u8::from(seen.to.is_some());
-                (seen.to, seen.fill, seen.at, seen.out) = (Some(host), fill, self.now, 1);
-                *self.sent.entry(host).or_default() += 1.0;
+                let record = self.visits.get_mut(&visit.0).expect("a known visit");
+                assert!(
+                    record.final_answers.is_empty(),
+                    "visit {} handed off after its final answer",
+                    visit.0
+                );
+                assert_eq!(record.in_flight, 0, "visit {} has two hand-offs in flight", visit.0);
+                record.last_number += u8::from(record.sent_to.is_some());
+                (record.sent_to, record.fill, record.sent_at, record.in_flight) =
+                    (Some(host), fill, self.now, 1);
+                *self.hand_off_counts.entry(host).or_default() += 1.0;
                 let source = fill.map(|fill| fill.source).filter(|source| *source != host);
                 if let Some(source) = source {
-                    *self.filled.entry(source).or_default() += 1.0;
-                    *self.held.entry(source).or_default() += f64::from(fill.is_some_and(|fill| fill.held));
+                    *self.fill_counts.entry(source).or_default() += 1.0;
+                    *self.cached_only_counts.entry(source).or_default() +=
+                        f64::from(fill.is_some_and(|fill| fill.held));
                 }
-                let number = seen.number;
+                let number = record.last_number;
                 let name = |prefix: &str, id: Option<HostId>| {
                     let known = self.names.iter().filter(|(_, host)| Some(**host) == id);
                     let mut known = known.map(|(name, _)| format!("{prefix}{name}"));
@@ -147,95 +171,122 @@
                 };
                 let answer = name("from:", source).or_else(|| name("", Some(host)));
                 if let Some((outcome, note, after)) = answer.filter(|(outcome, ..)| outcome != "silent") {
-                    self.pending.insert((self.now + after, visit.0, number), (outcome, note));
+                    self.pending_answers.insert((self.now + after, visit.0, number), (outcome, note));
                 }
             }
             Decision::Cancel { visit, number } => {
-                self.pending.retain(|(_, id, no), _| (*id, *no) != (visit.0, number.0));
-                self.pending.insert((self.now, visit.0, number.0), ("cancelled".into(), "untold".into()));
+                self.pending_answers.retain(|(_, id, no), _| (*id, *no) != (visit.0, number.0));
+                self.pending_answers
+                    .insert((self.now, visit.0, number.0), ("cancelled".into(), "untold".into()));
             }
             Decision::TurnBack { visit, retry_after } => {
-                assert!(retry_after > Span::ZERO, "visit {} is told no retry-after time", visit.0);
+                assert!(retry_after > Span::ZERO, "visit {} has no retry-after time", visit.0);
                 self.final_answer(visit.0, "turned-back");
             }
             Decision::WriteOff { visit } => self.final_answer(visit.0, "written-off"),
-            Decision::Wake { after } => self.wake = self.now + after.0,
+            Decision::Wake { after } => self.next_wake = self.now + after.0,
             Decision::Probe { host } => {
-                *self.asked.entry(host).or_default() += 1.0;
-                self.probes.push(host);
+                *self.probe_counts.entry(host).or_default() += 1.0;
+                self.open_probes.push(host);
             }
             Decision::Log(_) => {}
         }
     }
 
     fn final_answer(&mut self, id: u32, word: &'static str) {
-        let seen = self.visits.get_mut(&id).expect("a known visit");
-        seen.finals.push(word);
-        assert_eq!(seen.finals.len(), 1, "visit {id} has two final answers: {:?}", seen.finals);
+        let record = self.visits.get_mut(&id).expect("a known visit");
+        record.final_answers.push(word);
+        assert_eq!(
+            record.final_answers.len(),
+            1,
+            "visit {id} has two final answers: {:?}",
+            record.final_answers
+        );
     }
 
-    fn end(&mut self, id: u32, number: u8, outcome: &str, note: &str) {
+    fn end_hand_off(&mut self, id: u32, number: u8, outcome: &str, note: &str) {
         use {Note::*, Outcome::*};
-        let outcomes = [Settled, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot, Miss];
-        let notes = [Untold, Hit, Filled, FilledByOrigin, Joined, SourceUnreached, NoPlace, OriginFailed];
-        let (outcome, note) = (named(&outcomes, outcome), named(&notes, note));
-        let seen = self.visits.get_mut(&id).expect("a known visit");
-        seen.out = 0;
-        if outcome == Settled && seen.finals.is_empty() {
-            seen.finals.push("settled");
+        let outcomes = [
+            ("settled", Settled),
+            ("error", Error),
+            ("full", Full),
+            ("timed-out", TimedOut),
+            ("connect-failed", ConnectFailed),
+            ("reset", Reset),
+            ("cancelled", Cancelled),
+            ("moot", Moot),
+            ("miss", Miss),
+        ];
+        let notes = [
+            ("untold", Untold),
+            ("hit", Hit),
+            ("filled", Filled),
+            ("filled-by-origin", FilledByOrigin),
+            ("joined", Joined),
+            ("source-unreached", SourceUnreached),
+            ("no-place", NoPlace),
+            ("origin-failed", OriginFailed),
+        ];
+        let (outcome, note) = (parse_word(&outcomes, outcome), parse_word(&notes, note));
+        let record = self.visits.get_mut(&id).expect("a known visit");
+        record.in_flight = 0;
+        if outcome == Settled && record.final_answers.is_empty() {
+            record.final_answers.push("settled");
         }
-        let (took, last) = (Span(self.now - seen.at), !seen.finals.is_empty());
+        let (took, last) = (Span(self.now - record.sent_at), !record.final_answers.is_empty());
         let (visit, number) = (VisitId(id), HandOffNo(number));
-        let report = self.visits[&id].to.map(|host| self.report(host)).unwrap_or_default();
-        self.call(|brain, now| brain.ended(now, Ended { visit, number, outcome, note, took, report, last }));
+        let report = self.visits[&id].sent_to.map(|host| self.report(host)).unwrap_or_default();
+        self.call_module(|brain, now| {
+            brain.ended(now, Ended { visit, number, outcome, note, took, report, last })
+        });
     }
 
-    fn until(&mut self, then: u64) {
+    fn run_until(&mut self, then: u64) {
         loop {
-            let answer = self.pending.keys().next().copied();
-            let next = answer.map_or(self.wake, |(at, ..)| at.min(self.wake));
+            let answer = self.pending_answers.keys().next().copied();
+            let next = answer.map_or(self.next_wake, |(at, ..)| at.min(self.next_wake));
             if next > then {
                 break;
             }
             self.now = next.max(self.now);
             match answer.filter(|(at, ..)| *at <= self.now) {
                 Some(key) => {
-                    let (outcome, note) = self.pending.remove(&key).unwrap();
-                    self.end(key.1, key.2, &outcome, &note);
+                    let (outcome, note) = self.pending_answers.remove(&key).unwrap();
+                    self.end_hand_off(key.1, key.2, &outcome, &note);
                 }
-                None => self.call(|brain, now| brain.woken(now)),
+                None => self.call_module(|brain, now| brain.woken(now)),
             }
         }
         self.now = then;
     }
 
-    /// With an earlier try of it that may have run, where one is told.
-    fn visit(
+    /// Adds a visit, with an earlier attempt that may have been executed if one is given.
+    fn add_visit(
         &mut self,
         id: u32,
         band: &str,
         object: &str,
         limit: Option<&&str>,
-        earlier: Option<(HostId, Span)>,
+        earlier_attempt: Option<(HostId, Span)>,
     ) {
-        let place = self.bands.iter().position(|known| known.0 == band).expect("a band");
-        let limit = limit.map_or(self.bands[place].1, |word| ms(word));
-        let (band, object) = (BandId(place as u16), ObjectId(object.parse().unwrap()));
+        let index = self.classes.iter().position(|known| known.0 == band).expect("a band");
+        let limit = limit.map_or(self.classes[index].1, |word| micros(word));
+        let (band, object) = (BandId(index as u16), ObjectId(object.parse().unwrap()));
         let deadline = Time(self.now + limit);
-        self.visits.insert(id, Seen::default());
+        self.visits.insert(id, VisitRecord::default());
         let (id, group, part) = (VisitId(id), GroupId(1), self.part);
         let visit = Visit { id, band, object, group, part, kilobytes: None, deadline };
-        self.call(|brain, now| {
+        self.call_module(|brain, now| {
             brain.arrived(now, visit);
-            if let Some((host, ago)) = earlier {
+            if let Some((host, ago)) = earlier_attempt {
                 brain.ran_before(visit.id, now - ago, host);
             }
         });
     }
 
-    fn band(&mut self, name: &str, effect: &str, words: &[&str]) {
-        let known = pairs(words);
-        let span = |key: &str, other| Span(known.get(key).map_or(other, |word| ms(word)));
+    fn add_class(&mut self, name: &str, effect: &str, words: &[&str]) {
+        let known = key_values(words);
+        let span = |key: &str, other| Span(known.get(key).map_or(other, |word| micros(word)));
         let effect = match effect {
             "idempotent" => Effect::Idempotent,
             "at-most-once" => Effect::AtMostOnce,
@@ -244,8 +295,8 @@
             }
             _ => Effect::Deduplicated { group: Group::All, memory: span("memory", 6_000_000) },
         };
-        self.bands.push((name.to_string(), span("limit", 6_000_000).0));
-        self.set.bands.push(Band {
+        self.classes.push((name.to_string(), span("limit", 6_000_000).0));
+        self.settings.bands.push(Band {
             effect,
             quoted: span("quoted", 500_000),
             stretch: 2.0,
@@ -255,72 +306,84 @@
         });
     }
 
-    fn list(&mut self, name: &str, phase: &str, since: Option<&&str>) {
+    fn update_listing(&mut self, name: &str, phase: &str, since: Option<&&str>) {
         let listing = self.listings.get_mut(&self.names[name]).expect("a host");
-        listing.phase = named(&[Phase::Ready, Phase::Draining, Phase::Gone], phase);
+        let phases = [("ready", Phase::Ready), ("draining", Phase::Draining), ("gone", Phase::Gone)];
+        listing.phase = parse_word(&phases, phase);
         listing.since = match since {
             Some(&"none") => None,
-            since => since.map(|word| Time(START + ms(word))).or(listing.since),
+            since => since.map(|word| Time(START + micros(word))).or(listing.since),
         };
         let listing = *listing;
-        self.call(|brain, now| brain.listed(now, &[listing], false));
+        self.call_module(|brain, now| brain.listed(now, &[listing], false));
     }
 
     fn expect(&self, what: &str, key: &str, words: &[&str]) {
         if let Ok(id) = what.parse::<u32>() {
-            let seen = &self.visits[&id];
+            let record = &self.visits[&id];
             let is = |host: Option<HostId>| host.is_some() && host == self.names.get(words[0]).copied();
-            let good = match key {
-                "to" => is(seen.to),
-                "from" => is(seen.fill.map(|fill| fill.source)),
-                "rank" => seen.fill.map(|fill| fill.rank.to_string()).as_deref() == Some(words[0]),
-                "oldest" => seen.fill.map(|fill| fill.oldest.0 / 1000) == Some(ms(words[0]) / 1000),
-                "hand-offs" => (u64::from(seen.number) + u64::from(seen.to.is_some())) * 1000 == ms(words[0]),
-                "final" => seen.finals.first().copied().unwrap_or("none") == words[0],
+            let is_met = match key {
+                "to" => is(record.sent_to),
+                "from" => is(record.fill.map(|fill| fill.source)),
+                "rank" => record.fill.map(|fill| fill.rank.to_string()).as_deref() == Some(words[0]),
+                "oldest" => record.fill.map(|fill| fill.oldest.0 / 1000) == Some(micros(words[0]) / 1000),
+                "hand-offs" => {
+                    (u64::from(record.last_number) + u64::from(record.sent_to.is_some())) * 1000
+                        == micros(words[0])
+                }
+                "final" => record.final_answers.first().copied().unwrap_or("none") == words[0],
                 other => panic!("unknown check {other}"),
             };
-            assert!(good, "visit {id} {key} {words:?}: to {:?} {:?} {:?}", seen.to, seen.fill, seen.finals);
+            assert!(
+                is_met,
+                "visit {id} {key} {words:?}: to {:?} {:?} {:?}",
+                record.sent_to, record.fill, record.final_answers
+            );
             return;
         }
         let counts = match what {
-            "sent" => &self.sent,
-            "held" => &self.held,
-            "asked" => &self.asked,
-            _ => &self.filled,
+            "sent" => &self.hand_off_counts,
+            "held" => &self.cached_only_counts,
+            "asked" => &self.probe_counts,
+            _ => &self.fill_counts,
         };
         let count = counts.get(&self.names[key]).copied().unwrap_or(0.0);
-        let figure: f64 = words[1].parse().unwrap();
-        let good = if words[0] == "<" { count < figure } else { count > figure };
-        assert!(good, "{what} {key}: {count}, expected {words:?}");
+        let number: f64 = words[1].parse().unwrap();
+        let is_met = if words[0] == "<" { count < number } else { count > number };
+        assert!(is_met, "{what} {key}: {count}, expected {words:?}");
     }
 
-    fn play(&mut self, words: &[&str]) {
+    fn run_command(&mut self, words: &[&str]) {
         match words {
-            ["band", name, effect, rest @ ..] => self.band(name, effect, rest),
-            ["pause", time] => (self.now, self.wake) = (self.now + ms(time), self.now + ms(time)),
-            ["dispatchers", count] => self.set.dispatchers = count.parse().unwrap(),
-            ["sharers", count] => self.set.location_dispatchers = count.parse().unwrap(),
+            ["band", name, effect, rest @ ..] => self.add_class(name, effect, rest),
+            ["pause", time] => {
+                (self.now, self.next_wake) = (self.now + micros(time), self.now + micros(time))
+            }
+            ["dispatchers", count] => self.settings.dispatchers = count.parse().unwrap(),
+            ["sharers", count] => self.settings.location_dispatchers = count.parse().unwrap(),
             ["elsewhere", count] => {
                 for n in 0..count.parse().unwrap() {
                     let name = format!("elsewhere {n}");
-                    self.play(&["host", &name, "cache", "6"]);
+                    self.run_command(&["host", &name, "cache", "6"]);
                     let host = self.names[&name];
                     self.listings.get_mut(&host).unwrap().location = LocationId(3);
                 }
             }
             ["part", part] => self.part = part.parse().unwrap(),
-            ["probes"] => self.set.probes = true,
-            ["hits-only"] => self.set.ways_told = false,
-            ["busy", name, value] => drop(self.busy.insert(self.names[*name], value.parse().unwrap())),
-            ["untold"] => (self.set.weights_told, self.set.weights_steady) = (false, false),
+            ["probes"] => self.settings.probes = true,
+            ["hits-only"] => self.settings.ways_told = false,
+            ["busy", name, value] => {
+                self.reported_loads.insert(self.names[*name], value.parse().unwrap());
+            }
+            ["untold"] => (self.settings.weights_told, self.settings.weights_steady) = (false, false),
             ["fleet"] => {
                 for host in
                     ["A cache 6", "B cache 6", "C cache 6", "P parent 20", "Q parent 20", "O origin 1"]
                 {
                     let words: Vec<&str> = host.split(' ').collect();
-                    self.play(&["host", words[0], words[1], words[2]]);
+                    self.run_command(&["host", words[0], words[1], words[2]]);
                 }
-                self.band("video", "idempotent", &["quoted=500", "limit=6000"]);
+                self.add_class("video", "idempotent", &["quoted=500", "limit=6000"]);
             }
             ["host", name, sort, weight] => {
                 let kind =
@@ -333,22 +396,23 @@
                 let entry = Listing { host, location, kind, cell, weight, since: None, phase: Phase::Ready };
                 self.listings.insert(host, entry);
             }
-            ["at", time] => self.until(START + ms(time)),
-            ["list", name, phase, since @ ..] => self.list(name, phase, since.first()),
+            ["at", time] => self.run_until(START + micros(time)),
+            ["list", name, phase, since @ ..] => self.update_listing(name, phase, since.first()),
             ["visit", id, band, object, limit @ ..] => {
-                self.visit(id.parse().unwrap(), band, object, limit.first(), None)
+                self.add_visit(id.parse().unwrap(), band, object, limit.first(), None)
             }
             ["ran", host, ago, id, band, object] => {
-                let earlier = (self.names.get(*host).copied().unwrap_or(HostId(99)), Span(ms(ago)));
-                self.visit(id.parse().unwrap(), band, object, None, Some(earlier))
+                let earlier_attempt =
+                    (self.names.get(*host).copied().unwrap_or(HostId(99)), Span(micros(ago)));
+                self.add_visit(id.parse().unwrap(), band, object, None, Some(earlier_attempt))
             }
             ["unproven", is] => {
                 let is = *is == "on";
-                self.call(|brain, _| brain.unproven(is));
+                self.call_module(|brain, _| brain.unproven(is));
             }
             ["purge", object, ago] => {
-                let (object, ago) = (object.parse().ok().map(ObjectId), Span(ms(ago)));
-                self.call(|brain, now| brain.purged(now, GroupId(1), object, ago));
+                let (object, ago) = (object.parse().ok().map(ObjectId), Span(micros(ago)));
+                self.call_module(|brain, now| brain.purged(now, GroupId(1), object, ago));
             }
             ["allot", what, amount, time, after] => {
                 let shared = match *what {
@@ -357,30 +421,30 @@
                     name => Shared::Cold(self.names[name]),
                 };
                 let (amount, after) = (amount.parse().unwrap(), after.parse().unwrap());
-                let until = Time(self.now + ms(time));
-                self.call(|brain, _| brain.allotted(shared, amount, until, after));
+                let until = Time(self.now + micros(time));
+                self.call_module(|brain, _| brain.allotted(shared, amount, until, after));
             }
             [word @ ("word" | "new"), name, time, since @ ..] => {
                 let word = if *word == "new" { Word::Anew } else { Word::Bad };
                 let host = self.names[*name];
-                let since = since.first().map(|word| Time(START + ms(word)));
+                let since = since.first().map(|word| Time(START + micros(word)));
                 let since = since.or(self.listings[&host].since);
-                let until = Time(self.now + ms(time));
-                self.call(|brain, now| brain.hearsay(now, host, since, word, until));
+                let until = Time(self.now + micros(time));
+                self.call_module(|brain, now| brain.hearsay(now, host, since, word, until));
             }
             ["leave", id] => {
                 let id = id.parse().unwrap();
-                self.visits.get_mut(&id).unwrap().finals.push("left");
-                self.call(|brain, _| brain.left(VisitId(id)));
+                self.visits.get_mut(&id).unwrap().final_answers.push("left");
+                self.call_module(|brain, _| brain.left(VisitId(id)));
             }
             ["end", id, outcome, note @ ..] => {
                 let id = id.parse().unwrap();
-                let number = self.visits[&id].number;
-                self.end(id, number, outcome, note.first().unwrap_or(&"untold"));
+                let number = self.visits[&id].last_number;
+                self.end_hand_off(id, number, outcome, note.first().unwrap_or(&"untold"));
             }
             ["answer", names, outcome, rest @ ..] => {
                 let note = rest.first().unwrap_or(&"untold").to_string();
-                let after = rest.get(1).map_or(0, |word| ms(word));
+                let after = rest.get(1).map_or(0, |word| micros(word));
                 for name in names.split(',') {
                     self.answers.insert(name.to_string(), (outcome.to_string(), note.clone(), after));
                 }
@@ -389,16 +453,18 @@
                 for n in 0..count.parse().unwrap() {
                     let id = 1000 + self.visits.len() as u32;
                     let object = 100 + n % objects.parse::<u32>().unwrap();
-                    self.visit(id, band, &object.to_string(), None, None);
-                    self.until(self.now + ms(every));
+                    self.add_visit(id, band, &object.to_string(), None, None);
+                    self.run_until(self.now + micros(every));
                 }
             }
             ["name", new, which, id] => {
-                let seen = &self.visits[&id.parse().unwrap()];
-                let host = if *which == "to" { seen.to } else { seen.fill.map(|fill| fill.source) };
+                let record = &self.visits[&id.parse().unwrap()];
+                let host = if *which == "to" { record.sent_to } else { record.fill.map(|fill| fill.source) };
                 self.names.insert(new.to_string(), host.expect("a hand-off"));
             }
-            ["mark"] => (self.sent, self.filled, self.held) = Default::default(),
+            ["mark"] => {
+                (self.hand_off_counts, self.fill_counts, self.cached_only_counts) = Default::default()
+            }
             ["expect", what, key, rest @ ..] => self.expect(what, key, rest),
             other => panic!("unknown command {other:?}"),
         }
@@ -459,17 +525,17 @@
 #[test_case(include_str!("scenarios/start_future.txt"); "start_future")]
 #[test_case(include_str!("scenarios/start_found.txt"); "start_found")]
 fn scenario(text: &str) {
-    let mut play = Play::new();
+    let mut runner = ScenarioRunner::new();
     let lines = text.lines().map(|line| line.split('#').next().unwrap_or(""));
     for command in lines.flat_map(|line| line.split(';')) {
         let words: Vec<&str> = command.split_whitespace().collect();
         if !words.is_empty() {
-            play.play(&words);
+            runner.run_command(&words);
         }
     }
-    let last = play.now + 20_000_000;
-    play.until(last);
-    for (id, seen) in &play.visits {
-        assert_eq!(seen.finals.len(), 1, "visit {id} ends with {:?}", seen.finals);
+    let last = runner.now + 20_000_000;
+    runner.run_until(last);
+    for (id, record) in &runner.visits {
+        assert_eq!(record.final_answers.len(), 1, "visit {id} ends with {:?}", record.final_answers);
     }
 }
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -1,4 +1,4 @@
-//! A host's start as it is listed and as it is found, by plain calls: the latest one known holds.
+//! A host's start as listed and as detected: the latest known one counts.
 use cherrypass::calls::{Listing, Phase};
 use cherrypass::ids::{CellId, HostId, KindId, LocationId};
 use cherrypass::state::Host;
@@ -17,21 +17,22 @@
     Listing { host, location, kind, cell, weight: 6.0, since, phase: Phase::Ready }
 }
 
-/// It is found anew at 40 s, after three trials.
-fn found_anew(listed: Option<Time>) -> Host {
+/// A host whose restart was detected at 40 s, after three trials.
+fn restarted_host(listed: Option<Time>) -> Host {
     let mut host = Host::new(entry(listed), Time(0));
     host.restart_cold_budget(at(40).unwrap(), 3, WORK);
     host
 }
 
-/// The trials are of the process's budget where the list tells an earlier start of it; a later one is another process's.
-#[test_case(39, 3.0 * WORK; "the one that was found")]
+/// The trials count against the process's budget if the list then shows an earlier start; a later start is
+/// that of another process.
+#[test_case(39, 3.0 * WORK; "the detected one")]
 #[test_case(42, 0.0; "another one")]
-fn what_it_was_sent_since_it_was_found_stays_counted(told: u64, owed: f64) {
-    let mut host = found_anew(at(5));
-    host.update_listing(at(45).unwrap(), entry(at(told)));
-    assert_eq!(host.entry.since, at(told.max(40)));
-    assert!((host.cold_bucket.level + owed).abs() < 1e-9, "{}", host.cold_bucket.level);
+fn hand_offs_since_a_detected_restart_stay_charged(listed: u64, charged: f64) {
+    let mut host = restarted_host(at(5));
+    host.update_listing(at(45).unwrap(), entry(at(listed)));
+    assert_eq!(host.entry.since, at(listed.max(40)));
+    assert!((host.cold_bucket.level + charged).abs() < 1e-9, "{}", host.cold_bucket.level);
     host.update_listing(at(60).unwrap(), entry(at(59)));
     assert_eq!((host.entry.since, host.cold_bucket.level), (at(59), 0.0));
 }
@@ -39,28 +40,29 @@
 #[test_case(at(5); "the same")]
 #[test_case(at(3); "an earlier one")]
 #[test_case(None; "none")]
-fn no_news_leaves_all_that_is_known(told: Option<Time>) {
-    let mut host = found_anew(at(5));
+fn a_start_that_is_not_later_changes_nothing(listed: Option<Time>) {
+    let mut host = restarted_host(at(5));
     host.record_result(at(41).unwrap(), true, 1.0);
-    host.update_listing(at(45).unwrap(), entry(told));
+    host.update_listing(at(45).unwrap(), entry(listed));
     assert_eq!((host.entry.since, host.listed_start, host.failure_rate.seen), (at(40), at(5), 1));
     assert!(host.cold_bucket.level < 0.0);
 }
 
-/// After a cut its budget began with that, whenever the list then tells the start.
-#[test_case(39; "before the cut was seen")]
+/// After a lost connection the budget began with that, whatever start the list then shows.
+#[test_case(39; "before the loss was seen")]
 #[test_case(42; "after it")]
-fn what_it_was_sent_since_a_cut_stays_counted(told: u64) {
-    let mut host = found_anew(at(5));
+fn hand_offs_since_a_lost_connection_stay_charged(listed: u64) {
+    let mut host = restarted_host(at(5));
     host.connection_lost_at = at(41);
-    host.update_listing(at(45).unwrap(), entry(at(told)));
+    host.update_listing(at(45).unwrap(), entry(at(listed)));
     assert!((host.cold_bucket.level + 3.0 * WORK).abs() < 1e-9, "{}", host.cold_bucket.level);
     assert!(host.connection_lost_at.is_none());
 }
 
-/// Its first answer after a cut says that it runs by now, not that it runs for longer than the list has it.
+/// The first answer after a lost connection shows that the host runs by then, not that it started before the
+/// listed time.
 #[test]
-fn an_answer_after_a_cut_sets_no_start_back() {
+fn an_answer_after_a_lost_connection_does_not_set_the_start_back() {
     let mut host = Host::new(entry(at(90)), Time(0));
     host.connection_lost_at = at(40);
     host.record_answer(at(42).unwrap(), at(41).unwrap());
@@ -69,9 +71,9 @@
     assert_eq!(host.entry.since, at(90));
 }
 
-/// What was counted for the process before and never went out is no budget of the new one.
+/// Refunds for hand-offs charged to the previous process do not add to the budget of the new one.
 #[test]
-fn a_new_process_is_given_back_nothing_of_the_one_before() {
+fn a_new_process_gets_no_refunds_of_the_previous_one() {
     let mut host = Host::new(entry(None), Time(0));
     host.update_listing(at(45).unwrap(), entry(at(44)));
     host.refund_cold_budget(at(44).unwrap(), WORK);
