--- a/src/brain.rs
+++ b/src/brain.rs
@@ -67,31 +67,31 @@
 /// Share of a window within which an attempt to a cold host has to be sent.
 const COLD_SEND_WINDOW_FRACTION: f64 = 0.1;
 const UNKNOWN_LOAD_MARGIN: f64 = 0.6;
-// Concurrency limits of hosts.
+// Concurrency limits of hosts. Latency ratios are relative to the class's target latency.
 const HOST_LIMIT_START: f64 = 12.0;
 const HOST_LIMIT_PER_TRANSFER: f64 = 2.0;
 /// Factor of the square root of a limit that is added to it.
 const HOST_LIMIT_SLACK: f64 = 0.7;
 const HOST_LIMIT_MIN: f64 = 2.0;
 /// Latency relative to the best one up to which a limit may grow.
-const SLOWDOWN_TARGET: f64 = 1.1;
-const HIT_LATENCY_TARGET: f64 = 0.45;
-// Fills. Latency targets are shares of the class's target latency.
+const SLOWDOWN_MAX: f64 = 1.1;
+const HIT_LATENCY_RATIO_MAX: f64 = 0.45;
+// Fills. Latency ratios are relative to the class's target latency.
 const FILLS_PER_TRANSFER: f64 = 1.75;
 /// Limit on fills where the capacity of the link is not configured.
 const FILL_LIMIT_START: f64 = 12.0;
-const FILL_LATENCY_TARGET: f64 = 0.4;
+const FILL_LATENCY_RATIO_MAX: f64 = 0.4;
 /// Largest share of the fill limit at a single parent.
 const PARENT_FILL_SHARE_MAX: f64 = 0.5;
-const PARENT_LATENCY_TARGET: f64 = 0.3;
+const PARENT_LATENCY_RATIO_MAX: f64 = 0.3;
 /// Fill latency of a parent relative to its best one up to which it gets all its fills.
-const PARENT_SLOWDOWN_TARGET: f64 = 1.3;
+const PARENT_SLOWDOWN_MAX: f64 = 1.3;
 /// Assumed share of fills that reach the origin, before any is known.
 pub(crate) const ORIGIN_RATE_START: f64 = 0.3;
 const FILL_LIMIT_MIN: f64 = 0.1;
 /// A latency sample's weight is the time since the previous one over this, within bounds.
 const FULL_WEIGHT_SECONDS: f64 = 4.0;
-const ORIGIN_LATENCY_TARGET: f64 = 0.8;
+const ORIGIN_LATENCY_RATIO_MAX: f64 = 0.8;
 /// Reported link load above which caches are asked for cached copies only.
 const LINK_LOAD_MAX: f64 = 3.0;
 const LOAD_TARGET: f64 = 0.8;
@@ -126,10 +126,10 @@
         brain.fill_limiter.max_limit = link.map_or(f64::INFINITY, |_| brain.fill_limiter.limit);
         (brain.origin_limiter.limit, brain.origin_limiter.max_limit) =
             (brain.fill_limiter.limit, f64::INFINITY);
-        (brain.fill_limiter.latency_target, brain.origin_limiter.latency_target) =
-            (FILL_LATENCY_TARGET, ORIGIN_LATENCY_TARGET);
+        (brain.fill_limiter.max_latency_ratio, brain.origin_limiter.max_latency_ratio) =
+            (FILL_LATENCY_RATIO_MAX, ORIGIN_LATENCY_RATIO_MAX);
         (brain.fill_limiter.log_latency_ratio.value, brain.origin_limiter.log_latency_ratio.value) =
-            (FILL_LATENCY_TARGET.ln(), ORIGIN_LATENCY_TARGET.ln());
+            (FILL_LATENCY_RATIO_MAX.ln(), ORIGIN_LATENCY_RATIO_MAX.ln());
         brain.timers.put(now + COUNT_HALF_LIFE, Timer::DecayCounts);
         brain.timers.put(now + SECOND, Timer::EverySecond);
         brain.decisions.push_back(Decision::Wake { after: TICK_INTERVAL });
@@ -362,7 +362,7 @@
         // recovery.
         let origin_admits = self.admits_to_origin(now, f64::from(has_parent_missed));
         let may_reach_origin = origin_admits
-            && (!self.origin_limiter.exceeds_latency_target()
+            && (!self.origin_limiter.exceeds_max_latency()
                 || self.admits(self.origin_limiter.limit - self.origin_limiter.expected_fills));
         sources.extend(origin.filter(|_| may_reach_origin));
         let work = self.cold_cost(visit.band);
@@ -573,7 +573,7 @@
         let part = known.map_or(1.0, |h| h.fill_admission);
         let slowdown = known.map_or(0.0, |h| {
             h.log_latency_ratio.value.exp()
-                / PARENT_LATENCY_TARGET.max(PARENT_SLOWDOWN_TARGET * h.latency_gradient.best())
+                / PARENT_LATENCY_RATIO_MAX.max(PARENT_SLOWDOWN_MAX * h.latency_gradient.best())
         });
         let is_at_limit = known.is_some_and(|h| {
             h.expected_fills >= 1.0 && h.expected_fills > PARENT_FILL_SHARE_MAX * self.fill_limiter.limit
@@ -670,8 +670,8 @@
             if let Some(slowdown) = slowdown {
                 host.latency_gradient.push(slowdown, 0.05, 10, 0.0002);
                 host.log_latency_ratio.push(latency_ratio.max(0.001).ln(), 0.05);
-                let excess = (host.latency_gradient.slowdown() / SLOWDOWN_TARGET)
-                    .max(host.log_latency_ratio.value.exp() / HIT_LATENCY_TARGET);
+                let excess = (host.latency_gradient.slowdown() / SLOWDOWN_MAX)
+                    .max(host.log_latency_ratio.value.exp() / HIT_LATENCY_RATIO_MAX);
                 let in_flight = f64::from(host.in_flight);
                 host.latency_gradient.limit =
                     next_limit(limit, excess, in_flight, sharers, 0.05).max(HOST_LIMIT_MIN / sharers);
@@ -964,7 +964,7 @@
         // The limit at the origin follows what is typically in flight there, so that load on a slow origin
         // drops at once.
         let origin = &mut self.origin_limiter;
-        if !origin.exceeds_latency_target() {
+        if !origin.exceeds_max_latency() {
             origin.typical_fills.push(origin.expected_fills, 0.1);
             origin.max_limit =
                 2.0 * origin.typical_fills.value + (origin.typical_fills.value / sharers).sqrt();
@@ -975,7 +975,7 @@
             let is_restricting = std::mem::take(&mut limiter.restricted_count) > 0;
             // Old samples fade, since a restrictive limit leaves few new ones.
             limiter.log_latency_ratio.value -=
-                0.1 * (limiter.log_latency_ratio.value - limiter.latency_target.ln()).max(0.0);
+                0.1 * (limiter.log_latency_ratio.value - limiter.max_latency_ratio.ln()).max(0.0);
             adjust_limit(
                 limiter,
                 if is_restricting { limiter.limit } else { limiter.expected_fills },
@@ -998,15 +998,14 @@
 
 /// Adjusts a limiter by its average latency.
 fn adjust_limit(limiter: &mut FillLimiter, in_flight: f64, sharers: f64, weight: f64) {
-    let excess = limiter.log_latency_ratio.value.exp() / limiter.latency_target;
+    let excess = limiter.log_latency_ratio.value.exp() / limiter.max_latency_ratio;
     limiter.limit = next_limit(limiter.limit, excess, in_flight, sharers, weight)
         .min(limiter.max_limit)
         .max(FILL_LIMIT_MIN);
 }
 
-/// Gradient rule: the limit is scaled by the target over the present latency, and has room to grow. `excess`
-/// is the present latency over its target. The limit is one of `sharers` parts of a total, and so is its room
-/// to grow.
+/// Gradient rule: the limit is scaled by 1 / `excess`, and has room to grow. `excess` is the present latency
+/// over the permitted one. The limit is one of `sharers` parts of a total, and so is its room to grow.
 fn next_limit(limit: f64, excess: f64, in_flight: f64, sharers: f64, weight: f64) -> f64 {
     let gradient = (1.0 / excess).clamp(0.5, 1.0);
     if gradient == 1.0 && in_flight <= limit / 2.0 {
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -84,7 +84,7 @@
             return;
         }
         let hosts = &self.hosts;
-        // Drops parts of hosts that are gone. The allotment of a host that is not listed yet is kept until it is.
+        // Drops parts of hosts that are gone. The part of a host that is not listed yet is kept.
         self.allotments.retain(|known, _| !matches!(known, Shared::Cold(id) if !hosts.contains_key(id)));
         let bucket = self
             .allotments
--- a/src/state.rs
+++ b/src/state.rs
@@ -240,6 +240,7 @@
     pub fills_in_flight: u32,
 }
 
+/// Object, part and cache.
 pub type CachedCopyId = (ObjectId, u32, HostId);
 
 /// Averages over the visits of a class.
@@ -316,12 +317,12 @@
 pub struct FillLimiter {
     /// Sum of the fill probabilities of hand-offs in flight.
     pub expected_fills: f64,
-    /// Average of `expected_fills` while latency is below its target.
+    /// Average of `expected_fills` while latency is within `max_latency_ratio`.
     pub typical_fills: Mean,
     pub max_limit: f64,
     pub limit: f64,
-    /// Fill latency to aim for, as a share of the class's target latency.
-    pub latency_target: f64,
+    /// Permitted ratio of fill latency to the class's target latency.
+    pub max_latency_ratio: f64,
     /// Average logarithm of the ratio of fill latency to the class's target latency.
     pub log_latency_ratio: Mean,
     /// Time of the last latency sample.
@@ -336,8 +337,8 @@
 }
 
 impl FillLimiter {
-    pub fn exceeds_latency_target(&self) -> bool {
-        self.log_latency_ratio.value > self.latency_target.ln()
+    pub fn exceeds_max_latency(&self) -> bool {
+        self.log_latency_ratio.value > self.max_latency_ratio.ln()
     }
 
     /// Log line for a change of `is_restricting`.
@@ -349,7 +350,7 @@
             self.reported_link_load.map_or(0.0, |(_, full)| full),
         );
         format!(
-            "{subject} {state}: limit {limit:.1}, latency {latency:.1} of its target, link load {link:.1}"
+            "{subject} {state}: limit {limit:.1}, {latency:.1} of the target latency, link load {link:.1}"
         )
     }
 }
@@ -564,9 +565,9 @@
         Some(host.entry.kind) == self.settings.origin_kind
     }
 
-    /// Ready hosts that satisfy `sort`, in rendezvous order for a key.
-    pub(crate) fn hosts_by_hash(&self, key: u64, sort: impl Fn(&Host) -> bool) -> Vec<HostId> {
-        let listed = self.hosts.values().filter(|h| h.is_ready() && sort(h));
+    /// Ready hosts that satisfy `predicate`, in rendezvous order for a key.
+    pub(crate) fn hosts_by_hash(&self, key: u64, predicate: impl Fn(&Host) -> bool) -> Vec<HostId> {
+        let listed = self.hosts.values().filter(|h| h.is_ready() && predicate(h));
         let value = |h: &Host| rendezvous(key, h.entry.host, self.hash_weight(h));
         let mut order: Vec<(f64, HostId)> = listed.map(|h| (value(h), h.entry.host)).collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
--- a/tests/cold_in_sum.rs
+++ b/tests/cold_in_sum.rs
@@ -1,8 +1,8 @@
 //! Total load that all dispatchers send to hosts that just started, in virtual time with generated traffic.
 //!
-//! N is the number of requests of mean work that the settings allow a cold host within a window. At most N +
-//! 2√N + 2 may arrive; the part above N allows for random variation. Traffic is uneven, attempts fail and are
-//! retried, clients retry, and dispatchers restart, after which they know the list of hosts only.
+//! N is the number of requests of mean work that the settings allow a cold host within a window. At most
+//! N + 2√N + 2 may arrive; the part above N allows for random variation. Traffic is uneven, attempts fail and
+//! are retried, clients retry, and dispatchers restart, after which they know the list of hosts only.
 //!
 //! A start counts as known once it is in the change log, whether or not a dispatcher has read it. In the
 //! first cases, and in one of the later ones, it counts per dispatcher once that has read it. Connections
@@ -504,7 +504,7 @@
             (true, false) => "FAILS, too little use under demand",
         };
         let line = format!(
-            "{what}, {} dispatchers: {:.2} of the bound by work, {:.2} by number; at most {:.2} of N, mean {:.2} \
+            "{what}, {} dispatchers: {:.2} of the bound by work, {:.2} by number; max {:.2} of N, mean {:.2} \
              of N in {} windows under demand: {verdict}",
             case.dispatchers,
             all.work_over_bound,
