--- a/src/brain.rs
+++ b/src/brain.rs
@@ -630,9 +630,11 @@
 
     /// Updates what is known of the host by the end of a hand-off.
     fn update_host_stats(&mut self, now: Time, sent: &SentHandOff, end: &Ended) {
-        use Outcome::*;
-        let has_failed = matches!(end.outcome, Error | TimedOut | ConnectFailed | Reset);
-        let (is_served, has_no_note) = (end.outcome == Settled, end.note == Note::Untold);
+        let has_failed = matches!(
+            end.outcome,
+            Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset
+        );
+        let (is_served, has_no_note) = (end.outcome == Outcome::Settled, end.note == Note::Untold);
         let is_fill = matches!(end.note, Note::Filled | Note::FilledByOrigin | Note::Joined);
         let took = end.took.as_seconds();
         let latency_ratio =
@@ -648,11 +650,13 @@
         let mut is_repeat = false;
         if let Some(host) = self.hosts.get_mut(&sent.host) {
             // A broken connection counts once, however many hand-offs were in flight on it.
-            is_repeat = end.outcome == Reset && std::mem::replace(&mut host.last_reset_at, now) == now;
+            is_repeat =
+                end.outcome == Outcome::Reset && std::mem::replace(&mut host.last_reset_at, now) == now;
             is_repeat |= is_fast_error(end) && host.breaker.is_none();
-            let is_refused = end.outcome == ConnectFailed && end.took <= FAST_FAILURE_MAX;
-            let has_answered = matches!(end.outcome, Settled | Error | Full | Miss);
-            host.is_connection_broken = end.outcome == Reset
+            let is_refused = end.outcome == Outcome::ConnectFailed && end.took <= FAST_FAILURE_MAX;
+            let has_answered =
+                matches!(end.outcome, Outcome::Settled | Outcome::Error | Outcome::Full | Outcome::Miss);
+            host.is_connection_broken = end.outcome == Outcome::Reset
                 || is_refused
                 || host.is_connection_broken && (host.breaker.is_some() || !has_answered);
             if has_answered {
@@ -663,9 +667,9 @@
             host.completed_work += if is_served { work } else { 0.0 };
             // Without notes only hand-offs that ask for cached copies are counted: served ones are hits, and
             // counting misses alone would make all answers seem fills.
-            if is_served && (!has_no_note || sent.source.is_none()) || end.outcome == Miss {
+            if is_served && (!has_no_note || sent.source.is_none()) || end.outcome == Outcome::Miss {
                 host.miss_rates[usize::from(sent.was_cached)]
-                    .push(f64::from(is_fill || end.outcome == Miss), 0.05);
+                    .push(f64::from(is_fill || end.outcome == Outcome::Miss), 0.05);
             }
             if let Some(slowdown) = slowdown {
                 host.latency_gradient.push(slowdown, 0.05, 10, 0.0002);
@@ -680,7 +684,7 @@
         self.update_source_stats(now, sent, end, is_fill);
         self.count_in_flight(sent, -1);
         self.refund_unsent(sent, end.outcome);
-        if !matches!(end.outcome, Cancelled | Moot | Unsent) && !is_repeat {
+        if !matches!(end.outcome, Outcome::Cancelled | Outcome::Moot | Outcome::Unsent) && !is_repeat {
             self.record_health(
                 now,
                 sent.trial_sent_at,
@@ -693,43 +697,43 @@
 
     /// Updates what is known of the source by the end of a hand-off.
     fn update_source_stats(&mut self, now: Time, sent: &SentHandOff, end: &Ended, is_fill: bool) {
-        use {Note::*, Outcome::*};
         let (work, cost) = (self.transfer_seconds(sent.band), self.cold_cost(sent.band));
         let (quoted, blame) = (self.quoted(sent.band), self.origin_blame(sent));
         let Some(source) = sent.source.and_then(|id| self.hosts.get_mut(&id)) else { return };
-        let (has_no_note, is_source_at_fault) = (end.note == Untold, is_source_at_fault(end));
+        let (has_no_note, is_source_at_fault) = (end.note == Note::Untold, is_source_at_fault(end));
         let (is_served, has_source_missed) =
-            (end.outcome == Settled, sent.is_cached_only && end.outcome == Miss);
-        let has_failed = matches!(end.outcome, Error | TimedOut) && has_no_note && !is_fast_error(end);
+            (end.outcome == Outcome::Settled, sent.is_cached_only && end.outcome == Outcome::Miss);
+        let has_failed =
+            matches!(end.outcome, Outcome::Error | Outcome::TimedOut) && has_no_note && !is_fast_error(end);
         // A stale copy is refreshed in the background, by a fill that reaches the source.
         let is_unused =
-            !(has_no_note || is_fill || is_source_at_fault || has_source_missed || end.note == Aged);
+            !(has_no_note || is_fill || is_source_at_fault || has_source_missed || end.note == Note::Aged);
         source.refund_cold_budget(sent.sent_at, f64::from(is_unused) * cost);
         let by_it = if is_fill { 1.0 } else { sent.fill_probability * f64::from(has_no_note) };
         source.completed_work += if is_served { by_it * work } else { 0.0 };
         let is_certain = is_fill
             || is_source_at_fault
             || has_failed
-            || sent.fill_probability == 1.0 && end.outcome != Cancelled && !is_fast_error(end);
+            || sent.fill_probability == 1.0 && end.outcome != Outcome::Cancelled && !is_fast_error(end);
         let part = if is_certain { 1.0 } else { UNCERTAIN_FILL_WEIGHT };
         let is_source_known = self.settings.ways_told || sent.is_cached_only;
         let origin_share = match end.note {
-            FilledByOrigin | OriginFailed => 1.0,
-            Filled | Joined if is_source_known => 0.0,
+            Note::FilledByOrigin | Note::OriginFailed => 1.0,
+            Note::Filled | Note::Joined if is_source_known => 0.0,
             _ if sent.is_cached_only => f64::from(has_source_missed),
-            _ if end.outcome == TimedOut => blame,
+            _ if end.outcome == Outcome::TimedOut => blame,
             _ => sent.origin_probability,
         };
         if is_fill && is_source_known
-            || end.note == OriginFailed
+            || end.note == Note::OriginFailed
             || has_source_missed
             || sent.is_cached_only && is_served && has_no_note
         {
             self.origin_limiter.origin_rate.push(origin_share, 0.05);
         }
-        let is_congested = matches!(end.note, NoPlace | OriginFailed);
+        let is_congested = matches!(end.note, Note::NoPlace | Note::OriginFailed);
         let log_latency = match end.note {
-            _ if is_congested || is_source_at_fault || end.outcome == TimedOut => {
+            _ if is_congested || is_source_at_fault || end.outcome == Outcome::TimedOut => {
                 Some(FAILURE_LATENCY_RATIO.ln())
             }
             _ if is_served && (is_fill || has_no_note) => {
@@ -1022,7 +1026,7 @@
 
 /// Whether the source is at fault, not the host: by the note, or by the time that a refusal took.
 fn is_source_at_fault(end: &Ended) -> bool {
-    use Note::*;
-    let is_slow_refusal = end.outcome == Outcome::Full && end.note == Untold && end.took > FAST_FAILURE_MAX;
-    is_slow_refusal || matches!(end.note, SourceRefused | SourceUnreached | OriginFailed)
+    let is_slow_refusal =
+        end.outcome == Outcome::Full && end.note == Note::Untold && end.took > FAST_FAILURE_MAX;
+    is_slow_refusal || matches!(end.note, Note::SourceRefused | Note::SourceUnreached | Note::OriginFailed)
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -62,8 +62,10 @@
 impl Outcome {
     /// Whether the outcome proves that the request was not executed.
     pub fn never_ran(self) -> bool {
-        use Outcome::*;
-        matches!(self, Full | ConnectFailed | Moot | Miss | Unsent)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss | Outcome::Unsent
+        )
     }
 }
 
--- a/tests/largest_requests.rs
+++ b/tests/largest_requests.rs
@@ -106,16 +106,16 @@
     [share(&all), share(&all[..tenth]), share(&all[tenth..three_tenths])]
 }
 
-#[test_case(Scenario::Quiet, true; "quiet_told")]
-#[test_case(Scenario::Quiet, false; "quiet_untold")]
-#[test_case(Scenario::Overload, true; "overload_told")]
-#[test_case(Scenario::Overload, false; "overload_untold")]
-#[test_case(Scenario::Slow, true; "slow_told")]
-#[test_case(Scenario::Slow, false; "slow_untold")]
-#[test_case(Scenario::Lost, true; "lost_told")]
-#[test_case(Scenario::Lost, false; "lost_untold")]
-#[test_case(Scenario::SlowParents, true; "slow_parents_told")]
-#[test_case(Scenario::SlowParents, false; "slow_parents_untold")]
+#[test_case(Scenario::Quiet, true; "quiet_with_sizes")]
+#[test_case(Scenario::Quiet, false; "quiet_without_sizes")]
+#[test_case(Scenario::Overload, true; "overload_with_sizes")]
+#[test_case(Scenario::Overload, false; "overload_without_sizes")]
+#[test_case(Scenario::Slow, true; "slow_with_sizes")]
+#[test_case(Scenario::Slow, false; "slow_without_sizes")]
+#[test_case(Scenario::Lost, true; "lost_with_sizes")]
+#[test_case(Scenario::Lost, false; "lost_without_sizes")]
+#[test_case(Scenario::SlowParents, true; "slow_parents_with_sizes")]
+#[test_case(Scenario::SlowParents, false; "slow_parents_without_sizes")]
 fn the_largest_requests_are_served_like_the_others(scenario: Scenario, announced: bool) {
     let min_ratio = if scenario == Scenario::Quiet { 2.0 / 3.0 } else { 0.5 };
     for dispatchers in [4, 30, 100] {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! Discrete-event simulation of several dispatchers and their hosts in virtual time.
 //!
-//! Requests are spread unevenly over dispatchers, hosts have slots and a queue, and cache is_miss are random.
+//! Requests are spread unevenly over dispatchers, hosts have slots and a queue, and cache misses are random.
 //! It records the attempts that reached each host and the result of each request. If connections are
 //! simulated, an attempt reaches its host only once its dispatcher's connection is up.
 use cherrypass::brain::Brain;
@@ -15,7 +15,7 @@
 /// Virtual start time in microseconds, like all times here.
 pub const START: u64 = 1_000_000_000;
 pub const STEP: u64 = 10_000;
-/// Answer time of is_miss and errors, which take no work.
+/// Answer time of misses and errors, which take no work.
 const IMMEDIATE_ANSWER: u64 = 2_000;
 /// Time between two wakes of a dispatcher.
 const WAKE_INTERVAL: u64 = 5 * STEP;
