--- a/crates/dispatcher/src/attempt_log.rs
+++ b/crates/dispatcher/src/attempt_log.rs
@@ -5,9 +5,9 @@
 use cherrypass::time::{Span, Time};
 
 /// An attempt that took at least this part of its request's whole time is logged at the default level.
-const SLOW_PART: f64 = 0.5;
+const SLOW_FRACTION: f64 = 0.5;
 /// Of those so many a second; the rest are counted.
-const SLOW_LINES: u32 = 10;
+const SLOW_LINES_PER_SECOND: u32 = 10;
 const SECOND: Span = Span::millis(1_000);
 
 /// What is known of an attempt at its end.
@@ -17,7 +17,7 @@
     pub request: Option<&'a [u8]>,
     pub host: &'a str,
     /// The client's whole time, counted from when the request came.
-    pub came: Option<(Time, Span)>,
+    pub request_time: Option<(Time, Span)>,
     pub decided: Time,
     pub written: Option<Time>,
     pub ended: Time,
@@ -27,13 +27,13 @@
 
 impl EndedAttempt<'_> {
     fn is_slow(&self) -> bool {
-        self.came.is_some_and(|(_, whole)| self.ended - self.decided >= whole.times(SLOW_PART))
+        self.request_time.is_some_and(|(_, whole)| self.ended - self.decided >= whole.times(SLOW_FRACTION))
     }
 
-    fn line(&self) -> String {
+    fn describe(&self) -> String {
         let request = self.request.map_or("that has its answer".into(), String::from_utf8_lossy);
         let ms = |at: Time| at.0 as i64 / 1000 - self.decided.0 as i64 / 1000;
-        let since_came = self.came.map_or("".to_owned(), |(came, whole)| {
+        let since_came = self.request_time.map_or("".to_owned(), |(came, whole)| {
             format!(" {} ms after it came with {} ms left", -ms(came), whole.0 / 1000)
         });
         let written =
@@ -56,30 +56,30 @@
 /// Writes the lines, slow ones at a bounded rate.
 #[derive(Debug, Default)]
 pub struct AttemptLog {
-    second_began: Time,
+    second_started: Time,
     lines: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 impl AttemptLog {
-    pub fn ended(&mut self, attempt: &EndedAttempt) {
+    pub fn log(&mut self, attempt: &EndedAttempt) {
         if attempt.is_slow() && self.may_write(attempt.ended) {
-            tracing::info!("{}", attempt.line());
+            tracing::info!("{}", attempt.describe());
         } else {
-            tracing::debug!("{}", attempt.line());
+            tracing::debug!("{}", attempt.describe());
         }
     }
 
     fn may_write(&mut self, now: Time) -> bool {
-        if now >= self.second_began + SECOND {
-            if self.left_out > 0 {
-                tracing::info!("{} more attempts took most of their request's time", self.left_out);
+        if now >= self.second_started + SECOND {
+            if self.suppressed > 0 {
+                tracing::info!("{} more attempts took most of their request's time", self.suppressed);
             }
-            *self = AttemptLog { second_began: now, ..AttemptLog::default() };
+            *self = AttemptLog { second_started: now, ..AttemptLog::default() };
         }
-        let may = self.lines < SLOW_LINES;
+        let may = self.lines < SLOW_LINES_PER_SECOND;
         self.lines += u32::from(may);
-        self.left_out += u32::from(!may);
+        self.suppressed += u32::from(!may);
         may
     }
 }
--- a/crates/dispatcher/src/bounds.rs
+++ b/crates/dispatcher/src/capacity.rs
@@ -8,12 +8,12 @@
 
 /// A part of a gauge, given back when it is dropped.
 #[derive(Debug)]
-pub struct Held(Gauge, usize);
+pub struct Reservation(Gauge, usize);
 
 impl Gauge {
-    pub fn hold(&self, amount: usize) -> Held {
+    pub fn reserve(&self, amount: usize) -> Reservation {
         self.0.fetch_add(amount, Relaxed);
-        Held(self.clone(), amount)
+        Reservation(self.clone(), amount)
     }
 
     pub fn amount(&self) -> usize {
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.0 .0.fetch_sub(self.1, Relaxed);
     }
@@ -29,46 +29,46 @@
 
 /// What all hosts share.
 #[derive(Clone, Debug)]
-pub struct Room {
-    connections: usize,
-    most: usize,
+pub struct HostCapacity {
+    max_connections: usize,
+    max_answer_bytes: usize,
     hosts: Gauge,
-    taken: Gauge,
-    answers: Gauge,
+    open_connections: Gauge,
+    answer_bytes: Gauge,
 }
 
-impl Room {
-    pub fn new(connections: usize, most: usize) -> Room {
-        Room {
-            connections,
-            most,
+impl HostCapacity {
+    pub fn new(connections: usize, most: usize) -> HostCapacity {
+        HostCapacity {
+            max_connections: connections,
+            max_answer_bytes: most,
             hosts: Gauge::default(),
-            taken: Gauge::default(),
-            answers: Gauge::default(),
+            open_connections: Gauge::default(),
+            answer_bytes: Gauge::default(),
         }
     }
 
     /// One more host, for as long as what is returned is kept.
-    pub fn join(&self) -> Held {
-        self.hosts.hold(1)
+    pub fn add_host(&self) -> Reservation {
+        self.hosts.reserve(1)
     }
 
     /// A place for one more connection, held as long as what is returned is kept.
-    pub fn place(&self) -> Option<Held> {
-        (self.taken.amount() < self.connections).then(|| self.taken.hold(1))
+    pub fn reserve_connection(&self) -> Option<Reservation> {
+        (self.open_connections.amount() < self.max_connections).then(|| self.open_connections.reserve(1))
     }
 
     /// How many connections each host may have, so that none takes the last from another.
-    pub fn share(&self) -> usize {
-        (self.connections / self.hosts.amount().max(1)).max(1)
+    pub fn connections_per_host(&self) -> usize {
+        (self.max_connections / self.hosts.amount().max(1)).max(1)
     }
 
     /// An answer's bytes, from when they were read until they are written to the client or dropped.
-    pub fn hold(&self, bytes: usize) -> Held {
-        self.answers.hold(bytes)
+    pub fn reserve_answer(&self, bytes: usize) -> Reservation {
+        self.answer_bytes.reserve(bytes)
     }
 
     pub fn is_full(&self) -> bool {
-        self.answers.amount() > self.most
+        self.answer_bytes.amount() > self.max_answer_bytes
     }
 }
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -1,14 +1,14 @@
 //! Clients: one thread that takes them in and reads them all, and what is to go to each. Guards against connections
 //! that each cost a thread: hundreds that say nothing, at hundreds of dispatchers, use up a machine's threads.
-use crate::bounds::{Gauge, Held};
+use crate::cancellation::{CancelHandle, CancelToken};
+use crate::capacity::{Gauge, Reservation};
 use crate::clock;
+use crate::connection::{is_timeout, spawn, CloseReason, Connection};
 use crate::ids::ClientId;
 use crate::inbox::{FromClient, Input};
-use crate::line::{is_wait, spawn, Code, Line};
+use crate::latency::Latencies;
 use crate::mailbox;
 use crate::msgpack::{self, Message, Parts};
-use crate::spent::Spent;
-use crate::wanted::{Wanted, Withdraw};
 use bytes::{Bytes, BytesMut};
 use cherrypass::time::{Span, Time};
 use crossbeam_channel::{unbounded, Receiver, Sender, TrySendError};
@@ -21,39 +21,39 @@
 use std::sync::Arc;
 
 /// What is read at once, which an open visit may keep.
-pub const PIECE: usize = 8 * 1024;
+pub const READ_BYTES: usize = 8 * 1024;
 /// Who has sent nothing whole by then is owed an end: within 3 s, by the page for service.
-const MUTE: Span = Span::millis(2_000);
+const FIRST_MESSAGE_TIMEOUT: Span = Span::millis(2_000);
 /// A message that has begun comes whole within this, and the connection ends where nothing is open on it. Past the
 /// second what is open has its final answer, so that the end comes within the same 3 s.
-const HALF: [Span; 2] = [Span::millis(1_500), Span::millis(2_500)];
+const PARTIAL_MESSAGE_TIMEOUTS: [Span; 2] = [Span::millis(1_500), Span::millis(2_500)];
 /// Clients close what they don't use after 4 s, by the protocol page; what stands longer is not used again.
-const IDLE: Span = Span::millis(4_500);
+const IDLE_TIMEOUT: Span = Span::millis(4_500);
 /// Rests after accepts that fail for a shortage begin with this, and it is borne for so long.
-const REST_LEAST: Span = Span::millis(5);
-const SHORTAGE_BORNE: Span = Span::millis(1_000);
+const MIN_ACCEPT_PAUSE: Span = Span::millis(5);
+const MAX_SHORTAGE: Span = Span::millis(1_000);
 /// How often connections are looked after, and how often once the process is to end.
-const LOOK: Span = Span::millis(250);
-const LAST_LOOK: Span = Span::millis(20);
+const SWEEP_INTERVAL: Span = Span::millis(250);
+const STOPPING_SWEEP_INTERVAL: Span = Span::millis(20);
 /// A connection this new may still be about to ask: it doesn't make room for others.
-const NEW: Span = Span::millis(250);
+const MIN_EVICTION_AGE: Span = Span::millis(250);
 /// How long a newcomer waits for room before it is turned away, and how often it is looked for.
-const ROOM_WAIT: Span = Span::millis(400);
-const ROOM_LOOK: Span = Span::millis(2);
+const QUEUE_TIMEOUT: Span = Span::millis(400);
+const QUEUE_POLL_INTERVAL: Span = Span::millis(2);
 /// So long what still comes on a connection is taken in, unused, after this side has ended it (a request that crosses
 /// the end is on its way for 50 ms at most, by the protocol page); so many bytes, which no such request has; and so
 /// many connections at once.
-const LINGER: Span = Span::millis(300);
-const LINGER_BYTES: usize = 4 * msgpack::MESSAGE_MOST;
-const LINGER_MOST: usize = 16;
+const LINGER_TIMEOUT: Span = Span::millis(300);
+const MAX_LINGER_BYTES: usize = 4 * msgpack::MAX_MESSAGE_BYTES;
+const MAX_LINGERING: usize = 16;
 /// So many newcomers wait for room at once at the most, and no more than a part of those that have it: descriptors for
 /// them are among those that clients and hosts leave.
-const NEWCOMERS_MOST: usize = 16;
-const NEWCOMERS_PART: usize = 8;
+const MAX_QUEUED: usize = 16;
+const CLIENTS_PER_QUEUED: usize = 8;
 /// Where the machine gives out fewer descriptors than the limits tell, so many are left to the change log and to hosts.
-const SPARE: usize = 8;
+const SPARE_DESCRIPTORS: usize = 8;
 /// How many connections are served for one look, and what stands for the listener among them.
-const EVENTS: usize = 64;
+const EVENTS_PER_WAIT: usize = 64;
 const LISTENER: u64 = u64::MAX;
 
 /// How far the process is on its way to its end.
@@ -63,47 +63,47 @@
     /// It ends soon, and serves on what comes.
     Stopping,
     /// Each connection ends once nothing is owed on it.
-    Leaving,
+    Closing,
 }
 
 /// What the router and the thread of clients tell each other of the process's end.
 #[derive(Debug, Default)]
-pub struct Front {
+pub struct Shutdown {
     stage: AtomicU8,
-    left: AtomicBool,
+    all_closed: AtomicBool,
 }
 
-impl Front {
-    pub fn go_to(&self, stage: Stage) {
+impl Shutdown {
+    pub fn advance_to(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Relaxed);
     }
 
-    fn has_come_to(&self, stage: Stage) -> bool {
+    fn has_reached(&self, stage: Stage) -> bool {
         self.stage.load(Relaxed) >= stage as u8
     }
 
     /// Whether no connection stands any more, at the last look since leaving.
-    pub fn is_empty(&self) -> bool {
-        self.left.load(Relaxed)
+    pub fn is_all_closed(&self) -> bool {
+        self.all_closed.load(Relaxed)
     }
 }
 
 pub struct ToClient {
     pub parts: Parts,
     /// When the host's answer came that this passes on.
-    pub answered: Option<Time>,
+    pub answered_at: Option<Time>,
     /// The host's answer that this passes on takes room until it is written.
-    pub held: Option<Held>,
+    pub answer_room: Option<Reservation>,
     /// So does any answer at its client and in all until it is written.
-    pub unread: Option<[Held; 2]>,
+    pub unread: Option<[Reservation; 2]>,
     /// Until then the visit's connection is in use.
-    pub busy: Option<Held>,
+    pub in_use: Option<Reservation>,
 }
 
 impl ToClient {
     /// What it counts for while it is not read; a body may keep the whole buffer that it was read into.
     pub fn weight(&self) -> usize {
-        self.length().max(if self.held.is_some() { PIECE } else { 0 })
+        self.length().max(if self.answer_room.is_some() { READ_BYTES } else { 0 })
     }
 
     fn length(&self) -> usize {
@@ -114,82 +114,82 @@
         self.parts.each_ref().map(|part| &part[..])
     }
 
-    fn written(&self, spent: &Spent) {
-        if let Some(answered) = self.answered {
-            spent.outward.push(clock::now() - answered);
+    fn record_latency(&self, spent: &Latencies) {
+        if let Some(answered) = self.answered_at {
+            spent.outbound.record(clock::now() - answered);
         }
     }
 }
 
 /// What is to go to one client.
 pub struct Outlet {
-    pub line: Arc<Line>,
+    pub connection: Arc<Connection>,
     /// A thread of its own, once there was a need for it, and how many answers wait for that.
-    slow: Option<Sender<Late>>,
-    waiting: Gauge,
+    slow_writer: Option<Sender<QueuedAnswer>>,
+    queued: Gauge,
 }
 
 /// An answer of which so much is written already.
-struct Late {
+struct QueuedAnswer {
     answer: ToClient,
     written: usize,
-    _waiting: Held,
+    _queued: Reservation,
 }
 
 impl Outlet {
     /// How many answers are not written yet.
-    pub fn waiting(&self) -> usize {
-        self.waiting.amount()
+    pub fn queued(&self) -> usize {
+        self.queued.amount()
     }
 
-    pub fn new(line: Arc<Line>) -> Outlet {
-        Outlet { line, slow: None, waiting: Gauge::default() }
+    pub fn new(line: Arc<Connection>) -> Outlet {
+        Outlet { connection: line, slow_writer: None, queued: Gauge::default() }
     }
 
     /// Writes what the machine takes at once, and never waits. Guards against a client that reads slowly and
     /// holds the others up: the rest, and what comes until that is written, goes to a thread of its own.
-    pub fn send(&mut self, answer: ToClient, spent: &Arc<Spent>) {
+    pub fn send(&mut self, answer: ToClient, spent: &Arc<Latencies>) {
         let mut written = 0;
-        if self.waiting() == 0 {
-            match self.line.write_now(&answer.bytes()) {
-                Ok(n) if n == answer.length() => return answer.written(spent),
+        if self.queued() == 0 {
+            match self.connection.try_write(&answer.bytes()) {
+                Ok(n) if n == answer.length() => return answer.record_latency(spent),
                 Ok(n) => written = n,
-                Err(_) => return self.line.finish(Code::WriteFailed),
+                Err(_) => return self.connection.shut_down_write(CloseReason::WriteFailed),
             }
         }
-        if self.slow.is_none() {
+        if self.slow_writer.is_none() {
             let (mailbox, late) = unbounded();
-            let (line, spent) = (self.line.clone(), spent.clone());
+            let (line, spent) = (self.connection.clone(), spent.clone());
             if spawn("slow", move || write_slowly(&line, late, &spent)).is_err() {
-                return self.line.finish(Code::NoThread);
+                return self.connection.shut_down_write(CloseReason::NoThread);
             }
-            self.slow = Some(mailbox);
+            self.slow_writer = Some(mailbox);
         }
-        if let Some(slow) = &self.slow {
-            let _ = slow.send(Late { answer, written, _waiting: self.waiting.hold(1) });
+        if let Some(slow) = &self.slow_writer {
+            let _ = slow.send(QueuedAnswer { answer, written, _queued: self.queued.reserve(1) });
         }
     }
 }
 
 /// A newcomer that waits for a place, unread.
-struct Newcomer {
+struct QueuedClient {
     client: Client,
     since: Time,
     /// Something has come from it.
-    asks: bool,
+    has_sent: bool,
 }
 
 /// A connection that this side has ended, until its other side has ended too.
 struct Lingering {
-    line: Arc<Line>,
+    connection: Arc<Connection>,
     until: Time,
     bytes: usize,
 }
 
 /// What the thread of clients tells: requests by a mailbox that is bounded, ends by one that is not.
-pub struct Tell {
+pub struct RouterSenders {
     pub requests: Sender<Input>,
-    pub ends: Sender<Input>,
+    pub closed: Sender<Input>,
 }
 
 /// Takes connections in and reads them until the process ends.
@@ -197,8 +197,8 @@
     listener: TcpListener,
     most: usize,
     patience: Span,
-    tell: Tell,
-    front: Arc<Front>,
+    tell: RouterSenders,
+    front: Arc<Shutdown>,
 ) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
@@ -208,17 +208,17 @@
     let mut clients = Clients {
         listener,
         epoll,
-        most,
-        patience,
-        tell,
-        front,
-        taken,
+        max_clients: most,
+        write_timeout: patience,
+        router: tell,
+        shutdown: front,
+        admitted: taken,
         lingering,
-        newcomers,
-        next,
-        waiting,
-        resting,
-        failing,
+        queue: newcomers,
+        next_id: next,
+        unforwarded: waiting,
+        accept_paused_until: resting,
+        accept_failures: failing,
     };
     clients.run()
 }
@@ -226,193 +226,203 @@
 struct Clients {
     listener: TcpListener,
     epoll: Epoll,
-    most: usize,
-    patience: Span,
-    tell: Tell,
-    front: Arc<Front>,
-    taken: BTreeMap<u64, Client>,
+    max_clients: usize,
+    write_timeout: Span,
+    router: RouterSenders,
+    shutdown: Arc<Shutdown>,
+    admitted: BTreeMap<u64, Client>,
     lingering: BTreeMap<u64, Lingering>,
     /// In the order in which they came.
-    newcomers: VecDeque<Newcomer>,
-    next: u64,
+    queue: VecDeque<QueuedClient>,
+    next_id: u64,
     /// Of whom messages are read and not told yet, in turn. Guards against one who sends much and holds the others up,
     /// or the news that they have gone: he alone is not read from while the router has much to do.
-    waiting: VecDeque<u64>,
+    unforwarded: VecDeque<u64>,
     /// Until when the listener rests, for want of descriptors.
-    resting: Option<Time>,
-    failing: Option<Failing>,
+    accept_paused_until: Option<Time>,
+    accept_failures: Option<AcceptFailures>,
 }
 
 /// Accepts that fail, one after another.
-struct Failing {
+struct AcceptFailures {
     since: Time,
     /// The next rest for a shortage.
-    rest: Span,
+    next_pause: Span,
     /// The log has told of it.
-    told: bool,
+    is_logged: bool,
 }
 
 /// What an accept that failed says.
-enum AcceptFailure {
+enum AcceptError {
     /// The process has no descriptor left.
     NoDescriptor,
     /// The machine has none, or no memory for it, just now.
-    Shortage,
+    SystemShortage,
     /// The connection ended, or its network did, before it was taken: all others are as they were.
     ConnectionLost,
 }
 
-impl AcceptFailure {
-    fn of(error: &io::Error) -> AcceptFailure {
+impl AcceptError {
+    fn from_io(error: &io::Error) -> AcceptError {
         match error.raw_os_error() {
-            Some(libc::EMFILE) => AcceptFailure::NoDescriptor,
-            Some(libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => AcceptFailure::Shortage,
-            _ => AcceptFailure::ConnectionLost,
+            Some(libc::EMFILE) => AcceptError::NoDescriptor,
+            Some(libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => AcceptError::SystemShortage,
+            _ => AcceptError::ConnectionLost,
         }
     }
 }
 
 /// Readable, and its other side's end even behind bytes that are not read yet.
-fn reads() -> EpollFlags {
+fn read_flags() -> EpollFlags {
     EpollFlags::EPOLLIN | EpollFlags::EPOLLRDHUP
 }
 
 impl Clients {
     fn run(&mut self) -> io::Result<()> {
-        let mut events = [EpollEvent::empty(); EVENTS];
-        let mut look = clock::now() + LOOK;
+        let mut events = [EpollEvent::empty(); EVENTS_PER_WAIT];
+        let mut look = clock::now() + SWEEP_INTERVAL;
         loop {
-            let soon = !self.newcomers.is_empty() || !self.waiting.is_empty();
-            let until = if soon { ROOM_LOOK } else { look - clock::now() };
-            let until = self.resting.map_or(until, |resting| until.min(resting - clock::now()));
+            let soon = !self.queue.is_empty() || !self.unforwarded.is_empty();
+            let until = if soon { QUEUE_POLL_INTERVAL } else { look - clock::now() };
+            let until = self.accept_paused_until.map_or(until, |resting| until.min(resting - clock::now()));
             let found = match self.epoll.wait(&mut events, EpollTimeout::from((until.0 / 1000 + 1) as u16)) {
                 Err(Errno::EINTR) => 0,
                 found => found?,
             };
             let gone = EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLHUP | EpollFlags::EPOLLERR;
             for event in events[..found].iter().filter(|event| event.events().intersects(gone)) {
-                if let Some(client) = self.taken.get_mut(&event.data()) {
-                    client.line.leave();
-                    client.untold.clear();
+                if let Some(client) = self.admitted.get_mut(&event.data()) {
+                    client.connection.mark_peer_closed();
+                    client.unforwarded.clear();
                 }
-                self.newcomer_left(event.data());
+                self.queued_client_closed(event.data());
             }
             for event in &events[..found] {
                 match event.data() {
                     LISTENER => self.accept()?,
-                    number if self.lingering.contains_key(&number) => self.pass_over(number),
-                    number if self.taken.contains_key(&number) => drop(self.turn(number)),
-                    number => self.newcomer_asks(number),
+                    number if self.lingering.contains_key(&number) => self.discard_input(number),
+                    number if self.admitted.contains_key(&number) => drop(self.read(number)),
+                    number => self.queued_client_sent(number),
                 }
             }
-            if self.tell_in_turn().is_err() {
+            if self.forward_messages().is_err() {
                 return Ok(());
             }
-            self.make_room();
+            self.admit_queued();
             let now = clock::now();
-            self.end_rest(now)?;
+            self.resume_accepting(now)?;
             if now >= look {
-                let leaving = self.front.has_come_to(Stage::Leaving);
-                look = now + if self.front.has_come_to(Stage::Stopping) { LAST_LOOK } else { LOOK };
-                self.look_after(now, leaving)?;
+                let leaving = self.shutdown.has_reached(Stage::Closing);
+                look = now
+                    + if self.shutdown.has_reached(Stage::Stopping) {
+                        STOPPING_SWEEP_INTERVAL
+                    } else {
+                        SWEEP_INTERVAL
+                    };
+                self.sweep(now, leaving)?;
             }
         }
     }
 
-    fn end_rest(&mut self, now: Time) -> io::Result<()> {
-        match self.resting.take_if(|until| now >= *until) {
-            Some(_) => self.hear_listener(true),
+    fn resume_accepting(&mut self, now: Time) -> io::Result<()> {
+        match self.accept_paused_until.take_if(|until| now >= *until) {
+            Some(_) => self.poll_listener(true),
             None => Ok(()),
         }
     }
 
-    fn look_after(&mut self, now: Time, leaving: bool) -> io::Result<()> {
+    fn sweep(&mut self, now: Time, leaving: bool) -> io::Result<()> {
         let over = |(number, lingering): (&u64, &Lingering)| (now >= lingering.until).then_some(*number);
         let over: Vec<u64> = self.lingering.iter().filter_map(over).collect();
-        over.into_iter().for_each(|number| self.let_go(number));
+        over.into_iter().for_each(|number| self.end_linger(number));
         if leaving {
             self.accept()?;
         }
-        let ends = |(number, client): (&u64, &Client)| Some((*number, client.fault(now, leaving)?));
-        let ending: Vec<_> = self.taken.iter().filter_map(ends).collect();
+        let ends = |(number, client): (&u64, &Client)| Some((*number, client.reason_to_close(now, leaving)?));
+        let ending: Vec<_> = self.admitted.iter().filter_map(ends).collect();
         for (number, code) in ending {
-            match self.taken.get_mut(&number) {
-                Some(client) if code == Code::HalfMessage && client.is_used() => {
-                    client.end_soon(now, &self.tell)
+            match self.admitted.get_mut(&number) {
+                Some(client) if code == CloseReason::MessageTimeout && client.is_in_use() => {
+                    client.finish_open_visits(now, &self.router)
                 }
-                _ => self.end_resting(number, code),
+                _ => self.close_unused(number, code),
             }
         }
-        let standing = self.taken.len() + self.lingering.len() + self.newcomers.len();
+        let standing = self.admitted.len() + self.lingering.len() + self.queue.len();
         if leaving {
-            self.front.left.store(standing == 0, Relaxed);
+            self.shutdown.all_closed.store(standing == 0, Relaxed);
         }
         Ok(())
     }
 
     /// Ends a connection on which nothing is open, unless something has just come on it: guards against an end that
     /// closes over a request which was there.
-    fn end_resting(&mut self, number: u64, code: Code) {
-        let Some(client) = self.taken.get(&number) else { return };
-        let heard = client.line.heard();
-        if self.turn(number) && self.taken.get(&number).is_some_and(|client| client.line.heard() == heard) {
+    fn close_unused(&mut self, number: u64, code: CloseReason) {
+        let Some(client) = self.admitted.get(&number) else { return };
+        let heard = client.connection.last_read_at();
+        if self.read(number)
+            && self.admitted.get(&number).is_some_and(|client| client.connection.last_read_at() == heard)
+        {
             self.close(number, code);
         }
     }
 
     /// Reads one piece of what has come and tells of all whole messages; whether the connection stands.
-    fn turn(&mut self, number: u64) -> bool {
-        let Some(client) = self.taken.get_mut(&number) else { return false };
-        if client.line.is_ended() {
-            let code = client.line.code();
+    fn read(&mut self, number: u64) -> bool {
+        let Some(client) = self.admitted.get_mut(&number) else { return false };
+        if client.connection.is_shut_down() {
+            let code = client.connection.close_reason();
             self.close(number, code);
             return false;
         }
-        if !client.untold.is_empty() {
+        if !client.unforwarded.is_empty() {
             return true;
         }
-        if let Err(code) = client.turn() {
+        if let Err(code) = client.read() {
             self.close(number, code);
             return false;
         }
-        if !client.untold.is_empty() {
-            self.waiting.push_back(number);
+        if !client.unforwarded.is_empty() {
+            self.unforwarded.push_back(number);
         }
         true
     }
 
     /// Tells what was read, a message of each client in turn, until the router has enough; whoever is left over is not
     /// read from meanwhile.
-    fn tell_in_turn(&mut self) -> Result<(), Code> {
-        while let Some(number) = self.waiting.pop_front() {
-            let Some(client) = self.taken.get_mut(&number) else { continue };
-            if client.line.has_left() {
-                client.untold.clear();
+    fn forward_messages(&mut self) -> Result<(), CloseReason> {
+        while let Some(number) = self.unforwarded.pop_front() {
+            let Some(client) = self.admitted.get_mut(&number) else { continue };
+            if client.connection.is_closed() {
+                client.unforwarded.clear();
             }
-            if let Some(what) = client.untold.pop_front() {
-                match self.tell.requests.try_send(Input::Client(client.id, what)) {
+            if let Some(what) = client.unforwarded.pop_front() {
+                match self.router.requests.try_send(Input::Client(client.id, what)) {
                     Ok(()) => {}
                     Err(TrySendError::Full(Input::Client(_, what))) => {
-                        client.untold.push_front(what);
-                        self.waiting.push_front(number);
+                        client.unforwarded.push_front(what);
+                        self.unforwarded.push_front(number);
                         break;
                     }
-                    Err(_) => return Err(Code::Stopped),
+                    Err(_) => return Err(CloseReason::ShuttingDown),
                 }
             }
-            if client.untold.is_empty() {
-                client.hold(false, &self.epoll);
+            if client.unforwarded.is_empty() {
+                client.pause_reading(false, &self.epoll);
             } else {
-                self.waiting.push_back(number);
+                self.unforwarded.push_back(number);
             }
         }
-        for number in &self.waiting {
-            self.taken.get_mut(number).into_iter().for_each(|client| client.hold(true, &self.epoll));
+        for number in &self.unforwarded {
+            self.admitted
+                .get_mut(number)
+                .into_iter()
+                .for_each(|client| client.pause_reading(true, &self.epoll));
         }
         Ok(())
     }
 
-    fn hear_listener(&self, hear: bool) -> io::Result<()> {
+    fn poll_listener(&self, hear: bool) -> io::Result<()> {
         let flags = if hear { EpollFlags::EPOLLIN } else { EpollFlags::empty() };
         Ok(self.epoll.modify(&self.listener, &mut EpollEvent::new(flags, LISTENER))?)
     }
@@ -421,123 +431,134 @@
     /// connections that were taken, and lets who asks wait behind those that say nothing.
     fn accept(&mut self) -> io::Result<()> {
         let mut took = false;
-        for _ in 0..EVENTS {
-            if self.resting.is_some() {
+        for _ in 0..EVENTS_PER_WAIT {
+            if self.accept_paused_until.is_some() {
                 return Ok(());
             }
             match self.listener.accept() {
                 Ok((stream, from)) => {
-                    let client = Client::new(ClientId(self.next), stream, from);
-                    self.next += 1;
-                    self.take(client);
+                    let client = Client::new(ClientId(self.next_id), stream, from);
+                    self.next_id += 1;
+                    self.admit_or_queue(client);
                 }
-                Err(error) if is_wait(&error) => return Ok(()),
-                Err(error) => match AcceptFailure::of(&error) {
+                Err(error) if is_timeout(&error) => return Ok(()),
+                Err(error) => match AcceptError::from_io(&error) {
                     // The next one that waits is another connection.
-                    AcceptFailure::ConnectionLost => continue,
-                    AcceptFailure::NoDescriptor => return self.rest_without_descriptors(&error),
-                    AcceptFailure::Shortage => return self.rest_for_shortage(&error),
+                    AcceptError::ConnectionLost => continue,
+                    AcceptError::NoDescriptor => return self.pause_without_descriptors(&error),
+                    AcceptError::SystemShortage => return self.pause_for_shortage(&error),
                 },
             }
-            self.failing = None;
+            self.accept_failures = None;
             took = true;
         }
         // Guards against a loop that burns the core where each accept fails, for whatever reason.
         if took {
             Ok(())
         } else {
-            self.rest(REST_LEAST)
+            self.pause_accepting(MIN_ACCEPT_PAUSE)
         }
     }
 
     /// The machine lacks something for a moment: asked again soon, and later each time. Where it goes on lacking it, that
     /// is like the process's own want of descriptors.
-    fn rest_for_shortage(&mut self, error: &io::Error) -> io::Result<()> {
+    fn pause_for_shortage(&mut self, error: &io::Error) -> io::Result<()> {
         let now = clock::now();
-        let failing = self.failing.get_or_insert(Failing { since: now, rest: REST_LEAST, told: false });
-        if now - failing.since > SHORTAGE_BORNE {
-            return self.rest_without_descriptors(error);
+        let failing = self.accept_failures.get_or_insert(AcceptFailures {
+            since: now,
+            next_pause: MIN_ACCEPT_PAUSE,
+            is_logged: false,
+        });
+        if now - failing.since > MAX_SHORTAGE {
+            return self.pause_without_descriptors(error);
         }
-        let rest = failing.rest;
-        failing.rest = (rest + rest).min(LOOK);
-        self.rest(rest)
+        let rest = failing.next_pause;
+        failing.next_pause = (rest + rest).min(SWEEP_INTERVAL);
+        self.pause_accepting(rest)
     }
 
-    fn rest(&mut self, rest: Span) -> io::Result<()> {
-        self.resting = Some(clock::now() + rest);
-        self.hear_listener(false)
+    fn pause_accepting(&mut self, rest: Span) -> io::Result<()> {
+        self.accept_paused_until = Some(clock::now() + rest);
+        self.poll_listener(false)
     }
 
     /// No descriptor is to be had, against what the limits tell. Guards against a loop that burns the core, and against
     /// idle clients that hold what the change log and hosts need: the first time so many places less are given out.
-    fn rest_without_descriptors(&mut self, error: &io::Error) -> io::Result<()> {
+    fn pause_without_descriptors(&mut self, error: &io::Error) -> io::Result<()> {
         let now = clock::now();
-        let failing = self.failing.get_or_insert(Failing { since: now, rest: LOOK, told: false });
-        if !std::mem::replace(&mut failing.told, true) {
+        let failing = self.accept_failures.get_or_insert(AcceptFailures {
+            since: now,
+            next_pause: SWEEP_INTERVAL,
+            is_logged: false,
+        });
+        if !std::mem::replace(&mut failing.is_logged, true) {
             tracing::warn!("accept fails: {error}");
-            self.most = self.most.min(self.taken.len().saturating_sub(SPARE)).max(1);
+            self.max_clients =
+                self.max_clients.min(self.admitted.len().saturating_sub(SPARE_DESCRIPTORS)).max(1);
         }
-        while let Some(newcomer) = self.newcomers.pop_front() {
+        while let Some(newcomer) = self.queue.pop_front() {
             self.refuse(newcomer.client);
         }
         while let Some(number) = self.lingering.keys().next().copied() {
-            self.let_go(number);
+            self.end_linger(number);
         }
-        self.rest(LOOK)
+        self.pause_accepting(SWEEP_INTERVAL)
     }
 
     /// Gives it a place, or lets it wait for one. Past the bound on those that wait, one that has said nothing goes,
     /// the one that had the most time for that.
-    fn take(&mut self, client: Client) {
+    fn admit_or_queue(&mut self, client: Client) {
         let number = client.id.0;
-        let set_up = client.line.set_up(Some(clock::duration(self.patience)));
-        if set_up.is_err() || self.epoll.add(&*client.line, EpollEvent::new(reads(), number)).is_err() {
-            client.ended(Code::Reset);
+        let set_up = client.connection.configure(Some(clock::duration(self.write_timeout)));
+        if set_up.is_err()
+            || self.epoll.add(&*client.connection, EpollEvent::new(read_flags(), number)).is_err()
+        {
+            client.close(CloseReason::Reset);
             return;
         }
-        if self.taken.len() < self.most && self.newcomers.is_empty() {
-            self.taken.insert(number, client);
+        if self.admitted.len() < self.max_clients && self.queue.is_empty() {
+            self.admitted.insert(number, client);
             return;
         }
-        self.newcomers.push_back(Newcomer { client, since: clock::now(), asks: false });
-        if self.newcomers.len() > (self.most / NEWCOMERS_PART).clamp(1, NEWCOMERS_MOST) {
-            let mute = self.newcomers.iter().position(|newcomer| !newcomer.asks);
-            let first = self.newcomers.remove(mute.unwrap_or(0));
+        self.queue.push_back(QueuedClient { client, since: clock::now(), has_sent: false });
+        if self.queue.len() > (self.max_clients / CLIENTS_PER_QUEUED).clamp(1, MAX_QUEUED) {
+            let mute = self.queue.iter().position(|newcomer| !newcomer.has_sent);
+            let first = self.queue.remove(mute.unwrap_or(0));
             first.into_iter().for_each(|newcomer| self.refuse(newcomer.client));
         }
     }
 
-    fn newcomer(&self, number: u64) -> Option<usize> {
-        self.newcomers.iter().position(|newcomer| newcomer.client.id.0 == number)
+    fn queue_position(&self, number: u64) -> Option<usize> {
+        self.queue.iter().position(|newcomer| newcomer.client.id.0 == number)
     }
 
     /// It is not read before it has a place.
-    fn newcomer_asks(&mut self, number: u64) {
-        let Some(newcomer) = self.newcomer(number).map(|place| &mut self.newcomers[place]) else { return };
-        newcomer.asks = true;
-        newcomer.client.hold(true, &self.epoll);
+    fn queued_client_sent(&mut self, number: u64) {
+        let Some(newcomer) = self.queue_position(number).map(|place| &mut self.queue[place]) else { return };
+        newcomer.has_sent = true;
+        newcomer.client.pause_reading(true, &self.epoll);
     }
 
-    fn newcomer_left(&mut self, number: u64) {
-        let Some(newcomer) = self.newcomer(number).and_then(|place| self.newcomers.remove(place)) else {
+    fn queued_client_closed(&mut self, number: u64) {
+        let Some(newcomer) = self.queue_position(number).and_then(|place| self.queue.remove(place)) else {
             return;
         };
-        newcomer.client.line.leave();
-        newcomer.client.ended(Code::ClosedByPeer);
+        newcomer.client.connection.mark_peer_closed();
+        newcomer.client.close(CloseReason::ClosedByPeer);
     }
 
     /// Has newcomers in, those that ask before those that don't; who has waited for long is turned away.
-    fn make_room(&mut self) {
+    fn admit_queued(&mut self) {
         let now = clock::now();
-        while self.taken.len() + self.newcomers.len() > self.most && self.evict(now) {}
-        while self.taken.len() < self.most {
-            let asks = self.newcomers.iter().position(|newcomer| newcomer.asks);
-            let Some(Newcomer { mut client, .. }) = self.newcomers.remove(asks.unwrap_or(0)) else { return };
-            client.hold(false, &self.epoll);
-            self.taken.insert(client.id.0, client);
-        }
-        while self.newcomers.front().is_some_and(|newcomer| now > newcomer.since + ROOM_WAIT) {
-            let first = self.newcomers.pop_front();
+        while self.admitted.len() + self.queue.len() > self.max_clients && self.evict(now) {}
+        while self.admitted.len() < self.max_clients {
+            let asks = self.queue.iter().position(|newcomer| newcomer.has_sent);
+            let Some(QueuedClient { mut client, .. }) = self.queue.remove(asks.unwrap_or(0)) else { return };
+            client.pause_reading(false, &self.epoll);
+            self.admitted.insert(client.id.0, client);
+        }
+        while self.queue.front().is_some_and(|newcomer| now > newcomer.since + QUEUE_TIMEOUT) {
+            let first = self.queue.pop_front();
             first.into_iter().for_each(|newcomer| self.refuse(newcomer.client));
         }
     }
@@ -546,67 +567,70 @@
     /// mute and then the longest unused makes room for a newcomer, which waits for that, but not for long. Whether one
     /// has gone.
     fn evict(&mut self, now: Time) -> bool {
-        let unused = self.taken.values().filter_map(|client| Some((client.unused_for(now)?, client)));
-        let unused = unused.filter(|(span, _)| *span > NEW);
-        let longest = unused.max_by_key(|(span, client)| (!client.asked, *span));
+        let unused = self.admitted.values().filter_map(|client| Some((client.unused_for(now)?, client)));
+        let unused = unused.filter(|(span, _)| *span > MIN_EVICTION_AGE);
+        let longest = unused.max_by_key(|(span, client)| (!client.has_sent, *span));
         let Some(number) = longest.map(|(_, client)| client.id.0) else { return false };
-        self.end_resting(number, Code::RoomNeeded);
-        !self.taken.contains_key(&number)
+        self.close_unused(number, CloseReason::Evicted);
+        !self.admitted.contains_key(&number)
     }
 
     /// Answers what a newcomer without a place has asked, and ends its connection.
     fn refuse(&mut self, mut client: Client) {
-        if client.turn().is_ok() {
-            for what in std::mem::take(&mut client.untold) {
+        if client.read().is_ok() {
+            for what in std::mem::take(&mut client.unforwarded) {
                 if let FromClient::Visit { id, .. } = what {
-                    let parts = msgpack::turned_back(id, Span::ZERO);
-                    let _ = client.line.write_now(&parts.each_ref().map(|part| &part[..]));
+                    let parts = msgpack::refused(id, Span::ZERO);
+                    let _ = client.connection.try_write(&parts.each_ref().map(|part| &part[..]));
                 }
             }
         }
         let number = client.id.0;
-        client.ended(Code::TooManyClients);
-        client.hold(false, &self.epoll);
-        if !client.line.peer_left() {
-            self.linger(number, client.line.clone());
+        client.close(CloseReason::TooManyClients);
+        client.pause_reading(false, &self.epoll);
+        if !client.connection.is_peer_closed() {
+            self.linger(number, client.connection.clone());
         }
     }
 
-    fn close(&mut self, number: u64, code: Code) {
-        let Some(client) = self.taken.remove(&number) else { return };
-        client.ended(code);
-        if client.asked {
-            let _ = self.tell.ends.send(Input::Client(client.id, FromClient::Closed));
+    fn close(&mut self, number: u64, code: CloseReason) {
+        let Some(client) = self.admitted.remove(&number) else { return };
+        client.close(code);
+        if client.has_sent {
+            let _ = self.router.closed.send(Input::Client(client.id, FromClient::Closed));
         }
         let event = &mut EpollEvent::new(EpollFlags::EPOLLIN, number);
-        if client.line.peer_left() || client.held && self.epoll.modify(&*client.line, event).is_err() {
-            let _ = self.epoll.delete(&*client.line);
+        if client.connection.is_peer_closed()
+            || client.is_paused && self.epoll.modify(&*client.connection, event).is_err()
+        {
+            let _ = self.epoll.delete(&*client.connection);
         } else {
-            self.linger(number, client.line.clone());
+            self.linger(number, client.connection.clone());
         }
     }
 
-    fn linger(&mut self, number: u64, line: Arc<Line>) {
-        self.lingering.insert(number, Lingering { line, until: clock::now() + LINGER, bytes: 0 });
-        if self.lingering.len() > LINGER_MOST {
-            self.lingering.keys().next().copied().into_iter().for_each(|first| self.let_go(first));
+    fn linger(&mut self, number: u64, line: Arc<Connection>) {
+        self.lingering
+            .insert(number, Lingering { connection: line, until: clock::now() + LINGER_TIMEOUT, bytes: 0 });
+        if self.lingering.len() > MAX_LINGERING {
+            self.lingering.keys().next().copied().into_iter().for_each(|first| self.end_linger(first));
         }
-        self.pass_over(number);
+        self.discard_input(number);
     }
 
     /// Looked after no more, whoever holds it still.
-    fn let_go(&mut self, number: u64) {
+    fn end_linger(&mut self, number: u64) {
         if let Some(lingering) = self.lingering.remove(&number) {
-            let _ = self.epoll.delete(&*lingering.line);
+            let _ = self.epoll.delete(&*lingering.connection);
         }
     }
 
-    fn pass_over(&mut self, number: u64) {
+    fn discard_input(&mut self, number: u64) {
         let Some(lingering) = self.lingering.get_mut(&number) else { return };
-        let passed = lingering.line.pass_over(&mut [0; PIECE]);
+        let passed = lingering.connection.discard(&mut [0; READ_BYTES]);
         lingering.bytes += passed.unwrap_or(0);
-        if passed.is_none() || lingering.bytes > LINGER_BYTES {
-            self.let_go(number);
+        if passed.is_none() || lingering.bytes > MAX_LINGER_BYTES {
+            self.end_linger(number);
         }
     }
 }
@@ -614,146 +638,155 @@
 /// The reading side of one connection.
 struct Client {
     id: ClientId,
-    from: SocketAddr,
-    line: Arc<Line>,
-    opened: Time,
+    address: SocketAddr,
+    connection: Arc<Connection>,
+    opened_at: Time,
     /// Visits that are open, and answers to them that are not written yet.
-    busy: Gauge,
-    asked: bool,
+    in_use: Gauge,
+    has_sent: bool,
     buffer: BytesMut,
     /// Messages that were read, and whether reading rests for that.
-    untold: VecDeque<FromClient>,
-    held: bool,
+    unforwarded: VecDeque<FromClient>,
+    is_paused: bool,
     /// Requests that may be open, by their numbers.
-    open: BTreeMap<u32, Withdraw>,
+    open_requests: BTreeMap<u32, CancelHandle>,
     /// The number of the last message.
-    last: u32,
+    last_id: u32,
     visits: u64,
     /// What is open was told to end.
-    ending: bool,
+    is_closing: bool,
 }
 
 /// From so many on, requests that are over are forgotten.
-const OPEN_KEPT: usize = 64;
+const PRUNE_OPEN_AT: usize = 64;
 
 impl Client {
     fn new(id: ClientId, stream: TcpStream, from: SocketAddr) -> Client {
         Client {
             id,
-            from,
-            line: Arc::new(Line::new(stream)),
-            opened: clock::now(),
-            busy: Gauge::default(),
-            asked: false,
+            address: from,
+            connection: Arc::new(Connection::new(stream)),
+            opened_at: clock::now(),
+            in_use: Gauge::default(),
+            has_sent: false,
             buffer: BytesMut::new(),
-            untold: VecDeque::new(),
-            held: false,
-            open: BTreeMap::new(),
-            last: 0,
+            unforwarded: VecDeque::new(),
+            is_paused: false,
+            open_requests: BTreeMap::new(),
+            last_id: 0,
             visits: 0,
-            ending: false,
+            is_closing: false,
         }
     }
 
     /// Whether it is not read from, but for its end.
-    fn hold(&mut self, held: bool, epoll: &Epoll) {
-        if std::mem::replace(&mut self.held, held) != held {
-            let flags = if held { EpollFlags::EPOLLRDHUP } else { reads() };
-            let _ = epoll.modify(&*self.line, &mut EpollEvent::new(flags, self.id.0));
+    fn pause_reading(&mut self, held: bool, epoll: &Epoll) {
+        if std::mem::replace(&mut self.is_paused, held) != held {
+            let flags = if held { EpollFlags::EPOLLRDHUP } else { read_flags() };
+            let _ = epoll.modify(&*self.connection, &mut EpollEvent::new(flags, self.id.0));
         }
     }
 
     /// Whether something is open on it, or read and not told.
-    fn is_used(&self) -> bool {
-        self.busy.amount() > 0 || !self.untold.is_empty()
+    fn is_in_use(&self) -> bool {
+        self.in_use.amount() > 0 || !self.unforwarded.is_empty()
     }
 
     fn unused_for(&self, now: Time) -> Option<Span> {
-        (!self.is_used()).then(|| now - self.line.heard())
+        (!self.is_in_use()).then(|| now - self.connection.last_read_at())
     }
 
     /// Why it is to end. Guards against connections that stay mute, break off in a message or are not used.
-    fn fault(&self, now: Time, leaving: bool) -> Option<Code> {
-        if self.line.is_ended() {
-            return Some(self.line.code());
+    fn reason_to_close(&self, now: Time, leaving: bool) -> Option<CloseReason> {
+        if self.connection.is_shut_down() {
+            return Some(self.connection.close_reason());
         }
-        let mute = (!self.asked).then(|| now - self.opened);
-        let half = self.line.half_for(now);
+        let mute = (!self.has_sent).then(|| now - self.opened_at);
+        let half = self.connection.partial_for(now);
         let unused = self.unused_for(now).filter(|_| half.is_none());
         let at_most = |span: Option<Span>, most: Span, code| span.filter(|span| *span > most).map(|_| code);
-        let rests = leaving && unused.is_some() && mute.is_none_or(|span| span > NEW);
-        at_most(half, HALF[0], Code::HalfMessage)
-            .or(at_most(mute, MUTE, Code::Mute))
-            .or(at_most(unused, IDLE, Code::Idle))
-            .or(rests.then_some(Code::Stopped))
+        let rests = leaving && unused.is_some() && mute.is_none_or(|span| span > MIN_EVICTION_AGE);
+        at_most(half, PARTIAL_MESSAGE_TIMEOUTS[0], CloseReason::MessageTimeout)
+            .or(at_most(mute, FIRST_MESSAGE_TIMEOUT, CloseReason::Silent))
+            .or(at_most(unused, IDLE_TIMEOUT, CloseReason::Idle))
+            .or(rests.then_some(CloseReason::ShuttingDown))
     }
 
     /// What is open on it gets its final answer, once it has stood in mid-message for long.
-    fn end_soon(&mut self, now: Time, tell: &Tell) {
-        let long = self.line.half_for(now).is_some_and(|span| span > HALF[1]);
-        if long && !std::mem::replace(&mut self.ending, true) {
-            let _ = tell.ends.send(Input::Client(self.id, FromClient::Ending));
+    fn finish_open_visits(&mut self, now: Time, tell: &RouterSenders) {
+        let long = self.connection.partial_for(now).is_some_and(|span| span > PARTIAL_MESSAGE_TIMEOUTS[1]);
+        if long && !std::mem::replace(&mut self.is_closing, true) {
+            let _ = tell.closed.send(Input::Client(self.id, FromClient::Closing));
         }
     }
 
-    fn ended(&self, code: Code) {
-        self.line.finish(code);
-        let (client, code, visits) = (self.id.0, self.line.code().word(), self.visits);
+    fn close(&self, code: CloseReason) {
+        self.connection.shut_down_write(code);
+        let (client, code, visits) = (self.id.0, self.connection.close_reason().code(), self.visits);
         tracing::info!(
             client,
             code,
             visits,
             "client {client} {} closed: {code} after {visits} visits",
-            self.from
+            self.address
         );
     }
 
     /// Reads one piece of what has come, so that who sends much waits its turn, and takes all whole messages.
-    fn turn(&mut self) -> Result<(), Code> {
-        let line = self.line.clone();
-        let _until_marked = line.reading();
-        let Some(at) = self.line.read_now(&mut self.buffer, PIECE)? else { return Ok(()) };
+    fn read(&mut self) -> Result<(), CloseReason> {
+        let line = self.connection.clone();
+        let _until_marked = line.lock_reads();
+        let Some(at) = self.connection.try_read(&mut self.buffer, READ_BYTES)? else { return Ok(()) };
         let mut messages = Vec::new();
         while let Some(message) = msgpack::next(&mut self.buffer)? {
             messages.push(message);
         }
-        self.line.left_over(&self.buffer, !messages.is_empty());
+        self.connection.messages_taken(&self.buffer, !messages.is_empty());
         if self.buffer.is_empty() {
             // Guards against large messages whose room stays with connections that stand.
             self.buffer = BytesMut::new();
         }
-        if messages.is_empty() || self.line.has_left() {
+        if messages.is_empty() || self.connection.is_closed() {
             return Ok(());
         }
         // Guards against an answer that could be taken for another message's. What came together with such a
         // message is not taken either.
         for message in &messages {
-            if let Message::Visit(id, _) | Message::Bad(id, _) | Message::Status(id) = message {
-                if *id <= self.last {
-                    return Err(Code::IdNotUp);
+            if let Message::Visit(id, _) | Message::Malformed(id, _) | Message::Status(id) = message {
+                if *id <= self.last_id {
+                    return Err(CloseReason::IdNotIncreasing);
                 }
-                self.last = *id;
+                self.last_id = *id;
             }
         }
-        if !std::mem::replace(&mut self.asked, true) {
-            self.untold.push_back(FromClient::Opened { line: self.line.clone() });
+        if !std::mem::replace(&mut self.has_sent, true) {
+            self.unforwarded.push_back(FromClient::Opened { connection: self.connection.clone() });
         }
         for message in messages {
             match message {
                 Message::Visit(id, asked) => {
                     self.visits += 1;
-                    let (busy, wanted) = (self.busy.hold(1), Wanted::new(self.line.clone(), id));
-                    if self.open.len() >= OPEN_KEPT {
-                        self.open.retain(|_, withdraw| withdraw.is_open());
+                    let (busy, wanted) =
+                        (self.in_use.reserve(1), CancelToken::new(self.connection.clone(), id));
+                    if self.open_requests.len() >= PRUNE_OPEN_AT {
+                        self.open_requests.retain(|_, withdraw| withdraw.is_open());
                     }
-                    self.open.insert(id, wanted.withdraw());
-                    self.untold.push_back(FromClient::Visit { id, asked, at, busy, wanted });
+                    self.open_requests.insert(id, wanted.handle());
+                    self.unforwarded.push_back(FromClient::Visit {
+                        id,
+                        request: asked,
+                        received_at: at,
+                        in_use: busy,
+                        cancel: wanted,
+                    });
                 }
-                Message::Bad(id, field) => self.untold.push_back(FromClient::Bad { id, field }),
-                Message::Status(id) => self.untold.push_back(FromClient::Status { id }),
+                Message::Malformed(id, field) => {
+                    self.unforwarded.push_back(FromClient::Malformed { id, field })
+                }
+                Message::Status(id) => self.unforwarded.push_back(FromClient::Status { id }),
                 Message::Withdraw(ids) => {
-                    ids.iter().filter_map(|id| self.open.get(id)).for_each(Withdraw::now);
-                    self.untold.push_back(FromClient::Withdrawn { ids });
+                    ids.iter().filter_map(|id| self.open_requests.get(id)).for_each(CancelHandle::cancel);
+                    self.unforwarded.push_back(FromClient::Withdraw { ids });
                 }
                 Message::Unknown => {}
             }
@@ -762,12 +795,16 @@
     }
 }
 
-fn write_slowly(line: &Line, late: Receiver<Late>, spent: &Spent) {
-    while let Some(Late { answer, written, _waiting }) = mailbox::next(&late) {
+fn write_slowly(line: &Connection, late: Receiver<QueuedAnswer>, spent: &Latencies) {
+    while let Some(QueuedAnswer { answer, written, _queued: _waiting }) = mailbox::recv(&late) {
         if let Err(error) = line.write(&answer.bytes(), written) {
-            line.finish(if is_wait(&error) { Code::SlowReader } else { Code::WriteFailed });
+            line.shut_down_write(if is_timeout(&error) {
+                CloseReason::SlowReader
+            } else {
+                CloseReason::WriteFailed
+            });
             return;
         }
-        answer.written(spent);
+        answer.record_latency(spent);
     }
 }
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -6,21 +6,21 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What the monotonic clock shows at the start, so that points before it can be told.
-const FIRST: Time = Time(365 * 86_400 * 1_000_000);
+const START: Time = Time(365 * 86_400 * 1_000_000);
 
-struct Begin {
+struct ProcessStart {
     instant: Instant,
     unix: UnixTime,
 }
 
-fn begin() -> &'static Begin {
-    static BEGIN: OnceLock<Begin> = OnceLock::new();
-    BEGIN.get_or_init(|| Begin { instant: Instant::now(), unix: wall() })
+fn process_start() -> &'static ProcessStart {
+    static BEGIN: OnceLock<ProcessStart> = OnceLock::new();
+    BEGIN.get_or_init(|| ProcessStart { instant: Instant::now(), unix: wall() })
 }
 
 /// Now, by the monotonic clock.
 pub fn now() -> Time {
-    FIRST + Span(begin().instant.elapsed().as_micros() as u64)
+    START + Span(process_start().instant.elapsed().as_micros() as u64)
 }
 
 pub fn duration(span: Span) -> Duration {
@@ -41,16 +41,16 @@
 
 /// The same of a point in time.
 pub fn unix_at(time: Time) -> UnixTime {
-    let begin = begin().unix;
-    if time >= FIRST {
-        begin + (time - FIRST)
+    let start = process_start().unix;
+    if time >= START {
+        start + (time - START)
     } else {
-        begin - (FIRST - time)
+        start - (START - time)
     }
 }
 
 /// The way back, for what an earlier process recorded. What is still to come by this wall clock counts as now.
-pub fn time_of(unix: UnixTime) -> Time {
+pub fn from_unix(unix: UnixTime) -> Time {
     let now = now();
     now - (unix_at(now) - unix)
 }
--- a/crates/dispatcher/src/letters.rs
+++ b/crates/dispatcher/src/host_messages.rs
@@ -1,10 +1,10 @@
 //! What hosts' actors are sent, by the router, by their connections and by themselves.
-use crate::bounds::Held;
+use crate::cancellation::CancelToken;
+use crate::capacity::Reservation;
 use crate::clock;
-use crate::ids::{HandOffId, HostNo, LineId, ProbeNo};
-use crate::line::{Code, Line};
+use crate::connection::{CloseReason, Connection};
+use crate::ids::{ConnectionId, HandOffId, HostActorId, ProbeId};
 use crate::resp::{self, Answer};
-use crate::wanted::Wanted;
 use bytes::Bytes;
 use cherrypass::time::Time;
 use crossbeam_channel::Sender;
@@ -14,34 +14,34 @@
 
 /// How far a hand-off has got on its way out: when it was wholly written, before which it can't have run.
 #[derive(Clone, Debug, Default)]
-pub struct Way(Arc<AtomicU64>);
+pub struct SendState(Arc<AtomicU64>);
 
-const WAITS: u64 = 0;
-const BEGUN: u64 = 1;
-const OFF: u64 = u64::MAX;
+const UNSENT: u64 = 0;
+const STARTED: u64 = 1;
+const REVOKED: u64 = u64::MAX;
 
-impl Way {
+impl SendState {
     /// Guards against a hand-off that is written late, after its visit's final answer: one that is called off
     /// before its first byte stays unwritten.
-    pub fn begin(&self) -> bool {
-        self.0.compare_exchange(WAITS, BEGUN, Relaxed, Relaxed).is_ok()
+    pub fn start(&self) -> bool {
+        self.0.compare_exchange(UNSENT, STARTED, Relaxed, Relaxed).is_ok()
     }
 
-    pub fn written(&self) {
+    pub fn mark_written(&self) {
         self.0.store(clock::now().0, Relaxed);
     }
 
     /// Whether this came before the first byte, so that the hand-off never goes out.
-    pub fn call_off(&self) -> bool {
-        self.0.compare_exchange(WAITS, OFF, Relaxed, Relaxed).is_ok()
+    pub fn revoke(&self) -> bool {
+        self.0.compare_exchange(UNSENT, REVOKED, Relaxed, Relaxed).is_ok()
     }
 
-    pub fn is_off(&self) -> bool {
-        self.0.load(Relaxed) == OFF
+    pub fn is_revoked(&self) -> bool {
+        self.0.load(Relaxed) == REVOKED
     }
 
     pub fn written_at(&self) -> Option<Time> {
-        Some(self.0.load(Relaxed)).filter(|at| ![WAITS, BEGUN, OFF].contains(at)).map(Time)
+        Some(self.0.load(Relaxed)).filter(|at| ![UNSENT, STARTED, REVOKED].contains(at)).map(Time)
     }
 }
 
@@ -55,77 +55,77 @@
     pub fields: String,
     pub body: Bytes,
     /// The tag of the copy that the client holds.
-    pub seen: Option<Bytes>,
+    pub client_tag: Option<Bytes>,
     /// What answers it is a copy; a write's answer is none, also where it goes through a cache.
-    pub copy: bool,
+    pub expects_copy: bool,
     /// A miss is filled, from a source that gives what it lacks too.
-    pub fills: bool,
+    pub fills_miss: bool,
     /// Until when an answer may come.
     pub until: Time,
     /// It never begins past this.
-    pub latest: Time,
-    pub wanted: Wanted,
-    pub way: Way,
+    pub latest_start: Time,
+    pub cancel: CancelToken,
+    pub send_state: SendState,
 }
 
 impl HandOff {
     /// Whether its first byte goes out now; from then on it can't be called off unwritten. The one place that says so,
     /// for first, further, recorded and delayed ones: guards against what goes out though its time passed, or its
     /// client left, while it waited for a connection, a record or a slow host.
-    pub fn begin(&self, now: Time) -> bool {
-        now < self.latest && self.wanted.look() && self.way.begin()
+    pub fn start(&self, now: Time) -> bool {
+        now < self.latest_start && self.cancel.check_live() && self.send_state.start()
     }
 
     pub fn head(&self, now: Time) -> Bytes {
         let wait = ((self.until - now).0 / 1000).max(1);
-        resp::want(&self.txn, &format!("{},w={wait}", self.fields), self.body.len())
+        resp::hand_off_head(&self.txn, &format!("{},w={wait}", self.fields), self.body.len())
     }
 }
 
 pub enum ToHost {
     HandOff(HandOff),
-    NeverMind(HandOffId),
+    Cancel(HandOffId),
     /// How busy is it?
-    Probe(ProbeNo),
+    Probe(ProbeId),
     /// The hand-off's connection had to be up by now.
-    ConnectLimit(HandOffId),
+    ConnectTimeout(HandOffId),
     /// Whether it drains, and so takes nothing new.
-    Drains(bool),
-    Retire,
-    Up(LineId, Arc<Line>),
-    GivenUp(LineId, HandOffId, Time),
+    SetDraining(bool),
+    Remove,
+    Connected(ConnectionId, Arc<Connection>),
+    CancelSent(ConnectionId, HandOffId, Time),
     /// It was not to begin any more when its turn came.
-    Unsent(LineId, HandOffId),
-    Answered(LineId, Answer, Held, Time),
-    Closed(LineId, Code, Time),
+    NotStarted(ConnectionId, HandOffId),
+    Answer(ConnectionId, Answer, Reservation, Time),
+    Closed(ConnectionId, CloseReason, Time),
 }
 
 /// What the thread of all hosts is sent. It is one, however long the list: guards against fleets in which each
 /// dispatcher keeps a thread for each host that it may never send to.
-pub enum Letter {
-    Join(Box<Newcomer>),
-    For(HostNo, ToHost),
+pub enum HostThreadMessage {
+    AddHost(Box<NewHost>),
+    ToHost(HostActorId, ToHost),
     Sweep(Time),
 }
 
 /// A host that begins, its actor made by the thread itself.
-pub struct Newcomer {
+pub struct NewHost {
     pub name: String,
     pub address: SocketAddr,
-    pub own: Mailbox,
-    pub joined: Held,
+    pub mailbox: HostMailbox,
+    pub registration: Reservation,
 }
 
 /// A host's mailbox.
 #[derive(Clone, Debug)]
-pub struct Mailbox {
-    pub number: HostNo,
-    pub letters: Sender<Letter>,
+pub struct HostMailbox {
+    pub id: HostActorId,
+    pub messages: Sender<HostThreadMessage>,
 }
 
-impl Mailbox {
+impl HostMailbox {
     /// Whether it was taken: it is until the thread of all hosts has ended.
     pub fn send(&self, message: ToHost) -> bool {
-        self.letters.send(Letter::For(self.number, message)).is_ok()
+        self.messages.send(HostThreadMessage::ToHost(self.id, message)).is_ok()
     }
 }
--- a/crates/dispatcher/src/inbox.rs
+++ b/crates/dispatcher/src/inbox.rs
@@ -1,11 +1,11 @@
 //! The router's mailbox: what clients, hosts, the change log, signals, the store and the fleet tell it. It lies below all of
 //! them and knows none, so that none of them knows the router.
-use crate::bounds::Held;
-use crate::ids::{ClientId, HandOffId, HostNo, ProbeNo};
-use crate::line::Line;
-use crate::msgpack::Asked;
+use crate::cancellation::CancelToken;
+use crate::capacity::Reservation;
+use crate::connection::Connection;
+use crate::ids::{ClientId, HandOffId, HostActorId, ProbeId};
+use crate::msgpack::VisitRequest;
 use crate::resp::Answer;
-use crate::wanted::Wanted;
 use cherrypass::calls::{Listing, Outcome, Report};
 use cherrypass::time::{Time, UnixTime};
 use cherrypass_keep::purges::Purge;
@@ -17,12 +17,12 @@
 pub enum Input {
     Client(ClientId, FromClient),
     HandOff(HandOffId, FromHost),
-    Probed(ProbeNo, Report),
+    ProbeEnded(ProbeId, Report),
     Changed(Change),
     /// All that the change log had at that time is known here.
     LogKnown(Time),
     /// A host reset its connections or refused one.
-    Cut(HostNo),
+    HostReset(HostActorId),
     /// What the store made of a hand-off's record.
     Recorded(HandOffId, Taken),
     Fleet(FromFleet),
@@ -32,39 +32,39 @@
 /// What clients tell the router; a visit with the time of its last byte.
 pub enum FromClient {
     Opened {
-        line: Arc<Line>,
+        connection: Arc<Connection>,
     },
     Visit {
         id: u32,
-        asked: Box<Asked>,
-        at: Time,
-        busy: Held,
-        wanted: Wanted,
+        request: Box<VisitRequest>,
+        received_at: Time,
+        in_use: Reservation,
+        cancel: CancelToken,
     },
-    Bad {
+    Malformed {
         id: u32,
         field: &'static str,
     },
     Status {
         id: u32,
     },
-    Withdrawn {
+    Withdraw {
         ids: Vec<u32>,
     },
     /// The connection is about to be ended: what is open on it gets its final answer now.
-    Ending,
+    Closing,
     Closed,
 }
 
 /// What hosts tell the router of a hand-off.
 pub enum FromHost {
     /// The host was told that no answer is wanted any more, or its connection has ended.
-    GivenUp {
+    CancelSent {
         at: Time,
     },
     Ended {
         outcome: Outcome,
-        answer: Option<(Answer, Held)>,
+        answer: Option<(Answer, Reservation)>,
         at: Time,
     },
 }
--- a/crates/dispatcher/src/spent.rs
+++ b/crates/dispatcher/src/latency.rs
@@ -3,30 +3,30 @@
 use cherrypass::time::Span;
 use std::sync::atomic::{AtomicU32, AtomicU64, AtomicUsize, Ordering::Relaxed};
 
-const STEPS: f64 = 4.0;
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
 const BUCKETS: usize = 128;
 
 #[derive(Debug)]
-pub struct Spread {
+pub struct Histogram {
     buckets: [AtomicU32; BUCKETS],
-    most: AtomicU64,
+    max: AtomicU64,
 }
 
-impl Default for Spread {
-    fn default() -> Spread {
-        Spread { buckets: [const { AtomicU32::new(0) }; BUCKETS], most: AtomicU64::new(0) }
+impl Default for Histogram {
+    fn default() -> Histogram {
+        Histogram { buckets: [const { AtomicU32::new(0) }; BUCKETS], max: AtomicU64::new(0) }
     }
 }
 
-impl Spread {
-    pub fn push(&self, span: Span) {
-        let place = ((span.0.max(1) as f64).log2() * STEPS) as usize;
+impl Histogram {
+    pub fn record(&self, span: Span) {
+        let place = ((span.0.max(1) as f64).log2() * BUCKETS_PER_DOUBLING) as usize;
         self.buckets[place.min(BUCKETS - 1)].fetch_add(1, Relaxed);
-        self.most.fetch_max(span.0, Relaxed);
+        self.max.fetch_max(span.0, Relaxed);
     }
 
     /// The typical time, the worst hundredth and the worst, of all since the last call.
-    pub fn line(&self) -> String {
+    pub fn summarize(&self) -> String {
         let counts: Vec<u32> = self.buckets.iter().map(|bucket| bucket.swap(0, Relaxed)).collect();
         let seen: u32 = counts.iter().sum();
         let part = |part: f64| {
@@ -35,19 +35,19 @@
                 left -= f64::from(*count);
                 left <= 0.0
             });
-            place.map_or(0.0, |place| ((place + 1) as f64 / STEPS).exp2() / 1000.0)
+            place.map_or(0.0, |place| ((place + 1) as f64 / BUCKETS_PER_DOUBLING).exp2() / 1000.0)
         };
-        let most = self.most.swap(0, Relaxed) as f64 / 1000.0;
+        let most = self.max.swap(0, Relaxed) as f64 / 1000.0;
         format!("{:.2}/{:.2}/{most:.1} ms ({seen})", part(0.5), part(0.99))
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Spent {
-    pub inward: Spread,
-    pub outward: Spread,
-    pub timers: Spread,
-    pub mailbox: Spread,
-    pub unread_most: AtomicUsize,
-    pub open_most: AtomicUsize,
+pub struct Latencies {
+    pub inbound: Histogram,
+    pub outbound: Histogram,
+    pub timers: Histogram,
+    pub mailbox: Histogram,
+    pub max_unread_bytes: AtomicUsize,
+    pub max_open_visits: AtomicUsize,
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -3,20 +3,22 @@
 #![forbid(unsafe_code)]
 
 pub mod attempt_log;
-pub mod bounds;
+pub mod cancellation;
+pub mod capacity;
 pub mod carried;
 pub mod change_clock;
 pub mod changes;
 pub mod clients;
 pub mod clock;
 pub mod config;
+pub mod connection;
+pub mod host_connections;
+pub mod host_messages;
 pub mod hosts;
 pub mod ids;
 pub mod inbox;
 pub mod keeping;
-pub mod letters;
-pub mod line;
-pub mod lines;
+pub mod latency;
 pub mod list;
 pub mod log_changes;
 pub mod logger;
@@ -25,9 +27,7 @@
 pub mod resp;
 pub mod rollout_commands;
 pub mod router;
-pub mod serve;
 pub mod sharing;
 pub mod signals;
-pub mod spent;
+pub mod startup;
 pub mod store_commands;
-pub mod wanted;
--- a/crates/dispatcher/src/logger.rs
+++ b/crates/dispatcher/src/logger.rs
@@ -16,7 +16,7 @@
 use tracing_subscriber::registry::LookupSpan;
 
 /// How many lines may wait for whoever reads the log: a list of 1,024 hosts, a line each, and what comes meanwhile.
-const WAITING: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
@@ -28,20 +28,20 @@
 }
 
 /// Unix time in seconds, to the microsecond.
-struct WallClock;
+struct UnixSeconds;
 
-impl FormatTime for WallClock {
+impl FormatTime for UnixSeconds {
     fn format_time(&self, to: &mut Writer) -> fmt::Result {
         let now = clock::wall().0;
         write!(to, "{}.{:06}", now / 1_000_000, now % 1_000_000)
     }
 }
 
-struct Text;
+struct TextFormat;
 
-struct Message<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
+struct MessageVisitor<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
 
-impl Visit for Message<'_, '_> {
+impl Visit for MessageVisitor<'_, '_> {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
             self.1 = write!(self.0, "{value:?}");
@@ -49,15 +49,15 @@
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Text
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<S, N>, mut to: Writer, event: &Event) -> fmt::Result {
-        WallClock.format_time(&mut to)?;
+        UnixSeconds.format_time(&mut to)?;
         write!(to, " {} ", event.metadata().level().as_str().to_ascii_lowercase())?;
-        let mut message = Message(&mut to, Ok(()));
+        let mut message = MessageVisitor(&mut to, Ok(()));
         event.record(&mut message);
         message.1?;
         writeln!(to)
@@ -65,40 +65,44 @@
 }
 
 /// Writes lines, and after one how many were dropped before it.
-struct Counted<W> {
-    to: W,
+struct DropReporter<W> {
+    writer: W,
     dropped: Arc<OnceLock<ErrorCounter>>,
-    told: usize,
+    reported: usize,
 }
 
-impl<W: Write> Write for Counted<W> {
+impl<W: Write> Write for DropReporter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.to.write_all(bytes)?;
+        self.writer.write_all(bytes)?;
         let dropped = self.dropped.get().map_or(0, ErrorCounter::dropped_lines);
-        if dropped > self.told {
-            writeln!(self.to, "log lines dropped: {}", dropped - self.told)?;
-            self.told = dropped;
+        if dropped > self.reported {
+            writeln!(self.writer, "log lines dropped: {}", dropped - self.reported)?;
+            self.reported = dropped;
         }
         Ok(bytes.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.to.flush()
+        self.writer.flush()
     }
 }
 
 /// A log that goes to some place; what waits is written before the guard's end.
-pub fn to(place: impl Write + Send + 'static, level: LevelFilter, format: Format) -> (Dispatch, WorkerGuard) {
+pub fn log_to(
+    place: impl Write + Send + 'static,
+    level: LevelFilter,
+    format: Format,
+) -> (Dispatch, WorkerGuard) {
     let dropped = Arc::new(OnceLock::new());
-    let counted = Counted { to: place, dropped: dropped.clone(), told: 0 };
-    let builder = NonBlockingBuilder::default().buffered_lines_limit(WAITING).lossy(true);
+    let counted = DropReporter { writer: place, dropped: dropped.clone(), reported: 0 };
+    let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_QUEUED_LINES).lossy(true);
     let (writer, guard) = builder.thread_name("log").finish(counted);
     let _ = dropped.set(writer.error_counter());
     let base = tracing_subscriber::fmt().with_max_level(level).with_writer(writer).with_ansi(false);
     let dispatch = match format {
-        Format::Text => Dispatch::new(base.event_format(Text).finish()),
+        Format::Text => Dispatch::new(base.event_format(TextFormat).finish()),
         Format::Json => {
-            let json = base.json().flatten_event(true).with_timer(WallClock).with_target(false);
+            let json = base.json().flatten_event(true).with_timer(UnixSeconds).with_target(false);
             Dispatch::new(json.with_current_span(false).with_span_list(false).finish())
         }
     };
@@ -107,7 +111,7 @@
 
 /// Starts the process's log on standard error; a second start in one process leaves the first in place.
 pub fn start(level: LevelFilter, format: Format) -> WorkerGuard {
-    let (dispatch, guard) = to(io::stderr(), level, format);
+    let (dispatch, guard) = log_to(io::stderr(), level, format);
     let _ = tracing::dispatcher::set_global_default(dispatch);
     guard
 }
@@ -120,9 +124,9 @@
     use test_case::test_case;
 
     /// Takes nothing until it is let go on.
-    struct Stuck(Option<Receiver<()>>, Sender<String>);
+    struct BlockedWriter(Option<Receiver<()>>, Sender<String>);
 
-    impl Write for Stuck {
+    impl Write for BlockedWriter {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             if let Some(wait) = self.0.take() {
                 let _ = wait.recv();
@@ -138,7 +142,7 @@
 
     fn lines(format: Format, then: impl FnOnce()) -> Vec<String> {
         let ((go, wait), (tell, told)) = (channel(), channel());
-        let (dispatch, guard) = to(Stuck(Some(wait), tell), LevelFilter::INFO, format);
+        let (dispatch, guard) = log_to(BlockedWriter(Some(wait), tell), LevelFilter::INFO, format);
         tracing::dispatcher::with_default(&dispatch, then);
         drop(go);
         drop((dispatch, guard));
@@ -149,14 +153,17 @@
     fn a_log_that_is_not_read_holds_up_nothing_and_counts_what_it_dropped() {
         let begun = Instant::now();
         let found = lines(Format::Text, || {
-            (0..3 * WAITING).for_each(|number| tracing::info!("line {number}"));
+            (0..3 * MAX_QUEUED_LINES).for_each(|number| tracing::info!("line {number}"));
             assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
         });
         let counts = found.iter().filter_map(|line| line.strip_prefix("log lines dropped: "));
         let dropped: usize = counts.map(|count| count.parse::<usize>().unwrap()).sum();
         let written = found.iter().filter(|line| line.contains(" info line ")).count();
-        assert!(dropped > WAITING && written >= WAITING, "{dropped} dropped, {written} written");
-        assert_eq!(dropped + written, 3 * WAITING);
+        assert!(
+            dropped > MAX_QUEUED_LINES && written >= MAX_QUEUED_LINES,
+            "{dropped} dropped, {written} written"
+        );
+        assert_eq!(dropped + written, 3 * MAX_QUEUED_LINES);
     }
 
     #[test_case(Format::Text, " info host s-a closed"; "text")]
--- a/crates/dispatcher/src/mailbox.rs
+++ b/crates/dispatcher/src/mailbox.rs
@@ -4,7 +4,7 @@
 use crossbeam_channel::{Receiver, Select};
 use std::time::Duration;
 
-pub fn next<T>(mailbox: &Receiver<T>) -> Option<T> {
+pub fn recv<T>(mailbox: &Receiver<T>) -> Option<T> {
     if let Ok(message) = mailbox.try_recv() {
         return Some(message);
     }
@@ -14,7 +14,7 @@
 }
 
 /// The next message of the first of two mailboxes that has one, waited for no longer than told.
-pub fn next_within<T>(mailboxes: &[Receiver<T>; 2], wait: Duration) -> Option<T> {
+pub fn recv_timeout<T>(mailboxes: &[Receiver<T>; 2], wait: Duration) -> Option<T> {
     let found = mailboxes.iter().find_map(|mailbox| mailbox.try_recv().ok());
     if found.is_some() || wait.is_zero() {
         return found;
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -1,7 +1,7 @@
 #![forbid(unsafe_code)]
 use cherrypass_dispatcher::config::{Config, Error};
 use cherrypass_dispatcher::keeping::Kept;
-use cherrypass_dispatcher::serve::Dispatcher;
+use cherrypass_dispatcher::startup::Dispatcher;
 use cherrypass_dispatcher::{logger, rollout_commands, sharing, signals, store_commands};
 use cherrypass_operator as operator;
 use clap::{Args, Parser, Subcommand};
@@ -69,14 +69,14 @@
     },
 }
 
-const FAILED: u8 = 1;
-const BAD_CONFIGURATION: u8 = 2;
+const EXIT_FAILED: u8 = 1;
+const EXIT_BAD_CONFIGURATION: u8 = 2;
 
 fn main() -> ExitCode {
     match Cli::parse().command {
         Command::Serve { files, log, log_format, last_good } => serve(files, log, log_format, last_good),
         Command::Check { files } => check(files),
-        Command::Config(ConfigCommand::Show { operator }) => show(&operator),
+        Command::Config(ConfigCommand::Show { operator }) => show_operator_file(&operator),
         Command::Store(command) => store_commands::run(command),
         Command::Rollout(rollout) => rollout_commands::run(rollout),
         Command::Version => {
@@ -87,15 +87,15 @@
     }
 }
 
-fn bad(error: impl std::fmt::Display) -> ExitCode {
+fn fail_configuration(error: impl std::fmt::Display) -> ExitCode {
     eprintln!("cherrypass: {error}");
-    ExitCode::from(BAD_CONFIGURATION)
+    ExitCode::from(EXIT_BAD_CONFIGURATION)
 }
 
 fn serve(files: Files, level: LevelFilter, format: logger::Format, last_good: bool) -> ExitCode {
     let operator = match files.operator.as_deref().map(operator::load).transpose() {
         Ok(operator) => operator.unwrap_or_default(),
-        Err(error) => return bad(error),
+        Err(error) => return fail_configuration(error),
     };
     let log = logger::start(level, format);
     let kept = operator.store.map(Kept::open);
@@ -117,7 +117,7 @@
         Ok(loaded) => loaded,
         Err(error) => {
             drop(log);
-            return bad(error);
+            return fail_configuration(error);
         }
     };
     let fleet = operator.fleet.map(|fleet| sharing::set(&fleet, &config).map(|set| (fleet, set)));
@@ -125,17 +125,17 @@
         Ok(fleet) => fleet,
         Err(error) => {
             drop(log);
-            return bad(error);
+            return fail_configuration(error);
         }
     };
     let listen = config.listen;
-    let started = signals::taken().and_then(|signals| {
+    let started = signals::register().and_then(|signals| {
         let (dispatcher, tell) = Dispatcher::start(config.clone(), kept.clone(), fleet)?;
         config.known = serde_json::Value::Null;
         if let Some(kept) = &kept {
             kept.in_force(&path, &text);
         }
-        signals::follow(signals, path, config, kept.clone(), tell)?;
+        signals::handle_in_thread(signals, path, config, kept.clone(), tell)?;
         Ok(dispatcher)
     });
     match started {
@@ -148,7 +148,7 @@
         Err(error) => {
             drop(log);
             eprintln!("cherrypass: can't serve on {listen}: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
@@ -157,11 +157,11 @@
     let config = files.config.ok_or(Error::Unnamed).and_then(|path| Config::load(&path));
     let config = match config.and_then(|config| config.check_known().map(|()| config)) {
         Ok(config) => config,
-        Err(error) => return bad(error),
+        Err(error) => return fail_configuration(error),
     };
     let operator = match files.operator.as_deref().map(operator::load).transpose() {
         Ok(operator) => operator.unwrap_or_default(),
-        Err(error) => return bad(error),
+        Err(error) => return fail_configuration(error),
     };
     println!(
         "{} on {}: {} bands, {} dispatchers; {} clients, {} connections to hosts, {} kB unread at most",
@@ -178,7 +178,7 @@
         None => println!("no store"),
     }
     if let Some(Err(error)) = operator.fleet.as_ref().map(|fleet| sharing::set(fleet, &config)) {
-        return bad(error);
+        return fail_configuration(error);
     }
     match operator.fleet {
         Some(fleet) => println!(
@@ -188,16 +188,16 @@
             fleet.listen,
             fleet.members.len(),
             fleet.followers.len(),
-            on(fleet.limits.is_some()),
-            on(fleet.verdicts.is_some()),
-            on(fleet.rollout.is_some())
+            on_off(fleet.limits.is_some()),
+            on_off(fleet.verdicts.is_some()),
+            on_off(fleet.rollout.is_some())
         ),
         None => println!("no fleet"),
     }
     ExitCode::SUCCESS
 }
 
-fn on(is: bool) -> &'static str {
+fn on_off(is: bool) -> &'static str {
     if is {
         "on"
     } else {
@@ -205,7 +205,7 @@
     }
 }
 
-fn show(path: &Path) -> ExitCode {
+fn show_operator_file(path: &Path) -> ExitCode {
     let shown = operator::evaluate(path).and_then(|value| {
         operator::decode(&path.display().to_string(), value.clone())?;
         Ok(value)
@@ -215,6 +215,6 @@
             println!("{value:#}");
             ExitCode::SUCCESS
         }
-        Err(error) => bad(error),
+        Err(error) => fail_configuration(error),
     }
 }
--- a/crates/dispatcher/src/msgpack.rs
+++ b/crates/dispatcher/src/msgpack.rs
@@ -1,56 +1,56 @@
 //! MessagePack-RPC framing of what passes between clients and a dispatcher.
-use crate::line::Code;
+use crate::connection::CloseReason;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use cherrypass::ids::{GroupId, ObjectId};
 use cherrypass::time::Span;
 use rmp::{decode, encode, Marker};
 use std::io::{Cursor, ErrorKind};
 
-pub const BODY_MOST: usize = 48_000;
+pub const MAX_BODY_BYTES: usize = 48_000;
 /// No message of a client is longer.
-pub const MESSAGE_MOST: usize = 64 * 1024;
-const DEPTH_MOST: u32 = 8;
-const HEX: usize = 16;
-const WORD_MOST: usize = 64;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
+const MAX_DEPTH: u32 = 8;
+const HEX_ID_DIGITS: usize = 16;
+const MAX_TOKEN_BYTES: usize = 64;
 
 /// A visit as its client worded it; the rest of it is passed on unread.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct VisitRequest {
     pub txn: Bytes,
-    pub band: Bytes,
+    pub class: Bytes,
     pub item: Bytes,
     pub object: ObjectId,
     pub block: u32,
     pub group: GroupId,
-    pub limit: Span,
-    pub unique: Option<Bytes>,
-    pub cached: Option<Bytes>,
+    pub time_limit: Span,
+    pub dedup_key: Option<Bytes>,
+    pub cached_tag: Option<Bytes>,
     pub body: Bytes,
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    Visit(u32, Box<Asked>),
-    Bad(u32, &'static str),
+    Visit(u32, Box<VisitRequest>),
+    Malformed(u32, &'static str),
     Status(u32),
     Withdraw(Vec<u32>),
     Unknown,
 }
 
-type Cut<'a> = Cursor<&'a [u8]>;
+type Reader<'a> = Cursor<&'a [u8]>;
 
 /// Takes the next message off a buffer, or says that more is to come.
-pub fn next(buffer: &mut BytesMut) -> Result<Option<Message>, Code> {
-    let mut cut = Cursor::new(&buffer[..]);
-    match pass(&mut cut, 0) {
+pub fn next(buffer: &mut BytesMut) -> Result<Option<Message>, CloseReason> {
+    let mut reader = Cursor::new(&buffer[..]);
+    match skip_value(&mut reader, 0) {
         Ok(()) => {}
-        Err(Stop::Short) if buffer.len() >= MESSAGE_MOST => return Err(Code::TooLong),
-        Err(Stop::Short) => return Ok(None),
-        Err(Stop::Fault(code)) => return Err(code),
+        Err(SkipError::Incomplete) if buffer.len() >= MAX_MESSAGE_BYTES => return Err(CloseReason::TooLong),
+        Err(SkipError::Incomplete) => return Ok(None),
+        Err(SkipError::Invalid(code)) => return Err(code),
     }
-    let length = cut.position() as usize;
+    let length = reader.position() as usize;
     let message = buffer.split_to(length).freeze();
-    read(&message).map(Some)
+    decode_message(&message).map(Some)
 }
 
 /// Whether bytes that are not taken yet withdraw a request. They may begin anywhere in a message, so it is looked for by
@@ -59,39 +59,39 @@
     const NAME: &[u8] = b"withdraw";
     let named = waiting.windows(NAME.len()).enumerate().filter(|(_, word)| *word == NAME);
     named.into_iter().any(|(at, _)| {
-        let mut cut = Cursor::new(&waiting[at + NAME.len()..]);
-        let count = decode::read_array_len(&mut cut).unwrap_or(0);
-        (0..count).map_while(|_| decode::read_int::<u32, _>(&mut cut).ok()).any(|other| other == id)
+        let mut reader = Cursor::new(&waiting[at + NAME.len()..]);
+        let count = decode::read_array_len(&mut reader).unwrap_or(0);
+        (0..count).map_while(|_| decode::read_int::<u32, _>(&mut reader).ok()).any(|other| other == id)
     })
 }
 
-enum Stop {
-    Short,
-    Fault(Code),
+enum SkipError {
+    Incomplete,
+    Invalid(CloseReason),
 }
 
-fn stop(kind: Option<ErrorKind>) -> Stop {
+fn skip_error(kind: Option<ErrorKind>) -> SkipError {
     if kind == Some(ErrorKind::UnexpectedEof) {
-        Stop::Short
+        SkipError::Incomplete
     } else {
-        Stop::Fault(Code::Unreadable)
+        SkipError::Invalid(CloseReason::Unreadable)
     }
 }
 
 /// Goes over one value of any type without taking memory for it.
-fn pass(cut: &mut Cut, depth: u32) -> Result<(), Stop> {
+fn skip_value(reader: &mut Reader, depth: u32) -> Result<(), SkipError> {
     use Marker::*;
-    if depth > DEPTH_MOST {
-        return Err(Stop::Fault(Code::Unreadable));
+    if depth > MAX_DEPTH {
+        return Err(SkipError::Invalid(CloseReason::Unreadable));
     }
-    let marker = decode::read_marker(cut).map_err(|error| stop(Some(error.0.kind())))?;
-    let big = |bytes: usize, cut: &mut Cut| -> Result<usize, Stop> {
-        if cut.remaining() < bytes {
-            return Err(Stop::Short);
+    let marker = decode::read_marker(reader).map_err(|error| skip_error(Some(error.0.kind())))?;
+    let big = |bytes: usize, reader: &mut Reader| -> Result<usize, SkipError> {
+        if reader.remaining() < bytes {
+            return Err(SkipError::Incomplete);
         }
-        let value = cut.get_uint(bytes);
-        if value > MESSAGE_MOST as u64 {
-            return Err(Stop::Fault(Code::TooLong));
+        let value = reader.get_uint(bytes);
+        if value > MAX_MESSAGE_BYTES as u64 {
+            return Err(SkipError::Invalid(CloseReason::TooLong));
         }
         Ok(value as usize)
     };
@@ -102,96 +102,96 @@
         U32 | I32 | F32 => (4, 0),
         U64 | I64 | F64 => (8, 0),
         FixStr(n) => (usize::from(n), 0),
-        Str8 | Bin8 => (big(1, cut)?, 0),
-        Str16 | Bin16 => (big(2, cut)?, 0),
-        Str32 | Bin32 => (big(4, cut)?, 0),
+        Str8 | Bin8 => (big(1, reader)?, 0),
+        Str16 | Bin16 => (big(2, reader)?, 0),
+        Str32 | Bin32 => (big(4, reader)?, 0),
         FixArray(n) => (0, usize::from(n)),
-        Array16 => (0, big(2, cut)?),
-        Array32 => (0, big(4, cut)?),
+        Array16 => (0, big(2, reader)?),
+        Array32 => (0, big(4, reader)?),
         FixMap(n) => (0, 2 * usize::from(n)),
-        Map16 => (0, 2 * big(2, cut)?),
-        Map32 => (0, 2 * big(4, cut)?),
-        _ => return Err(Stop::Fault(Code::Unreadable)),
+        Map16 => (0, 2 * big(2, reader)?),
+        Map32 => (0, 2 * big(4, reader)?),
+        _ => return Err(SkipError::Invalid(CloseReason::Unreadable)),
     };
-    let end = cut.position() as usize + bytes;
-    if end + values > MESSAGE_MOST {
-        return Err(Stop::Fault(Code::TooLong));
+    let end = reader.position() as usize + bytes;
+    if end + values > MAX_MESSAGE_BYTES {
+        return Err(SkipError::Invalid(CloseReason::TooLong));
     }
-    if cut.get_ref().len() < end {
-        return Err(Stop::Short);
+    if reader.get_ref().len() < end {
+        return Err(SkipError::Incomplete);
     }
-    cut.set_position(end as u64);
-    (0..values).try_for_each(|_| pass(cut, depth + 1))
+    reader.set_position(end as u64);
+    (0..values).try_for_each(|_| skip_value(reader, depth + 1))
 }
 
 /// One whole message; what is not a message at all ends the connection.
-fn read(message: &Bytes) -> Result<Message, Code> {
-    let mut cut = Cursor::new(&message[..]);
-    let cut = &mut cut;
-    let unreadable = || Code::Unreadable;
-    let parts = decode::read_array_len(cut).map_err(|_| unreadable())?;
-    let sort: u8 = decode::read_int(cut).map_err(|_| unreadable())?;
+fn decode_message(message: &Bytes) -> Result<Message, CloseReason> {
+    let mut reader = Cursor::new(&message[..]);
+    let reader = &mut reader;
+    let unreadable = || CloseReason::Unreadable;
+    let parts = decode::read_array_len(reader).map_err(|_| unreadable())?;
+    let sort: u8 = decode::read_int(reader).map_err(|_| unreadable())?;
     match (sort, parts) {
         (0, 4) => {
-            let id: u32 = decode::read_int(cut).map_err(|_| unreadable())?;
-            let Some(method) = word(message, cut) else { return Ok(Message::Bad(id, "method")) };
+            let id: u32 = decode::read_int(reader).map_err(|_| unreadable())?;
+            let Some(method) = read_str(message, reader) else { return Ok(Message::Malformed(id, "method")) };
             if &method[..] == b"status" {
                 return Ok(Message::Status(id));
             }
-            Ok(match asked(message, cut, method) {
+            Ok(match decode_visit(message, reader, method) {
                 Ok(asked) => Message::Visit(id, Box::new(asked)),
-                Err(field) => Message::Bad(id, field),
+                Err(field) => Message::Malformed(id, field),
             })
         }
         (2, 3) => {
-            let method = word(message, cut).ok_or_else(unreadable)?;
+            let method = read_str(message, reader).ok_or_else(unreadable)?;
             if &method[..] != b"withdraw" {
                 return Ok(Message::Unknown);
             }
-            let count = decode::read_array_len(cut).map_err(|_| unreadable())?;
-            let ids = (0..count).map(|_| decode::read_int(cut).map_err(|_| unreadable()));
-            ids.collect::<Result<Vec<u32>, Code>>().map(Message::Withdraw)
+            let count = decode::read_array_len(reader).map_err(|_| unreadable())?;
+            let ids = (0..count).map(|_| decode::read_int(reader).map_err(|_| unreadable()));
+            ids.collect::<Result<Vec<u32>, CloseReason>>().map(Message::Withdraw)
         }
-        _ => Err(Code::Unreadable),
+        _ => Err(CloseReason::Unreadable),
     }
 }
 
 /// A string or binary as a slice of its message, or nothing where another value stands, which is passed over.
-fn slice(message: &Bytes, cut: &mut Cut, binary: bool) -> Option<Bytes> {
-    let start = cut.position();
+fn read_slice(message: &Bytes, reader: &mut Reader, binary: bool) -> Option<Bytes> {
+    let start = reader.position();
     let length = if binary {
-        decode::read_bin_len(cut).ok().map(|n| n as usize)
+        decode::read_bin_len(reader).ok().map(|n| n as usize)
     } else {
-        decode::read_str_len(cut).ok().map(|n| n as usize)
+        decode::read_str_len(reader).ok().map(|n| n as usize)
     };
-    let from = cut.position() as usize;
+    let from = reader.position() as usize;
     match length.filter(|n| from + n <= message.len()) {
         Some(length) => {
-            cut.set_position((from + length) as u64);
+            reader.set_position((from + length) as u64);
             Some(message.slice(from..from + length))
         }
         None => {
-            cut.set_position(start);
-            let _ = pass(cut, 0);
+            reader.set_position(start);
+            let _ = skip_value(reader, 0);
             None
         }
     }
 }
 
-fn word(message: &Bytes, cut: &mut Cut) -> Option<Bytes> {
-    slice(message, cut, false)
+fn read_str(message: &Bytes, reader: &mut Reader) -> Option<Bytes> {
+    read_slice(message, reader, false)
 }
 
-fn asked(message: &Bytes, cut: &mut Cut, band: Bytes) -> Result<Asked, &'static str> {
-    if !matches!(decode::read_array_len(cut), Ok(2)) {
+fn decode_visit(message: &Bytes, reader: &mut Reader, band: Bytes) -> Result<VisitRequest, &'static str> {
+    if !matches!(decode::read_array_len(reader), Ok(2)) {
         return Err("params");
     }
-    let pairs = decode::read_map_len(cut).map_err(|_| "fields")?;
+    let pairs = decode::read_map_len(reader).map_err(|_| "fields")?;
     let (mut txn, mut limit, mut unique, mut item, mut block, mut family, mut cached) =
         (None, None, None, None, None, None, None);
     for _ in 0..pairs {
-        let name = word(message, cut);
-        let value = word(message, cut);
+        let name = read_str(message, reader);
+        let value = read_str(message, reader);
         match name.as_deref() {
             Some(b"txn") => txn = value,
             Some(b"limit") => limit = value,
@@ -203,37 +203,40 @@
             _ => {}
         }
     }
-    let body = slice(message, cut, true).ok_or("body")?;
-    if body.len() > BODY_MOST {
+    let body = read_slice(message, reader, true).ok_or("body")?;
+    if body.len() > MAX_BODY_BYTES {
         return Err("body");
     }
-    let item = item.filter(is_hex).ok_or("item")?;
+    let item = item.filter(is_hex_id).ok_or("item")?;
     let object = std::str::from_utf8(&item).ok().and_then(|item| u64::from_str_radix(item, 16).ok());
-    Ok(Asked {
-        txn: txn.filter(is_hex).ok_or("txn")?,
+    Ok(VisitRequest {
+        txn: txn.filter(is_hex_id).ok_or("txn")?,
         object: object.map(ObjectId).ok_or("item")?,
-        limit: decimal(limit).filter(|ms| *ms > 0).map(|ms| Span::millis(u64::from(ms))).ok_or("limit")?,
-        block: decimal(block).ok_or("block")?,
-        group: decimal(family).filter(|n| *n < 256).map(GroupId).ok_or("family")?,
-        unique: unique.map(|value| value.filter(is_word).ok_or("unique")).transpose()?,
-        cached: cached.map(|value| value.filter(is_word).ok_or("cached")).transpose()?,
-        band,
+        time_limit: parse_decimal(limit)
+            .filter(|ms| *ms > 0)
+            .map(|ms| Span::millis(u64::from(ms)))
+            .ok_or("limit")?,
+        block: parse_decimal(block).ok_or("block")?,
+        group: parse_decimal(family).filter(|n| *n < 256).map(GroupId).ok_or("family")?,
+        dedup_key: unique.map(|value| value.filter(is_token).ok_or("unique")).transpose()?,
+        cached_tag: cached.map(|value| value.filter(is_token).ok_or("cached")).transpose()?,
+        class: band,
         item,
         body,
     })
 }
 
-fn is_hex(value: &Bytes) -> bool {
-    value.len() == HEX && value.iter().all(u8::is_ascii_hexdigit)
+fn is_hex_id(value: &Bytes) -> bool {
+    value.len() == HEX_ID_DIGITS && value.iter().all(u8::is_ascii_hexdigit)
 }
 
 /// What can be passed on among fields of another wire without being taken for more than one.
-fn is_word(value: &Bytes) -> bool {
-    (1..=WORD_MOST).contains(&value.len())
+fn is_token(value: &Bytes) -> bool {
+    (1..=MAX_TOKEN_BYTES).contains(&value.len())
         && value.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(b))
 }
 
-fn decimal(value: Option<Bytes>) -> Option<u32> {
+fn parse_decimal(value: Option<Bytes>) -> Option<u32> {
     let value = value.filter(|v| !v.is_empty() && v.iter().all(u8::is_ascii_digit))?;
     std::str::from_utf8(&value).ok()?.parse().ok()
 }
@@ -241,7 +244,7 @@
 /// A whole answer in parts, the middle one being the body as it came.
 pub type Parts = [Bytes; 3];
 
-fn begin(id: u32) -> bytes::buf::Writer<BytesMut> {
+fn response_head(id: u32) -> bytes::buf::Writer<BytesMut> {
     let mut head = BytesMut::with_capacity(64).writer();
     let _ = encode::write_array_len(&mut head, 4);
     let _ = encode::write_uint(&mut head, 1);
@@ -249,7 +252,7 @@
     head
 }
 
-fn fields(out: &mut bytes::buf::Writer<BytesMut>, all: &[(&str, &str)]) {
+fn write_fields(out: &mut bytes::buf::Writer<BytesMut>, all: &[(&str, &str)]) {
     let _ = encode::write_map_len(out, all.len() as u32);
     for (name, value) in all {
         let _ = encode::write_str(out, name);
@@ -257,44 +260,44 @@
     }
 }
 
-pub fn settled(id: u32, body: Bytes, keep: bool) -> Parts {
-    let mut head = begin(id);
+pub fn served(id: u32, body: Bytes, keep: bool) -> Parts {
+    let mut head = response_head(id);
     let _ = encode::write_nil(&mut head);
     let _ = encode::write_array_len(&mut head, 2);
     let _ = encode::write_bin_len(&mut head, body.len() as u32);
     let mut tail = BytesMut::with_capacity(16).writer();
-    fields(&mut tail, if keep { &[("keep", "1")] } else { &[] });
+    write_fields(&mut tail, if keep { &[("keep", "1")] } else { &[] });
     [head.into_inner().freeze(), body, tail.into_inner().freeze()]
 }
 
-fn error(id: u32, name: &str, all: &[(&str, &str)]) -> Parts {
-    let mut head = begin(id);
+fn error_response(id: u32, name: &str, all: &[(&str, &str)]) -> Parts {
+    let mut head = response_head(id);
     let _ = encode::write_array_len(&mut head, 2);
     let _ = encode::write_str(&mut head, name);
-    fields(&mut head, all);
+    write_fields(&mut head, all);
     let _ = encode::write_nil(&mut head);
     [head.into_inner().freeze(), Bytes::new(), Bytes::new()]
 }
 
-pub fn turned_back(id: u32, retry_after: Span) -> Parts {
+pub fn refused(id: u32, retry_after: Span) -> Parts {
     let later = (retry_after.0 / 1000).to_string();
     let all = [("later", &later[..])];
-    error(id, "Rejected", if retry_after == Span::ZERO { &[] } else { &all })
+    error_response(id, "Rejected", if retry_after == Span::ZERO { &[] } else { &all })
 }
 
-pub fn written_off(id: u32) -> Parts {
-    error(id, "Failed", &[])
+pub fn failed(id: u32) -> Parts {
+    error_response(id, "Failed", &[])
 }
 
-pub fn bad(id: u32, field: &str) -> Parts {
-    error(id, "BadRequest", &[("field", field)])
+pub fn bad_request(id: u32, field: &str) -> Parts {
+    error_response(id, "BadRequest", &[("field", field)])
 }
 
 pub fn status(id: u32, ready: bool) -> Parts {
-    let mut head = begin(id);
+    let mut head = response_head(id);
     let _ = encode::write_nil(&mut head);
     let _ = encode::write_array_len(&mut head, 2);
     let _ = encode::write_bool(&mut head, ready);
-    fields(&mut head, &[]);
+    write_fields(&mut head, &[]);
     [head.into_inner().freeze(), Bytes::new(), Bytes::new()]
 }
--- a/crates/dispatcher/src/resp.rs
+++ b/crates/dispatcher/src/resp.rs
@@ -1,16 +1,16 @@
 //! RESP framing of what passes between a dispatcher and hosts: arrays of bulk strings.
 use crate::config::HOST_MESSAGE;
-use crate::ids::ProbeNo;
-use crate::line::Code;
+use crate::connection::CloseReason;
+use crate::ids::ProbeId;
 use bytes::{Bytes, BytesMut};
 use cherrypass::calls::{Note, Outcome, Report};
 use cherrypass::time::UnixTime;
 use std::fmt::Write;
 
 /// Fields of an answer hold no more than this.
-const FIELDS_MOST: usize = 4096;
-const ID_MOST: usize = 64;
-const HEAD_MOST: usize = 16;
+const MAX_FIELDS_BYTES: usize = 4096;
+const MAX_ID_BYTES: usize = 64;
+const MAX_LENGTH_LINE_BYTES: usize = 16;
 
 /// An answer of a host, as slices of what was read.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,70 +18,71 @@
     pub id: Bytes,
     pub outcome: Outcome,
     /// The copy that the client holds is the one.
-    pub keep: bool,
+    pub client_copy_current: bool,
     pub note: Note,
     pub report: Report,
     /// The tag of the copy that it is of, where it says that and how old the copy is.
     pub tag: Option<Bytes>,
     /// When the origin gave that copy out.
-    pub born: Option<UnixTime>,
+    pub created: Option<UnixTime>,
     pub body: Bytes,
 }
 
 /// What a buffer begins with.
 #[derive(Debug, PartialEq)]
-pub enum Begun {
+pub enum Parsed {
     Answer(Answer),
     /// An answer that is whole but can't be used.
-    Spoilt,
+    Unusable,
     /// So many bytes more are wanted, at the least.
-    Short(usize),
+    Incomplete(usize),
 }
 
 /// Takes the next answer off a buffer.
-pub fn next(buffer: &mut BytesMut) -> Result<Begun, Code> {
+pub fn next(buffer: &mut BytesMut) -> Result<Parsed, CloseReason> {
     let mut at = 0;
-    let Some(count) = number(buffer, &mut at, b'*')? else { return Ok(Begun::Short(1)) };
+    let Some(count) = read_length(buffer, &mut at, b'*')? else { return Ok(Parsed::Incomplete(1)) };
     if count != 4 {
-        return Err(Code::Unreadable);
+        return Err(CloseReason::Unreadable);
     }
     let mut ends = [(0, 0); 4];
-    let most = [ID_MOST, ID_MOST, FIELDS_MOST, HOST_MESSAGE - FIELDS_MOST - 256];
+    let most = [MAX_ID_BYTES, MAX_ID_BYTES, MAX_FIELDS_BYTES, HOST_MESSAGE - MAX_FIELDS_BYTES - 256];
     for (end, most) in ends.iter_mut().zip(most) {
-        let Some(length) = number(buffer, &mut at, b'$')? else { return Ok(Begun::Short(1)) };
+        let Some(length) = read_length(buffer, &mut at, b'$')? else { return Ok(Parsed::Incomplete(1)) };
         if length > most {
-            return Err(Code::TooLong);
+            return Err(CloseReason::TooLong);
         }
         *end = (at, at + length);
         at += length + 2;
         if buffer.len() < at {
-            return Ok(Begun::Short(at - buffer.len()));
+            return Ok(Parsed::Incomplete(at - buffer.len()));
         }
         if &buffer[at - 2..at] != b"\r\n" {
-            return Err(Code::Unreadable);
+            return Err(CloseReason::Unreadable);
         }
     }
     let message = buffer.split_to(at).freeze();
     let [id, word, fields, body] = ends.map(|(from, to)| message.slice(from..to));
-    Ok(read(&id, &word, &fields, body).map_or(Begun::Spoilt, Begun::Answer))
+    Ok(decode_answer(&id, &word, &fields, body).map_or(Parsed::Unusable, Parsed::Answer))
 }
 
-fn number(buffer: &[u8], at: &mut usize, mark: u8) -> Result<Option<usize>, Code> {
+fn read_length(buffer: &[u8], at: &mut usize, mark: u8) -> Result<Option<usize>, CloseReason> {
     let rest = &buffer[*at..];
     let Some(first) = rest.first() else { return Ok(None) };
     if *first != mark {
-        return Err(Code::Unreadable);
+        return Err(CloseReason::Unreadable);
     }
-    let Some(end) = rest.iter().take(HEAD_MOST).position(|byte| *byte == b'\n') else {
-        return if rest.len() >= HEAD_MOST { Err(Code::Unreadable) } else { Ok(None) };
+    let Some(end) = rest.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
+        return if rest.len() >= MAX_LENGTH_LINE_BYTES { Err(CloseReason::Unreadable) } else { Ok(None) };
     };
     let digits = rest[1..end].strip_suffix(b"\r").filter(|d| d.iter().all(u8::is_ascii_digit));
-    let value = digits.and_then(|d| std::str::from_utf8(d).ok()?.parse().ok()).ok_or(Code::Unreadable)?;
+    let value =
+        digits.and_then(|d| std::str::from_utf8(d).ok()?.parse().ok()).ok_or(CloseReason::Unreadable)?;
     *at += end + 1;
     Ok(Some(value))
 }
 
-fn read(id: &Bytes, word: &[u8], fields: &Bytes, body: Bytes) -> Option<Answer> {
+fn decode_answer(id: &Bytes, word: &[u8], fields: &Bytes, body: Bytes) -> Option<Answer> {
     let keep = word == b"KEEP";
     let outcome = match word {
         b"DONE" | b"KEEP" => Outcome::Settled,
@@ -98,11 +99,11 @@
     let mut answer = Answer {
         id: id.clone(),
         outcome,
-        keep,
+        client_copy_current: keep,
         note: Note::Untold,
         report: Report::default(),
         tag: None,
-        born: None,
+        created: None,
         body,
     };
     let text = std::str::from_utf8(fields).ok()?;
@@ -111,8 +112,8 @@
         let (name, value) = field.split_once('=')?;
         match name {
             "ver" => tag = Some(fields.slice_ref(value.as_bytes())).filter(|tag| !tag.is_empty()),
-            "born" => answer.born = value.parse().ok().map(UnixTime::millis),
-            "note" => answer.note = note(value)?,
+            "born" => answer.created = value.parse().ok().map(UnixTime::millis),
+            "note" => answer.note = decode_note(value)?,
             "load" => {
                 for (name, value) in value.split(';').filter_map(|value| value.split_once(':')) {
                     match name {
@@ -127,11 +128,11 @@
             _ => {}
         }
     }
-    answer.tag = tag.filter(|_| answer.born.is_some());
+    answer.tag = tag.filter(|_| answer.created.is_some());
     Some(answer)
 }
 
-fn note(word: &str) -> Option<Note> {
+fn decode_note(word: &str) -> Option<Note> {
     Some(match word {
         "cached" => Note::Hit,
         "fetched" => Note::Filled,
@@ -149,18 +150,18 @@
 }
 
 /// Under what a probe is asked and answered; visits go by 16 hexadecimal digits.
-pub fn tag(number: ProbeNo) -> String {
+pub fn probe_tag(number: ProbeId) -> String {
     format!("probe-{}", number.0)
 }
 
 /// Asks how busy a host is.
-pub fn busy(number: ProbeNo) -> String {
-    let tag = tag(number);
+pub fn probe_request(number: ProbeId) -> String {
+    let tag = probe_tag(number);
     format!("*2\r\n$4\r\nbusy\r\n${}\r\n{tag}\r\n", tag.len())
 }
 
 /// All of a request but its body and the two bytes after that.
-pub fn want(id: &[u8], fields: &str, body: usize) -> Bytes {
+pub fn hand_off_head(id: &[u8], fields: &str, body: usize) -> Bytes {
     let mut head = String::with_capacity(96 + fields.len());
     let id = String::from_utf8_lossy(id);
     let _ = write!(
@@ -172,9 +173,9 @@
     Bytes::from(head)
 }
 
-pub fn never_mind(id: &[u8]) -> Bytes {
+pub fn cancel_request(id: &[u8]) -> Bytes {
     let id = String::from_utf8_lossy(id);
     Bytes::from(format!("*2\r\n$10\r\nnever_mind\r\n${}\r\n{id}\r\n", id.len()))
 }
 
-pub const END: &[u8] = b"\r\n";
+pub const CRLF: &[u8] = b"\r\n";
--- a/crates/dispatcher/src/router/tests.rs
+++ b/crates/dispatcher/src/router/tests.rs
@@ -1,10 +1,10 @@
 //! The router by plain calls: what no stand-in on a socket could force.
 use super::*;
 use crate::changes::host_id;
-use crate::ids::HostNo;
+use crate::connection::Connection;
+use crate::host_messages::HostThreadMessage;
+use crate::ids::HostActorId;
 use crate::keeping::Kept;
-use crate::letters::Letter;
-use crate::line::Line;
 use cherrypass_operator as operator;
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::simulated::{Call, Disk, Fate, Image};
@@ -22,9 +22,9 @@
     "bounds":{"connect_timeout":1,"conn_idle":1,"streams_per_conn":1,"cancel":true,"max_attempts":6},
     "rules":{"cold_from":0.2,"overload_factor":2.0},"domain":{"may_pass_by":true,"source_kind":0}}}"#;
 
-fn known(letters: &Sender<Letter>) -> Known {
-    let mailbox = Mailbox { number: HostNo(0), letters: letters.clone() };
-    Known { name: String::new(), address: "127.0.0.1:1".parse().unwrap(), since: None, mailbox }
+fn known(letters: &Sender<HostThreadMessage>) -> HostEntry {
+    let mailbox = HostMailbox { id: HostActorId(0), messages: letters.clone() };
+    HostEntry { name: String::new(), address: "127.0.0.1:1".parse().unwrap(), started: None, mailbox }
 }
 
 /// One that was told of nothing yet, and its own mailbox.
@@ -36,9 +36,9 @@
 }
 
 /// A client's connection, which the router was told of.
-fn opened(router: &mut Router, listener: &TcpListener, client: ClientId) -> Arc<Line> {
-    let line = Arc::new(Line::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap()));
-    router.take(Input::Client(client, FromClient::Opened { line: line.clone() }));
+fn opened(router: &mut Router, listener: &TcpListener, client: ClientId) -> Arc<Connection> {
+    let line = Arc::new(Connection::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap()));
+    router.handle(Input::Client(client, FromClient::Opened { connection: line.clone() }));
     line
 }
 
@@ -67,29 +67,32 @@
     let fields: &[u8] = b"\x94\x00\x01\xa5video\x92\x85\xa3txn\xb00000000000000001\xa5limit\xa41500\
         \xa4item\xb00000000000000001\xa5block\xa10\xa6family\xa10\xc4\x00";
     let Ok(Some(msgpack::Message::Visit(id, asked))) = msgpack::next(&mut fields.into()) else { panic!() };
-    let (busy, wanted) = (Gauge::default().hold(1), Wanted::new(line, 1));
-    router.take(Input::Client(client, FromClient::Visit { id, asked, at: clock::now(), busy, wanted }));
-    router.pull();
-    let sent = |(_, (_, sent)): &(HostId, (_, Receiver<Letter>))| match sent.try_recv() {
-        Ok(Letter::For(_, ToHost::HandOff(hand_off))) => Some(hand_off.way),
+    let (busy, wanted) = (Gauge::default().reserve(1), CancelToken::new(line, 1));
+    router.handle(Input::Client(
+        client,
+        FromClient::Visit { id, request: asked, received_at: clock::now(), in_use: busy, cancel: wanted },
+    ));
+    router.carry_out_decisions();
+    let sent = |(_, (_, sent)): &(HostId, (_, Receiver<HostThreadMessage>))| match sent.try_recv() {
+        Ok(HostThreadMessage::ToHost(_, ToHost::HandOff(hand_off))) => Some(hand_off.send_state),
         _ => None,
     };
     let found = hosts.iter().enumerate().find_map(|(place, host)| Some((place, sent(host)?)));
     let (first, way) = found.unwrap();
     let other = &hosts[1 - first];
-    assert!(!begun || way.begin());
+    assert!(!begun || way.start());
     router.brain.listed(clock::now(), &[entry(hosts[first].0, Phase::Gone)], false);
-    router.pull();
-    let Ok(Letter::For(_, ToHost::NeverMind(id))) = hosts[first].1 .1.try_recv() else {
+    router.carry_out_decisions();
+    let Ok(HostThreadMessage::ToHost(_, ToHost::Cancel(id))) = hosts[first].1 .1.try_recv() else {
         panic!("not called off")
     };
     if begun {
         assert!(sent(other).is_none(), "a second copy");
-        router.take(Input::HandOff(id, FromHost::GivenUp { at: clock::now() }));
-        router.pull();
+        router.handle(Input::HandOff(id, FromHost::CancelSent { at: clock::now() }));
+        router.carry_out_decisions();
     }
     assert!(sent(other).is_some());
-    assert!(!way.begin(), "written after it was called off");
+    assert!(!way.start(), "written after it was called off");
 }
 
 /// On a disk that takes 2 s for a sync.
@@ -112,7 +115,7 @@
     let set = operator::Store { hand_offs, ..operator::Store::in_folder("none".into()) };
     let (mut router, own) = router();
     let settings = router.config.settings.clone();
-    router.keep(Keeper::start(Kept::with(Some(Arc::new(store)), set), &settings, own));
+    router.set_keeper(Keeper::start(Kept::with(Some(Arc::new(store)), set), &settings, own));
     let (id, host) = (host_id("a"), unbounded());
     router.hosts.insert(id, known(&host.0));
     let listing = Listing {
@@ -131,17 +134,20 @@
         \xa4item\xb00000000000000001\xa5block\xa10\xa6family\xa10\xc4\x00";
     let Ok(Some(msgpack::Message::Visit(id, asked))) = msgpack::next(&mut fields.into()) else { panic!() };
     let begun = clock::now();
-    let (busy, wanted) = (Gauge::default().hold(1), Wanted::new(line, 1));
-    router.take(Input::Client(ClientId(0), FromClient::Visit { id, asked, at: begun, busy, wanted }));
+    let (busy, wanted) = (Gauge::default().reserve(1), CancelToken::new(line, 1));
+    router.handle(Input::Client(
+        ClientId(0),
+        FromClient::Visit { id, request: asked, received_at: begun, in_use: busy, cancel: wanted },
+    ));
     let mut went = false;
     while !router.visits.is_empty() && clock::now() < begun + Span::millis(1_500) {
-        router.pull();
-        while let Some(input) = mailbox::next_within(&router.mailboxes, Duration::from_millis(2)) {
-            router.take(input);
+        router.carry_out_decisions();
+        while let Some(input) = mailbox::recv_timeout(&router.mailboxes, Duration::from_millis(2)) {
+            router.handle(input);
         }
-        router.fire();
+        router.run_timers();
         let sent = host.1.try_recv();
-        went |= matches!(sent, Ok(Letter::For(_, ToHost::HandOff(sent))) if sent.way.begin());
+        went |= matches!(sent, Ok(HostThreadMessage::ToHost(_, ToHost::HandOff(sent))) if sent.send_state.start());
     }
     assert!(router.visits.is_empty() && clock::now() - begun < Span::millis(600));
     assert_eq!(went, goes);
@@ -157,7 +163,7 @@
         let answer = serde_json::from_str(&text).unwrap();
         let (changes, fault) = crate::changes::decode(&answer, &router.config.names, &mut (seq as u64), None);
         assert!(fault.is_none());
-        changes.into_iter().for_each(|change| router.changed(change));
+        changes.into_iter().for_each(|change| router.apply_change(change));
         assert_eq!(router.hosts.len(), usize::from(*state != "terminated"), "{state}");
     }
 }
--- a/crates/dispatcher/src/serve.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -1,12 +1,12 @@
 //! Starts all actors of one dispatcher.
 use crate::changes::{self, Following};
-use crate::clients::{self, Front, Tell};
+use crate::clients::{self, RouterSenders, Shutdown};
 use crate::config::Config;
+use crate::connection::spawn;
 use crate::keeping::{Keeper, Kept};
-use crate::line::spawn;
 use crate::router::Router;
 use crate::sharing::Sharing;
-use crate::signals::Signalled;
+use crate::signals::SignalTargets;
 use cherrypass::time::Span;
 use cherrypass_operator::Fleet;
 use cherrypass_peers::{self as peers, ChangeNumber};
@@ -22,8 +22,8 @@
 
 /// What of clients may wait for the router; who sends more waits. What hosts, the change log and signals tell
 /// has a mailbox of its own: guards against a flood of clients that keeps answers and purges waiting.
-const CLIENTS: usize = 128;
-const PATIENCE_LEAST: Span = Span::millis(1_000);
+const CLIENT_QUEUE_LEN: usize = 128;
+const MIN_WRITE_TIMEOUT: Span = Span::millis(1_000);
 
 impl Dispatcher {
     /// `fleet`: the section and what it comes to.
@@ -31,10 +31,10 @@
         mut config: Config,
         kept: Option<Kept>,
         fleet: Option<(Fleet, peers::Set)>,
-    ) -> io::Result<(Dispatcher, Signalled)> {
+    ) -> io::Result<(Dispatcher, SignalTargets)> {
         let listener = TcpListener::bind(config.listen)?;
         let (own, mailbox) = unbounded();
-        let (clients_own, clients) = bounded(CLIENTS);
+        let (clients_own, clients) = bounded(CLIENT_QUEUE_LEN);
         let (moves, moved) = unbounded();
         let mut last = 0;
         let events = config.known.take();
@@ -43,11 +43,11 @@
             tracing::warn!("known changes: {fault}; taken up to change {last}");
         }
         tracing::info!("start: {} on {}, change {last}", config.name, listener.local_addr()?);
-        let front = Arc::new(Front::default());
+        let front = Arc::new(Shutdown::default());
         let mut router = Router::new(config.clone(), own.clone(), [mailbox, clients], front.clone())?;
         let store = kept.as_ref().and_then(Kept::store);
         if let Some(kept) = kept {
-            router.keep(Keeper::start(kept, &config.settings, own.clone()));
+            router.set_keeper(Keeper::start(kept, &config.settings, own.clone()));
         }
         let mut delivery = None;
         if let Some((fleet, mut set)) = fleet {
@@ -55,12 +55,12 @@
             let sharing = Sharing::start(&fleet, set, &config.settings, store, own.clone());
             let mut sharing = sharing.map_err(io::Error::other)?;
             delivery = sharing.delivery();
-            router.share(sharing);
+            router.set_sharing(sharing);
         }
-        router.known(known);
+        router.apply_known_changes(known);
         let changes_own = own.clone();
-        let tell = Tell { requests: clients_own, ends: own.clone() };
-        let patience = config.longest().max(PATIENCE_LEAST);
+        let tell = RouterSenders { requests: clients_own, closed: own.clone() };
+        let patience = config.longest().max(MIN_WRITE_TIMEOUT);
         spawn("listener", move || {
             if let Err(error) = clients::listen(listener, config.clients, patience, tell, front) {
                 tracing::error!("no clients are taken: {error}");
@@ -78,7 +78,7 @@
                 delivery,
             });
         })?;
-        Ok((Dispatcher { router }, Signalled { router: own, changes: moves }))
+        Ok((Dispatcher { router }, SignalTargets { router: own, changelog: moves }))
     }
 
     pub fn run(mut self) {
--- a/crates/dispatcher/tests/codecs.rs
+++ b/crates/dispatcher/tests/codecs.rs
@@ -2,7 +2,7 @@
 use bytes::BytesMut;
 use cherrypass::calls::{Note, Outcome};
 use cherrypass_dispatcher::msgpack::{self, Message};
-use cherrypass_dispatcher::resp::{self, Begun};
+use cherrypass_dispatcher::resp::{self, Parsed};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -20,10 +20,10 @@
     }
     let Ok(Some(Message::Visit(7, asked))) = msgpack::next(&mut buffer) else { panic!("no visit") };
     assert_eq!(
-        (&asked.band[..], &asked.body[..], asked.block, asked.group.0),
+        (&asked.class[..], &asked.body[..], asked.block, asked.group.0),
         (&b"video"[..], &b"abc"[..], 3, 17)
     );
-    assert_eq!((asked.object.0, asked.limit.0), (0x7f3a_9c21_e0b4_d655, 1_500_000));
+    assert_eq!((asked.object.0, asked.time_limit.0), (0x7f3a_9c21_e0b4_d655, 1_500_000));
     assert!(buffer.is_empty());
 }
 
@@ -31,10 +31,10 @@
 fn an_answer_byte_by_byte() {
     let mut buffer = BytesMut::new();
     for byte in ANSWER {
-        assert!(matches!(resp::next(&mut buffer), Ok(Begun::Short(1..))));
+        assert!(matches!(resp::next(&mut buffer), Ok(Parsed::Incomplete(1..))));
         buffer.extend_from_slice(&[*byte]);
     }
-    let Ok(Begun::Answer(answer)) = resp::next(&mut buffer) else { panic!("no answer") };
+    let Ok(Parsed::Answer(answer)) = resp::next(&mut buffer) else { panic!("no answer") };
     assert_eq!((answer.outcome, answer.note), (Outcome::Settled, Note::FilledByOrigin));
     assert_eq!((answer.report.link_full, &answer.body[..]), (Some(2.5), &b"a\r\n"[..]));
     assert!(buffer.is_empty());
@@ -53,7 +53,9 @@
         let mut buffer = BytesMut::from(&bytes[..]);
         while !buffer.is_empty() && matches!(msgpack::next(&mut buffer), Ok(Some(_))) {}
         let mut buffer = BytesMut::from(&bytes[..]);
-        while !buffer.is_empty() && matches!(resp::next(&mut buffer), Ok(Begun::Answer(_) | Begun::Spoilt)) {}
+        while !buffer.is_empty()
+            && matches!(resp::next(&mut buffer), Ok(Parsed::Answer(_) | Parsed::Unusable))
+        {}
         assert!(buffer.capacity() <= 2 * bytes.len() + 64);
     }
 }
@@ -165,7 +167,7 @@
                     panic!("cut at {cut}: {found:?}");
                 };
                 assert_eq!((&ids[..], &asked.body[..], asked.block), (&[7, 9][..], &b"abc"[..], 3));
-                assert_eq!(asked.cached.as_deref(), Some(&b"4be0c1927d55a6f3"[..]));
+                assert_eq!(asked.cached_tag.as_deref(), Some(&b"4be0c1927d55a6f3"[..]));
                 assert!(msgpack::withdraws(&all, 7) && !msgpack::withdraws(&all, 8));
             }
         }
