--- a/crates/dispatcher/src/attempt_log.rs
+++ b/crates/dispatcher/src/attempt_log.rs
@@ -1,22 +1,22 @@
-//! Log lines that follow one request by its id: every attempt at debug level, and at the default level those that took most
-//! of the request's time.
+//! Logs the attempts of requests: all of them at debug level, and at info level those that took most of the request's
+//! time.
 use crate::ids::HandOffId;
 use cherrypass::calls::{Fill, Outcome};
 use cherrypass::time::{Span, Time};
 
-/// An attempt that took at least this part of its request's whole time is logged at the default level.
+/// An attempt that takes at least this fraction of its request's time limit is logged at info level.
 const SLOW_FRACTION: f64 = 0.5;
-/// Of those so many a second; the rest are counted.
+/// Further slow attempts within a second are only counted.
 const SLOW_LINES_PER_SECOND: u32 = 10;
 const SECOND: Span = Span::millis(1_000);
 
-/// What is known of an attempt at its end.
+/// A finished attempt.
 pub struct EndedAttempt<'a> {
     pub id: HandOffId,
-    /// The client's id of the request; none once the request has its final answer.
+    /// The client's id of the request; none once the request has been answered.
     pub request: Option<&'a [u8]>,
     pub host: &'a str,
-    /// The client's whole time, counted from when the request came.
+    /// When the request arrived, and its time limit.
     pub request_time: Option<(Time, Span)>,
     pub decided: Time,
     pub written: Option<Time>,
@@ -27,14 +27,14 @@
 
 impl EndedAttempt<'_> {
     fn is_slow(&self) -> bool {
-        self.request_time.is_some_and(|(_, whole)| self.ended - self.decided >= whole.times(SLOW_FRACTION))
+        self.request_time.is_some_and(|(_, limit)| self.ended - self.decided >= limit.times(SLOW_FRACTION))
     }
 
     fn describe(&self) -> String {
-        let request = self.request.map_or("that has its answer".into(), String::from_utf8_lossy);
+        let request = self.request.map_or("already answered".into(), String::from_utf8_lossy);
         let ms = |at: Time| at.0 as i64 / 1000 - self.decided.0 as i64 / 1000;
-        let since_came = self.request_time.map_or("".to_owned(), |(came, whole)| {
-            format!(" {} ms after it came with {} ms left", -ms(came), whole.0 / 1000)
+        let since_request = self.request_time.map_or("".to_owned(), |(received_at, limit)| {
+            format!(" {} ms after it arrived with {} ms left", -ms(received_at), limit.0 / 1000)
         });
         let written =
             self.written.map_or("never written".to_owned(), |at| format!("written after {} ms", ms(at)));
@@ -43,7 +43,7 @@
             oldest => format!("a copy of at most {} ms", oldest / 1000),
         });
         format!(
-            "attempt {}/{} of request {request} at {}: decided{since_came}, for {oldest}, {written}, {:?} after {} ms",
+            "attempt {}/{} of request {request} at {}: decided{since_request}, for {oldest}, {written}, {:?} after {} ms",
             self.id.0 .0,
             self.id.1 .0,
             self.host,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Writes the lines, slow ones at a bounded rate.
+/// Logs attempts, slow ones at a limited rate.
 #[derive(Debug, Default)]
 pub struct AttemptLog {
     second_started: Time,
--- a/crates/dispatcher/src/capacity.rs
+++ b/crates/dispatcher/src/capacity.rs
@@ -1,12 +1,12 @@
-//! What connections share: places for connections to hosts, and room for the bytes of answers.
+//! Shared capacity limits: the number of connections to hosts, and the bytes of answers held in memory.
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// A count of bytes or answers that are held somewhere.
+/// A shared count of reserved units, such as bytes or answers.
 #[derive(Clone, Debug, Default)]
 pub struct Gauge(Arc<AtomicUsize>);
 
-/// A part of a gauge, given back when it is dropped.
+/// Units reserved from a [`Gauge`], released on drop.
 #[derive(Debug)]
 pub struct Reservation(Gauge, usize);
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// What all hosts share.
+/// The limits that all hosts share.
 #[derive(Clone, Debug)]
 pub struct HostCapacity {
     max_connections: usize,
@@ -38,36 +38,37 @@
 }
 
 impl HostCapacity {
-    pub fn new(connections: usize, most: usize) -> HostCapacity {
+    pub fn new(max_connections: usize, max_answer_bytes: usize) -> HostCapacity {
         HostCapacity {
-            max_connections: connections,
-            max_answer_bytes: most,
+            max_connections,
+            max_answer_bytes,
             hosts: Gauge::default(),
             open_connections: Gauge::default(),
             answer_bytes: Gauge::default(),
         }
     }
 
-    /// One more host, for as long as what is returned is kept.
+    /// Counts one more host until the reservation is dropped.
     pub fn add_host(&self) -> Reservation {
         self.hosts.reserve(1)
     }
 
-    /// A place for one more connection, held as long as what is returned is kept.
+    /// Reserves a connection, unless all are in use.
     pub fn reserve_connection(&self) -> Option<Reservation> {
         (self.open_connections.amount() < self.max_connections).then(|| self.open_connections.reserve(1))
     }
 
-    /// How many connections each host may have, so that none takes the last from another.
+    /// The number of connections each host may have, so that none starves another.
     pub fn connections_per_host(&self) -> usize {
         (self.max_connections / self.hosts.amount().max(1)).max(1)
     }
 
-    /// An answer's bytes, from when they were read until they are written to the client or dropped.
+    /// Reserves an answer's bytes, from when they are read until they are written to the client or dropped.
     pub fn reserve_answer(&self, bytes: usize) -> Reservation {
         self.answer_bytes.reserve(bytes)
     }
 
+    /// Whether the answers held exceed the limit; reading from hosts pauses while they do.
     pub fn is_full(&self) -> bool {
         self.answer_bytes.amount() > self.max_answer_bytes
     }
--- a/crates/dispatcher/src/connection.rs
+++ b/crates/dispatcher/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, shared by the threads that read and write it, and the reason of its end.
+//! A TCP connection shared by the threads that read and write it, and the reason why it was closed.
 use crate::clock;
 use crate::config::HOST_MESSAGE;
 use cherrypass::time::{Span, Time};
@@ -13,7 +13,7 @@
 use std::thread::{Builder, JoinHandle};
 use std::time::Duration;
 
-/// Why a connection ended; each leaves one log line with its code.
+/// Why a connection was closed. Each close is logged with the reason's code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     ClosedByPeer,
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Whether a connection to a host ended in a way in which that host's process may have ended: one that dies resets
-    /// its connections. An end of the stream is no sign, as hosts close what is idle and cut answers short; nor is
-    /// silence, as connections come up late: where it counted, warm hosts were held to a cold one's part.
+    /// Whether the host's process may have ended: one that dies resets its connections. A regular close doesn't count,
+    /// as hosts close idle connections and cut answers short; neither does a connect timeout, as connections may come
+    /// up late.
     pub fn may_be_process_end(self) -> bool {
         matches!(self, CloseReason::Reset | CloseReason::WriteFailed | CloseReason::Refused)
     }
 
-    /// The code of a connect that failed.
+    /// The reason for a failed connect.
     pub fn from_connect_error(error: &io::Error) -> CloseReason {
         const EMFILE: i32 = 24;
         const ENFILE: i32 = 23;
@@ -90,19 +90,20 @@
     }
 }
 
-/// Of what waits to be read so much is looked at.
+/// How many unread bytes [`Connection::check_closed`] examines.
 const PEEK_BYTES: usize = 4096;
 
+/// A connection to a client or a host.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     close_reason: OnceLock<CloseReason>,
-    /// The peer has ended its side.
+    /// Whether the peer has closed its side.
     peer_closed: AtomicBool,
-    /// When something last came, and since when a message is here in part (0: none is).
+    /// Time of the last read, and of the first byte of an incomplete message (0: none).
     last_read_at: AtomicU64,
     partial_since: AtomicU64,
-    /// Held from a read until what it brought is marked.
+    /// Held from a read until its messages have been processed.
     read_lock: Mutex<()>,
 }
 
@@ -114,70 +115,63 @@
 
 impl Connection {
     pub fn new(stream: TcpStream) -> Connection {
-        let (heard, half) = (AtomicU64::new(clock::now().0), AtomicU64::new(0));
-        let (end, left, reading) = (OnceLock::new(), AtomicBool::new(false), Mutex::new(()));
-        Connection {
-            stream,
-            close_reason: end,
-            peer_closed: left,
-            last_read_at: heard,
-            partial_since: half,
-            read_lock: reading,
-        }
+        let (last_read_at, partial_since) = (AtomicU64::new(clock::now().0), AtomicU64::new(0));
+        let (close_reason, peer_closed, read_lock) =
+            (OnceLock::new(), AtomicBool::new(false), Mutex::new(()));
+        Connection { stream, close_reason, peer_closed, last_read_at, partial_since, read_lock }
     }
 
-    /// Messages go out at once; with a limit, a write stands still no longer. Reads have none, as each time the
-    /// process goes on after it was stopped the machine breaks off all that have: who looks after half messages
-    /// and connections that stand ends them.
-    pub fn configure(&self, write: Option<Duration>) -> io::Result<()> {
+    /// Sets the socket options. Reads get no timeout, since the kernel interrupts all that have one when a stopped
+    /// process continues; sweeps close stalled connections instead.
+    pub fn configure(&self, write_timeout: Option<Duration>) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        // A whole answer is taken at once by one who reads, and more than that piles up for none.
+        // Fits one whole answer, and no more piles up for a peer that doesn't read.
         socket2::SockRef::from(&self.stream).set_send_buffer_size(HOST_MESSAGE)?;
-        self.stream.set_write_timeout(write)
+        self.stream.set_write_timeout(write_timeout)
     }
 
-    /// Ends the connection for both threads; the first reason given is the one that is logged.
-    pub fn shut_down(&self, code: CloseReason) {
-        let _ = self.close_reason.set(code);
+    /// Shuts down both directions. The first reason given is the one that is logged.
+    pub fn shut_down(&self, reason: CloseReason) {
+        let _ = self.close_reason.set(reason);
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Ends this side alone: what was written still goes out, and the peer sees a whole stream. Guards against a
-    /// reset that takes the last answers with it: who reads has to take in, unused, what still comes, and to close then.
-    pub fn shut_down_write(&self, code: CloseReason) {
-        let _ = self.close_reason.set(code);
+    /// Shuts down the writing direction, so that everything written still reaches the peer. The reader must discard
+    /// further input before the socket is closed, or a reset could destroy the last answers.
+    pub fn shut_down_write(&self, reason: CloseReason) {
+        let _ = self.close_reason.set(reason);
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Whether this side has ended it.
+    /// Whether this side has shut the connection down.
     pub fn is_shut_down(&self) -> bool {
         self.close_reason.get().is_some()
     }
 
+    /// Records that the peer has closed its side.
     pub fn mark_peer_closed(&self) {
         self.peer_closed.store(true, Relaxed);
     }
 
-    /// Whether the peer has ended its side, as far as was read.
+    /// Whether the peer is known to have closed its side.
     pub fn is_peer_closed(&self) -> bool {
         self.peer_closed.load(Relaxed)
     }
 
-    /// Whether nobody is there any more.
+    /// Whether either side has closed the connection.
     pub fn is_closed(&self) -> bool {
         self.is_peer_closed() || self.is_shut_down()
     }
 
-    /// For as long as this is held, what has come is either unread or marked as what it is. The reader holds it from
-    /// its read until it has marked what came, a look for as long as it takes: guards against a look at a cancel that
-    /// is read and not marked yet, which would see it in neither place.
+    /// Locks the reading side. The reader holds the lock from a read until it has processed the messages, so that whoever
+    /// else holds it finds a cancellation either unread in the socket or marked.
     pub fn lock_reads(&self) -> MutexGuard<'_, ()> {
         self.read_lock.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The same as the machine knows it, or that what waits to be read says so: guards against an end, or a word, that
-    /// stands behind bytes which are not read yet.
-    pub fn check_closed(&self, says: impl Fn(&[u8]) -> bool) -> bool {
+    /// Whether the connection is closed, including a close that the kernel knows and nobody has read yet, or whether the
+    /// unread bytes satisfy `matches`.
+    pub fn check_closed(&self, matches: impl Fn(&[u8]) -> bool) -> bool {
         if self.is_closed() {
             return true;
         }
@@ -186,30 +180,33 @@
         if !poll(&mut polled, PollTimeout::ZERO).is_ok_and(|found| found > 0) {
             return false;
         }
-        // `nix` has no name for POLLRDHUP, and tells of no flags at all where one without a name is set.
+        // `nix` doesn't define POLLRDHUP, and returns no flags at all if an undefined one is set.
         if polled[0].revents().is_none_or(|found| found.intersects(ends)) {
             self.mark_peer_closed();
             return true;
         }
-        let mut waiting = [0; PEEK_BYTES];
+        let mut unread = [0; PEEK_BYTES];
         let flags = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
-        recv(self.stream.as_raw_fd(), &mut waiting, flags).is_ok_and(|length| says(&waiting[..length]))
+        recv(self.stream.as_raw_fd(), &mut unread, flags).is_ok_and(|length| matches(&unread[..length]))
     }
 
+    /// The reason given by whoever closed the connection first.
     pub fn close_reason(&self) -> CloseReason {
         *self.close_reason.get_or_init(|| CloseReason::ClosedByPeer)
     }
 
+    /// When something was last read, or the connection was created.
     pub fn last_read_at(&self) -> Time {
         Time(self.last_read_at.load(Relaxed))
     }
 
-    /// For how long a message has been here in part.
+    /// How long the first byte of an incomplete message has been waiting for the rest.
     pub fn partial_for(&self, now: Time) -> Option<Span> {
         Some(self.partial_since.load(Relaxed)).filter(|at| *at > 0).map(|at| now - Time(at))
     }
 
-    /// Told by the reader once it has taken all whole messages, and whether there were any.
+    /// Called by the reader after it has taken all complete messages: `buffer` is what remains, `any` whether there was
+    /// one.
     pub fn messages_taken(&self, buffer: &[u8], any: bool) {
         if buffer.is_empty() {
             self.partial_since.store(0, Relaxed);
@@ -218,16 +215,17 @@
         }
     }
 
-    /// Reads what has come, none where that is nothing yet; an end of the stream or a failure ends the connection.
-    pub fn try_read(&self, into: &mut bytes::BytesMut, room: usize) -> Result<Option<Time>, CloseReason> {
-        let held = into.len();
-        into.resize(held + room, 0);
-        let found = recv(self.stream.as_raw_fd(), &mut into[held..], MsgFlags::MSG_DONTWAIT);
-        into.truncate(held + found.unwrap_or(0));
+    /// Reads available bytes without blocking. Returns the time of the read, or none if nothing is available, and the
+    /// reason to close the connection if the stream has ended or failed.
+    pub fn try_read(&self, into: &mut bytes::BytesMut, most: usize) -> Result<Option<Time>, CloseReason> {
+        let old_length = into.len();
+        into.resize(old_length + most, 0);
+        let found = recv(self.stream.as_raw_fd(), &mut into[old_length..], MsgFlags::MSG_DONTWAIT);
+        into.truncate(old_length + found.unwrap_or(0));
         match found {
             Ok(0) => {
                 self.mark_peer_closed();
-                Err(if held > 0 { CloseReason::ClosedInMessage } else { CloseReason::ClosedByPeer })
+                Err(if old_length > 0 { CloseReason::ClosedInMessage } else { CloseReason::ClosedByPeer })
             }
             Ok(_) => {
                 let now = clock::now();
@@ -243,17 +241,17 @@
         }
     }
 
-    /// Takes in what has come, and drops it; how much that was, none once the peer has ended its side.
-    pub fn discard(&self, piece: &mut [u8]) -> Option<usize> {
-        match recv(self.stream.as_raw_fd(), piece, MsgFlags::MSG_DONTWAIT) {
+    /// Reads and drops available bytes. Returns their number, or none once the peer has closed its side.
+    pub fn discard(&self, buffer: &mut [u8]) -> Option<usize> {
+        match recv(self.stream.as_raw_fd(), buffer, MsgFlags::MSG_DONTWAIT) {
             Ok(0) => None,
-            Ok(found) => Some(found),
+            Ok(length) => Some(length),
             Err(Errno::EAGAIN | Errno::EINTR) => Some(0),
             Err(_) => None,
         }
     }
 
-    /// Writes what the machine takes at once; returns how much that was.
+    /// Writes without blocking; returns the number of bytes written.
     pub fn try_write(&self, parts: &[&[u8]]) -> io::Result<usize> {
         let mut written = 0;
         let socket = socket2::SockRef::from(&self.stream);
@@ -264,13 +262,13 @@
         }
     }
 
-    /// Writes all of the parts past the first bytes, however long the other side takes for it.
+    /// Writes the parts after the first `written` bytes, blocking as long as the write timeout allows.
     pub fn write(&self, parts: &[&[u8]], mut written: usize) -> io::Result<()> {
         write_all(parts, &mut written, |left| (&self.stream).write_vectored(left))
     }
 }
 
-/// Writes the parts past what is written already, without joining them, until all is out or a write fails.
+/// Writes the parts after the first `written` bytes without joining them, until all are written or a write fails.
 fn write_all(
     parts: &[&[u8]],
     written: &mut usize,
@@ -293,15 +291,16 @@
     Ok(())
 }
 
-/// Whether a read or a write came to no end in its time, or a signal broke it off: the machine does so to those
-/// with a limit each time the process goes on after it was stopped.
+/// Whether a call would block, timed out or was interrupted. The kernel interrupts calls with a timeout when a stopped
+/// process continues.
 pub fn is_timeout(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
 
-/// Stack of the threads of connections; what they don't touch costs no memory.
+/// Stack size of the dispatcher's threads.
 const STACK_BYTES: usize = 128 * 1024;
 
+/// Spawns a named thread with a small stack.
 pub fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
     Builder::new().name(name.into()).stack_size(STACK_BYTES).spawn(run)
 }
--- a/crates/dispatcher/src/host_connections.rs
+++ b/crates/dispatcher/src/host_connections.rs
@@ -1,5 +1,4 @@
-//! Connections to hosts: one thread that sees all of them come up and reads them. Guards against a thread for each
-//! connection, which many dispatchers on a machine can't have.
+//! The thread that connects to hosts and reads all of these connections, so that a connection doesn't cost a thread.
 use crate::capacity::HostCapacity;
 use crate::clock;
 use crate::connection::{spawn, CloseReason, Connection};
@@ -18,10 +17,10 @@
 
 const READ_BYTES: usize = 16 * 1024;
 const CAPACITY_WAIT: std::time::Duration = std::time::Duration::from_millis(1);
-/// How many connections are served for one look.
+/// How many events one wait returns at most.
 const EVENTS_PER_WAIT: usize = 64;
 
-/// All connections to hosts, by a number of their own.
+/// All connections to hosts, by epoll key.
 pub struct HostConnections {
     epoll: Epoll,
     capacity: HostCapacity,
@@ -31,36 +30,32 @@
 
 struct Registered {
     host: HostMailbox,
-    line: ConnectionId,
+    id: ConnectionId,
     state: State,
 }
 
 enum State {
     Connecting { socket: Socket, since: Time },
-    Up { line: Arc<Connection>, buffer: BytesMut, wanted: usize },
+    Up { connection: Arc<Connection>, buffer: BytesMut, read_size: usize },
 }
 
 impl HostConnections {
-    pub fn start(room: HostCapacity, limit: Span) -> io::Result<Arc<HostConnections>> {
+    pub fn start(capacity: HostCapacity, connect_limit: Span) -> io::Result<Arc<HostConnections>> {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
-        let lines = Arc::new(HostConnections {
-            epoll,
-            capacity: room,
-            connect_limit: limit,
-            registered: Mutex::default(),
-        });
-        let own = lines.clone();
+        let connections =
+            Arc::new(HostConnections { epoll, capacity, connect_limit, registered: Mutex::default() });
+        let own = connections.clone();
         spawn("lines", move || own.run())?;
-        Ok(lines)
+        Ok(connections)
     }
 
     fn lock(&self) -> MutexGuard<'_, (u64, BTreeMap<u64, Registered>)> {
         self.registered.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins to connect; the host's actor is told how that goes.
-    pub fn open(&self, address: SocketAddr, host: &HostMailbox, line: ConnectionId) {
-        let begin = || -> io::Result<()> {
+    /// Starts to connect. The host's actor gets `Connected` or `Closed`.
+    pub fn open(&self, address: SocketAddr, host: &HostMailbox, id: ConnectionId) {
+        let start = || -> io::Result<()> {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
             socket.set_nonblocking(true)?;
             match socket.connect(&address.into()) {
@@ -69,24 +64,24 @@
             }
             let mut all = self.lock();
             all.0 += 1;
-            let number = all.0;
-            self.epoll.add(&socket, EpollEvent::new(EpollFlags::EPOLLOUT, number))?;
+            let key = all.0;
+            self.epoll.add(&socket, EpollEvent::new(EpollFlags::EPOLLOUT, key))?;
             let state = State::Connecting { socket, since: clock::now() };
-            all.1.insert(number, Registered { host: host.clone(), line, state });
+            all.1.insert(key, Registered { host: host.clone(), id, state });
             Ok(())
         };
-        if let Err(error) = begin() {
-            host.send(ToHost::Closed(line, CloseReason::from_connect_error(&error), clock::now()));
+        if let Err(error) = start() {
+            host.send(ToHost::Closed(id, CloseReason::from_connect_error(&error), clock::now()));
         }
     }
 
-    /// Ends those that did not come up in time.
+    /// Gives up connects that exceed the connect limit.
     pub fn time_out_connects(&self, now: Time) {
-        let silent = |open: &Registered| matches!(open.state, State::Connecting { since, .. } if since + self.connect_limit <= now);
-        self.lock().1.retain(|_, open| {
-            let ends = silent(open);
+        let is_timed_out = |entry: &Registered| matches!(entry.state, State::Connecting { since, .. } if since + self.connect_limit <= now);
+        self.lock().1.retain(|_, entry| {
+            let ends = is_timed_out(entry);
             if ends {
-                open.host.send(ToHost::Closed(open.line, CloseReason::ConnectTimeout, now));
+                entry.host.send(ToHost::Closed(entry.id, CloseReason::ConnectTimeout, now));
             }
             !ends
         });
@@ -99,17 +94,17 @@
                 Ok(found) => found,
                 Err(Errno::EINTR) => continue,
                 Err(error) => {
-                    tracing::error!("hosts are not read any more: {error}");
+                    tracing::error!("epoll failed, connections to hosts are no longer read: {error}");
                     return;
                 }
             };
             for event in &events[..found] {
-                // Guards against answers that come faster than they can be passed on.
+                // Stops reading while too many answers wait to be passed on; the time doesn't count as a stalled message.
                 while self.capacity.is_full() {
                     std::thread::sleep(CAPACITY_WAIT);
-                    for open in self.lock().1.values() {
-                        if let State::Up { line, .. } = &open.state {
-                            line.messages_taken(&[], false);
+                    for entry in self.lock().1.values() {
+                        if let State::Up { connection, .. } = &entry.state {
+                            connection.messages_taken(&[], false);
                         }
                     }
                 }
@@ -118,54 +113,54 @@
         }
     }
 
-    fn handle_event(&self, number: u64) {
+    fn handle_event(&self, key: u64) {
         let mut all = self.lock();
-        let Some(open) = all.1.get_mut(&number) else { return };
-        let Err(code) = open.handle_event(&self.epoll, number, &self.capacity) else { return };
-        let Some(Registered { host, line, state }) = all.1.remove(&number) else { return };
-        let code = match state {
-            State::Connecting { .. } => code,
-            State::Up { line, .. } => {
-                let _ = self.epoll.delete(&*line);
-                line.shut_down(code);
-                line.close_reason()
+        let Some(entry) = all.1.get_mut(&key) else { return };
+        let Err(reason) = entry.handle_event(&self.epoll, key, &self.capacity) else { return };
+        let Some(Registered { host, id, state }) = all.1.remove(&key) else { return };
+        let reason = match state {
+            State::Connecting { .. } => reason,
+            State::Up { connection, .. } => {
+                let _ = self.epoll.delete(&*connection);
+                connection.shut_down(reason);
+                connection.close_reason()
             }
         };
-        host.send(ToHost::Closed(line, code, clock::now()));
+        host.send(ToHost::Closed(id, reason, clock::now()));
     }
 }
 
 impl Registered {
-    fn handle_event(&mut self, epoll: &Epoll, number: u64, room: &HostCapacity) -> Result<(), CloseReason> {
+    fn handle_event(&mut self, epoll: &Epoll, key: u64, capacity: &HostCapacity) -> Result<(), CloseReason> {
         match &mut self.state {
             State::Connecting { socket, .. } => {
-                let up = || -> io::Result<Arc<Connection>> {
+                let finish_connect = || -> io::Result<Arc<Connection>> {
                     socket.take_error()?.map_or(Ok(()), Err)?;
                     epoll.delete(&*socket)?;
                     let socket = socket.try_clone()?;
                     socket.set_nonblocking(false)?;
-                    let line = Arc::new(Connection::new(socket.into()));
-                    line.configure(None)?;
-                    epoll.add(&*line, EpollEvent::new(EpollFlags::EPOLLIN, number))?;
-                    Ok(line)
+                    let connection = Arc::new(Connection::new(socket.into()));
+                    connection.configure(None)?;
+                    epoll.add(&*connection, EpollEvent::new(EpollFlags::EPOLLIN, key))?;
+                    Ok(connection)
                 };
-                let line = up().map_err(|error| CloseReason::from_connect_error(&error))?;
-                self.host.send(ToHost::Connected(self.line, line.clone()));
-                self.state = State::Up { line, buffer: BytesMut::new(), wanted: READ_BYTES };
+                let connection = finish_connect().map_err(|error| CloseReason::from_connect_error(&error))?;
+                self.host.send(ToHost::Connected(self.id, connection.clone()));
+                self.state = State::Up { connection, buffer: BytesMut::new(), read_size: READ_BYTES };
                 Ok(())
             }
-            State::Up { line, buffer, wanted } => {
-                let Some(at) = line.try_read(buffer, *wanted)? else { return Ok(()) };
+            State::Up { connection, buffer, read_size } => {
+                let Some(at) = connection.try_read(buffer, *read_size)? else { return Ok(()) };
                 let mut any = false;
-                *wanted = loop {
-                    let told = match resp::next(buffer)? {
+                *read_size = loop {
+                    let message = match resp::next(buffer)? {
                         Parsed::Answer(answer) => {
-                            let held = room.reserve_answer(answer.body.len().max(READ_BYTES));
-                            ToHost::Answer(self.line, answer, held, at)
+                            let reservation = capacity.reserve_answer(answer.body.len().max(READ_BYTES));
+                            ToHost::Answer(self.id, answer, reservation, at)
                         }
                         Parsed::Unusable => return Err(CloseReason::UnusableAnswer),
                         Parsed::Incomplete(more) => {
-                            line.messages_taken(buffer, any);
+                            connection.messages_taken(buffer, any);
                             if buffer.is_empty() {
                                 *buffer = BytesMut::new();
                             }
@@ -173,7 +168,7 @@
                         }
                     };
                     any = true;
-                    if !self.host.send(told) {
+                    if !self.host.send(message) {
                         return Err(CloseReason::ShuttingDown);
                     }
                 };
--- a/crates/dispatcher/src/host_messages.rs
+++ b/crates/dispatcher/src/host_messages.rs
@@ -1,4 +1,4 @@
-//! What hosts' actors are sent, by the router, by their connections and by themselves.
+//! Messages to the host actors, from the router and from the hosts' connections.
 use crate::cancellation::CancelToken;
 use crate::capacity::Reservation;
 use crate::clock;
@@ -12,7 +12,8 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// How far a hand-off has got on its way out: when it was wholly written, before which it can't have run.
+/// How far a hand-off has been sent, shared between the router and the writing threads. A hand-off that was not
+/// completely written cannot have run.
 #[derive(Clone, Debug, Default)]
 pub struct SendState(Arc<AtomicU64>);
 
@@ -21,17 +22,17 @@
 const REVOKED: u64 = u64::MAX;
 
 impl SendState {
-    /// Guards against a hand-off that is written late, after its visit's final answer: one that is called off
-    /// before its first byte stays unwritten.
+    /// Claims the hand-off for writing its first byte; false if it was revoked.
     pub fn start(&self) -> bool {
         self.0.compare_exchange(UNSENT, STARTED, Relaxed, Relaxed).is_ok()
     }
 
+    /// Records that the hand-off was written completely.
     pub fn mark_written(&self) {
         self.0.store(clock::now().0, Relaxed);
     }
 
-    /// Whether this came before the first byte, so that the hand-off never goes out.
+    /// Prevents the hand-off from being sent; false if sending has already started.
     pub fn revoke(&self) -> bool {
         self.0.compare_exchange(UNSENT, REVOKED, Relaxed, Relaxed).is_ok()
     }
@@ -40,75 +41,80 @@
         self.0.load(Relaxed) == REVOKED
     }
 
+    /// When the hand-off was written completely, if it was.
     pub fn written_at(&self) -> Option<Time> {
         Some(self.0.load(Relaxed)).filter(|at| ![UNSENT, STARTED, REVOKED].contains(at)).map(Time)
     }
 }
 
-/// A hand-off as it goes out.
+/// An attempt of a visit, to be sent to a host.
 #[derive(Clone, Debug)]
 pub struct HandOff {
     pub id: HandOffId,
-    /// The client's id of the visit, which names the hand-off on the wire.
+    /// The client's id of the visit, which identifies the hand-off on the wire.
     pub txn: Bytes,
-    /// All but how long an answer is waited for, which counts from when it goes out.
+    /// The encoded fields except the time left for the answer, which is added when the hand-off is sent.
     pub fields: String,
     pub body: Bytes,
-    /// The tag of the copy that the client holds.
+    /// The tag of the copy that the client has cached.
     pub client_tag: Option<Bytes>,
-    /// What answers it is a copy; a write's answer is none, also where it goes through a cache.
+    /// Whether the answer is a cached copy; the answer to a write is not, even through a cache.
     pub expects_copy: bool,
-    /// A miss is filled, from a source that gives what it lacks too.
+    /// Whether the host fills a miss from a source that fetches the object if it lacks it.
     pub fills_miss: bool,
-    /// Until when an answer may come.
+    /// Deadline for the answer.
     pub until: Time,
-    /// It never begins past this.
+    /// Sending must not start after this.
     pub latest_start: Time,
     pub cancel: CancelToken,
     pub send_state: SendState,
 }
 
 impl HandOff {
-    /// Whether its first byte goes out now; from then on it can't be called off unwritten. The one place that says so,
-    /// for first, further, recorded and delayed ones: guards against what goes out though its time passed, or its
-    /// client left, while it waited for a connection, a record or a slow host.
+    /// Claims the hand-off for sending, unless it is too late, its client has left or it was revoked meanwhile. Every
+    /// hand-off passes this check right before its first byte, however long it waited for a connection, a record or a
+    /// slow host.
     pub fn start(&self, now: Time) -> bool {
         now < self.latest_start && self.cancel.check_live() && self.send_state.start()
     }
 
+    /// The encoded request up to its body.
     pub fn head(&self, now: Time) -> Bytes {
         let wait = ((self.until - now).0 / 1000).max(1);
         resp::hand_off_head(&self.txn, &format!("{},w={wait}", self.fields), self.body.len())
     }
 }
 
+/// A message to one host's actor.
 pub enum ToHost {
     HandOff(HandOff),
     Cancel(HandOffId),
-    /// How busy is it?
+    /// Ask the host for its load.
     Probe(ProbeId),
-    /// The hand-off's connection had to be up by now.
+    /// The connect timeout of the hand-off's connection has passed.
     ConnectTimeout(HandOffId),
-    /// Whether it drains, and so takes nothing new.
+    /// Whether the host is draining and must get no new hand-offs.
     SetDraining(bool),
+    /// The host is no longer listed.
     Remove,
     Connected(ConnectionId, Arc<Connection>),
+    /// A cancel was written.
     CancelSent(ConnectionId, HandOffId, Time),
-    /// It was not to begin any more when its turn came.
+    /// A queued hand-off failed [`HandOff::start`] when its turn came.
     NotStarted(ConnectionId, HandOffId),
     Answer(ConnectionId, Answer, Reservation, Time),
     Closed(ConnectionId, CloseReason, Time),
 }
 
-/// What the thread of all hosts is sent. It is one, however long the list: guards against fleets in which each
-/// dispatcher keeps a thread for each host that it may never send to.
+/// A message to the thread that runs all host actors. A single thread serves them all, so that long lists of hosts
+/// don't cost a thread each.
 pub enum HostThreadMessage {
     AddHost(Box<NewHost>),
     ToHost(HostActorId, ToHost),
     Sweep(Time),
 }
 
-/// A host that begins, its actor made by the thread itself.
+/// A host for which the thread creates an actor.
 pub struct NewHost {
     pub name: String,
     pub address: SocketAddr,
@@ -116,7 +122,7 @@
     pub registration: Reservation,
 }
 
-/// A host's mailbox.
+/// The sending side of a host actor's mailbox.
 #[derive(Clone, Debug)]
 pub struct HostMailbox {
     pub id: HostActorId,
@@ -124,7 +130,7 @@
 }
 
 impl HostMailbox {
-    /// Whether it was taken: it is until the thread of all hosts has ended.
+    /// Sends a message; false once the hosts' thread has ended.
     pub fn send(&self, message: ToHost) -> bool {
         self.messages.send(HostThreadMessage::ToHost(self.id, message)).is_ok()
     }
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts (caches, parents, origin): each an actor that writes to a pool of connections, all of them on one thread;
-//! another one (`lines`) reads them.
+//! Host actors (caches, parents, origin). Each writes to a pool of connections; one thread runs all actors, and another
+//! one ([`crate::host_connections`]) reads the connections.
 use crate::capacity::{HostCapacity, Reservation};
 use crate::clock;
 use crate::config::Reach;
@@ -18,19 +18,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A connection with less than this part of its most out takes one more before another is opened.
+/// A connection takes more hand-offs up to its maximum divided by this before another one is opened.
 const LIGHT_LOAD_DIVISOR: usize = 8;
-/// Past a visit's time its id may not come again, but for the time on the way.
+/// Grace for late answers on the network: only after it may the id of a cancelled hand-off be reused.
 const LATE_ANSWER_MARGIN: Span = Span::millis(100);
 
-/// All hosts' actors.
+/// Handle to the thread that runs all host actors.
 pub struct Hosts {
     messages: Sender<HostThreadMessage>,
     next_id: u64,
     capacity: HostCapacity,
 }
 
-/// What all hosts' actors have in common.
+/// State shared by all host actors.
 #[derive(Clone)]
 struct Shared {
     reach: Reach,
@@ -40,40 +40,41 @@
 }
 
 impl Hosts {
-    pub fn start(reach: Reach, room: HostCapacity, router: Sender<Input>) -> std::io::Result<Hosts> {
-        let (letters, mailbox) = unbounded();
-        let wires = HostConnections::start(room.clone(), reach.connect_limit)?;
-        let common = Shared { reach, capacity: room.clone(), connections: wires, router };
-        spawn("hosts", move || run(&mailbox, &common))?;
-        Ok(Hosts { messages: letters, next_id: 0, capacity: room })
+    pub fn start(reach: Reach, capacity: HostCapacity, router: Sender<Input>) -> std::io::Result<Hosts> {
+        let (messages, mailbox) = unbounded();
+        let connections = HostConnections::start(capacity.clone(), reach.connect_limit)?;
+        let shared = Shared { reach, capacity: capacity.clone(), connections, router };
+        spawn("hosts", move || run(&mailbox, &shared))?;
+        Ok(Hosts { messages, next_id: 0, capacity })
     }
 
-    /// One more host, and its mailbox.
+    /// Adds a host and returns its mailbox.
     pub fn add(&mut self, name: &str, address: SocketAddr) -> HostMailbox {
-        let number = HostActorId(self.next_id);
+        let id = HostActorId(self.next_id);
         self.next_id += 1;
-        let own = HostMailbox { id: number, messages: self.messages.clone() };
+        let mailbox = HostMailbox { id, messages: self.messages.clone() };
         let host = NewHost {
             name: name.to_owned(),
             address,
-            mailbox: own.clone(),
+            mailbox: mailbox.clone(),
             registration: self.capacity.add_host(),
         };
         let _ = self.messages.send(HostThreadMessage::AddHost(Box::new(host)));
-        own
+        mailbox
     }
 
+    /// Has timeouts of connections and messages checked.
     pub fn sweep(&self, now: Time) {
         let _ = self.messages.send(HostThreadMessage::Sweep(now));
     }
 }
 
-fn run(mailbox: &Receiver<HostThreadMessage>, common: &Shared) {
+fn run(mailbox: &Receiver<HostThreadMessage>, shared: &Shared) {
     let mut hosts: BTreeMap<HostActorId, Box<Host>> = BTreeMap::new();
-    while let Some(letter) = mailbox::recv(mailbox) {
-        match letter {
+    while let Some(message) = mailbox::recv(mailbox) {
+        match message {
             HostThreadMessage::AddHost(host) => {
-                hosts.insert(host.mailbox.id, Box::new(Host::new(*host, common.clone())));
+                hosts.insert(host.mailbox.id, Box::new(Host::new(*host, shared.clone())));
             }
             HostThreadMessage::ToHost(number, message) => {
                 if matches!(message, ToHost::HandOff(_)) {
@@ -90,13 +91,13 @@
                     (None, ToHost::HandOff(HandOff { id, .. })) => {
                         let (outcome, at) = (Outcome::ConnectFailed, clock::now());
                         let ended = FromHost::Ended { outcome, answer: None, at };
-                        let _ = common.router.send(Input::HandOff(id, ended));
+                        let _ = shared.router.send(Input::HandOff(id, ended));
                     }
                     (None, _) => {}
                 }
             }
             HostThreadMessage::Sweep(now) => {
-                common.connections.time_out_connects(now);
+                shared.connections.time_out_connects(now);
                 hosts.values_mut().for_each(|host| {
                     host.sweep(now);
                     host.close_unused();
@@ -106,12 +107,13 @@
     }
 }
 
-/// Guards against a list longer than the connections allowed: a host that has none takes the place of the one that
-/// has been idle longest, so that they go where the visits go. Harms where visits go round more hosts than that: each then opens one.
+/// Closes the connection that has been idle longest if the host has none and all are in use, so that connections follow
+/// the traffic when there are more hosts than connections. Visits that alternate between more hosts than that open a
+/// connection each.
 fn free_connection_for(hosts: &mut BTreeMap<HostActorId, Box<Host>>, number: HostActorId) {
     let Some(host) = hosts.get(&number) else { return };
-    let has_one = host.pool.values().any(|pooled| pooled.is_usable());
-    if has_one || host.is_removed || host.shared.capacity.reserve_connection().is_some() {
+    let has_connection = host.pool.values().any(|pooled| pooled.is_usable());
+    if has_connection || host.is_removed || host.shared.capacity.reserve_connection().is_some() {
         return;
     }
     let idle = hosts.values_mut().flat_map(|host| host.pool.values_mut()).filter(|pooled| pooled.is_idle());
@@ -120,6 +122,7 @@
     }
 }
 
+/// A message to write to a connection.
 enum Outgoing {
     HandOff(HandOff),
     Cancel(HandOffId, Bytes),
@@ -127,7 +130,7 @@
 }
 
 impl Outgoing {
-    /// The hand-off that is not to go out any more.
+    /// Claims the message for sending. Returns the hand-off that must not be sent any more.
     fn start(&self, now: Time) -> Option<HandOffId> {
         match self {
             Outgoing::HandOff(hand_off) if !hand_off.start(now) => Some(hand_off.id),
@@ -144,45 +147,47 @@
     }
 }
 
-/// A message for the thread of a connection's own.
+/// A message for a connection's slow writer thread.
 enum QueuedWrite {
     Whole(Outgoing),
-    /// What is left of one that has begun.
+    /// The rest of a message that was partly written.
     Remainder(Outgoing, Vec<u8>),
 }
 
+/// A hand-off assigned to a connection and not answered yet.
 struct PendingHandOff {
     id: HandOffId,
-    /// As what it stands on the wire.
+    /// The transaction id as it appears on the wire.
     txn: Bytes,
     client_tag: Option<Bytes>,
     expects_copy: bool,
-    /// A miss is filled, from a source that gives what it lacks too.
+    /// See [`HandOff::fills_miss`].
     fills_miss: bool,
-    /// An earlier one of the same request was answered on this connection.
+    /// An earlier hand-off of the same request was answered on this connection.
     is_repeat: bool,
     until: Time,
     send_state: SendState,
 }
 
+/// A connection of a host's pool.
 struct PooledConnection {
     connection: Option<Arc<Connection>>,
-    /// When it came up.
+    /// When the connection was established.
     up_since: Option<Time>,
-    /// Once the machine has not taken a message at once, a thread of its own writes.
+    /// The thread that writes all messages once one could not be written without blocking.
     slow_writer: Option<Sender<QueuedWrite>>,
     hand_off_count: u64,
-    /// Hand-offs that wait for the connection to come up.
+    /// Hand-offs that wait for the connection to be established.
     waiting: VecDeque<HandOff>,
     in_flight: BTreeMap<Txn, PendingHandOff>,
-    /// Ids given up, and until when a late answer to them may come.
+    /// Cancelled ids, and until when a late answer to them is possible.
     cancelled: BTreeMap<Txn, Time>,
-    /// Ids of requests that were answered here, and may be asked again: until when, and whether with a miss.
+    /// Ids answered on this connection that may be handed off again: until when, and whether the answer was a miss.
     answered: BTreeMap<Txn, (Time, bool)>,
-    /// Those of which the host is not told yet.
+    /// Cancelled hand-offs whose cancel has not been written yet.
     unsent_cancels: Vec<HandOffId>,
     last_used: Time,
-    /// Takes nothing more, and ends so once nothing is out on it.
+    /// If set, the connection takes no more hand-offs and closes with this reason once none is in flight.
     retire_reason: Option<CloseReason>,
     is_closing: bool,
     _reservation: Option<Reservation>,
@@ -190,14 +195,14 @@
 
 impl PooledConnection {
     fn accepts(&self, txn: Txn, streams: usize) -> bool {
-        // Guards against an answer to a hand-off given up that is taken for one of the same visit's next.
-        // Nor is the second copy of an answer taken for the next one's; of a miss it can be told apart.
+        // A late answer to a cancelled hand-off must not be taken for one to the visit's next hand-off, nor must a
+        // duplicate of an earlier answer; duplicates of a miss can be told apart.
         let answered = self.answered.get(&txn).is_some_and(|(_, miss)| !miss);
         let taken = self.in_flight.contains_key(&txn) || self.cancelled.contains_key(&txn) || answered;
         self.is_usable() && !taken && self.in_flight.len() < streams
     }
 
-    /// Whether it may take something still.
+    /// Whether the connection may take more hand-offs.
     fn is_usable(&self) -> bool {
         !self.is_closing && self.retire_reason.is_none()
     }
@@ -206,12 +211,13 @@
         !self.is_closing && self.connection.is_some() && self.in_flight.is_empty()
     }
 
-    /// Its place is free once its descriptor is about to be: one on its way up has it until it is up or given up.
-    fn close(&mut self, code: CloseReason) {
+    /// Closes the connection. One that is still connecting keeps its reservation until the connect ends, as it keeps its
+    /// descriptor.
+    fn close(&mut self, reason: CloseReason) {
         self.is_closing = true;
-        if let Some(line) = &self.connection {
+        if let Some(connection) = &self.connection {
             self._reservation = None;
-            line.shut_down(code);
+            connection.shut_down(reason);
         }
     }
 }
@@ -227,25 +233,25 @@
     probe: Option<ProbeId>,
     is_draining: bool,
     is_removed: bool,
-    /// Whether a connection to it ever came up.
+    /// Whether a connection to the host was ever established.
     was_up: bool,
     _registration: Reservation,
 }
 
 impl Host {
-    fn new(NewHost { name, address, mailbox: own, registration: joined }: NewHost, common: Shared) -> Host {
+    fn new(NewHost { name, address, mailbox, registration }: NewHost, shared: Shared) -> Host {
         Host {
             name,
             address,
-            shared: common,
-            mailbox: own,
+            shared,
+            mailbox,
             pool: BTreeMap::new(),
             next_id: 0,
             probe: None,
             is_draining: false,
             is_removed: false,
             was_up: false,
-            _registration: joined,
+            _registration: registration,
         }
     }
 
@@ -255,9 +261,9 @@
             ToHost::Cancel(id) => self.cancel(id),
             ToHost::Probe(number) => {
                 self.probe = Some(number);
-                let up = |p: &PooledConnection| p.is_usable() && p.connection.is_some();
-                match self.pool.iter().find(|(_, pooled)| up(pooled)).map(|(line, _)| *line) {
-                    Some(line) => self.write(line, Outgoing::Probe(number)),
+                let is_up = |p: &PooledConnection| p.is_usable() && p.connection.is_some();
+                match self.pool.iter().find(|(_, pooled)| is_up(pooled)).map(|(id, _)| *id) {
+                    Some(id) => self.write(id, Outgoing::Probe(number)),
                     None if self.pool.values().any(PooledConnection::is_usable) => {}
                     None => drop(self.open_connection()),
                 }
@@ -271,68 +277,71 @@
                     self.report_end(id, Outcome::ConnectFailed, None, clock::now());
                 }
             }
-            ToHost::SetDraining(drains) => {
-                self.is_draining = drains;
+            ToHost::SetDraining(is_draining) => {
+                self.is_draining = is_draining;
                 self.revoke_unsent();
             }
             ToHost::Remove => {
                 self.is_removed = true;
                 self.revoke_unsent();
             }
-            ToHost::Connected(line, shared) => {
-                let Some(pooled) = self.pool.get_mut(&line) else { return };
+            ToHost::Connected(id, connection) => {
+                let Some(pooled) = self.pool.get_mut(&id) else { return };
                 if pooled.is_closing {
-                    shared.shut_down(CloseReason::HostRemoved);
+                    connection.shut_down(CloseReason::HostRemoved);
                 }
-                pooled.connection = Some(shared);
+                pooled.connection = Some(connection);
                 pooled.up_since = Some(clock::now());
                 self.was_up = true;
                 for hand_off in std::mem::take(&mut pooled.waiting) {
-                    self.write(line, Outgoing::HandOff(hand_off));
+                    self.write(id, Outgoing::HandOff(hand_off));
                 }
                 if let Some(number) = self.probe {
-                    self.write(line, Outgoing::Probe(number));
+                    self.write(id, Outgoing::Probe(number));
                 }
             }
-            ToHost::CancelSent(line, id, at) => self.cancel_sent(line, id, at),
-            ToHost::NotStarted(line, id) => self.not_started(line, id),
-            ToHost::Answer(line, answer, held, at) => self.handle_answer(line, answer, held, at),
-            ToHost::Closed(line, code, at) => {
-                let Some(pooled) = self.pool.remove(&line) else { return };
-                self.connection_lost(&pooled, code);
-                let (name, sent, code) = (&self.name, pooled.hand_off_count, code.code());
-                let line = line.0;
+            ToHost::CancelSent(connection, id, at) => self.cancel_sent(connection, id, at),
+            ToHost::NotStarted(connection, id) => self.not_started(connection, id),
+            ToHost::Answer(connection, answer, reservation, at) => {
+                self.handle_answer(connection, answer, reservation, at)
+            }
+            ToHost::Closed(id, reason, at) => {
+                let Some(pooled) = self.pool.remove(&id) else { return };
+                self.connection_lost(&pooled, reason);
+                let (name, sent, code) = (&self.name, pooled.hand_off_count, reason.code());
+                let line = id.0;
                 tracing::info!(
                     host = &name[..],
                     line,
                     code,
                     hand_offs = sent,
-                    "host {name} line {line} closed: {code} after {sent} hand-offs"
+                    "host {name} connection {line} closed: {code} after {sent} hand-offs"
                 );
                 for id in pooled.unsent_cancels {
                     let _ = self.shared.router.send(Input::HandOff(id, FromHost::CancelSent { at }));
                 }
                 for out in pooled.in_flight.into_values() {
-                    // What was not wholly written can't have run.
-                    let ran = out.send_state.written_at().is_some();
-                    let outcome = if ran { Outcome::Reset } else { Outcome::ConnectFailed };
+                    // A hand-off that was not completely written can't have run.
+                    let may_have_run = out.send_state.written_at().is_some();
+                    let outcome = if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed };
                     self.report_end(out.id, outcome, None, at);
                 }
             }
         }
     }
 
-    /// A connection has ended. By the host's side, with none left that stood beside it, it may be its process that has:
-    /// what waits for a new connection was decided for the one before, and is decided anew.
-    fn connection_lost(&mut self, ended: &PooledConnection, code: CloseReason) {
-        let heard = ended.connection.as_ref().map(|line| line.last_read_at());
-        let beside = |other: &PooledConnection| match (other.up_since, heard) {
-            (Some(up), Some(heard)) => other.is_usable() && up <= heard,
-            (up, _) => other.is_usable() && up.is_some(),
+    /// Handles the loss of a connection. If the host's process may have ended and no connection that was up at the time
+    /// is left, the router is told, and hand-offs that wait for a connection are decided again, as they were decided for
+    /// the old process.
+    fn connection_lost(&mut self, lost: &PooledConnection, reason: CloseReason) {
+        let last_read_at = lost.connection.as_ref().map(|connection| connection.last_read_at());
+        let was_beside = |other: &PooledConnection| match (other.up_since, last_read_at) {
+            (Some(up_since), Some(last_read_at)) => other.is_usable() && up_since <= last_read_at,
+            (up_since, _) => other.is_usable() && up_since.is_some(),
         };
-        // Of a process that was never reached all that is known comes from the list.
-        let may_be_new = !self.is_removed && self.was_up && code.may_be_process_end();
-        if !may_be_new || self.pool.values().any(beside) {
+        // Nothing is known of a process that was never reached but what is listed.
+        let may_be_new = !self.is_removed && self.was_up && reason.may_be_process_end();
+        if !may_be_new || self.pool.values().any(was_beside) {
             return;
         }
         let _ = self.shared.router.send(Input::HostReset(self.mailbox.id));
@@ -345,42 +354,43 @@
         waiting.into_iter().for_each(|id| self.report_end(id, Outcome::Unsent, None, clock::now()));
     }
 
-    /// What is still out at a host that has gone, or on a worn connection, may end well; each has its time-out.
+    /// Closes connections without hand-offs in flight if the host was removed or they are being retired. Hand-offs in
+    /// flight may still be answered; each has its timeout.
     fn close_unused(&mut self) {
-        let gone = Some(CloseReason::HostRemoved).filter(|_| self.is_removed);
+        let removed = Some(CloseReason::HostRemoved).filter(|_| self.is_removed);
         let unused =
             self.pool.values_mut().filter(|pooled| !pooled.is_closing && pooled.in_flight.is_empty());
         for pooled in unused {
-            if let Some(code) = pooled.retire_reason.or(gone) {
-                pooled.close(code);
+            if let Some(reason) = pooled.retire_reason.or(removed) {
+                pooled.close(reason);
             }
         }
     }
 
-    /// Guards against a hand-off that waits for its connection, or behind a slow one, past the grace after a drain was
-    /// told: what has not begun to go out never does, and is no fault of the host.
+    /// Revokes the hand-offs that have not been sent to a draining or removed host, where they could wait past the grace
+    /// of the drain. They don't count as failures of the host.
     fn revoke_unsent(&mut self) {
         if !self.is_draining && !self.is_removed {
             return;
         }
-        let mut off = Vec::new();
+        let mut revoked = Vec::new();
         for pooled in self.pool.values_mut() {
             pooled.waiting.clear();
             pooled.in_flight.retain(|_, out| {
-                let goes = !out.send_state.revoke();
-                off.extend((!goes).then_some(out.id));
-                goes
+                let is_revoked = out.send_state.revoke();
+                revoked.extend(is_revoked.then_some(out.id));
+                !is_revoked
             });
         }
-        off.into_iter().for_each(|id| self.report_end(id, Outcome::Moot, None, clock::now()));
+        revoked.into_iter().for_each(|id| self.report_end(id, Outcome::Moot, None, clock::now()));
     }
 
     fn report_end(&self, id: HandOffId, outcome: Outcome, answer: Option<(Answer, Reservation)>, at: Time) {
         let _ = self.shared.router.send(Input::HandOff(id, FromHost::Ended { outcome, answer, at }));
     }
 
-    /// The connection with the least out, or a new one where that has its part and this host's share permits.
-    /// Answers on one connection don't hold each other up, and each connection costs a thread.
+    /// Assigns a hand-off to the connection with the fewest in flight, or to a new one if that is loaded and the host's
+    /// share of connections allows it.
     fn hand_off(&mut self, hand_off: HandOff) {
         if self.is_draining || self.is_removed {
             self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
@@ -392,13 +402,13 @@
         let best = free.min_by_key(|(_, pooled)| {
             (pooled.in_flight.len(), pooled.connection.is_none(), std::cmp::Reverse(pooled.last_used))
         });
-        let best = best.map(|(line, pooled)| (*line, pooled.in_flight.len()));
-        let line = match best {
-            Some((line, load)) if load < (streams / LIGHT_LOAD_DIVISOR).max(1) => Some(line),
-            other => self.open_connection().or(other.map(|(line, _)| line)),
+        let best = best.map(|(id, pooled)| (*id, pooled.in_flight.len()));
+        let connection = match best {
+            Some((id, load)) if load < (streams / LIGHT_LOAD_DIVISOR).max(1) => Some(id),
+            other => self.open_connection().or(other.map(|(id, _)| id)),
         };
-        let Some(pooled) = line.and_then(|line| self.pool.get_mut(&line)) else {
-            // That all places are in use is no fault of this host.
+        let Some(pooled) = connection.and_then(|id| self.pool.get_mut(&id)) else {
+            // A lack of connections doesn't count as a failure of the host.
             self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
             return;
         };
@@ -419,27 +429,28 @@
                 send_state: way,
             },
         );
-        match line.filter(|_| pooled.connection.is_some()) {
-            Some(line) => self.write(line, Outgoing::HandOff(hand_off)),
+        match connection.filter(|_| pooled.connection.is_some()) {
+            Some(id) => self.write(id, Outgoing::HandOff(hand_off)),
             None => pooled.waiting.push_back(hand_off),
         }
     }
 
-    /// Writes what the machine takes at once; a thread of its own writes the rest, and from then on all.
+    /// Writes a message without blocking. If it doesn't fit the socket buffer, a slow writer thread takes over for the
+    /// rest and all later messages.
     fn write(&mut self, id: ConnectionId, message: Outgoing) {
         let Some(pooled) = self.pool.get_mut(&id) else { return };
-        let Some(line) = pooled.connection.clone() else { return };
+        let Some(connection) = pooled.connection.clone() else { return };
         pooled.hand_off_count += u64::from(matches!(message, Outgoing::HandOff(_)));
-        if let Some(slow) = &pooled.slow_writer {
-            let _ = slow.send(QueuedWrite::Whole(message));
+        if let Some(slow_writer) = &pooled.slow_writer {
+            let _ = slow_writer.send(QueuedWrite::Whole(message));
             return;
         }
-        if let Some(stale) = message.start(clock::now()) {
-            self.not_started(id, stale);
+        if let Some(hand_off) = message.start(clock::now()) {
+            self.not_started(id, hand_off);
             return;
         }
         let written = message.with_parts(|parts| {
-            let written = line.try_write(parts)?;
+            let written = connection.try_write(parts)?;
             let whole = written == parts.iter().map(|part| part.len()).sum::<usize>();
             Ok::<_, std::io::Error>(if whole { Vec::new() } else { parts.concat().split_off(written) })
         });
@@ -453,42 +464,42 @@
                 let (mailbox, messages) = unbounded();
                 let _ = mailbox.send(QueuedWrite::Remainder(message, rest));
                 pooled.slow_writer = Some(mailbox);
-                let (host, own) = (self.mailbox.clone(), line.clone());
+                let (host, own) = (self.mailbox.clone(), connection.clone());
                 if spawn("slow", move || write_slowly(id, &own, &host, messages)).is_err() {
-                    line.shut_down(CloseReason::NoThread);
+                    connection.shut_down(CloseReason::NoThread);
                 }
             }
-            (Err(_), _) => line.shut_down(CloseReason::WriteFailed),
+            (Err(_), _) => connection.shut_down(CloseReason::WriteFailed),
         }
     }
 
-    /// The host is told that no answer to this is wanted any more.
-    fn cancel_sent(&mut self, line: ConnectionId, id: HandOffId, at: Time) {
-        if let Some(pooled) = self.pool.get_mut(&line) {
-            pooled.unsent_cancels.retain(|untold| *untold != id);
+    /// A hand-off's cancel was written.
+    fn cancel_sent(&mut self, connection: ConnectionId, id: HandOffId, at: Time) {
+        if let Some(pooled) = self.pool.get_mut(&connection) {
+            pooled.unsent_cancels.retain(|cancelled| *cancelled != id);
             let _ = self.shared.router.send(Input::HandOff(id, FromHost::CancelSent { at }));
         }
     }
 
-    /// Its turn came too late, unless it was called off before: it never ran.
-    fn not_started(&mut self, line: ConnectionId, id: HandOffId) {
-        let Some(pooled) = self.pool.get_mut(&line) else { return };
-        let mut off = pooled.in_flight.extract_if(.., |_, out| out.id == id && out.send_state.revoke());
-        if off.next().is_some() {
-            drop(off);
+    /// A hand-off was not sent, as it could not be started when its turn came.
+    fn not_started(&mut self, connection: ConnectionId, id: HandOffId) {
+        let Some(pooled) = self.pool.get_mut(&connection) else { return };
+        let mut revoked = pooled.in_flight.extract_if(.., |_, out| out.id == id && out.send_state.revoke());
+        if revoked.next().is_some() {
+            drop(revoked);
             self.report_end(id, Outcome::Moot, None, clock::now());
         }
     }
 
     fn open_connection(&mut self) -> Option<ConnectionId> {
-        let standing = self.pool.values().filter(|pooled| pooled.is_usable()).count();
-        if self.is_removed || standing >= self.shared.capacity.connections_per_host() {
+        let usable = self.pool.values().filter(|pooled| pooled.is_usable()).count();
+        if self.is_removed || usable >= self.shared.capacity.connections_per_host() {
             return None;
         }
-        let place = self.shared.capacity.reserve_connection()?;
-        let line = ConnectionId(self.next_id);
+        let reservation = self.shared.capacity.reserve_connection()?;
+        let id = ConnectionId(self.next_id);
         self.next_id += 1;
-        self.shared.connections.open(self.address, &self.mailbox, line);
+        self.shared.connections.open(self.address, &self.mailbox, id);
         let pooled = PooledConnection {
             connection: None,
             up_since: None,
@@ -502,19 +513,19 @@
             last_used: clock::now(),
             retire_reason: None,
             is_closing: false,
-            _reservation: Some(place),
+            _reservation: Some(reservation),
         };
-        self.pool.insert(line, pooled);
-        Some(line)
+        self.pool.insert(id, pooled);
+        Some(id)
     }
 
     fn cancel(&mut self, id: HandOffId) {
         let now = clock::now();
-        let found = self.pool.iter_mut().find_map(|(line, pooled)| {
+        let found = self.pool.iter_mut().find_map(|(connection, pooled)| {
             let txn = *pooled.in_flight.iter().find(|(_, out)| out.id == id)?.0;
-            Some((*line, pooled.in_flight.remove(&txn)?, txn, pooled))
+            Some((*connection, pooled.in_flight.remove(&txn)?, txn, pooled))
         });
-        let Some((line, out, txn, pooled)) = found else { return };
+        let Some((connection, out, txn, pooled)) = found else { return };
         pooled.last_used = now;
         pooled.waiting.retain(|hand_off| hand_off.id != id);
         if out.send_state.is_revoked() {
@@ -522,18 +533,24 @@
         }
         pooled.unsent_cancels.push(id);
         pooled.cancelled.insert(txn, out.until.max(now));
-        // Guards against a connection on which nothing comes any more: what is on it won't be answered, and it
-        // would look the least busy.
-        let mute =
-            |line: &Arc<Connection>| out.send_state.written_at().is_some_and(|at| line.last_read_at() < at);
-        if now >= out.until && pooled.connection.as_ref().is_some_and(mute) {
+        // A silent connection would look the least loaded; it must not get new hand-offs.
+        let is_silent = |connection: &Arc<Connection>| {
+            out.send_state.written_at().is_some_and(|at| connection.last_read_at() < at)
+        };
+        if now >= out.until && pooled.connection.as_ref().is_some_and(is_silent) {
             pooled.retire_reason = Some(CloseReason::Silent);
         }
-        self.write(line, Outgoing::Cancel(id, resp::cancel_request(&out.txn)));
+        self.write(connection, Outgoing::Cancel(id, resp::cancel_request(&out.txn)));
     }
 
-    fn handle_answer(&mut self, line: ConnectionId, answer: Answer, held: Reservation, at: Time) {
-        let Some(pooled) = self.pool.get_mut(&line) else { return };
+    fn handle_answer(
+        &mut self,
+        connection: ConnectionId,
+        answer: Answer,
+        reservation: Reservation,
+        at: Time,
+    ) {
+        let Some(pooled) = self.pool.get_mut(&connection) else { return };
         pooled.last_used = at;
         if let Some(number) =
             self.probe.take_if(|number| resp::probe_tag(*number).as_bytes() == &answer.id[..])
@@ -542,41 +559,44 @@
             return;
         }
         let txn = Txn::parse(&answer.id);
-        // Guards against a second copy of the miss before, which would be taken for this one's end while it runs: who
-        // is told where to fill from has no miss of its own to tell.
-        let copied =
+        // A miss on a repeated hand-off that fills is a duplicate of the earlier miss: a host with a source to fill from
+        // doesn't answer with one.
+        let is_duplicate =
             |out: &PendingHandOff| out.is_repeat && out.fills_miss && answer.outcome == Outcome::Miss;
-        let named = pooled.in_flight.get(&txn).is_some_and(|out| out.txn == answer.id && !copied(out));
-        let Some(out) = named.then(|| pooled.in_flight.remove(&txn)).flatten() else {
-            // An answer to what was given up, or to nothing: dropped by its id.
+        let is_expected =
+            pooled.in_flight.get(&txn).is_some_and(|out| out.txn == answer.id && !is_duplicate(out));
+        let Some(out) = is_expected.then(|| pooled.in_flight.remove(&txn)).flatten() else {
+            // An answer to a cancelled or unknown hand-off is dropped.
             pooled.cancelled.remove(&txn);
             return;
         };
         if answer.outcome != Outcome::Settled {
             pooled.answered.insert(txn, (out.until, answer.outcome == Outcome::Miss));
         }
-        // A copy that the client holds can only be the one where the answer names the one that the client told of.
-        // Guards also against bytes of which it is not told what they are: neither reaches a client, nor does what
-        // comes behind them.
-        let settled = answer.outcome == Outcome::Settled;
-        let other = answer.client_copy_current && (out.client_tag.is_none() || out.client_tag != answer.tag);
-        if other || settled && out.expects_copy && answer.tag.is_none() {
+        // An answer may confirm the client's copy only by naming the tag that the client sent, and a copy must name its
+        // tag. Other answers reach no client, nor does anything after them on this connection.
+        let is_settled = answer.outcome == Outcome::Settled;
+        let is_other_copy =
+            answer.client_copy_current && (out.client_tag.is_none() || out.client_tag != answer.tag);
+        if is_other_copy || is_settled && out.expects_copy && answer.tag.is_none() {
             pooled.close(CloseReason::UnusableAnswer);
             self.report_end(out.id, Outcome::Error, None, at);
         } else {
-            self.report_end(out.id, answer.outcome, Some((answer, held)), at);
+            self.report_end(out.id, answer.outcome, Some((answer, reservation)), at);
         }
     }
 
-    /// Closes what was idle for most of the time after which the host would close it.
+    /// Closes stalled connections, and idle ones before the host closes them.
     fn sweep(&mut self, now: Time) {
         let idle = self.shared.reach.idle.times(0.8);
         for pooled in self.pool.values_mut() {
             pooled.cancelled.retain(|_, until| now < *until + LATE_ANSWER_MARGIN);
             pooled.answered.retain(|_, (until, _)| now < *until);
-            let Some(line) = pooled.connection.as_ref().filter(|_| !pooled.is_closing) else { continue };
-            // Guards against an answer that stops short or drips: nothing behind it can come through.
-            if line.partial_for(now).is_some_and(|span| span > self.shared.reach.connect_limit) {
+            let Some(connection) = pooled.connection.as_ref().filter(|_| !pooled.is_closing) else {
+                continue;
+            };
+            // An incomplete answer that stalls or trickles blocks all answers after it.
+            if connection.partial_for(now).is_some_and(|span| span > self.shared.reach.connect_limit) {
                 pooled.close(CloseReason::MessageTimeout);
             } else if pooled.in_flight.is_empty() && now - pooled.last_used > idle {
                 pooled.close(CloseReason::Idle);
@@ -585,22 +605,27 @@
     }
 }
 
-/// Writes the rest of a message and all that come after it, as fast as the host takes them.
-fn write_slowly(id: ConnectionId, line: &Connection, host: &HostMailbox, messages: Receiver<QueuedWrite>) {
-    while let Some(late) = mailbox::recv(&messages) {
-        let (message, written) = match late {
-            QueuedWrite::Remainder(message, rest) => (message, line.write(&[&rest], 0)),
+/// Writes queued messages as fast as the host reads them.
+fn write_slowly(
+    id: ConnectionId,
+    connection: &Connection,
+    host: &HostMailbox,
+    messages: Receiver<QueuedWrite>,
+) {
+    while let Some(queued) = mailbox::recv(&messages) {
+        let (message, written) = match queued {
+            QueuedWrite::Remainder(message, rest) => (message, connection.write(&[&rest], 0)),
             QueuedWrite::Whole(message) => {
-                if let Some(stale) = message.start(clock::now()) {
-                    let _ = host.send(ToHost::NotStarted(id, stale));
+                if let Some(hand_off) = message.start(clock::now()) {
+                    let _ = host.send(ToHost::NotStarted(id, hand_off));
                     continue;
                 }
-                let written = message.with_parts(|parts| line.write(parts, 0));
+                let written = message.with_parts(|parts| connection.write(parts, 0));
                 (message, written)
             }
         };
         if written.is_err() {
-            line.shut_down(CloseReason::WriteFailed);
+            connection.shut_down(CloseReason::WriteFailed);
             return;
         }
         match message {
--- a/crates/dispatcher/src/ids.rs
+++ b/crates/dispatcher/src/ids.rs
@@ -1,33 +1,34 @@
-//! Ids of the dispatcher's own; those of visits and hosts are the module's.
+//! Ids used by the network layer; those of visits and hosts belong to the decision module.
 use cherrypass::ids::{HandOffNo, VisitId};
 
-/// A client's connection.
+/// Id of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
-/// A host's actor; a host that is listed anew has a new one.
+/// Id of a host's actor. A host that is listed again gets a new actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostActorId(pub u64);
 
-/// A connection to a host, counted by host.
+/// Id of a connection to a host, unique within that host's actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// A question of how busy a host is.
+/// Id of a load probe sent to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProbeId(pub u64);
 
+/// Id of one attempt of a visit at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HandOffId(pub VisitId, pub HandOffNo);
 
-/// A visit's id of its client's own, 16 hexadecimal digits on the wire.
+/// The id that the client gave a visit, 16 hexadecimal digits on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Txn(u64);
 
 impl Txn {
-    /// What is no such id is none that was given out: it stands for itself as well as it can.
-    pub fn parse(wire: &[u8]) -> Txn {
-        let digits = std::str::from_utf8(wire).ok().filter(|text| text.len() == 16);
+    /// Parses a transaction id; malformed ids, which no visit has, become 0.
+    pub fn parse(bytes: &[u8]) -> Txn {
+        let digits = std::str::from_utf8(bytes).ok().filter(|text| text.len() == 16);
         Txn(digits.and_then(|text| u64::from_str_radix(text, 16).ok()).unwrap_or(0))
     }
 }
--- a/crates/dispatcher/src/inbox.rs
+++ b/crates/dispatcher/src/inbox.rs
@@ -1,5 +1,5 @@
-//! The router's mailbox: what clients, hosts, the change log, signals, the store and the fleet tell it. It lies below all of
-//! them and knows none, so that none of them knows the router.
+//! Messages to the router from clients, hosts, the change log, signals, the store and the fleet. Their senders depend on
+//! this module rather than on the router.
 use crate::cancellation::CancelToken;
 use crate::capacity::Reservation;
 use crate::connection::Connection;
@@ -14,22 +14,24 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// A message to the router.
 pub enum Input {
     Client(ClientId, FromClient),
     HandOff(HandOffId, FromHost),
+    /// A host reported its load.
     ProbeEnded(ProbeId, Report),
     Changed(Change),
-    /// All that the change log had at that time is known here.
+    /// All changes that the change log had at this time have been sent.
     LogKnown(Time),
-    /// A host reset its connections or refused one.
+    /// A host reset its connections or refused one, so that its process may be new.
     HostReset(HostActorId),
-    /// What the store made of a hand-off's record.
+    /// The store accepted or rejected the record of a hand-off.
     Recorded(HandOffId, Taken),
     Fleet(FromFleet),
     Stop,
 }
 
-/// What clients tell the router; a visit with the time of its last byte.
+/// A message of a client connection.
 pub enum FromClient {
     Opened {
         connection: Arc<Connection>,
@@ -37,7 +39,9 @@
     Visit {
         id: u32,
         request: Box<VisitRequest>,
+        /// When the last byte of the request was read.
         received_at: Time,
+        /// Marks the connection as in use until the visit is answered.
         in_use: Reservation,
         cancel: CancelToken,
     },
@@ -51,14 +55,14 @@
     Withdraw {
         ids: Vec<u32>,
     },
-    /// The connection is about to be ended: what is open on it gets its final answer now.
+    /// The connection is about to be closed: its open visits must be answered now.
     Closing,
     Closed,
 }
 
-/// What hosts tell the router of a hand-off.
+/// A message of a host about a hand-off.
 pub enum FromHost {
-    /// The host was told that no answer is wanted any more, or its connection has ended.
+    /// The host was sent a cancel, or its connection has closed.
     CancelSent {
         at: Time,
     },
@@ -69,17 +73,18 @@
     },
 }
 
-/// A host of the list, with the address at which this dispatcher reaches it.
+/// A listed host with the address at which this dispatcher reaches it.
 #[derive(Clone, Debug)]
 pub struct Listed {
-    /// Its `since` follows from `started` as the entry is taken into the list.
+    /// Its `since` is derived from `started` when the entry is applied to the list.
     pub listing: Listing,
-    /// When its process started, as the change log tells it; none where that was long ago.
+    /// The host's start time in the change log's clock; none if that was long ago.
     pub started: Option<UnixTime>,
     pub name: String,
     pub address: Option<SocketAddr>,
 }
 
+/// A change told by the change log.
 #[derive(Clone, Debug)]
 pub enum Change {
     List { whole: bool, hosts: Vec<Listed> },
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,5 +1,5 @@
-//! The dispatcher on sockets: clients over MessagePack-RPC, hosts over RESP, the change log over HTTP/1.1,
-//! and the module that decides between them.
+//! The dispatcher's network layer: clients over MessagePack-RPC, hosts over RESP and the change log over
+//! HTTP/1.1, connected to the decision module.
 #![forbid(unsafe_code)]
 
 pub mod attempt_log;
--- a/crates/dispatcher/src/logger.rs
+++ b/crates/dispatcher/src/logger.rs
@@ -1,6 +1,6 @@
-//! Log lines go to standard error by a thread of their own, so that a log that is not read holds up nothing; what
-//! doesn't fit in between is dropped and counted. As text a line holds its message alone, which names codes and
-//! ids; as JSON these are fields besides.
+//! Logging to standard error through a background thread, so that a blocked reader never blocks the dispatcher; lines
+//! that don't fit the queue are dropped and counted. The text format writes only the message; JSON adds codes and ids as
+//! fields.
 use crate::clock;
 use clap::ValueEnum;
 use std::fmt;
@@ -15,19 +15,19 @@
 use tracing_subscriber::fmt::{FmtContext, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How many lines may wait for whoever reads the log: a list of 1,024 hosts, a line each, and what comes meanwhile.
+/// Room for a line per host of a full list of 1,024 hosts and more.
 const MAX_QUEUED_LINES: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Seconds of Unix time, level, message
+    /// Unix time in seconds, level, message
     #[default]
     Text,
-    /// One object a line, with codes and ids as fields
+    /// One JSON object per line, with codes and ids as fields
     Json,
 }
 
-/// Unix time in seconds, to the microsecond.
+/// Formats the wall clock time as Unix seconds with microseconds.
 struct UnixSeconds;
 
 impl FormatTime for UnixSeconds {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Writes lines, and after one how many were dropped before it.
+/// Writes lines, and reports after a line how many were dropped before it.
 struct DropReporter<W> {
     writer: W,
     dropped: Arc<OnceLock<ErrorCounter>>,
@@ -87,7 +87,7 @@
     }
 }
 
-/// A log that goes to some place; what waits is written before the guard's end.
+/// Creates a log that writes to `place`. Dropping the guard flushes queued lines.
 pub fn log_to(
     place: impl Write + Send + 'static,
     level: LevelFilter,
@@ -109,7 +109,7 @@
     (dispatch, guard)
 }
 
-/// Starts the process's log on standard error; a second start in one process leaves the first in place.
+/// Installs the process's log on standard error; a second call leaves the first log in place.
 pub fn start(level: LevelFilter, format: Format) -> WorkerGuard {
     let (dispatch, guard) = log_to(io::stderr(), level, format);
     let _ = tracing::dispatcher::set_global_default(dispatch);
@@ -123,7 +123,7 @@
     use std::time::{Duration, Instant};
     use test_case::test_case;
 
-    /// Takes nothing until it is let go on.
+    /// Blocks the first write until released.
     struct BlockedWriter(Option<Receiver<()>>, Sender<String>);
 
     impl Write for BlockedWriter {
@@ -141,20 +141,20 @@
     }
 
     fn lines(format: Format, then: impl FnOnce()) -> Vec<String> {
-        let ((go, wait), (tell, told)) = (channel(), channel());
-        let (dispatch, guard) = log_to(BlockedWriter(Some(wait), tell), LevelFilter::INFO, format);
+        let ((release, wait), (sender, written)) = (channel(), channel());
+        let (dispatch, guard) = log_to(BlockedWriter(Some(wait), sender), LevelFilter::INFO, format);
         tracing::dispatcher::with_default(&dispatch, then);
-        drop(go);
+        drop(release);
         drop((dispatch, guard));
-        told.iter().collect::<String>().lines().map(str::to_owned).collect()
+        written.iter().collect::<String>().lines().map(str::to_owned).collect()
     }
 
     #[test]
-    fn a_log_that_is_not_read_holds_up_nothing_and_counts_what_it_dropped() {
-        let begun = Instant::now();
+    fn a_blocked_log_never_blocks_the_caller_and_counts_dropped_lines() {
+        let start = Instant::now();
         let found = lines(Format::Text, || {
             (0..3 * MAX_QUEUED_LINES).for_each(|number| tracing::info!("line {number}"));
-            assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+            assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
         });
         let counts = found.iter().filter_map(|line| line.strip_prefix("log lines dropped: "));
         let dropped: usize = counts.map(|count| count.parse::<usize>().unwrap()).sum();
@@ -168,10 +168,10 @@
 
     #[test_case(Format::Text, " info host s-a closed"; "text")]
     #[test_case(Format::Json, r#""host":"s-a","line":3,"code":"mute""#; "json")]
-    fn codes_and_ids(format: Format, words: &str) {
+    fn codes_and_ids_are_fields_in_json_only(format: Format, words: &str) {
         let found = lines(format, || {
             tracing::info!(host = "s-a", line = 3, code = "mute", "host s-a closed");
-            tracing::debug!("nobody asked for this");
+            tracing::debug!("below the level");
         });
         assert!(found.len() == 1 && found[0].contains(words), "{found:?}");
         assert_eq!(found[0].contains("code"), format == Format::Json);
--- a/crates/dispatcher/src/mailbox.rs
+++ b/crates/dispatcher/src/mailbox.rs
@@ -1,9 +1,9 @@
-//! Waiting for the next message of a mailbox. A channel's own recv yields the core some ten times before it
-//! sleeps, which on one core with many threads costs more switches than the messages do; a select sleeps at
-//! once.
+//! Receiving from channels without spinning. `Receiver::recv` yields several times before it sleeps, which is
+//! expensive with many threads on one core; a `Select` sleeps at once.
 use crossbeam_channel::{Receiver, Select};
 use std::time::Duration;
 
+/// Receives the next message; none once the channel is disconnected.
 pub fn recv<T>(mailbox: &Receiver<T>) -> Option<T> {
     if let Ok(message) = mailbox.try_recv() {
         return Some(message);
@@ -13,7 +13,7 @@
     select.select().recv(mailbox).ok()
 }
 
-/// The next message of the first of two mailboxes that has one, waited for no longer than told.
+/// Receives from the first of two channels that has a message, waiting no longer than `wait`.
 pub fn recv_timeout<T>(mailboxes: &[Receiver<T>; 2], wait: Duration) -> Option<T> {
     let found = mailboxes.iter().find_map(|mailbox| mailbox.try_recv().ok());
     if found.is_some() || wait.is_zero() {
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -1,3 +1,4 @@
+//! The `cherrypass` command line.
 #![forbid(unsafe_code)]
 use cherrypass_dispatcher::config::{Config, Error};
 use cherrypass_dispatcher::keeping::Kept;
@@ -23,28 +24,28 @@
     Serve {
         #[command(flatten)]
         files: Files,
-        /// What is logged: error, warn, info, debug (each attempt with its times) or off
+        /// Log level: error, warn, info, debug (adds each attempt with its timings) or off
         #[arg(long, env = "CHERRYPASS_LOG", default_value = "info")]
         log: LevelFilter,
-        /// How log lines are written
+        /// Format of log lines
         #[arg(long, value_enum, default_value_t)]
         log_format: logger::Format,
-        /// Where the configuration can't be used, take the last good one of the operators' store
+        /// If the configuration can't be used, start with the last valid one from the operators' store
         #[arg(long)]
         last_good: bool,
     },
-    /// Read a configuration and the operators' file and say what they come to, without serving
+    /// Validate a configuration and the operators' file and print a summary, without serving
     Check {
         #[command(flatten)]
         files: Files,
     },
-    /// The operators' file
+    /// Inspect the operators' file
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Look into and keep a store of what must last
+    /// Inspect and maintain the persistent store
     #[command(subcommand)]
     Store(store_commands::Command),
-    /// New rules for the whole fleet, in stages
+    /// Roll out new rules to the whole fleet in stages
     Rollout(rollout_commands::Rollout),
     /// Print the version
     Version,
@@ -52,17 +53,17 @@
 
 #[derive(Args)]
 struct Files {
-    /// The configuration, a JSON file
+    /// Path of the configuration, a JSON file
     #[arg(long, env = "GW_CONFIG")]
     config: Option<PathBuf>,
-    /// The operators' own file, Jsonnet; without one all that it sets is off
+    /// Path of the operators' file, in Jsonnet; every feature it configures is off without one
     #[arg(long, env = "CHERRYPASS_OPERATOR")]
     operator: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Print what the operators' file comes to
+    /// Print the operators' file as evaluated JSON
     Show {
         #[arg(long, env = "CHERRYPASS_OPERATOR")]
         operator: PathBuf,
@@ -105,7 +106,7 @@
             let known = kept.as_ref().and_then(Kept::last_good).ok_or(error)?;
             let config = Config::decode(&known.text)?;
             tracing::warn!(
-                "the configuration can't be used; number {}, in force since {}, is taken",
+                "the configuration can't be used; number {}, in force since {}, is taken instead",
                 known.number,
                 known.since
             );
@@ -130,12 +131,12 @@
     };
     let listen = config.listen;
     let started = signals::register().and_then(|signals| {
-        let (dispatcher, tell) = Dispatcher::start(config.clone(), kept.clone(), fleet)?;
+        let (dispatcher, targets) = Dispatcher::start(config.clone(), kept.clone(), fleet)?;
         config.known = serde_json::Value::Null;
         if let Some(kept) = &kept {
             kept.in_force(&path, &text);
         }
-        signals::handle_in_thread(signals, path, config, kept.clone(), tell)?;
+        signals::handle_in_thread(signals, path, config, kept.clone(), targets)?;
         Ok(dispatcher)
     });
     match started {
@@ -197,8 +198,8 @@
     ExitCode::SUCCESS
 }
 
-fn on_off(is: bool) -> &'static str {
-    if is {
+fn on_off(is_on: bool) -> &'static str {
+    if is_on {
         "on"
     } else {
         "off"
--- a/crates/dispatcher/src/msgpack.rs
+++ b/crates/dispatcher/src/msgpack.rs
@@ -1,4 +1,4 @@
-//! MessagePack-RPC framing of what passes between clients and a dispatcher.
+//! MessagePack-RPC codec for the messages between clients and a dispatcher.
 use crate::connection::CloseReason;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use cherrypass::ids::{GroupId, ObjectId};
@@ -7,39 +7,46 @@
 use std::io::{Cursor, ErrorKind};
 
 pub const MAX_BODY_BYTES: usize = 48_000;
-/// No message of a client is longer.
+/// Longest message that a client may send.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 const MAX_DEPTH: u32 = 8;
 const HEX_ID_DIGITS: usize = 16;
 const MAX_TOKEN_BYTES: usize = 64;
 
-/// A visit as its client worded it; the rest of it is passed on unread.
+/// A client's request for a block of an object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VisitRequest {
     pub txn: Bytes,
+    /// The name of the request's class.
     pub class: Bytes,
+    /// The object's id as sent, in hexadecimal digits.
     pub item: Bytes,
     pub object: ObjectId,
     pub block: u32,
     pub group: GroupId,
     pub time_limit: Span,
+    /// Identifies the visit across retries, for classes whose visits are deduplicated.
     pub dedup_key: Option<Bytes>,
+    /// The tag of the copy that the client has cached.
     pub cached_tag: Option<Bytes>,
     pub body: Bytes,
 }
 
+/// A client's message, with its id where it has one.
 #[derive(Debug, PartialEq)]
 pub enum Message {
     Visit(u32, Box<VisitRequest>),
+    /// A request with the name of the field that is invalid.
     Malformed(u32, &'static str),
     Status(u32),
     Withdraw(Vec<u32>),
+    /// A notification with an unknown method.
     Unknown,
 }
 
 type Reader<'a> = Cursor<&'a [u8]>;
 
-/// Takes the next message off a buffer, or says that more is to come.
+/// Takes the next message off a buffer; none while it is incomplete.
 pub fn next(buffer: &mut BytesMut) -> Result<Option<Message>, CloseReason> {
     let mut reader = Cursor::new(&buffer[..]);
     match skip_value(&mut reader, 0) {
@@ -53,18 +60,19 @@
     decode_message(&message).map(Some)
 }
 
-/// Whether bytes that are not taken yet withdraw a request. They may begin anywhere in a message, so it is looked for by
-/// its method's name, in whichever form that is given; a body that holds the same is its client's own.
-pub fn withdraws(waiting: &[u8], id: u32) -> bool {
+/// Whether unread bytes withdraw a request. They may start in the middle of a message, so the method's name is searched
+/// for. A request body with the same bytes can only withdraw requests of its own client.
+pub fn withdraws(unread: &[u8], id: u32) -> bool {
     const NAME: &[u8] = b"withdraw";
-    let named = waiting.windows(NAME.len()).enumerate().filter(|(_, word)| *word == NAME);
+    let named = unread.windows(NAME.len()).enumerate().filter(|(_, word)| *word == NAME);
     named.into_iter().any(|(at, _)| {
-        let mut reader = Cursor::new(&waiting[at + NAME.len()..]);
+        let mut reader = Cursor::new(&unread[at + NAME.len()..]);
         let count = decode::read_array_len(&mut reader).unwrap_or(0);
         (0..count).map_while(|_| decode::read_int::<u32, _>(&mut reader).ok()).any(|other| other == id)
     })
 }
 
+/// Why a value can't be skipped.
 enum SkipError {
     Incomplete,
     Invalid(CloseReason),
@@ -78,14 +86,14 @@
     }
 }
 
-/// Goes over one value of any type without taking memory for it.
+/// Skips one value of any type without allocating.
 fn skip_value(reader: &mut Reader, depth: u32) -> Result<(), SkipError> {
     use Marker::*;
     if depth > MAX_DEPTH {
         return Err(SkipError::Invalid(CloseReason::Unreadable));
     }
     let marker = decode::read_marker(reader).map_err(|error| skip_error(Some(error.0.kind())))?;
-    let big = |bytes: usize, reader: &mut Reader| -> Result<usize, SkipError> {
+    let read_len = |bytes: usize, reader: &mut Reader| -> Result<usize, SkipError> {
         if reader.remaining() < bytes {
             return Err(SkipError::Incomplete);
         }
@@ -102,15 +110,15 @@
         U32 | I32 | F32 => (4, 0),
         U64 | I64 | F64 => (8, 0),
         FixStr(n) => (usize::from(n), 0),
-        Str8 | Bin8 => (big(1, reader)?, 0),
-        Str16 | Bin16 => (big(2, reader)?, 0),
-        Str32 | Bin32 => (big(4, reader)?, 0),
+        Str8 | Bin8 => (read_len(1, reader)?, 0),
+        Str16 | Bin16 => (read_len(2, reader)?, 0),
+        Str32 | Bin32 => (read_len(4, reader)?, 0),
         FixArray(n) => (0, usize::from(n)),
-        Array16 => (0, big(2, reader)?),
-        Array32 => (0, big(4, reader)?),
+        Array16 => (0, read_len(2, reader)?),
+        Array32 => (0, read_len(4, reader)?),
         FixMap(n) => (0, 2 * usize::from(n)),
-        Map16 => (0, 2 * big(2, reader)?),
-        Map32 => (0, 2 * big(4, reader)?),
+        Map16 => (0, 2 * read_len(2, reader)?),
+        Map32 => (0, 2 * read_len(4, reader)?),
         _ => return Err(SkipError::Invalid(CloseReason::Unreadable)),
     };
     let end = reader.position() as usize + bytes;
@@ -124,14 +132,14 @@
     (0..values).try_for_each(|_| skip_value(reader, depth + 1))
 }
 
-/// One whole message; what is not a message at all ends the connection.
+/// Decodes one complete message. The connection is closed if it is none.
 fn decode_message(message: &Bytes) -> Result<Message, CloseReason> {
     let mut reader = Cursor::new(&message[..]);
     let reader = &mut reader;
     let unreadable = || CloseReason::Unreadable;
     let parts = decode::read_array_len(reader).map_err(|_| unreadable())?;
-    let sort: u8 = decode::read_int(reader).map_err(|_| unreadable())?;
-    match (sort, parts) {
+    let kind: u8 = decode::read_int(reader).map_err(|_| unreadable())?;
+    match (kind, parts) {
         (0, 4) => {
             let id: u32 = decode::read_int(reader).map_err(|_| unreadable())?;
             let Some(method) = read_str(message, reader) else { return Ok(Message::Malformed(id, "method")) };
@@ -156,10 +164,10 @@
     }
 }
 
-/// A string or binary as a slice of its message, or nothing where another value stands, which is passed over.
-fn read_slice(message: &Bytes, reader: &mut Reader, binary: bool) -> Option<Bytes> {
+/// Reads a string or binary as a slice of its message; a value of another type is skipped.
+fn read_slice(message: &Bytes, reader: &mut Reader, is_binary: bool) -> Option<Bytes> {
     let start = reader.position();
-    let length = if binary {
+    let length = if is_binary {
         decode::read_bin_len(reader).ok().map(|n| n as usize)
     } else {
         decode::read_str_len(reader).ok().map(|n| n as usize)
@@ -182,24 +190,24 @@
     read_slice(message, reader, false)
 }
 
-fn decode_visit(message: &Bytes, reader: &mut Reader, band: Bytes) -> Result<VisitRequest, &'static str> {
+fn decode_visit(message: &Bytes, reader: &mut Reader, class: Bytes) -> Result<VisitRequest, &'static str> {
     if !matches!(decode::read_array_len(reader), Ok(2)) {
         return Err("params");
     }
     let pairs = decode::read_map_len(reader).map_err(|_| "fields")?;
-    let (mut txn, mut limit, mut unique, mut item, mut block, mut family, mut cached) =
+    let (mut txn, mut time_limit, mut dedup_key, mut item, mut block, mut family, mut cached_tag) =
         (None, None, None, None, None, None, None);
     for _ in 0..pairs {
         let name = read_str(message, reader);
         let value = read_str(message, reader);
         match name.as_deref() {
             Some(b"txn") => txn = value,
-            Some(b"limit") => limit = value,
-            Some(b"unique") => unique = Some(value),
+            Some(b"limit") => time_limit = value,
+            Some(b"unique") => dedup_key = Some(value),
             Some(b"item") => item = value,
             Some(b"block") => block = value,
             Some(b"family") => family = value,
-            Some(b"cached") => cached = Some(value),
+            Some(b"cached") => cached_tag = Some(value),
             _ => {}
         }
     }
@@ -212,15 +220,15 @@
     Ok(VisitRequest {
         txn: txn.filter(is_hex_id).ok_or("txn")?,
         object: object.map(ObjectId).ok_or("item")?,
-        time_limit: parse_decimal(limit)
+        time_limit: parse_decimal(time_limit)
             .filter(|ms| *ms > 0)
             .map(|ms| Span::millis(u64::from(ms)))
             .ok_or("limit")?,
         block: parse_decimal(block).ok_or("block")?,
         group: parse_decimal(family).filter(|n| *n < 256).map(GroupId).ok_or("family")?,
-        dedup_key: unique.map(|value| value.filter(is_token).ok_or("unique")).transpose()?,
-        cached_tag: cached.map(|value| value.filter(is_token).ok_or("cached")).transpose()?,
-        class: band,
+        dedup_key: dedup_key.map(|value| value.filter(is_token).ok_or("unique")).transpose()?,
+        cached_tag: cached_tag.map(|value| value.filter(is_token).ok_or("cached")).transpose()?,
+        class,
         item,
         body,
     })
@@ -230,7 +238,7 @@
     value.len() == HEX_ID_DIGITS && value.iter().all(u8::is_ascii_hexdigit)
 }
 
-/// What can be passed on among fields of another wire without being taken for more than one.
+/// Whether a value is safe to embed in the comma-separated fields of the host protocol.
 fn is_token(value: &Bytes) -> bool {
     (1..=MAX_TOKEN_BYTES).contains(&value.len())
         && value.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(b))
@@ -241,7 +249,7 @@
     std::str::from_utf8(&value).ok()?.parse().ok()
 }
 
-/// A whole answer in parts, the middle one being the body as it came.
+/// An encoded response in parts; the middle one is the body as received.
 pub type Parts = [Bytes; 3];
 
 fn response_head(id: u32) -> bytes::buf::Writer<BytesMut> {
@@ -252,14 +260,15 @@
     head
 }
 
-fn write_fields(out: &mut bytes::buf::Writer<BytesMut>, all: &[(&str, &str)]) {
-    let _ = encode::write_map_len(out, all.len() as u32);
-    for (name, value) in all {
+fn write_fields(out: &mut bytes::buf::Writer<BytesMut>, fields: &[(&str, &str)]) {
+    let _ = encode::write_map_len(out, fields.len() as u32);
+    for (name, value) in fields {
         let _ = encode::write_str(out, name);
         let _ = encode::write_str(out, value);
     }
 }
 
+/// The response to a served visit; `keep` tells the client to keep its own copy.
 pub fn served(id: u32, body: Bytes, keep: bool) -> Parts {
     let mut head = response_head(id);
     let _ = encode::write_nil(&mut head);
@@ -270,29 +279,33 @@
     [head.into_inner().freeze(), body, tail.into_inner().freeze()]
 }
 
-fn error_response(id: u32, name: &str, all: &[(&str, &str)]) -> Parts {
+fn error_response(id: u32, name: &str, fields: &[(&str, &str)]) -> Parts {
     let mut head = response_head(id);
     let _ = encode::write_array_len(&mut head, 2);
     let _ = encode::write_str(&mut head, name);
-    write_fields(&mut head, all);
+    write_fields(&mut head, fields);
     let _ = encode::write_nil(&mut head);
     [head.into_inner().freeze(), Bytes::new(), Bytes::new()]
 }
 
+/// The response to a refused visit, which did not run and may be retried.
 pub fn refused(id: u32, retry_after: Span) -> Parts {
-    let later = (retry_after.0 / 1000).to_string();
-    let all = [("later", &later[..])];
-    error_response(id, "Rejected", if retry_after == Span::ZERO { &[] } else { &all })
+    let retry_after_ms = (retry_after.0 / 1000).to_string();
+    let fields = [("later", &retry_after_ms[..])];
+    error_response(id, "Rejected", if retry_after == Span::ZERO { &[] } else { &fields })
 }
 
+/// The response to a failed visit, which may have run.
 pub fn failed(id: u32) -> Parts {
     error_response(id, "Failed", &[])
 }
 
+/// The response to a malformed request.
 pub fn bad_request(id: u32, field: &str) -> Parts {
     error_response(id, "BadRequest", &[("field", field)])
 }
 
+/// The response to a status request.
 pub fn status(id: u32, ready: bool) -> Parts {
     let mut head = response_head(id);
     let _ = encode::write_nil(&mut head);
--- a/crates/dispatcher/src/resp.rs
+++ b/crates/dispatcher/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP framing of what passes between a dispatcher and hosts: arrays of bulk strings.
+//! RESP codec for the messages between a dispatcher and hosts: arrays of bulk strings.
 use crate::config::HOST_MESSAGE;
 use crate::connection::CloseReason;
 use crate::ids::ProbeId;
@@ -7,34 +7,33 @@
 use cherrypass::time::UnixTime;
 use std::fmt::Write;
 
-/// Fields of an answer hold no more than this.
 const MAX_FIELDS_BYTES: usize = 4096;
 const MAX_ID_BYTES: usize = 64;
 const MAX_LENGTH_LINE_BYTES: usize = 16;
 
-/// An answer of a host, as slices of what was read.
+/// A host's answer, as slices of the bytes read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     pub id: Bytes,
     pub outcome: Outcome,
-    /// The copy that the client holds is the one.
+    /// Whether the copy that the client has cached is current.
     pub client_copy_current: bool,
     pub note: Note,
     pub report: Report,
-    /// The tag of the copy that it is of, where it says that and how old the copy is.
+    /// The tag of the answer's copy; set only if the answer also tells when the copy was created.
     pub tag: Option<Bytes>,
-    /// When the origin gave that copy out.
+    /// When the origin created the copy.
     pub created: Option<UnixTime>,
     pub body: Bytes,
 }
 
-/// What a buffer begins with.
+/// What the start of a buffer holds.
 #[derive(Debug, PartialEq)]
 pub enum Parsed {
     Answer(Answer),
-    /// An answer that is whole but can't be used.
+    /// An answer that is complete but invalid.
     Unusable,
-    /// So many bytes more are wanted, at the least.
+    /// At least this many more bytes are needed.
     Incomplete(usize),
 }
 
@@ -66,6 +65,7 @@
     Ok(decode_answer(&id, &word, &fields, body).map_or(Parsed::Unusable, Parsed::Answer))
 }
 
+/// Reads a RESP length line that starts with `mark`; none while it is incomplete.
 fn read_length(buffer: &[u8], at: &mut usize, mark: u8) -> Result<Option<usize>, CloseReason> {
     let rest = &buffer[*at..];
     let Some(first) = rest.first() else { return Ok(None) };
@@ -83,23 +83,23 @@
 }
 
 fn decode_answer(id: &Bytes, word: &[u8], fields: &Bytes, body: Bytes) -> Option<Answer> {
-    let keep = word == b"KEEP";
+    let client_copy_current = word == b"KEEP";
     let outcome = match word {
         b"DONE" | b"KEEP" => Outcome::Settled,
         b"LACK" => Outcome::Miss,
         b"WAIT" => Outcome::Full,
-        // What answers a probe would, under a visit's id, prove nothing of it.
+        // Replies to probes don't tell anything about a visit.
         b"BROKE" | b"FIT" | b"UNFIT" => Outcome::Error,
         b"PAST" => Outcome::Moot,
         _ => return None,
     };
-    if keep && !body.is_empty() {
+    if client_copy_current && !body.is_empty() {
         return None;
     }
     let mut answer = Answer {
         id: id.clone(),
         outcome,
-        client_copy_current: keep,
+        client_copy_current,
         note: Note::Untold,
         report: Report::default(),
         tag: None,
@@ -149,18 +149,18 @@
     })
 }
 
-/// Under what a probe is asked and answered; visits go by 16 hexadecimal digits.
-pub fn probe_tag(number: ProbeId) -> String {
-    format!("probe-{}", number.0)
+/// The id of a probe on the wire, which differs from the 16 hexadecimal digits of a visit.
+pub fn probe_tag(probe: ProbeId) -> String {
+    format!("probe-{}", probe.0)
 }
 
-/// Asks how busy a host is.
-pub fn probe_request(number: ProbeId) -> String {
-    let tag = probe_tag(number);
+/// A request for a host's load.
+pub fn probe_request(probe: ProbeId) -> String {
+    let tag = probe_tag(probe);
     format!("*2\r\n$4\r\nbusy\r\n${}\r\n{tag}\r\n", tag.len())
 }
 
-/// All of a request but its body and the two bytes after that.
+/// A request up to its body; the body and [`CRLF`] follow.
 pub fn hand_off_head(id: &[u8], fields: &str, body: usize) -> Bytes {
     let mut head = String::with_capacity(96 + fields.len());
     let id = String::from_utf8_lossy(id);
@@ -173,6 +173,7 @@
     Bytes::from(head)
 }
 
+/// A request to cancel a hand-off.
 pub fn cancel_request(id: &[u8]) -> Bytes {
     let id = String::from_utf8_lossy(id);
     Bytes::from(format!("*2\r\n$10\r\nnever_mind\r\n${}\r\n{id}\r\n", id.len()))
--- a/crates/dispatcher/src/signals.rs
+++ b/crates/dispatcher/src/signals.rs
@@ -1,5 +1,5 @@
-//! Signals: SIGTERM tells the router, which serves on what comes and finishes what is open; SIGHUP reads the
-//! configuration anew. What can't be used leaves the one in force as it is.
+//! Signal handling: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration. A configuration
+//! that can't be used leaves the current one in force.
 use crate::config::Config;
 use crate::connection::spawn;
 use crate::inbox::Input;
@@ -10,31 +10,32 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The channels through which signals take effect.
 pub struct SignalTargets {
     pub router: Sender<Input>,
-    /// The change log's thread, which is told of new addresses.
+    /// Passes a new change log address to the thread that follows it.
     pub changelog: Sender<SocketAddr>,
 }
 
-/// From here on signals wait until they are followed. Guards against one that comes as the start is told of, and ends
-/// the process.
+/// Registers the signals, which are then queued until they are handled, so that one that arrives during startup does
+/// not kill the process.
 pub fn register() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// A thread of their own follows them.
+/// Handles the signals on a thread of their own.
 pub fn handle_in_thread(
     mut signals: Signals,
     path: PathBuf,
     config: Config,
     kept: Option<Kept>,
-    tell: SignalTargets,
+    targets: SignalTargets,
 ) -> std::io::Result<()> {
     spawn("signals", move || {
         for signal in signals.forever() {
             if signal == SIGHUP {
-                reload(&path, &config, kept.as_ref(), &tell.changelog);
-            } else if tell.router.send(Input::Stop).is_err() {
+                reload(&path, &config, kept.as_ref(), &targets.changelog);
+            } else if targets.router.send(Input::Stop).is_err() {
                 return;
             }
         }
@@ -42,20 +43,20 @@
     Ok(())
 }
 
-fn reload(path: &std::path::Path, config: &Config, kept: Option<&Kept>, changes: &Sender<SocketAddr>) {
+fn reload(path: &std::path::Path, config: &Config, kept: Option<&Kept>, changelog: &Sender<SocketAddr>) {
     let (new, text) = match Config::load_text(path) {
         Ok(new) => new,
         Err(error) => {
-            tracing::warn!("reload: {error}; the configuration in force stays");
+            tracing::warn!("reload: {error}; the current configuration stays in force");
             return;
         }
     };
     tracing::info!("reload: change log at {}", new.changelog);
     if config.is_new_beyond_changelog(&new) {
-        tracing::warn!("reload: more than the change log's address is new; that is taken at the next start");
+        tracing::warn!("reload: only the change log's address is reloaded; the other changes take effect at the next start");
     }
     if let Some(kept) = kept {
         kept.in_force(path, &text);
     }
-    let _ = changes.send(new.changelog);
+    let _ = changelog.send(new.changelog);
 }
