--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -1,5 +1,5 @@
-//! The module's actor, the only owner of the module, of open visits and of hand-offs: turns messages into
-//! calls, pulls decisions, and sends them out. It decides nothing itself.
+//! The router: owns the decision module, the open visits and the hand-offs in flight. It turns messages into calls of the
+//! module and carries out the module's decisions.
 use crate::attempt_log::{AttemptLog, EndedAttempt};
 use crate::cancellation::CancelToken;
 use crate::capacity::{Gauge, HostCapacity, Reservation};
@@ -36,51 +36,58 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// The most visits that a client may have open on one connection.
+/// Visits that a client may have open on one connection.
 const MAX_OPEN_VISITS_PER_CLIENT: usize = 32;
-/// And the most answers that it may leave unread.
+/// Answers that a client may leave unread.
 const MAX_UNREAD_ANSWERS_PER_CLIENT: usize = 4 * MAX_OPEN_VISITS_PER_CLIENT;
-/// By so much a limit may pass its band's deadline, for the way and for rounding.
+/// How far a request's time limit may exceed its class's deadline, for latency and rounding.
 const TIME_LIMIT_MARGIN: Span = Span::millis(50);
 const SWEEP_INTERVAL: Span = Span::millis(250);
-/// A wait that ends so much late means that the process stood still; so long it hears the change log at the most then.
+/// A wait that overruns by this much means that the process was suspended; it then waits up to `MAX_CATCH_UP` for the
+/// change log.
 const SUSPENSION_THRESHOLD: Span = Span::millis(500);
 const MAX_CATCH_UP: Span = Span::millis(150);
 const SWEEPS_PER_REPORT: u32 = 40;
-/// How many messages of clients are taken before others are looked for.
+/// How many client messages are handled before other sources are checked.
 const CLIENT_MESSAGES_PER_TURN: usize = 16;
-/// For so long after SIGTERM requests may still come: 0.6 s by the protocol page, and as much again for the way.
+/// How long after SIGTERM requests may still arrive: 0.6 s by the protocol, and a margin for latency.
 const STOPPING_GRACE: Span = Span::millis(1_000);
-/// After SIGTERM it may be killed no sooner than the longest deadline, counted as so much at most, and 0.7 s.
-const MAX_KILL_DELAY: Span = Span::millis(3_000);
+/// After SIGTERM the process is killed no sooner than the longest deadline, limited to this, plus 0.7 s.
+const MAX_STOPPING_DEADLINE: Span = Span::millis(3_000);
 const LAST_ANSWERS_MARGIN: Span = Span::millis(400);
 const LAST_WRITES_MARGIN: Span = Span::millis(200);
 const CLOSING_CHECK_INTERVAL: Span = Span::millis(20);
 
+/// What a timer triggers.
 enum Timer {
+    /// The decision module asked to be called.
     Wake,
     AnswerTimeout(HandOffId),
     ConnectTimeout(HandOffId),
-    /// It does not begin any more.
+    /// The hand-off must not be sent any more if it has not been started.
     LatestStart(HandOffId),
     ProbeTimeout(ProbeId),
     Sweep,
     CloseConnections,
 }
 
+/// A client connection.
 struct Client {
     outlet: Outlet,
+    /// Open visits by request id.
     open_visits: BTreeMap<u32, VisitId>,
-    /// Bytes of answers given and not written yet.
+    /// Bytes of answers that are not written yet.
     unread_bytes: Gauge,
 }
 
+/// A visit that has no final answer yet.
 struct OpenVisit {
     client: ClientId,
     request_id: u32,
     band: BandId,
     request: VisitRequest,
     received_at: Time,
+    /// When the event was read that the next hand-off follows on.
     last_event_at: Time,
     hand_off_count: u8,
     in_use: Reservation,
@@ -88,26 +95,29 @@
 }
 
 impl OpenVisit {
-    /// What names the visit in all its tries.
+    /// What identifies the visit across retries.
     fn key(&self) -> &[u8] {
         self.request.dedup_key.as_ref().unwrap_or(&self.request.txn)
     }
 }
 
+/// A hand-off that has not ended.
 struct PendingHandOff {
     host: HostId,
     mailbox: HostMailbox,
     decided_at: Time,
     sent_at: Time,
+    /// When the event was read that led to the hand-off.
     triggered_at: Time,
     send_state: SendState,
     fill: Option<Fill>,
-    /// As what it ends once its host is told that no answer is wanted any more.
+    /// The outcome with which the hand-off ends once its cancel has been sent.
     cancelled_as: Option<Outcome>,
-    /// What goes out once its record is on disk.
+    /// The hand-off to send once its record is stored.
     awaiting_record: Option<Box<HandOff>>,
 }
 
+/// A listed host.
 struct HostEntry {
     name: String,
     address: SocketAddr,
@@ -115,46 +125,46 @@
     mailbox: HostMailbox,
 }
 
+/// The actor that connects clients and hosts to the decision module.
 pub struct Router {
     config: Config,
     brain: Brain,
-    /// Of hosts, the change log and signals; and of clients.
+    /// From hosts, the change log and signals; and from clients.
     mailboxes: [Receiver<Input>; 2],
     host_actors: Hosts,
-    /// What open visits keep, and what answers that are not written yet do.
+    /// Memory held by open visits, and by answers that are not written yet.
     open_visit_bytes: usize,
     unread_bytes: Gauge,
     timers: DueTimes<Timer>,
     clients: BTreeMap<ClientId, Client>,
     visits: BTreeMap<VisitId, OpenVisit>,
-    /// The clients' own ids of open visits.
+    /// Transaction ids of open visits.
     txns: BTreeMap<Txn, ClientId>,
     hand_offs: BTreeMap<HandOffId, PendingHandOff>,
     hosts: BTreeMap<HostId, HostEntry>,
     list: List,
-    /// Hosts that were asked how busy they are.
+    /// Load probes without an answer.
     probes: BTreeMap<ProbeId, HostId>,
     last_probe_id: u64,
     next_visit_id: u32,
-    /// When SIGTERM came.
+    /// When shutdown began.
     stopping_since: Option<Time>,
-    /// What the thread of clients is told of the end, and tells.
     shutdown: Arc<Shutdown>,
     pub latencies: Arc<Latencies>,
     sweep_count: u32,
     is_done: bool,
     keeper: Option<Keeper>,
-    /// Where other dispatchers are known.
+    /// The connection to other dispatchers, if any are configured.
     sharing: Option<Sharing>,
     attempt_log: AttemptLog,
     change_clock: ChangeClock,
-    /// All that the change log had then is known.
+    /// All changes that the change log had at this time are applied.
     changelog_read_at: Time,
     is_changelog_silent: bool,
 }
 
 impl VisitRequest {
-    /// What an open visit counts for: it may keep the whole buffer that it was read into.
+    /// The memory that an open visit counts for; it may keep the whole buffer alive that it was read into.
     fn retained_bytes(&self) -> usize {
         self.body.len().max(READ_BYTES)
     }
@@ -165,24 +175,24 @@
         config: Config,
         own: Sender<Input>,
         mailboxes: [Receiver<Input>; 2],
-        front: Arc<Shutdown>,
+        shutdown: Arc<Shutdown>,
     ) -> std::io::Result<Router> {
         let now = clock::now();
-        let room = HostCapacity::new(config.reach.connections, config.held);
+        let capacity = HostCapacity::new(config.reach.connections, config.held);
         let brain = Brain::start(config.settings.clone(), config.seed, now);
-        let mut due = DueTimes::default();
-        due.put(now + SWEEP_INTERVAL, Timer::Sweep);
-        let actors = Hosts::start(config.reach, room, own)?;
+        let mut timers = DueTimes::default();
+        timers.put(now + SWEEP_INTERVAL, Timer::Sweep);
+        let host_actors = Hosts::start(config.reach, capacity, own)?;
         let set = &config.settings;
         let list = List::new(set.cold_cache.ramp.max(set.cold_parent.ramp), set.weights_told);
         Ok(Router {
             config,
             brain,
             mailboxes,
-            host_actors: actors,
+            host_actors,
             open_visit_bytes: 0,
             unread_bytes: Gauge::default(),
-            timers: due,
+            timers,
             clients: BTreeMap::new(),
             visits: BTreeMap::new(),
             txns: BTreeMap::new(),
@@ -193,7 +203,7 @@
             last_probe_id: 0,
             next_visit_id: 0,
             stopping_since: None,
-            shutdown: front,
+            shutdown,
             latencies: Arc::default(),
             sweep_count: 0,
             is_done: false,
@@ -206,7 +216,7 @@
         })
     }
 
-    /// From here on what must last is kept, and the module hears of what was known before.
+    /// Starts persisting purges and visits, and applies the state that was persisted before.
     pub fn set_keeper(&mut self, (keeper, replayed): (Keeper, Replayed)) {
         let now = clock::now();
         match replayed {
@@ -221,13 +231,13 @@
         self.keeper = Some(keeper);
     }
 
-    /// The changes that are known at the start, each of which may date the others.
+    /// Applies the changes known at startup. All timestamps are observed first, as each may help to date the others.
     pub fn apply_known_changes(&mut self, changes: Vec<Change>) {
         changes.iter().for_each(|change| self.observe_timestamps(change));
         changes.into_iter().for_each(|change| self.apply_change(change));
     }
 
-    /// The clock of the change log goes by all that it says of times.
+    /// Feeds the timestamps of a change to the change log's clock.
     fn observe_timestamps(&mut self, change: &Change) {
         let now = clock::now();
         match change {
@@ -239,7 +249,7 @@
         }
     }
 
-    /// From here on limits and what is found of hosts are shared.
+    /// Starts sharing limits and findings about hosts with other dispatchers.
     pub fn set_sharing(&mut self, mut sharing: Sharing) {
         sharing.begin(&mut self.brain);
         self.sharing = Some(sharing);
@@ -249,38 +259,38 @@
         if let Some(keeper) = &self.keeper {
             keeper.purged(purge);
         }
-        // Not by the wall clock: one that is ahead would have older copies served.
+        // The wall clock is not used: if it were ahead, copies older than the purge would be served.
         let age = self.change_clock.age(now, purge.at);
         match purge.object {
             Some(object) => {
                 tracing::info!(
                     change = purge.change,
-                    "purge: object {:016x}, heard {} ms after it",
+                    "purge: object {:016x}, received {} ms after it was made",
                     object.0,
                     age.0 / 1000
                 )
             }
             None => tracing::info!(
                 change = purge.change,
-                "purge: group {}, heard {} ms after it",
+                "purge: group {}, received {} ms after it was made",
                 purge.group.0,
                 age.0 / 1000
             ),
         }
         self.brain.purged(now, purge.group, purge.object, age);
         let visits = &self.visits;
-        let asks = |id: &HandOffId| {
-            let asked = visits.get(&id.0).map(|open| &open.request);
-            asked.is_some_and(|asked| match purge.object {
-                Some(object) => asked.object == object,
-                None => asked.group == purge.group,
+        let is_concerned = |id: &HandOffId| {
+            let request = visits.get(&id.0).map(|open| &open.request);
+            request.is_some_and(|request| match purge.object {
+                Some(object) => request.object == object,
+                None => request.group == purge.group,
             })
         };
-        let stale = self.hand_offs.iter().filter(|(id, out)| out.fill.is_some() && asks(id));
+        let stale = self.hand_offs.iter().filter(|(id, out)| out.fill.is_some() && is_concerned(id));
         self.redecide_unsent(stale.map(|(id, _)| *id).collect());
     }
 
-    /// Runs until the process is to end.
+    /// Runs until shutdown is complete.
     pub fn run(&mut self) {
         self.carry_out_decisions();
         while !self.is_done {
@@ -295,12 +305,12 @@
                 self.handle(input);
                 self.carry_out_decisions();
             }
-            // What has come meanwhile is taken together, of clients a part at a time; neither due times nor what
-            // hosts tell wait for a full mailbox.
-            for (place, most) in [(0, usize::MAX), (1, CLIENT_MESSAGES_PER_TURN)] {
-                let waiting = self.mailboxes[place].len().min(most);
+            // Handles the messages that have queued up, only some of the clients', so that a full mailbox delays
+            // neither timers nor hosts.
+            for (index, most) in [(0, usize::MAX), (1, CLIENT_MESSAGES_PER_TURN)] {
+                let waiting = self.mailboxes[index].len().min(most);
                 for _ in 0..waiting {
-                    let Ok(input) = self.mailboxes[place].try_recv() else { break };
+                    let Ok(input) = self.mailboxes[index].try_recv() else { break };
                     self.handle(input);
                     self.carry_out_decisions();
                 }
@@ -313,12 +323,12 @@
         }
     }
 
-    /// The process has stood still: what the change log told meanwhile is heard before anything is sent again. Guards rules 3
-    /// and 5 against requests that waited as well and are read first; for a short time only, as their deadlines run.
+    /// After the process was suspended, applies the changes made meanwhile before anything is sent again, so that queued
+    /// requests don't miss purges and drains. The wait is short, as the requests' deadlines are running.
     fn catch_up(&mut self) {
         let since = clock::now();
         let until = since + MAX_CATCH_UP;
-        tracing::warn!("stood still: what the change log told is heard first");
+        tracing::warn!("process was suspended: waiting for the change log before sending anything");
         loop {
             let now = clock::now();
             if now >= until
@@ -327,7 +337,7 @@
             {
                 return;
             }
-            // Of hosts, the change log and signals; clients wait.
+            // Only hosts, the change log and signals; clients wait.
             if let Ok(input) = self.mailboxes[0].recv_timeout(clock::duration(until - now)) {
                 self.handle(input);
             }
@@ -337,12 +347,12 @@
     fn run_timers(&mut self) {
         let now = clock::now();
         while let Some(at) = self.timers.first().filter(|at| *at <= now) {
-            let Some(due) = self.timers.pop(now) else { return };
+            let Some(timer) = self.timers.pop(now) else { return };
             self.latencies.timers.record(now - at);
-            match due {
+            match timer {
                 Timer::Wake => self.brain.woken(clock::now()),
                 Timer::AnswerTimeout(id) => {
-                    // The visit's time is over: nothing follows on this that could be a second copy.
+                    // The visit's time is over, so no further hand-off can overtake the cancel.
                     self.cancel_hand_off(id, Outcome::TimedOut);
                     if let Some(outcome) = self.hand_offs.get(&id).and_then(|out| out.cancelled_as) {
                         self.end_hand_off(id, outcome, None, now);
@@ -356,7 +366,7 @@
                     }
                 }
                 Timer::LatestStart(id) => self.expire_unsent(id),
-                Timer::ProbeTimeout(number) => self.end_probe(number, Report::default()),
+                Timer::ProbeTimeout(probe) => self.end_probe(probe, Report::default()),
                 Timer::Sweep => self.sweep(now),
                 Timer::CloseConnections => self.close_connections(now),
             }
@@ -365,7 +375,7 @@
 
     fn handle(&mut self, input: Input) {
         match input {
-            Input::Client(id, what) => self.handle_client(id, what),
+            Input::Client(id, message) => self.handle_client(id, message),
             Input::HandOff(id, FromHost::CancelSent { at }) => {
                 if let Some(outcome) = self.hand_offs.get(&id).and_then(|out| out.cancelled_as) {
                     self.end_hand_off(id, outcome, None, at);
@@ -374,17 +384,17 @@
             Input::HandOff(id, FromHost::Ended { outcome, answer, at }) => {
                 self.end_hand_off(id, outcome, answer, at)
             }
-            Input::ProbeEnded(number, report) => self.end_probe(number, report),
+            Input::ProbeEnded(probe, report) => self.end_probe(probe, report),
             Input::Changed(change) => self.apply_change(change),
             Input::LogKnown(at) => {
                 self.changelog_read_at = self.changelog_read_at.max(at);
                 self.check_changelog();
             }
-            Input::HostReset(number) => self.host_reset(number),
+            Input::HostReset(actor) => self.host_reset(actor),
             Input::Recorded(id, taken) => self.record_stored(id, taken),
-            Input::Fleet(what) => {
+            Input::Fleet(message) => {
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.take(&mut self.brain, what);
+                    sharing.take(&mut self.brain, message);
                 }
             }
             Input::Stop => {
@@ -400,18 +410,18 @@
         }
     }
 
-    fn handle_client(&mut self, client: ClientId, what: FromClient) {
-        match what {
-            // Its end is told past the messages before it.
-            FromClient::Opened { connection: line } if line.is_shut_down() => {}
-            FromClient::Opened { connection: line } => {
-                let outlet = Outlet::new(line);
-                let (open, unread) = Default::default();
-                self.clients.insert(client, Client { outlet, open_visits: open, unread_bytes: unread });
+    fn handle_client(&mut self, client: ClientId, message: FromClient) {
+        match message {
+            // The close may have overtaken earlier messages of the connection.
+            FromClient::Opened { connection } if connection.is_shut_down() => {}
+            FromClient::Opened { connection } => {
+                let outlet = Outlet::new(connection);
+                let (open_visits, unread_bytes) = Default::default();
+                self.clients.insert(client, Client { outlet, open_visits, unread_bytes });
             }
-            FromClient::Visit { id, request: asked, received_at: at, in_use: busy, cancel: wanted } => {
-                if wanted.is_live() {
-                    self.open_visit(client, id, *asked, at, (busy, wanted));
+            FromClient::Visit { id, request, received_at, in_use, cancel } => {
+                if cancel.is_live() {
+                    self.open_visit(client, id, *request, received_at, (in_use, cancel));
                 }
             }
             FromClient::Malformed { id, field } => {
@@ -423,8 +433,9 @@
             }
             FromClient::Withdraw { ids } => {
                 let Some(known) = self.clients.get_mut(&client) else { return };
-                let gone: Vec<VisitId> = ids.iter().filter_map(|id| known.open_visits.remove(id)).collect();
-                gone.into_iter().for_each(|visit| self.abandon_visit(visit));
+                let withdrawn: Vec<VisitId> =
+                    ids.iter().filter_map(|id| known.open_visits.remove(id)).collect();
+                withdrawn.into_iter().for_each(|visit| self.abandon_visit(visit));
             }
             FromClient::Closing => {
                 let open = self.clients.get(&client).into_iter().flat_map(|known| known.open_visits.values());
@@ -437,101 +448,105 @@
         }
     }
 
+    /// Closes a visit whose client has left.
     fn abandon_visit(&mut self, visit: VisitId) {
         self.close_visit(visit, false);
         self.brain.left(visit);
     }
 
-    fn close_visit(&mut self, visit: VisitId, settled: bool) -> Option<OpenVisit> {
+    fn close_visit(&mut self, visit: VisitId, is_served: bool) -> Option<OpenVisit> {
         let open = self.visits.remove(&visit)?;
         if let Some(keeper) = &mut self.keeper {
-            keeper.closed(visit, settled);
+            keeper.closed(visit, is_served);
         }
         self.open_visit_bytes -= open.request.retained_bytes();
         self.txns.remove(&Txn::parse(&open.request.txn));
         Some(open)
     }
 
+    /// Checks a request and passes it to the module as a visit.
     fn open_visit(
         &mut self,
         client: ClientId,
         id: u32,
-        asked: VisitRequest,
-        at: Time,
-        (busy, wanted): (Reservation, CancelToken),
+        request: VisitRequest,
+        received_at: Time,
+        (in_use, cancel): (Reservation, CancelToken),
     ) {
         let Some(known) = self.clients.get_mut(&client) else { return };
         let names = &self.config.names.bands;
-        let band = names.iter().position(|name| name.as_bytes() == &asked.class[..]);
-        let found = band.and_then(|place| Some((place, self.config.settings.bands.get(place)?)));
-        // Guards against a client that keeps to no bounds: it pays for that itself, with all that it has open.
-        let txn = Txn::parse(&asked.txn);
-        let twin = self.txns.get(&txn);
-        let breach = match twin {
+        let class = names.iter().position(|name| name.as_bytes() == &request.class[..]);
+        let found = class.and_then(|place| Some((place, self.config.settings.bands.get(place)?)));
+        // A client that violates the protocol loses its connection and all open visits.
+        let txn = Txn::parse(&request.txn);
+        let owner = self.txns.get(&txn);
+        let violation = match owner {
             _ if known.open_visits.len() >= MAX_OPEN_VISITS_PER_CLIENT => Some(CloseReason::TooManyOpen),
-            Some(twin) if *twin == client => Some(CloseReason::IdInUse),
+            Some(owner) if *owner == client => Some(CloseReason::IdInUse),
             _ => None,
         };
-        if let Some(code) = breach {
-            known.outlet.connection.shut_down_write(code);
+        if let Some(reason) = violation {
+            known.outlet.connection.shut_down_write(reason);
             return;
         }
-        let fault = match found {
+        let bad_field = match found {
             None => Some("method"),
-            // Guards against answers that could be taken for another visit's, and against hand-offs kept for ever.
-            Some(_) if twin.is_some() => Some("txn"),
-            Some((place, _)) if asked.time_limit > self.config.limits[place] + TIME_LIMIT_MARGIN => {
+            // A second visit with the same id could get the first one's answers.
+            Some(_) if owner.is_some() => Some("txn"),
+            Some((place, _)) if request.time_limit > self.config.limits[place] + TIME_LIMIT_MARGIN => {
                 Some("limit")
             }
-            Some((_, band))
-                if matches!(band.effect, Effect::Deduplicated { .. }) && asked.dedup_key.is_none() =>
+            Some((_, class))
+                if matches!(class.effect, Effect::Deduplicated { .. }) && request.dedup_key.is_none() =>
             {
                 Some("unique")
             }
-            Some((_, band)) if !band.writes && !asked.body.is_empty() => Some("body"),
+            Some((_, class)) if !class.writes && !request.body.is_empty() => Some("body"),
             Some(_) => None,
         };
-        let Some((band, _)) = found.filter(|_| fault.is_none()) else {
-            self.send_to_client(client, msgpack::bad_request(id, fault.unwrap_or("method")), None, None);
+        let Some((class, _)) = found.filter(|_| bad_field.is_none()) else {
+            self.send_to_client(client, msgpack::bad_request(id, bad_field.unwrap_or("method")), None, None);
             return;
         };
-        if self.open_visit_bytes + asked.retained_bytes() > self.config.kept {
+        if self.open_visit_bytes + request.retained_bytes() > self.config.kept {
             self.sharing.iter_mut().for_each(Sharing::turned_back);
-            self.send_to_client(client, msgpack::refused(id, Span::ZERO), None, Some(busy));
+            self.send_to_client(client, msgpack::refused(id, Span::ZERO), None, Some(in_use));
             return;
         }
-        self.open_visit_bytes += asked.retained_bytes();
+        self.open_visit_bytes += request.retained_bytes();
         let visit = VisitId(self.next_visit_id);
         self.next_visit_id = self.next_visit_id.wrapping_add(1);
         known.open_visits.insert(id, visit);
         self.txns.insert(txn, client);
         let call = Visit {
             id: visit,
-            band: BandId(band as u16),
-            object: asked.object,
-            group: asked.group,
-            part: asked.block,
+            band: BandId(class as u16),
+            object: request.object,
+            group: request.group,
+            part: request.block,
             kilobytes: None,
-            deadline: at + asked.time_limit,
+            deadline: received_at + request.time_limit,
         };
         let open = OpenVisit {
             client,
             request_id: id,
-            band: BandId(band as u16),
-            request: asked,
-            received_at: at,
-            last_event_at: at,
+            band: BandId(class as u16),
+            request,
+            received_at,
+            last_event_at: received_at,
             hand_off_count: 0,
-            in_use: busy,
-            cancel: wanted,
+            in_use,
+            cancel,
         };
-        let before =
-            self.keeper.as_ref().and_then(|keeper| keeper.visits.arrived(clock::unix_at(at), open.key()));
+        let earlier = self
+            .keeper
+            .as_ref()
+            .and_then(|keeper| keeper.visits.arrived(clock::unix_at(received_at), open.key()));
         self.visits.insert(visit, open);
         self.latencies.max_open_visits.fetch_max(self.visits.len(), Relaxed);
-        self.latencies.mailbox.record(clock::now() - at);
-        self.brain.arrived(at, call);
-        if let Some((sent, host)) = before {
+        self.latencies.mailbox.record(clock::now() - received_at);
+        self.brain.arrived(received_at, call);
+        if let Some((sent, host)) = earlier {
             self.brain.ran_before(visit, clock::from_unix(sent), host);
         }
     }
@@ -540,46 +555,46 @@
         &mut self,
         client: ClientId,
         parts: Parts,
-        from: Option<(Time, Reservation)>,
-        busy: Option<Reservation>,
+        answer_read: Option<(Time, Reservation)>,
+        in_use: Option<Reservation>,
     ) {
         let Some(known) = self.clients.get_mut(&client) else { return };
-        let (answered, held) = from.unzip();
-        let mut answer =
-            ToClient { parts, answered_at: answered, answer_room: held, unread: None, in_use: busy };
+        let (answered_at, answer_room) = answer_read.unzip();
+        let mut answer = ToClient { parts, answered_at, answer_room, unread: None, in_use };
         let weight = answer.weight();
         answer.unread = Some([known.unread_bytes.reserve(weight), self.unread_bytes.reserve(weight)]);
-        let all = self.unread_bytes.amount();
-        self.latencies.max_unread_bytes.fetch_max(all, Relaxed);
+        let total_unread = self.unread_bytes.amount();
+        self.latencies.max_unread_bytes.fetch_max(total_unread, Relaxed);
         known.outlet.send(answer, &self.latencies);
-        // Guards against clients that don't read: past the bounds the one that owes most pays for it alone.
+        // Clients that don't read are disconnected; over the total limit, the one with the most unread bytes.
         if known.outlet.queued() > MAX_UNREAD_ANSWERS_PER_CLIENT {
             known.outlet.connection.shut_down_write(CloseReason::SlowReader);
         }
-        if all > self.config.unread {
+        if total_unread > self.config.unread {
             if let Some(worst) = self.clients.values().max_by_key(|client| client.unread_bytes.amount()) {
                 worst.outlet.connection.shut_down_write(CloseReason::SlowReader);
             }
         }
     }
 
-    /// The final answer of a visit, unless it has left.
+    /// Sends the final answer of a visit, unless its client has left.
     fn finish_visit(
         &mut self,
         visit: VisitId,
         parts: impl FnOnce(u32) -> Parts,
-        from: Option<(Time, Reservation)>,
+        answer_read: Option<(Time, Reservation)>,
     ) {
-        let Some(open) = self.close_visit(visit, from.is_some()) else { return };
-        if let (Some(sharing), Some((at, _))) = (&mut self.sharing, &from) {
+        let Some(open) = self.close_visit(visit, answer_read.is_some()) else { return };
+        if let (Some(sharing), Some((at, _))) = (&mut self.sharing, &answer_read) {
             sharing.settled(&self.brain, open.band, *at - open.received_at);
         }
         if let Some(known) = self.clients.get_mut(&open.client) {
             known.open_visits.remove(&open.request_id);
         }
-        self.send_to_client(open.client, parts(open.request_id), from, Some(open.in_use));
+        self.send_to_client(open.client, parts(open.request_id), answer_read, Some(open.in_use));
     }
 
+    /// Ends a hand-off: logs it, answers the client if the visit was served, and tells the module.
     fn end_hand_off(
         &mut self,
         id: HandOffId,
@@ -596,7 +611,7 @@
         self.attempt_log.log(&EndedAttempt {
             id,
             request: open.map(|open| &open.request.txn[..]),
-            host: self.hosts.get(&out.host).map_or("a host that has gone", |known| &known.name),
+            host: self.hosts.get(&out.host).map_or("a removed host", |known| &known.name),
             request_time: open.map(|open| (open.received_at, open.request.time_limit)),
             decided: out.decided_at,
             written: out.send_state.written_at(),
@@ -607,7 +622,7 @@
         if let Some(keeper) = &mut self.keeper {
             keeper.visits.ended(visit, outcome.never_ran());
         }
-        let settled = outcome == Outcome::Settled;
+        let is_served = outcome == Outcome::Settled;
         let end = Ended {
             visit,
             number,
@@ -615,34 +630,34 @@
             note: answer.as_ref().map_or(Note::Untold, |(answer, _)| answer.note),
             took: at - out.sent_at,
             report: answer.as_ref().map(|(answer, _)| answer.report).unwrap_or_default(),
-            last: settled || !self.visits.contains_key(&visit),
+            last: is_served || !self.visits.contains_key(&visit),
         };
-        if let Some((answer, held)) = answer.filter(|_| settled) {
-            answer.created.into_iter().for_each(|born| self.observe_copy_time(at, born));
+        if let Some((answer, reservation)) = answer.filter(|_| is_served) {
+            answer.created.into_iter().for_each(|created| self.observe_copy_time(at, created));
             self.finish_visit(
                 visit,
                 |id| msgpack::served(id, answer.body, answer.client_copy_current),
-                Some((at, held)),
+                Some((at, reservation)),
             );
         }
         self.brain.ended(at, end);
     }
 
-    /// The origin's stamp on a copy tells the time as the change log's stamps do. One in the future of this machine's wall
-    /// clock is not taken: a host may spoil its answers.
-    fn observe_copy_time(&mut self, now: Time, born: UnixTime) {
-        if born <= clock::wall() {
-            self.change_clock.heard(now, born);
+    /// Feeds a copy's creation time, which the origin stamps with the same clock as the change log, to the change log's
+    /// clock. Times in the future of the wall clock are ignored, as a host's answers may be wrong.
+    fn observe_copy_time(&mut self, now: Time, created: UnixTime) {
+        if created <= clock::wall() {
+            self.change_clock.heard(now, created);
         }
     }
 
-    /// Calls a hand-off off; what may still come of it is dropped. It ends for the module once its host is
-    /// told: guards against a next hand-off that overtakes the call-off on its way, and so is a second copy.
+    /// Cancels a hand-off; a later answer to it is dropped. For the module it ends only once the cancel has been sent, so
+    /// that the next hand-off cannot overtake the cancel and run a second time.
     fn cancel_hand_off(&mut self, id: HandOffId, outcome: Outcome) {
         let Some(out) = self.hand_offs.get_mut(&id).filter(|out| out.cancelled_as.is_none()) else { return };
-        let off = out.send_state.revoke();
+        let is_revoked = out.send_state.revoke();
         let _ = out.mailbox.send(ToHost::Cancel(id));
-        if off {
+        if is_revoked {
             let never_ran = if outcome == Outcome::TimedOut { Outcome::Moot } else { outcome };
             self.end_hand_off(id, never_ran, None, clock::now());
         } else {
@@ -650,8 +665,8 @@
         }
     }
 
-    /// What has not begun to go out by now never does, by no fault of its host: guards against attempts that wait for
-    /// connections and come together once these are up.
+    /// Ends a hand-off that has not been started by its latest start, without blaming the host. Attempts that wait for a
+    /// connection don't all arrive late once it is up.
     fn expire_unsent(&mut self, id: HandOffId) {
         if let Some(out) = self.hand_offs.get(&id).filter(|out| out.send_state.revoke()) {
             let _ = out.mailbox.send(ToHost::Cancel(id));
@@ -687,15 +702,15 @@
     fn send_probe(&mut self, now: Time, host: HostId) {
         let Some(known) = self.hosts.get(&host) else { return };
         self.last_probe_id += 1;
-        let number = ProbeId(self.last_probe_id);
-        let _ = known.mailbox.send(ToHost::Probe(number));
-        self.probes.insert(number, host);
-        self.timers.put(now + self.config.reach.connect_limit, Timer::ProbeTimeout(number));
+        let probe = ProbeId(self.last_probe_id);
+        let _ = known.mailbox.send(ToHost::Probe(probe));
+        self.probes.insert(probe, host);
+        self.timers.put(now + self.config.reach.connect_limit, Timer::ProbeTimeout(probe));
     }
 
-    /// What a host told, or nothing within the time for a connection to come up.
-    fn end_probe(&mut self, number: ProbeId, report: Report) {
-        if let Some(host) = self.probes.remove(&number) {
+    /// Passes on a host's load, or nothing if it did not answer within the connect limit.
+    fn end_probe(&mut self, probe: ProbeId, report: Report) {
+        if let Some(host) = self.probes.remove(&probe) {
             self.brain.probed(clock::now(), host, report);
         }
     }
@@ -717,16 +732,17 @@
             self.brain.ended(now, Ended { last: true, ..never_sent_end(id, Outcome::Moot) });
             return;
         }
-        let read = std::mem::replace(&mut open.last_event_at, now);
-        let asked = &open.request;
-        let writes = self.config.settings.bands.get(usize::from(open.band.0)).is_some_and(|band| band.writes);
+        let triggered_at = std::mem::replace(&mut open.last_event_at, now);
+        let request = &open.request;
+        let writes =
+            self.config.settings.bands.get(usize::from(open.band.0)).is_some_and(|class| class.writes);
         let source = fill.filter(|fill| fill.source != host).and_then(|fill| self.hosts.get(&fill.source));
         let hand_off = HandOff {
             id,
-            txn: asked.txn.clone(),
-            fields: hand_off_fields(asked, fill, source.map(|known| &known.name[..])),
-            body: asked.body.clone(),
-            client_tag: asked.cached_tag.clone(),
+            txn: request.txn.clone(),
+            fields: hand_off_fields(request, fill, source.map(|known| &known.name[..])),
+            body: request.body.clone(),
+            client_tag: request.cached_tag.clone(),
             expects_copy: fill.is_some() && !writes,
             fills_miss: source.is_some() && fill.is_some_and(|fill| !fill.held),
             until,
@@ -734,7 +750,7 @@
             cancel: open.cancel.clone(),
             send_state: SendState::default(),
         };
-        let way = hand_off.send_state.clone();
+        let send_state = hand_off.send_state.clone();
         let Some((mailbox, host_name)) =
             self.hosts.get(&host).map(|known| (known.mailbox.clone(), &known.name))
         else {
@@ -743,8 +759,8 @@
         };
         let mut record = None;
         if let Some(keeper) = self.keeper.as_mut().filter(|keeper| keeper.records_hand_offs()) {
-            let effect = self.config.settings.bands.get(usize::from(open.band.0)).map(|band| band.effect);
-            let told = MayHaveRun {
+            let effect = self.config.settings.bands.get(usize::from(open.band.0)).map(|class| class.effect);
+            let may_have_run = MayHaveRun {
                 band: String::from_utf8_lossy(&open.request.class).into_owned(),
                 at: clock::unix_at(now).0,
                 host: host.0,
@@ -752,12 +768,13 @@
                 memory: None,
             };
             let effect = effect.unwrap_or(Effect::Idempotent);
-            if let Before::Record(found) = keeper.visits.hand_off(visit, open.key(), effect, told) {
-                keeper.record(id, found);
+            if let Before::Record(to_store) = keeper.visits.hand_off(visit, open.key(), effect, may_have_run)
+            {
+                keeper.record(id, to_store);
                 record = Some(Box::new(hand_off.clone()));
             }
         }
-        let waits = record.is_some();
+        let awaits_record = record.is_some();
         self.hand_offs.insert(
             id,
             PendingHandOff {
@@ -765,8 +782,8 @@
                 mailbox,
                 decided_at: now,
                 sent_at: now,
-                triggered_at: read,
-                send_state: way,
+                triggered_at,
+                send_state,
                 fill,
                 cancelled_as: None,
                 awaiting_record: record,
@@ -776,13 +793,12 @@
         if latest < until {
             self.timers.put(latest, Timer::LatestStart(id));
         }
-        if !waits {
+        if !awaits_record {
             self.send_hand_off(id, hand_off, now);
         }
     }
 
-    /// A hand-off goes to its host; its time counts from then. Without a record that is the round's own time: guards
-    /// against a stall of this process that looks like a host's faster answers before it.
+    /// Sends a hand-off to its host, whose response time counts from `at`.
     fn send_hand_off(&mut self, id: HandOffId, hand_off: HandOff, at: Time) {
         let Some(out) = self.hand_offs.get_mut(&id) else { return };
         if out.mailbox.send(ToHost::HandOff(hand_off)) {
@@ -793,31 +809,36 @@
         }
     }
 
-    /// A hand-off's record is on disk, or it was refused. One that was called off meanwhile is not there any more.
+    /// The store has accepted or rejected a hand-off's record. The hand-off may have been cancelled meanwhile.
     fn record_stored(&mut self, id: HandOffId, taken: Taken) {
         let Some(keeper) = &mut self.keeper else { return };
-        let may_go = keeper.visits.taken(id.0, taken);
+        let may_be_sent = keeper.visits.taken(id.0, taken);
         let Some(hand_off) = self.hand_offs.get_mut(&id).and_then(|out| out.awaiting_record.take()) else {
             return;
         };
-        if may_go {
+        if may_be_sent {
             self.send_hand_off(id, *hand_off, clock::now());
         } else {
-            // Not the host's fault, and another would be refused alike: the visit is given up at once.
+            // Not the host's fault, and another record would be rejected too: the visit is given up at once.
             self.end_hand_off(id, Outcome::Moot, None, clock::now());
             self.brain.give_up(id.0);
         }
     }
 
-    /// A host that was listed anew meanwhile has another number.
-    fn host_reset(&mut self, number: HostActorId) {
-        let known = self.hosts.iter().find(|(_, known)| known.mailbox.id == number);
+    /// A host's process may have ended. A host that was listed again meanwhile has a new actor id.
+    fn host_reset(&mut self, actor: HostActorId) {
+        let known = self.hosts.iter().find(|(_, known)| known.mailbox.id == actor);
         let Some((&id, known)) = known else { return };
         let name = &known.name[..];
-        tracing::info!(host = name, "host {:x} is {name}: its connections ended, it may be new", id.0);
+        tracing::info!(
+            host = name,
+            "host {:x} is {name}: its connections were reset, its process may be new",
+            id.0
+        );
         self.brain.cut(clock::now(), id);
     }
 
+    /// Applies a change of the change log.
     pub fn apply_change(&mut self, change: Change) {
         self.observe_timestamps(&change);
         let now = clock::now();
@@ -827,9 +848,9 @@
         }
     }
 
-    fn apply_list(&mut self, now: Time, told: Vec<Listed>, whole: bool) {
+    fn apply_list(&mut self, now: Time, listed: Vec<Listed>, whole: bool) {
         let clocks = Clocks { now, wall: clock::wall(), change_clock: &self.change_clock };
-        let Applied { hosts, lost, faults } = self.list.apply(&clocks, told, whole);
+        let Applied { hosts, lost, faults } = self.list.apply(&clocks, listed, whole);
         for (name, fault) in faults {
             tracing::warn!(host = &name[..], "list: host {name}: {fault}");
         }
@@ -840,12 +861,13 @@
         let kept: BTreeSet<HostId> = hosts.iter().map(|host| host.listing.host).collect();
         let missing = self.hosts.keys().filter(|id| whole && !kept.contains(id)).copied();
         let gone: Vec<HostId> = missing.chain(lost.iter().map(|lost| lost.host)).collect();
-        let void = self.changed_sources(&entries, &gone);
+        let changed = self.changed_sources(&entries, &gone);
         gone.into_iter().for_each(|id| self.remove_host(id));
         hosts.into_iter().for_each(|host| self.update_host(host));
         self.brain.listed(now, &entries, whole);
-        let fills = |out: &PendingHandOff| out.fill.is_some_and(|fill| void.contains(&fill.source));
-        let stale = self.hand_offs.iter().filter(|(_, out)| fills(out));
+        let fills_from_changed =
+            |out: &PendingHandOff| out.fill.is_some_and(|fill| changed.contains(&fill.source));
+        let stale = self.hand_offs.iter().filter(|(_, out)| fills_from_changed(out));
         self.redecide_unsent(stale.map(|(id, _)| *id).collect());
         if let Some(sharing) = &mut self.sharing {
             for entry in &entries {
@@ -854,17 +876,16 @@
         }
     }
 
-    /// Hosts that are no longer what they were when they were chosen to fill from: they leave, or a later start tells
-    /// that the process is another one.
+    /// The hosts that are no longer valid as sources of fills: they are draining or gone, or their process is new.
     fn changed_sources(&self, entries: &[Listing], gone: &[HostId]) -> BTreeSet<HostId> {
         let is_new =
             |entry: &Listing| self.hosts.get(&entry.host).is_some_and(|known| known.started < entry.since);
-        let void = entries.iter().filter(|entry| entry.phase != Phase::Ready || is_new(entry));
-        void.map(|entry| entry.host).chain(gone.iter().copied()).collect()
+        let changed = entries.iter().filter(|entry| entry.phase != Phase::Ready || is_new(entry));
+        changed.map(|entry| entry.host).chain(gone.iter().copied()).collect()
     }
 
-    /// Of these hand-offs what has not begun to go out never does, and is nobody's fault: guards against one that goes
-    /// out as it was decided before what was told since, of a purge or of its source.
+    /// Ends those of these hand-offs that have not been started, so that they are decided again. They were decided before a
+    /// purge or a change of their source.
     fn redecide_unsent(&mut self, stale: Vec<HandOffId>) {
         for id in stale {
             let Some(out) = self.hand_offs.get(&id).filter(|out| out.send_state.revoke()) else { continue };
@@ -873,7 +894,7 @@
         }
     }
 
-    /// Nothing is kept for a host that has gone; its actor ends by itself once nothing is out there.
+    /// Removes a host; its actor ends by itself once no hand-off is in flight.
     fn remove_host(&mut self, id: HostId) {
         if let Some(known) = self.hosts.remove(&id) {
             self.sharing.iter_mut().for_each(|sharing| sharing.unlisted(id, true));
@@ -890,7 +911,7 @@
             self.remove_host(id);
             return;
         };
-        // A process that started anew has new connections, wherever it listens.
+        // A restarted process gets a new actor, whether or not its address has changed.
         if let Some(known) = known.filter(|known| known.address == address && known.started >= since) {
             let _ = known.mailbox.send(ToHost::SetDraining(listing.phase == Phase::Draining));
             return;
@@ -914,29 +935,29 @@
         }
     }
 
-    /// Guards rule 5 while the change log is not heard. Of drains that it may tell meanwhile nothing can be guarded: any host
-    /// may drain, and only to send to none would be safe.
+    /// Limits the age of copies while the change log is silent, as it may have purges to tell. Drains can't be guarded
+    /// against: any host may be draining.
     fn check_changelog(&mut self) {
-        // Changes that come by carriers are proven by the fleet.
+        // With carriers the fleet proves that no change is missing.
         if self.sharing.as_ref().is_some_and(Sharing::has_carriers) {
             return;
         }
         let silent_for = clock::now() - self.changelog_read_at;
-        let is_unheard = silent_for + SWEEP_INTERVAL >= TOLD_AT_LATEST + self.config.settings.purge_grace;
-        if std::mem::replace(&mut self.is_changelog_silent, is_unheard) == is_unheard {
+        let is_silent = silent_for + SWEEP_INTERVAL >= TOLD_AT_LATEST + self.config.settings.purge_grace;
+        if std::mem::replace(&mut self.is_changelog_silent, is_silent) == is_silent {
             return;
         }
-        self.brain.unheard(is_unheard.then_some(TOLD_AT_LATEST));
+        self.brain.unheard(is_silent.then_some(TOLD_AT_LATEST));
         let ms = silent_for.0 / 1000;
-        if is_unheard {
-            // What waits to go out was decided without that bound.
+        if is_silent {
+            // Hand-offs that have not been sent were decided without the limit.
             let fills = self.hand_offs.iter().filter(|(_, out)| out.fill.is_some());
             self.redecide_unsent(fills.map(|(id, _)| *id).collect());
             tracing::warn!(
-                "changelog not heard for {ms} ms: copies are asked for that no purge since can bind"
+                "changelog silent for {ms} ms: only copies are accepted that no missed purge can concern"
             );
         } else {
-            tracing::info!("changelog heard again: copies of any age will do but for purges that are known");
+            tracing::info!("changelog heard again: the age of copies is limited by known purges only");
         }
     }
 
@@ -950,26 +971,28 @@
     }
 
     fn log_latencies(&mut self) {
-        let spent = &self.latencies;
+        let latencies = &self.latencies;
         tracing::info!(
             "spent: in {} out {} mailbox {} timers {}; open {} unread {} kB clients {}",
-            spent.inbound.summarize(),
-            spent.outbound.summarize(),
-            spent.mailbox.summarize(),
-            spent.timers.summarize(),
-            spent.max_open_visits.swap(0, Relaxed),
-            spent.max_unread_bytes.swap(0, Relaxed) / 1024,
+            latencies.inbound.summarize(),
+            latencies.outbound.summarize(),
+            latencies.mailbox.summarize(),
+            latencies.timers.summarize(),
+            latencies.max_open_visits.swap(0, Relaxed),
+            latencies.max_unread_bytes.swap(0, Relaxed) / 1024,
             self.clients.len()
         );
     }
 
-    /// By then what is still open after SIGTERM is given up.
+    /// When visits still open after SIGTERM are given up.
     fn last_answers_at(&self, now: Time) -> Time {
-        self.stopping_since.unwrap_or(now) + self.config.longest().min(MAX_KILL_DELAY) + LAST_ANSWERS_MARGIN
+        self.stopping_since.unwrap_or(now)
+            + self.config.longest().min(MAX_STOPPING_DEADLINE)
+            + LAST_ANSWERS_MARGIN
     }
 
-    /// Has each connection ended once nothing is owed on it, and the process once none is left; until then it serves
-    /// on what comes. Guards against an end from outside: what would still be open then is given up in time to be told.
+    /// Closes connections that are not in use, and ends the process once none is left; requests are served until then.
+    /// Visits that are still open shortly before the process may be killed are given up, so that they get an answer.
     fn close_connections(&mut self, now: Time) {
         self.shutdown.advance_to(Stage::Closing);
         let unread: usize = self.clients.values().map(|client| client.outlet.queued()).sum();
@@ -991,21 +1014,22 @@
     }
 }
 
+/// The end of a hand-off that was not sent.
 fn never_sent_end(HandOffId(visit, number): HandOffId, outcome: Outcome) -> Ended {
     let (note, took) = (Note::Untold, Span::ZERO);
     Ended { visit, number, outcome, note, took, report: Report::default(), last: false }
 }
 
-/// The fields of a hand-off; the module's times become milliseconds, rounded so that no older copy will do.
-fn hand_off_fields(asked: &VisitRequest, fill: Option<Fill>, source: Option<&str>) -> String {
+/// Encodes the fields of a hand-off. Ages are rounded down to milliseconds, so that no older copy is accepted.
+fn hand_off_fields(request: &VisitRequest, fill: Option<Fill>, source: Option<&str>) -> String {
     let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
     let mut fields = String::with_capacity(160);
-    let _ = write!(fields, "c={},k={},p={}", text(&asked.class), text(&asked.item), asked.block);
-    if let Some(unique) = &asked.dedup_key {
-        let _ = write!(fields, ",i={}", text(unique));
+    let _ = write!(fields, "c={},k={},p={}", text(&request.class), text(&request.item), request.block);
+    if let Some(key) = &request.dedup_key {
+        let _ = write!(fields, ",i={}", text(key));
     }
-    if let Some(cached) = &asked.cached_tag {
-        let _ = write!(fields, ",seen={}", text(cached));
+    if let Some(tag) = &request.cached_tag {
+        let _ = write!(fields, ",seen={}", text(tag));
     }
     if let Some(fill) = fill {
         if let Some(source) = source {
--- a/crates/dispatcher/src/router/tests.rs
+++ b/crates/dispatcher/src/router/tests.rs
@@ -1,4 +1,4 @@
-//! The router by plain calls: what no stand-in on a socket could force.
+//! Router tests that call it directly, for sequences that sockets can't force.
 use super::*;
 use crate::changes::host_id;
 use crate::connection::Connection;
@@ -22,30 +22,30 @@
     "bounds":{"connect_timeout":1,"conn_idle":1,"streams_per_conn":1,"cancel":true,"max_attempts":6},
     "rules":{"cold_from":0.2,"overload_factor":2.0},"domain":{"may_pass_by":true,"source_kind":0}}}"#;
 
-fn known(letters: &Sender<HostThreadMessage>) -> HostEntry {
-    let mailbox = HostMailbox { id: HostActorId(0), messages: letters.clone() };
+fn host_entry(messages: &Sender<HostThreadMessage>) -> HostEntry {
+    let mailbox = HostMailbox { id: HostActorId(0), messages: messages.clone() };
     HostEntry { name: String::new(), address: "127.0.0.1:1".parse().unwrap(), started: None, mailbox }
 }
 
-/// One that was told of nothing yet, and its own mailbox.
+/// A new router and the sender of its mailbox.
 fn router() -> (Router, Sender<Input>) {
-    let (own, mailbox) = unbounded();
+    let (sender, mailbox) = unbounded();
     let config = Config::decode(SETTINGS.as_bytes()).unwrap();
-    let router = Router::new(config, own.clone(), [mailbox, unbounded().1], Arc::default());
-    (router.unwrap(), own)
+    let router = Router::new(config, sender.clone(), [mailbox, unbounded().1], Arc::default());
+    (router.unwrap(), sender)
 }
 
-/// A client's connection, which the router was told of.
-fn opened(router: &mut Router, listener: &TcpListener, client: ClientId) -> Arc<Connection> {
-    let line = Arc::new(Connection::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap()));
-    router.handle(Input::Client(client, FromClient::Opened { connection: line.clone() }));
-    line
+/// Opens a client connection at the router.
+fn open_client(router: &mut Router, listener: &TcpListener, client: ClientId) -> Arc<Connection> {
+    let connection = Arc::new(Connection::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap()));
+    router.handle(Input::Client(client, FromClient::Opened { connection: connection.clone() }));
+    connection
 }
 
-#[test_case(true; "one that is on its way")]
-#[test_case(false; "one that is not")]
-fn no_next_hand_off_before_the_host_is_told(begun: bool) {
-    let (mut router, _own) = router();
+#[test_case(true; "sending has started")]
+#[test_case(false; "sending has not started")]
+fn no_next_hand_off_before_the_cancel_is_sent(is_started: bool) {
+    let (mut router, _sender) = router();
     let hosts = ["a", "b"].map(|name| (host_id(name), unbounded()));
     let entry = |host, phase| Listing {
         host,
@@ -58,19 +58,19 @@
     };
     let entries: Vec<Listing> = hosts.iter().map(|(id, _)| entry(*id, Phase::Ready)).collect();
     router.brain.listed(clock::now(), &entries, true);
-    for (id, (letters, _)) in &hosts {
-        router.hosts.insert(*id, known(letters));
+    for (id, (messages, _)) in &hosts {
+        router.hosts.insert(*id, host_entry(messages));
     }
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = ClientId(0);
-    let line = opened(&mut router, &listener, client);
+    let connection = open_client(&mut router, &listener, client);
     let fields: &[u8] = b"\x94\x00\x01\xa5video\x92\x85\xa3txn\xb00000000000000001\xa5limit\xa41500\
         \xa4item\xb00000000000000001\xa5block\xa10\xa6family\xa10\xc4\x00";
-    let Ok(Some(msgpack::Message::Visit(id, asked))) = msgpack::next(&mut fields.into()) else { panic!() };
-    let (busy, wanted) = (Gauge::default().reserve(1), CancelToken::new(line, 1));
+    let Ok(Some(msgpack::Message::Visit(id, request))) = msgpack::next(&mut fields.into()) else { panic!() };
+    let (in_use, cancel) = (Gauge::default().reserve(1), CancelToken::new(connection, 1));
     router.handle(Input::Client(
         client,
-        FromClient::Visit { id, request: asked, received_at: clock::now(), in_use: busy, cancel: wanted },
+        FromClient::Visit { id, request, received_at: clock::now(), in_use, cancel },
     ));
     router.carry_out_decisions();
     let sent = |(_, (_, sent)): &(HostId, (_, Receiver<HostThreadMessage>))| match sent.try_recv() {
@@ -78,46 +78,46 @@
         _ => None,
     };
     let found = hosts.iter().enumerate().find_map(|(place, host)| Some((place, sent(host)?)));
-    let (first, way) = found.unwrap();
+    let (first, send_state) = found.unwrap();
     let other = &hosts[1 - first];
-    assert!(!begun || way.start());
+    assert!(!is_started || send_state.start());
     router.brain.listed(clock::now(), &[entry(hosts[first].0, Phase::Gone)], false);
     router.carry_out_decisions();
     let Ok(HostThreadMessage::ToHost(_, ToHost::Cancel(id))) = hosts[first].1 .1.try_recv() else {
-        panic!("not called off")
+        panic!("not cancelled")
     };
-    if begun {
-        assert!(sent(other).is_none(), "a second copy");
+    if is_started {
+        assert!(sent(other).is_none(), "handed off a second time");
         router.handle(Input::HandOff(id, FromHost::CancelSent { at: clock::now() }));
         router.carry_out_decisions();
     }
     assert!(sent(other).is_some());
-    assert!(!way.start(), "written after it was called off");
+    assert!(!send_state.start(), "written after it was cancelled");
 }
 
-/// On a disk that takes 2 s for a sync.
-#[test_case(operator::HandOffs::Synced, false; "a stalled store holds up hand-offs, never answers")]
-#[test_case(operator::HandOffs::Written, true; "what is written alone doesn't wait for the sync")]
-fn each_visit_has_its_answer_in_time(hand_offs: operator::HandOffs, goes: bool) {
-    let stalls = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let own = stalls.clone();
+/// Each visit is answered in time while a sync of the disk takes 2 s.
+#[test_case(operator::HandOffs::Synced, false; "synced records delay hand-offs but not answers")]
+#[test_case(operator::HandOffs::Written, true; "written records don't wait for the sync")]
+fn a_stalled_store_delays_no_answer(hand_offs: operator::HandOffs, is_sent: bool) {
+    let is_stalling = Arc::new(std::sync::atomic::AtomicBool::new(false));
+    let stalling = is_stalling.clone();
     let watch = move |_: &Image, call: Call| {
-        if matches!(call, Call::Sync { .. }) && own.load(Relaxed) {
+        if matches!(call, Call::Sync { .. }) && stalling.load(Relaxed) {
             std::thread::sleep(Duration::from_millis(2_000));
         }
         Fate::Well
     };
     let disk = Disk::new(Image::default(), Some(Box::new(watch)));
     let store = Store::on(Arc::new(disk), Options::default(), Arc::new(clock::unix), None).unwrap();
-    // The first batch begins a segment, which takes a sync of its own.
+    // The first batch starts a segment, which needs a sync of its own.
     store.write(Batch::new().put("s", "k", "v")).unwrap();
-    stalls.store(true, Relaxed);
+    is_stalling.store(true, Relaxed);
     let set = operator::Store { hand_offs, ..operator::Store::in_folder("none".into()) };
-    let (mut router, own) = router();
+    let (mut router, sender) = router();
     let settings = router.config.settings.clone();
-    router.set_keeper(Keeper::start(Kept::with(Some(Arc::new(store)), set), &settings, own));
+    router.set_keeper(Keeper::start(Kept::with(Some(Arc::new(store)), set), &settings, sender));
     let (id, host) = (host_id("a"), unbounded());
-    router.hosts.insert(id, known(&host.0));
+    router.hosts.insert(id, host_entry(&host.0));
     let listing = Listing {
         host: id,
         location: LocationId(0),
@@ -129,33 +129,33 @@
     };
     router.brain.listed(clock::now(), &[listing], true);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let line = opened(&mut router, &listener, ClientId(0));
+    let connection = open_client(&mut router, &listener, ClientId(0));
     let fields: &[u8] = b"\x94\x00\x01\xa4once\x92\x85\xa3txn\xb00000000000000001\xa5limit\xa3500\
         \xa4item\xb00000000000000001\xa5block\xa10\xa6family\xa10\xc4\x00";
-    let Ok(Some(msgpack::Message::Visit(id, asked))) = msgpack::next(&mut fields.into()) else { panic!() };
-    let begun = clock::now();
-    let (busy, wanted) = (Gauge::default().reserve(1), CancelToken::new(line, 1));
+    let Ok(Some(msgpack::Message::Visit(id, request))) = msgpack::next(&mut fields.into()) else { panic!() };
+    let start = clock::now();
+    let (in_use, cancel) = (Gauge::default().reserve(1), CancelToken::new(connection, 1));
     router.handle(Input::Client(
         ClientId(0),
-        FromClient::Visit { id, request: asked, received_at: begun, in_use: busy, cancel: wanted },
+        FromClient::Visit { id, request, received_at: start, in_use, cancel },
     ));
-    let mut went = false;
-    while !router.visits.is_empty() && clock::now() < begun + Span::millis(1_500) {
+    let mut was_sent = false;
+    while !router.visits.is_empty() && clock::now() < start + Span::millis(1_500) {
         router.carry_out_decisions();
         while let Some(input) = mailbox::recv_timeout(&router.mailboxes, Duration::from_millis(2)) {
             router.handle(input);
         }
         router.run_timers();
         let sent = host.1.try_recv();
-        went |= matches!(sent, Ok(HostThreadMessage::ToHost(_, ToHost::HandOff(sent))) if sent.send_state.start());
+        was_sent |= matches!(sent, Ok(HostThreadMessage::ToHost(_, ToHost::HandOff(sent))) if sent.send_state.start());
     }
-    assert!(router.visits.is_empty() && clock::now() - begun < Span::millis(600));
-    assert_eq!(went, goes);
+    assert!(router.visits.is_empty() && clock::now() - start < Span::millis(600));
+    assert_eq!(was_sent, is_sent);
 }
 
 #[test]
-fn nothing_is_kept_for_a_host_that_has_gone() {
-    let (mut router, _own) = router();
+fn a_terminated_host_is_removed() {
+    let (mut router, _sender) = router();
     for (seq, state) in ["in_service", "terminating", "terminated"].iter().enumerate() {
         let entry =
             format!(r#"{{"id":"s-a","addr":"127.0.0.1:1","zone":"edge","kind":"small","state":"{state}"}}"#);
