--- a/crates/dispatcher/tests/bad_input.rs
+++ b/crates/dispatcher/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! A file that can't be read or used: one line with its place and what to do, and exit code 2.
+//! Files that can't be read or used: exit code 2, and one line that says where the problem is and what to do.
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use tempfile::TempDir;
@@ -30,8 +30,8 @@
     }
 }
 
-/// The only line that is said, by a program that ends with that code.
-fn said(command: &str, code: i32, config: &Path, operator: Option<&Path>) -> String {
+/// Runs a command, checks its exit code, and returns the only error line.
+fn error_line(command: &str, code: i32, config: &Path, operator: Option<&Path>) -> String {
     let mut program = Command::new(env!("CARGO_BIN_EXE_cherrypass"));
     program.arg(command).arg("--config").arg(config).stdin(Stdio::null());
     program.args(operator.iter().flat_map(|path| [Path::new("--operator"), path]));
@@ -43,26 +43,29 @@
     lines[0].to_owned()
 }
 
-/// Where, in what words, and what to do.
-fn has(said: &str, words: &[&str]) {
-    words.iter().for_each(|word| assert!(said.contains(word), "'{word}' in {said}"));
+/// Checks that a line contains all of these texts.
+fn assert_contains(line: &str, texts: &[&str]) {
+    texts.iter().for_each(|text| assert!(line.contains(text), "'{text}' in {line}"));
 }
 
 #[test_case("serve"; "serve")]
 #[test_case("check"; "check")]
-fn no_such_file(command: &str) {
+fn a_missing_configuration(command: &str) {
     let files = Files::new();
     let path = files.path("none.json");
-    let said = said(command, 2, &path, None);
-    has(&said, &[path.to_str().unwrap(), "can't be read", "name a file that is there and may be read"]);
+    let said = error_line(command, 2, &path, None);
+    assert_contains(
+        &said,
+        &[path.to_str().unwrap(), "can't be read", "name a file that is there and may be read"],
+    );
 }
 
 #[test_case("serve"; "serve")]
 #[test_case("check"; "check")]
-fn a_folder(command: &str) {
+fn a_folder_as_configuration(command: &str) {
     let files = Files::new();
-    let said = said(command, 2, files.0.path(), None);
-    has(
+    let said = error_line(command, 2, files.0.path(), None);
+    assert_contains(
         &said,
         &[files.0.path().to_str().unwrap(), "can't be read", "name a file that is there and may be read"],
     );
@@ -70,11 +73,14 @@
 
 #[test_case("serve"; "serve")]
 #[test_case("check"; "check")]
-fn an_operators_file_that_is_missing(command: &str) {
+fn a_missing_operators_file(command: &str) {
     let files = Files::new();
     let (config, path) = (files.write("c.json", GOOD), files.path("none.jsonnet"));
-    let said = said(command, 2, &config, Some(&path));
-    has(&said, &[path.to_str().unwrap(), "can't be read", "name one that is there and may be read, or none"]);
+    let said = error_line(command, 2, &config, Some(&path));
+    assert_contains(
+        &said,
+        &[path.to_str().unwrap(), "can't be read", "name one that is there and may be read, or none"],
+    );
 }
 
 #[test_case(|_| String::new(), &["line 1 column 0", "it is empty or cut short, write it whole"]; "empty")]
@@ -96,18 +102,18 @@
 #[test_case(|good| good.replacen(",\"effect\":\"idempotent\"", "", 1), &["/services/0/effect", "idempotent, deduplicated or at_most_once: add it"]; "no effect")]
 #[test_case(|good| good.replacen("\"cold_from\":0.2", "\"cold_from\":2", 1), &["settings/rules/cold_from is out of range: 2; it has to be from 0 to 1"]; "out of range")]
 #[test_case(|good| good.replacen("\"connect_timeout\":1", "\"connect_timeout\":-1", 1), &["settings/bounds/connect_timeout is out of range: -1; it has to be from 0 on"]; "below 0")]
-fn what_can_t_be_used(spoil: fn(&str) -> String, words: &[&str]) {
+fn an_unusable_configuration(spoil: fn(&str) -> String, words: &[&str]) {
     let files = Files::new();
     let path = files.write("c.json", &spoil(GOOD));
     assert_ne!(spoil(GOOD), GOOD, "nothing was changed");
     for command in ["serve", "check"] {
-        let said = said(command, 2, &path, None);
-        has(&said, words);
-        has(&said, &[path.to_str().unwrap()]);
+        let said = error_line(command, 2, &path, None);
+        assert_contains(&said, words);
+        assert_contains(&said, &[path.to_str().unwrap()]);
     }
 }
 
-/// A list with what can't be used: a dispatcher starts all the same and asks the change log; `check` tells.
+/// With an unusable host list a dispatcher still starts and asks the change log; `check` reports the problem.
 #[test_case("\"in_service\"", "\"odd\"", "change 1: state can't be used (servers/0)"; "a state")]
 #[test_case("127.0.0.1:2", "host", "change 1: addr can't be used (servers/0)"; "an address")]
 #[test_case("\"id\":\"s-a\",", "", "change 1: id can't be used (servers/0)"; "no id")]
@@ -115,18 +121,18 @@
 #[test_case("\"kind\":\"small\"", "\"kind\":7", "change 1: kind can't be used (servers/0)"; "a kind that is none")]
 #[test_case("[{\"seq\":1", "[{\"seq\":4", "change 4 follows on 0"; "a gap")]
 #[test_case("\"results\"", "\"result\"", "known: not JSON"; "no results")]
-fn a_list_that_can_t_be_used(part: &str, by: &str, words: &str) {
+fn an_unusable_host_list(part: &str, by: &str, words: &str) {
     let files = Files::new();
     let text = GOOD.replacen(part, by, 1);
     assert_ne!(text, GOOD, "nothing was changed");
-    has(
-        &said("check", 2, &files.write("c.json", &text), None),
+    assert_contains(
+        &error_line("check", 2, &files.write("c.json", &text), None),
         &["the configuration's known", words, "look at who writes it"],
     );
 }
 
 #[test]
-fn all_is_well() {
+fn a_valid_configuration_passes_the_check() {
     let files = Files::new();
     let mut program = Command::new(env!("CARGO_BIN_EXE_cherrypass"));
     let output = program.arg("check").arg("--config").arg(files.write("c.json", GOOD)).output().unwrap();
--- a/crates/dispatcher/tests/cancellation.rs
+++ b/crates/dispatcher/tests/cancellation.rs
@@ -1,5 +1,5 @@
-//! Whether a request is still wanted, asked in the moment in which its attempt would begin: as the machine knows it,
-//! before the thread that reads the client has come to it.
+//! Cancellation of requests: a close or a withdraw that is still unread in the socket counts when an attempt is about to
+//! start.
 use bytes::BytesMut;
 use cherrypass_dispatcher::cancellation::CancelToken;
 use cherrypass_dispatcher::connection::Connection;
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 const WITHDRAW_3: &[u8] = b"\x93\x02\xa8withdraw\x91\x03";
 
-/// A client, and the dispatcher's side of its connection, of which nothing is read.
+/// A client, and the dispatcher's side of its connection, from which nothing is read.
 fn connected() -> (TcpStream, Arc<Connection>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -47,47 +47,47 @@
 #[test_case(closes; "a close")]
 #[test_case(half_closes; "a half-close")]
 #[test_case(resets; "a reset")]
-#[test_case(sends_and_closes; "a close behind more than is looked at")]
+#[test_case(sends_and_closes; "a close behind more bytes than are examined")]
 #[test_case(|client| sends(client, WITHDRAW_3); "a withdraw")]
 #[test_case(|client| sends(client, b"\x93\x02\xd9\x08withdraw\xdc\x00\x02\xcd\x00\x09\xce\x00\x00\x00\x03"); "a withdraw in long forms")]
-fn a_client_that_has_left_wants_nothing(leaves: fn(TcpStream) -> Option<TcpStream>) {
-    let (client, line) = connected();
-    let wanted = CancelToken::new(line, 3);
-    assert!(wanted.check_live(), "nothing has come yet");
+fn an_unread_close_or_withdraw_cancels(leaves: fn(TcpStream) -> Option<TcpStream>) {
+    let (client, connection) = connected();
+    let token = CancelToken::new(connection, 3);
+    assert!(token.check_live(), "nothing has come yet");
     let _client = leaves(client);
-    let end = Instant::now() + PATIENCE;
-    while wanted.check_live() {
-        assert!(Instant::now() < end, "it is still wanted");
+    let end = Instant::now() + TIMEOUT;
+    while token.check_live() {
+        assert!(Instant::now() < end, "not cancelled in time");
     }
-    assert!(!wanted.is_live(), "what a look found is known from then on");
+    assert!(!token.is_live(), "the result of a check is kept");
 }
 
-#[test_case(b"\x93\x02\xa8withdraw\x91\x04"; "a withdraw of another")]
-#[test_case(b"\x94\x00\x04\xa6status\xc0"; "a question")]
-fn what_else_comes_leaves_it_wanted(bytes: &[u8]) {
-    let (client, line) = connected();
-    let wanted = CancelToken::new(line, 3);
+#[test_case(b"\x93\x02\xa8withdraw\x91\x04"; "a withdraw of another request")]
+#[test_case(b"\x94\x00\x04\xa6status\xc0"; "a status request")]
+fn other_unread_messages_do_not_cancel(bytes: &[u8]) {
+    let (client, connection) = connected();
+    let token = CancelToken::new(connection, 3);
     let _client = sends(client, bytes);
     std::thread::sleep(Duration::from_millis(50));
-    assert!(wanted.check_live() && wanted.is_live());
+    assert!(token.check_live() && token.is_live());
 }
 
-/// Between the read and the mark it stands neither in the machine nor in the mark: a look waits for that.
+/// Between the read and the mark a withdraw is visible in neither place, so a check has to wait.
 #[test]
-fn a_withdraw_that_is_read_and_not_marked_yet_counts() {
-    let (client, line) = connected();
-    let wanted = CancelToken::new(line.clone(), 3);
-    let withdraw = wanted.handle();
+fn a_withdraw_that_is_read_but_not_processed_cancels() {
+    let (client, connection) = connected();
+    let token = CancelToken::new(connection.clone(), 3);
+    let handle = token.handle();
     let _client = sends(client, WITHDRAW_3);
     let mut buffer = BytesMut::new();
-    let end = Instant::now() + PATIENCE;
-    let reading = line.lock_reads();
-    while line.try_read(&mut buffer, WITHDRAW_3.len()).unwrap().is_none() {
-        assert!(Instant::now() < end, "nothing comes");
+    let end = Instant::now() + TIMEOUT;
+    let reads_locked = connection.lock_reads();
+    while connection.try_read(&mut buffer, WITHDRAW_3.len()).unwrap().is_none() {
+        assert!(Instant::now() < end, "nothing was received");
     }
-    let look = std::thread::spawn(move || wanted.check_live());
+    let check = std::thread::spawn(move || token.check_live());
     std::thread::sleep(Duration::from_millis(50));
-    withdraw.cancel();
-    drop(reading);
-    assert!(!look.join().unwrap());
+    handle.cancel();
+    drop(reads_locked);
+    assert!(!check.join().unwrap());
 }
--- a/crates/dispatcher/tests/codecs.rs
+++ b/crates/dispatcher/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! The codecs fed a byte at a time, and with arbitrary bytes.
+//! The codecs, fed byte by byte, with arbitrary bytes and with every MessagePack form.
 use bytes::BytesMut;
 use cherrypass::calls::{Note, Outcome};
 use cherrypass_dispatcher::msgpack::{self, Message};
@@ -14,16 +14,16 @@
 #[test]
 fn a_visit_byte_by_byte() {
     let mut buffer = BytesMut::new();
-    for (place, byte) in VISIT.iter().enumerate() {
-        assert_eq!(msgpack::next(&mut buffer), Ok(None), "whole after {place} bytes");
+    for (index, byte) in VISIT.iter().enumerate() {
+        assert_eq!(msgpack::next(&mut buffer), Ok(None), "complete after {index} bytes");
         buffer.extend_from_slice(&[*byte]);
     }
-    let Ok(Some(Message::Visit(7, asked))) = msgpack::next(&mut buffer) else { panic!("no visit") };
+    let Ok(Some(Message::Visit(7, request))) = msgpack::next(&mut buffer) else { panic!("no visit") };
     assert_eq!(
-        (&asked.class[..], &asked.body[..], asked.block, asked.group.0),
+        (&request.class[..], &request.body[..], request.block, request.group.0),
         (&b"video"[..], &b"abc"[..], 3, 17)
     );
-    assert_eq!((asked.object.0, asked.time_limit.0), (0x7f3a_9c21_e0b4_d655, 1_500_000));
+    assert_eq!((request.object.0, request.time_limit.0), (0x7f3a_9c21_e0b4_d655, 1_500_000));
     assert!(buffer.is_empty());
 }
 
@@ -40,15 +40,15 @@
     assert!(buffer.is_empty());
 }
 
-/// Neither takes more than was there, nor memory for what a length only claims.
+/// Neither codec allocates memory for a length that is only claimed.
 #[test]
 fn arbitrary_bytes() {
-    let mut chance = Pcg64Mcg::seed_from_u64(7);
+    let mut random = Pcg64Mcg::seed_from_u64(7);
     for round in 0..20_000 {
         let mut bytes = [VISIT, ANSWER][round % 2].to_vec();
-        for _ in 0..chance.gen_range(1..4) {
-            let place = chance.gen_range(0..bytes.len());
-            bytes[place] = chance.next_u32() as u8;
+        for _ in 0..random.gen_range(1..4) {
+            let index = random.gen_range(0..bytes.len());
+            bytes[index] = random.next_u32() as u8;
         }
         let mut buffer = BytesMut::from(&bytes[..]);
         while !buffer.is_empty() && matches!(msgpack::next(&mut buffer), Ok(Some(_))) {}
@@ -60,59 +60,65 @@
     }
 }
 
-/// All forms in which MessagePack writes a whole number, a text, bytes, an array and a map.
+/// One of MessagePack's encodings each for an integer, a string, binary data, an array and a map.
 struct Forms {
-    whole: fn(u8) -> Vec<u8>,
-    text: fn(&[u8]) -> Vec<u8>,
-    bytes: fn(&[u8]) -> Vec<u8>,
+    integer: fn(u8) -> Vec<u8>,
+    string: fn(&[u8]) -> Vec<u8>,
+    binary: fn(&[u8]) -> Vec<u8>,
     array: fn(u8) -> Vec<u8>,
     map: fn(u8) -> Vec<u8>,
 }
 
-/// A marker, a length of so many bytes, and what follows.
-fn form(marker: u8, wide: usize, length: usize, rest: &[u8]) -> Vec<u8> {
+/// A marker, a length of `width` bytes, and the rest.
+fn form(marker: u8, width: usize, length: usize, rest: &[u8]) -> Vec<u8> {
     let length = (length as u64).to_be_bytes();
-    [&[marker], &length[8 - wide..], rest].concat()
+    [&[marker], &length[8 - width..], rest].concat()
 }
 
 const FORMS: [Forms; 5] = [
     Forms {
-        whole: |n| vec![n],
-        text: |t| if t.len() < 32 { form(0xa0 | t.len() as u8, 0, 0, t) } else { form(0xd9, 1, t.len(), t) },
-        bytes: |b| form(0xc4, 1, b.len(), b),
+        integer: |n| vec![n],
+        string: |t| {
+            if t.len() < 32 {
+                form(0xa0 | t.len() as u8, 0, 0, t)
+            } else {
+                form(0xd9, 1, t.len(), t)
+            }
+        },
+        binary: |b| form(0xc4, 1, b.len(), b),
         array: |n| vec![0x90 | n],
         map: |n| vec![0x80 | n],
     },
     Forms {
-        whole: |n| form(0xcc, 1, n.into(), &[]),
-        text: |t| form(0xd9, 1, t.len(), t),
-        bytes: |b| form(0xc4, 1, b.len(), b),
+        integer: |n| form(0xcc, 1, n.into(), &[]),
+        string: |t| form(0xd9, 1, t.len(), t),
+        binary: |b| form(0xc4, 1, b.len(), b),
         array: |n| form(0xdc, 2, n.into(), &[]),
         map: |n| form(0xde, 2, n.into(), &[]),
     },
     Forms {
-        whole: |n| form(0xcd, 2, n.into(), &[]),
-        text: |t| form(0xda, 2, t.len(), t),
-        bytes: |b| form(0xc5, 2, b.len(), b),
+        integer: |n| form(0xcd, 2, n.into(), &[]),
+        string: |t| form(0xda, 2, t.len(), t),
+        binary: |b| form(0xc5, 2, b.len(), b),
         array: |n| form(0xdd, 4, n.into(), &[]),
         map: |n| form(0xdf, 4, n.into(), &[]),
     },
     Forms {
-        whole: |n| form(0xce, 4, n.into(), &[]),
-        text: |t| form(0xdb, 4, t.len(), t),
-        bytes: |b| form(0xc6, 4, b.len(), b),
+        integer: |n| form(0xce, 4, n.into(), &[]),
+        string: |t| form(0xdb, 4, t.len(), t),
+        binary: |b| form(0xc6, 4, b.len(), b),
         array: |n| form(0xdd, 4, n.into(), &[]),
         map: |n| form(0xdf, 4, n.into(), &[]),
     },
     Forms {
-        whole: |n| form(0xcf, 8, n.into(), &[]),
-        text: |t| form(0xdb, 4, t.len(), t),
-        bytes: |b| form(0xc6, 4, b.len(), b),
+        integer: |n| form(0xcf, 8, n.into(), &[]),
+        string: |t| form(0xdb, 4, t.len(), t),
+        binary: |b| form(0xc6, 4, b.len(), b),
         array: |n| form(0xdc, 2, n.into(), &[]),
         map: |n| form(0xde, 2, n.into(), &[]),
     },
 ];
-/// And the signed ones, for what is not negative.
+/// The signed encodings of non-negative integers.
 const SIGNED: [fn(u8) -> Vec<u8>; 4] = [
     |n| form(0xd0, 1, n.into(), &[]),
     |n| form(0xd1, 2, n.into(), &[]),
@@ -131,28 +137,29 @@
             [b"family", b"17"],
             [b"cached", b"4be0c1927d55a6f3"],
         ];
-        let all = fields.as_flattened().iter().flat_map(|word| (self.text)(word));
+        let all = fields.as_flattened().iter().flat_map(|word| (self.string)(word));
         [(self.map)(7), all.collect()].concat()
     }
 
-    fn messages(&self, whole: fn(u8) -> Vec<u8>) -> [Vec<u8>; 3] {
-        let Forms { text, bytes, array, .. } = self;
+    fn messages(&self, integer: fn(u8) -> Vec<u8>) -> [Vec<u8>; 3] {
+        let Forms { string, binary, array, .. } = self;
         let visit =
-            [array(4), whole(0), whole(7), text(b"video"), array(2), self.fields(), bytes(b"abc")].concat();
-        let status = [array(4), whole(0), whole(8), text(b"status"), array(1), self.fields()].concat();
-        let withdraw = [array(3), whole(2), text(b"withdraw"), array(2), whole(7), whole(9)].concat();
+            [array(4), integer(0), integer(7), string(b"video"), array(2), self.fields(), binary(b"abc")]
+                .concat();
+        let status = [array(4), integer(0), integer(8), string(b"status"), array(1), self.fields()].concat();
+        let withdraw = [array(3), integer(2), string(b"withdraw"), array(2), integer(7), integer(9)].concat();
         [visit, status, withdraw]
     }
 }
 
-/// In every form, and in every pair of pieces.
+/// Every message in every encoding, split at every position.
 #[test]
 fn messages_in_every_form() {
     for forms in &FORMS {
-        for whole in std::iter::once(forms.whole).chain(SIGNED) {
-            let all = forms.messages(whole).concat();
-            for cut in 0..all.len() {
-                let mut buffer = BytesMut::from(&all[..cut]);
+        for integer in std::iter::once(forms.integer).chain(SIGNED) {
+            let all = forms.messages(integer).concat();
+            for split in 0..all.len() {
+                let mut buffer = BytesMut::from(&all[..split]);
                 let mut found = Vec::new();
                 let mut take = |buffer: &mut BytesMut| {
                     while let Some(message) = msgpack::next(buffer).unwrap() {
@@ -160,14 +167,14 @@
                     }
                 };
                 take(&mut buffer);
-                buffer.extend_from_slice(&all[cut..]);
+                buffer.extend_from_slice(&all[split..]);
                 take(&mut buffer);
-                let [Message::Visit(7, asked), Message::Status(8), Message::Withdraw(ids)] = &found[..]
+                let [Message::Visit(7, request), Message::Status(8), Message::Withdraw(ids)] = &found[..]
                 else {
-                    panic!("cut at {cut}: {found:?}");
+                    panic!("split at {split}: {found:?}");
                 };
-                assert_eq!((&ids[..], &asked.body[..], asked.block), (&[7, 9][..], &b"abc"[..], 3));
-                assert_eq!(asked.cached_tag.as_deref(), Some(&b"4be0c1927d55a6f3"[..]));
+                assert_eq!((&ids[..], &request.body[..], request.block), (&[7, 9][..], &b"abc"[..], 3));
+                assert_eq!(request.cached_tag.as_deref(), Some(&b"4be0c1927d55a6f3"[..]));
                 assert!(msgpack::withdraws(&all, 7) && !msgpack::withdraws(&all, 8));
             }
         }
--- a/crates/dispatcher/tests/full_size.rs
+++ b/crates/dispatcher/tests/full_size.rs
@@ -1,8 +1,8 @@
-//! Lists at their full size: 1,024 hosts, dispatchers, locations, kinds of hosts and classes, through the configuration, the
-//! list, the module and the operators' file without sockets; then the real program serves with such a list within its
-//! limits. The rollout to as many dispatchers is `full_size` of `crates/fleet`.
+//! Lists at their maximum size: 1,024 hosts, dispatchers, locations, host kinds and classes pass through the
+//! configuration, the list, the module and the operators' file; and the program serves such a list within its limits.
+//! The rollout to as many dispatchers is tested by `full_size` of `crates/fleet`.
 #[path = "discovery/bed.rs"]
-#[allow(dead_code, reason = "the bed is that of another test")]
+#[allow(dead_code, reason = "shared with other tests, which use the rest")]
 mod bed;
 
 use bed::{event, Answer, Client, Dispatcher, Hosts, Log, PATIENCE};
@@ -20,19 +20,19 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Instant;
 
-/// No list may end below it.
-const MOST: usize = 1_024;
-/// The own location, which a byte can't tell.
-const OWN: usize = 1_000;
+/// The size that every list must support.
+const FULL_SIZE: usize = 1_024;
+/// The dispatcher's own location, which doesn't fit a byte.
+const OWN_LOCATION: usize = 1_000;
 const OWN_KIND: usize = 1_021;
-const PARENTS: usize = 1_022;
-const ORIGIN: usize = 1_023;
+const PARENT_KIND: usize = 1_022;
+const ORIGIN_KIND: usize = 1_023;
 
 fn names(of: &str, count: usize) -> Vec<String> {
     (0..count).map(|place| format!("{of}{place}")).collect()
 }
 
-/// An address of its own for each host; nobody listens there.
+/// A distinct address for each host, at which nothing listens.
 fn address(place: usize) -> SocketAddr {
     let [.., high, low] = (place as u32).to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(127, 1, high, low), 9))
@@ -43,7 +43,7 @@
         "state": "in_service", "weight": 20, "started_ms": 0})
 }
 
-/// A configuration of so many locations, kinds and classes, of which the last one is a write.
+/// A configuration with `places` locations, kinds and classes; the last class is a write.
 fn config(places: usize, changelog: SocketAddr, servers: &[Value]) -> Value {
     let class = |place| {
         json!({"name": if place == 0 { "video".to_owned() } else { format!("c{place}") }, "aim": 500_000,
@@ -55,36 +55,37 @@
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256},
         "known": {"seq": 1, "results": [{"seq": 1, "fleet": {"full": true, "servers": servers}}]},
         "settings": {
-            "balancers": MOST, "me": 0, "zone": OWN, "zones": names("z", places), "models": names("k", places),
+            "balancers": FULL_SIZE, "me": 0, "zone": OWN_LOCATION, "zones": names("z", places), "models": names("k", places),
             "weight_source": "rough", "services": (0..places).map(class).collect::<Vec<_>>(),
             "bounds": {"cancel": true, "connect_timeout": 300_000, "conn_idle": 15_000_000, "streams_per_conn": 32,
                 "max_attempts": 6},
             "rules": {"cold_from": 0.2, "cold": 1, "overload_factor": 2.0, "overload_for": 1_500_000},
-            "domain": {"may_pass_by": true, "parent_kind": PARENTS, "source_kind": ORIGIN, "goes_through": writes}
+            "domain": {"may_pass_by": true, "parent_kind": PARENT_KIND, "source_kind": ORIGIN_KIND, "goes_through": writes}
         }
     })
 }
 
-fn nowhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     address(0)
 }
 
-/// The section `fleet`: as many members, in four locations, and as many followers.
-fn operators(members: usize, followers: usize) -> Value {
-    let member = |place: usize| json!({"name": format!("d{place}"), "address": address(place), "location": format!("z{}", ZONES[place % 4])});
-    let follower = |place: usize| json!({"name": format!("f{place}"), "address": address(2 * MOST + place)});
-    let order: Vec<String> = ZONES.iter().map(|zone| format!("z{zone}")).collect();
+/// An operators' file with the section `fleet`, whose members are in four locations.
+fn operators_file(members: usize, followers: usize) -> Value {
+    let member = |place: usize| json!({"name": format!("d{place}"), "address": address(place), "location": format!("z{}", MEMBER_ZONES[place % 4])});
+    let follower =
+        |place: usize| json!({"name": format!("f{place}"), "address": address(2 * FULL_SIZE + place)});
+    let order: Vec<String> = MEMBER_ZONES.iter().map(|zone| format!("z{zone}")).collect();
     json!({"fleet": {"name": "all", "me": "d0", "listen": "127.0.0.1:0",
         "members": (0..members).map(member).collect::<Vec<_>>(),
         "followers": (0..followers).map(follower).collect::<Vec<_>>(),
         "limits": {"origin": 2_000, "cold": true}, "verdicts": {}, "rollout": {"order": order}}})
 }
 
-/// Locations of the members, on both sides of what a byte tells; the last two have one low byte.
-const ZONES: [usize; 4] = [OWN, 255, 256, OWN - 256];
+/// Locations of the members, below and above what fits a byte; two of them share their low byte.
+const MEMBER_ZONES: [usize; 4] = [OWN_LOCATION, 255, 256, OWN_LOCATION - 256];
 
-/// Where a visit of a class goes first.
-fn goes_to(brain: &mut Brain, now: Time, id: u32, class: u16) -> Option<HostId> {
+/// The host to which a visit of a class is handed off first.
+fn first_host(brain: &mut Brain, now: Time, id: u32, class: u16) -> Option<HostId> {
     let (object, deadline) = (ObjectId(u64::from(id)), now + Span::seconds(6.0));
     let (id, band, group) = (VisitId(id), BandId(class), GroupId(0));
     brain.arrived(now, Visit { id, band, object, group, part: 0, kilobytes: None, deadline });
@@ -95,21 +96,21 @@
 }
 
 #[test]
-fn through_settings_list_and_operators_file() {
-    // Settings: each list has its 1,024 entries, and a host of each location and kind.
+fn full_size_lists_pass_settings_list_and_operators_file() {
+    // Settings: full lists, and a host of each location and kind.
     let servers: Vec<Value> =
-        (0..MOST).map(|place| entry(&format!("h{place}"), address(place), place, place)).collect();
-    let text = config(MOST, nowhere(), &servers).to_string();
+        (0..FULL_SIZE).map(|place| entry(&format!("h{place}"), address(place), place, place)).collect();
+    let text = config(FULL_SIZE, unused_address(), &servers).to_string();
     let config = Config::decode(text.as_bytes()).unwrap();
     config.check_known().unwrap();
-    assert_eq!(config.settings.location, LocationId(OWN as u16));
+    assert_eq!(config.settings.location, LocationId(OWN_LOCATION as u16));
 
-    // The list: no entry is lost or taken for another one.
+    // The list: no entry is lost or confused with another one.
     let (found, fault) = changes::decode(&config.known, &config.names, &mut 0, None);
     assert!(fault.is_none(), "{fault:?}");
     let [Change::List { whole: true, hosts }] = &found[..] else { panic!("{found:?}") };
     let listings: Vec<Listing> = hosts.iter().map(|host| host.listing).collect();
-    let distinct = |ids: BTreeSet<u64>| assert_eq!(ids.len(), MOST);
+    let distinct = |ids: BTreeSet<u64>| assert_eq!(ids.len(), FULL_SIZE);
     distinct(listings.iter().map(|listing| listing.host.0).collect());
     distinct(listings.iter().map(|listing| listing.location.0.into()).collect());
     distinct(listings.iter().map(|listing| listing.kind.0.into()).collect());
@@ -117,20 +118,30 @@
     let mut brain = Brain::start(config.settings.clone(), 1, now);
     brain.listed(now, &listings, true);
     assert!(listings.iter().all(|listing| brain.is_listed(listing.host)));
-    let (own, origin) = (host_id(&format!("h{OWN}")), host_id(&format!("h{ORIGIN}")));
-    assert_eq!(goes_to(&mut brain, now, 1, ORIGIN as u16 - 1), Some(own), "a read goes to the own cache");
-    assert_eq!(goes_to(&mut brain, now, 2, ORIGIN as u16), Some(origin), "the last class is a write");
-
-    // The operators' file, and what it comes to.
-    let file = cherrypass_operator::decode("all.jsonnet", operators(MOST, MOST)).unwrap();
+    let (own, origin) = (host_id(&format!("h{OWN_LOCATION}")), host_id(&format!("h{ORIGIN_KIND}")));
+    assert_eq!(
+        first_host(&mut brain, now, 1, ORIGIN_KIND as u16 - 1),
+        Some(own),
+        "a read goes to the local cache"
+    );
+    assert_eq!(first_host(&mut brain, now, 2, ORIGIN_KIND as u16), Some(origin), "the last class is a write");
+
+    // The operators' file.
+    let file = cherrypass_operator::decode("all.jsonnet", operators_file(FULL_SIZE, FULL_SIZE)).unwrap();
     let set = sharing::set(&file.fleet.unwrap(), &config).unwrap();
-    assert_eq!((set.members.len(), set.followers.len(), set.locations.len()), (MOST, MOST, MOST));
+    assert_eq!(
+        (set.members.len(), set.followers.len(), set.locations.len()),
+        (FULL_SIZE, FULL_SIZE, FULL_SIZE)
+    );
 }
 
 #[test]
-fn past_a_bound_is_one_line_with_place_and_remedy() {
-    for (members, followers, place) in [(MOST + 1, 0, "fleet.members"), (MOST, MOST + 1, "fleet.followers")] {
-        let said = cherrypass_operator::decode("all.jsonnet", operators(members, followers)).unwrap_err();
+fn an_exceeded_limit_is_reported_in_one_line_with_a_remedy() {
+    for (members, followers, place) in
+        [(FULL_SIZE + 1, 0, "fleet.members"), (FULL_SIZE, FULL_SIZE + 1, "fleet.followers")]
+    {
+        let said =
+            cherrypass_operator::decode("all.jsonnet", operators_file(members, followers)).unwrap_err();
         let said = said.to_string();
         let words =
             ["all.jsonnet", place, "1025 are more than 1024", "make a fleet of its own of the others"];
@@ -138,26 +149,26 @@
     }
     let places = cherrypass::ids::PLACES;
     for key in ["zones", "models"] {
-        let mut value = config(MOST, nowhere(), &[]);
+        let mut value = config(FULL_SIZE, unused_address(), &[]);
         value["settings"][key] = json!(names("x", places + 1));
         let said = Config::decode(value.to_string().as_bytes()).unwrap_err().to_string();
         let words = [&format!("settings/{key} has 65537 entries, 65536 are taken"), "leave out"];
         assert!(words.iter().all(|word| said.contains(*word)) && !said.contains('\n'), "{said}");
     }
-    // A cell that no id can tell is not taken for another one's.
+    // A cell out of range is not truncated to another one.
     let mut server = entry("h0", address(0), 0, 0);
     server["cell"] = json!(65_536);
-    let value = config(MOST, nowhere(), &[server]);
+    let value = config(FULL_SIZE, unused_address(), &[server]);
     let said = Config::decode(value.to_string().as_bytes()).unwrap().check_known().unwrap_err().to_string();
     assert!(said.contains("change 1: cell can't be used (servers/0)"), "{said}");
 }
 
-/// Hosts that answer, among 1,024 that are listed.
+/// Hosts that answer, among 1,024 listed.
 const ANSWERING: usize = 128;
 const VISITS: usize = 256;
 
-/// A line of the process's status, in kB.
-fn kilobytes(dispatcher: &Dispatcher, line: &str) -> usize {
+/// A number from the process's status file.
+fn status_number(dispatcher: &Dispatcher, line: &str) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", dispatcher.child.id())).unwrap();
     let found = status.lines().find(|one| one.starts_with(line)).unwrap();
     found.split_whitespace().nth(1).unwrap().parse().unwrap()
@@ -167,12 +178,12 @@
     std::fs::read_dir(format!("/proc/{}/fd", dispatcher.child.id())).unwrap().count()
 }
 
-/// Objects whose designated cache is one of those that answer.
+/// Objects whose designated cache answers.
 fn objects(answering: usize) -> impl Iterator<Item = u64> {
-    let ids: Vec<HostId> = (0..MOST).map(|place| host_id(&format!("h{place}"))).collect();
+    let ids: Vec<HostId> = (0..FULL_SIZE).map(|place| host_id(&format!("h{place}"))).collect();
     (0u64..).filter(move |object| {
         let value = |place: usize| rendezvous(*object, ids[place], 1.0);
-        let home = (0..MOST - 2).max_by(|a, b| value(*a).total_cmp(&value(*b)));
+        let home = (0..FULL_SIZE - 2).max_by(|a, b| value(*a).total_cmp(&value(*b)));
         home.is_some_and(|home| home < answering)
     })
 }
@@ -190,18 +201,20 @@
         true => hosts.over("answers", TcpListener::bind("127.0.0.1:0").unwrap()),
         false => address(place),
     };
-    let kind = |place: usize| if place < MOST - 2 { OWN_KIND } else { PARENTS + place - (MOST - 2) };
-    let servers: Vec<Value> =
-        (0..MOST).map(|place| entry(&format!("h{place}"), listen(place), OWN, kind(place))).collect();
+    let kind =
+        |place: usize| if place < FULL_SIZE - 2 { OWN_KIND } else { PARENT_KIND + place - (FULL_SIZE - 2) };
+    let servers: Vec<Value> = (0..FULL_SIZE)
+        .map(|place| entry(&format!("h{place}"), listen(place), OWN_LOCATION, kind(place)))
+        .collect();
     let came = hosts.answer_all();
     let log = Log::start();
-    let begun = Instant::now();
-    let dispatcher = Dispatcher::start(&config(MOST, log.address, &servers).to_string());
+    let start = Instant::now();
+    let dispatcher = Dispatcher::start(&config(FULL_SIZE, log.address, &servers).to_string());
     while !is_ready(dispatcher.listen) {
-        assert!(begun.elapsed() < PATIENCE, "not ready");
+        assert!(start.elapsed() < PATIENCE, "not ready");
     }
-    let ready = begun.elapsed();
-    // The same hosts come once more as a change, whole.
+    let ready = start.elapsed();
+    // The same list arrives again as a change.
     let entries: Vec<String> = servers.iter().map(Value::to_string).collect();
     log.next_since(1).answer(&[event(2, true, &entries)]);
     log.next_since(2);
@@ -212,10 +225,10 @@
         assert_eq!(client.answer().unwrap(), Answer::Served, "object {object}");
         most = most.max(descriptors(&dispatcher));
     }
-    let (memory, threads) = (kilobytes(&dispatcher, "VmHWM:"), kilobytes(&dispatcher, "Threads:"));
+    let (memory, threads) = (status_number(&dispatcher, "VmHWM:"), status_number(&dispatcher, "Threads:"));
     println!("ready after {ready:?}; {memory} kB and {most} descriptors at most, {threads} threads");
     assert!(is_ready(dispatcher.listen));
-    assert!(came.try_iter().count() >= VISITS, "answers that no host gave");
+    assert!(came.try_iter().count() >= VISITS, "fewer requests at hosts than answers");
     assert!(memory <= 32 * 1024, "{memory} kB");
     assert!(most <= 256, "{most} descriptors");
     assert_eq!(dispatcher.count("can't be used"), 0);
--- a/crates/dispatcher/tests/restarts.rs
+++ b/crates/dispatcher/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Nine in ten restarted processes are ready within 6 s (the standing test's page, of its shorter days) and all serve
-//! then, on a limited share of the machine: thirty of them on one core, with clients, hosts and one change log.
+//! Restarts under load: of thirty dispatchers on one core, with clients, hosts and one change log, nine in ten are ready
+//! within 6 s, and all serve afterwards.
 #[allow(dead_code)]
 #[path = "discovery/bed.rs"]
 mod bed;
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 const COUNT: usize = 30;
-/// A tenth of them at a time.
+/// How many are restarted at a time.
 const AT_ONCE: usize = 3;
 const READY_IN: Duration = Duration::from_secs(6);
-/// Until a client asks again.
+/// Interval between a client's requests.
 const PACE: Duration = Duration::from_millis(100);
 
-/// The first that this process may run on.
+/// The first core that this process may run on.
 fn core() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let allowed = status.lines().find_map(|line| line.strip_prefix("Cpus_allowed_list:")).unwrap();
@@ -33,7 +33,7 @@
     Dispatcher::start_by(on_one_core, &config(listen, log, "null", 64))
 }
 
-/// How long it takes from here until `status` is true, also where nobody listens yet.
+/// How long it takes until the status is ready, even if nothing listens yet.
 fn until_ready(listen: SocketAddr, since: Instant) -> Duration {
     while since.elapsed() < 3 * READY_IN {
         let status = || -> std::io::Result<Answer> {
@@ -49,7 +49,7 @@
     since.elapsed()
 }
 
-/// Guards against a process that counts as ready and serves nobody.
+/// Whether a request is served; a process may report that it is ready and serve nothing.
 fn serves(listen: SocketAddr) -> bool {
     let served = || -> std::io::Result<bool> {
         let mut client = Client::connect(listen)?;
@@ -67,8 +67,8 @@
 }
 
 impl Fleet {
-    /// SIGTERM to these; each is started anew as soon as it has ended, which begins its time until it is
-    /// ready.
+    /// Stops these dispatchers by SIGTERM. Each is started again as soon as it has ended, and the time until it is ready
+    /// is measured from then.
     fn restart(
         &mut self,
         which: impl Iterator<Item = usize>,
@@ -78,7 +78,7 @@
             let (listen, log) = (self.listen[place], self.log);
             old.signal("-TERM");
             spawn(move || {
-                assert!(old.child.wait().unwrap().success(), "it did not end as told");
+                assert!(old.child.wait().unwrap().success(), "it did not exit successfully");
                 let began = Instant::now();
                 let ready = spawn(move || until_ready(listen, began));
                 let new = start(&listen.to_string(), log);
@@ -98,7 +98,7 @@
     }
 }
 
-fn judge(what: &str, mut times: Vec<Duration>) {
+fn check_ready_times(what: &str, mut times: Vec<Duration>) {
     times.sort();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
     println!("{what}: half in {:?}, nine in ten in {:?}, all in {:?}", at(0.5), at(0.9), at(1.0));
@@ -106,23 +106,23 @@
     assert!(times.len() == COUNT && ready * 10 >= COUNT * 9, "{what}: {ready} of {} in time", times.len());
 }
 
-/// The list at once, and after it nothing new.
-fn answers(asked: Receiver<Asked>, list: String) {
-    for one in asked {
+/// Answers with the list at once, and with no changes after that.
+fn answer_list_requests(requests: Receiver<Asked>, list: String) {
+    for request in requests {
         let list = list.clone();
         spawn(move || {
-            if one.since == 0 {
-                let _ = one.try_write(http(&body(&[list])).as_bytes());
+            if request.since == 0 {
+                let _ = request.try_write(http(&body(&[list])).as_bytes());
             } else {
                 sleep(Duration::from_millis(900));
-                let _ = one.try_write(http(&body(&[])).as_bytes());
+                let _ = request.try_write(http(&body(&[])).as_bytes());
             }
         });
     }
 }
 
 #[test]
-fn nine_in_ten_restarted_are_ready_in_time() {
+fn nine_in_ten_restarted_dispatchers_are_ready_in_time() {
     let hosts = Hosts::new();
     let list = list(
         1,
@@ -137,7 +137,7 @@
     let log = Log::start();
     let address = log.address;
     let (log, own) = (log.asked(), list.clone());
-    spawn(move || answers(log, own));
+    spawn(move || answer_list_requests(log, own));
     let first: Vec<_> = (0..COUNT).map(|_| spawn(move || start("127.0.0.1:0", address))).collect();
     let dispatchers: Vec<Option<Dispatcher>> = first.into_iter().map(|one| one.join().ok()).collect();
     let listen: Vec<SocketAddr> = dispatchers.iter().map(|one| one.as_ref().unwrap().listen).collect();
@@ -179,20 +179,19 @@
         steps.extend(fleet.restart(step * AT_ONCE..(step + 1) * AT_ONCE));
         sleep(Duration::from_millis(300));
     }
-    judge("a tenth at a time", fleet.join(steps));
+    check_ready_times("a tenth at a time", fleet.join(steps));
 
-    // All at once, and nobody listens at the change log's address until 3 s after they have
-    // ended, which takes 1 s.
+    // All at once, while the change log is down until about 3 s after they have ended, which takes 1 s.
     let down = Refusing::start();
     fleet.log = down.address();
     let all = fleet.restart(0..COUNT);
     spawn(move || {
         sleep(Duration::from_secs(4));
-        answers(down.listen().asked(), list);
+        answer_list_requests(down.listen().asked(), list);
     });
-    judge("all at once, the change log down for 3 s", fleet.join(all));
-    let idle: Vec<_> = listening.into_iter().filter(|listen| !serves(*listen)).collect();
-    assert!(idle.is_empty(), "they serve nobody: {idle:?}");
+    check_ready_times("all at once, the change log down for 3 s", fleet.join(all));
+    let not_serving: Vec<_> = listening.into_iter().filter(|listen| !serves(*listen)).collect();
+    assert!(not_serving.is_empty(), "not serving: {not_serving:?}");
     over.store(true, SeqCst);
     clients.into_iter().for_each(|client| client.join().unwrap());
     println!("{} requests served meanwhile", served.load(SeqCst));
--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -1,45 +1,66 @@
-//! Plays the scenarios in `tests/sockets/` over loopback: real dispatchers, stand-ins for hosts, change logs
-//! and clients. Commands on lines or between `;`, `#` starts a comment:
-//! `host NAME SORT [at OTHER]` (cache, parent, origin; or a new one at another's address), `memory MB`, `descriptors N`, `crowd N` (connections that only stand), `unknown` (an empty
-//! list at the start, and a change log that is mute), `start [N]`, `restart` (killed, and started anew),
-//! `many N NAME` (as many more hosts are listed, at addresses of their own that lead to that one),
-//! `each CLIENT FROM TO` (visits of as many objects one after another, each settled),
-//! `tell NAME STATE [at=OTHER|KEY=JSON|KEY=now+MS|KEY=now-MS|!KEY] [and NAME STATE …]` (one event of these entries, with
-//! another host's address, with other values, or without a key),
-//! `list NAME STATE [unheard|odd]` (odd: with an entry that can't be used), `purge OBJECT|group`, `feed MODE` (well, refuse, mute, prose, gap, repeat, state, cut, stop, drip), `client NAME [N] [deaf]`,
-//! `ask CLIENT ID BAND OBJECT [FIELD=VALUE|body=N]`, `withdraw CLIENT ID`, `raw CLIENT|HOST HEX`, `close CLIENT`,
-//! `take HOST|any|it [FIELD=VALUE|FIELD<N|FIELD>N|!FIELD|!FIELD=VALUE|never_mind|busy]`, `answer HOST WORD [FIELDS|bare]
-//! [bytes=N] [id=ID]` (bare: no fields at all, as what runs a write answers it),
-//! `flood CLIENT HOST` (visits with large answers until the client's connection ends),
-//! `expect CLIENT ID settled|turned-back|written-off|ready|not-ready|bad [FIELD=VALUE] [bytes=N]`, `nothing HOST|CLIENT`,
-//! `shape` (the settings of the other shape of deployment), `came HOST` (something did by now),
-//! `drain HOST` (what came is passed over), `cut HOST` (ends its connections), `down HOST`, `deaf HOST` (new connections never come up), `term`,
-//! `store [SETTING …]` (what must last is kept in a folder of the test's own), `forget` (the change log knows the list alone),
-//! `spoil` (a byte of the store's first segment changes), `config TEXT` (so it reads at the next start),
-//! `move` (the change log goes on at another address, the old one is mute; SIGHUP), `reload TEXT` (so it reads then; SIGHUP),
-//! `exit CODE [MS]` (within so many of `term`), `log WORDS`, `wait MS`, `holds N M` (no more threads and open files than that, before long).
-//! What forces an instant: `pause` and `resume` (the dispatcher stands still; what comes meanwhile comes at once),
-//! `hear HOST` (one that was deaf or down takes connections), `up HOST` (one has come up since), `still HOST` and
-//! `reads HOST` (it reads nothing, it reads again), `answer HOST WORD … twice` (a second copy in the same write),
-//! `again HOST` (one later), `answer HOST WORD … short=N` and `rest HOST` (all but the last bytes, and these),
-//! `drip HOST` (an answer that never ends), `reset HOST|CLIENT`, `half-close CLIENT`, `client NAME deaf narrow` (small
-//! buffers) and `hear CLIENT`, `host NAME SORT narrow`.
-//! What it comes to: `ended CLIENT` (a clean end after all that was expected, no reset), `either CLIENT ID OBJECT`
-//! (an answer, or a clean end and no attempt), `count OBJECT N` (as many attempts came to all hosts, ever).
-//! `once CLIENT ID [MS]` (an answer, whichever, so soon). Others: `set POINTER JSON` (in the configuration), `unknown MODE`, `auto HOST [BYTES]` (answers all at once),
-//! `crowd N asked`, `signal NAME`, `list NAME STATE anew` (its process started just now), `statuses CLIENT N` (so many at
-//! once), `babble CLIENT` (sends for as long as it can), `usual N [beside MS]` (the times of usual clients, without and with
-//! bad ones beside them, and what 99 in 100 then take at most).
-//! `paced HOST PLACES KB` (answers each object by its size, 240, 120 or 4 kB, at so many kilobytes a second, in so many places),
-//! `largest N PART` (of so many requests of each client the largest tenth and the next fifth are served in at least that
-//! part of the share of all), `pipe CLIENT FROM TO BYTES` (all these requests, written in pieces of so many bytes).
-//! `lap` and `lap MS` (so soon after the one before), `stands N MS` (so soon there are no more open files and connections
-//! that wait at its listener than that).
-//! What the machine does to the dispatchers alone (`cherrypass-shim`; `shim` comes before `start`): `step MS` (their wall
-//! clock is so far ahead from now on, or behind; hosts, clients and the change log keep the true one), `fault CALL ERRNO
-//! PER_MILLION` (so many of its calls fail so; `short-read` and `short-write` take bytes for the error), `delivered CALL N`
-//! (so many did, at least).
-//! `{1..9}` in words: the command once for each number.
+//! Plays the scenarios in `tests/sockets/` over loopback with real dispatchers and simulated hosts, change logs and clients.
+//! Commands are separated by lines or `;`, `#` starts a comment, and `{1..9}` repeats a command once for each number.
+//!
+//! Setup, before `start`:
+//! - `host NAME SORT [narrow]`: a cache, parent or origin, with small socket buffers if narrow; `host NAME at OTHER`: a new
+//!   name for the host at another one's address
+//! - `many N NAME`: N more listed hosts, at addresses of their own that lead to that host
+//! - `memory MB`, `descriptors N`: limits of the dispatcher; `set POINTER JSON`: a value in the configuration
+//! - `unknown [MODE]`: no hosts are known at the start, and the change log is in this mode (mute)
+//! - `shape`: the settings of the other shape of deployment
+//! - `store [SETTING …]`: a store in a temporary folder; `config TEXT`: the configuration of the next start
+//! - `shim`: the dispatchers run with `cherrypass-shim`
+//!
+//! Dispatchers:
+//! - `start [N]`; `restart`: killed and started again; `term`: SIGTERM; `signal NAME`; `pause` and `resume`: suspended and
+//!   continued; `exit CODE [MS]`: they exit with this code, within this time of `term`
+//! - `reload TEXT`: SIGHUP with this configuration; `move`: the change log moves to another address, SIGHUP
+//! - `forget`: the change log knows the host list alone; `spoil`: one byte of the store's first segment changes
+//! - `log WORDS`: a log line with these words is written
+//! - `holds N M`: at most N threads and M open files before long; `stands N MS`: at most N open files and pending
+//!   connections within this time
+//! - `step MS`: the dispatchers' wall clock is ahead by this from now on, or behind if negative; `fault CALL ERRNO
+//!   PER_MILLION`: this share of their calls fails (for `short-read` and `short-write` ERRNO is a number of bytes);
+//!   `delivered CALL N`: at least N faults were injected
+//!
+//! Change log:
+//! - `list NAME STATE [unheard|odd|anew]`: one host's state; without waiting for the log line, with an unusable entry beside
+//!   it, or with a process that has just started
+//! - `tell NAME STATE [at=OTHER|KEY=JSON|KEY=now+MS|KEY=now-MS|!KEY] [and NAME STATE …]`: one event of these entries, with
+//!   another host's address, with changed values or without a key
+//! - `purge OBJECT|group`
+//! - `feed MODE`: well, refuse, mute, prose, gap, repeat, state, cut, stop, drip
+//!
+//! Clients:
+//! - `client NAME [N] [deaf] [narrow]`: connects to the Nth dispatcher; deaf clients read nothing before `hear`
+//! - `ask CLIENT ID BAND OBJECT [FIELD=VALUE|body=N]`, `withdraw CLIENT ID`, `raw CLIENT|HOST HEX`
+//! - `each CLIENT FROM TO`: requests for these objects one after another, each served
+//! - `pipe CLIENT FROM TO BYTES`: all these requests at once, written in pieces of this size
+//! - `statuses CLIENT N`: status requests at once; `babble CLIENT`: status requests without end
+//! - `flood CLIENT HOST`: requests with large answers until the client's connection ends
+//! - `close CLIENT`, `half-close CLIENT`, `reset HOST|CLIENT`, `hear HOST|CLIENT`
+//! - `crowd N [asked]`: connections that stay idle, at once or after one request
+//! - `expect CLIENT ID settled|turned-back|written-off|ready|not-ready|bad [FIELD=VALUE] [bytes=N] [within=MS]`
+//! - `once CLIENT ID [MS]`: any answer, within this time; `either CLIENT ID OBJECT`: an answer, or a clean end without an
+//!   attempt; `ended CLIENT`: a clean end with no further answers; `nothing HOST|CLIENT`: nothing has arrived
+//!
+//! Hosts:
+//! - `take HOST|any|it [FIELD=VALUE|FIELD<N|FIELD>N|!FIELD|!FIELD=VALUE|never_mind|busy]`: the next message, checked
+//! - `answer HOST WORD [FIELDS|bare] [bytes=N] [id=ID] [short=N] [twice]`: answers the last message; bare without fields,
+//!   short without the last bytes, twice in one write
+//! - `rest HOST`: the bytes left by `short`; `again HOST`: the last answer once more; `drip HOST`: an answer that never ends
+//! - `auto HOST [BYTES]`: answers everything at once; `paced HOST PLACES KB`: answers objects by their size, 240, 120 or
+//!   4 kB, at this rate in kB/s, PLACES at a time
+//! - `drain HOST`: drops what has arrived; `came HOST`: something has arrived; `count OBJECT N`: attempts at all hosts so far
+//! - `cut HOST`: closes its connections; `down HOST`: also refuses new ones; `deaf HOST`: new connections never come up;
+//!   `up HOST`: a connection has come up since `hear`; `still HOST` and `reads HOST`: stops and resumes reading
+//!
+//! Time and load:
+//! - `wait MS`; `lap`, `lap MS`: at most this long after the previous `lap`
+//! - `usual N [beside MS]`: the times of ordinary clients, alone and beside misbehaving ones, and a limit on the 99th
+//!   percentile then
+//! - `largest N PART`: of N requests of each client, those for the largest tenth and the next fifth of objects are served
+//!   at least at PART of the overall rate
 use cherrypass_shim::control::Call;
 use cherrypass_shim::errors::errno;
 use cherrypass_shim::{Fault, Shim};
@@ -54,22 +75,23 @@
 use std::time::{Duration, Instant, SystemTime};
 use test_case::test_case;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// How long nothing must arrive to count as nothing.
 const QUIET: Duration = Duration::from_millis(150);
-/// Of sockets whose buffers are to be full soon.
-const NARROW: usize = 4096;
+/// Size of the small buffers of narrow sockets.
+const NARROW_BUFFER: usize = 4096;
 const BACKLOG: i32 = 128;
-/// What a copy has to be told by.
-const GOOD: &str = "ver=4be0c192,born=1764576000123";
-/// Of the usual clients that are measured.
-const USUAL: usize = 4;
-/// Of those that ask for objects of all sizes, and how much each has open.
-const SIZED: usize = 8;
-const SIZED_OPEN: u32 = 8;
-/// Bytes of the largest tenth, of the next fifth and of all others, by the last digit of the object.
+/// The fields that the answer with a copy must have.
+const COPY_FIELDS: &str = "ver=4be0c192,born=1764576000123";
+/// Number of ordinary clients whose times are measured.
+const ORDINARY_CLIENTS: usize = 4;
+/// Number of clients that request objects of all sizes, and how many requests each has open.
+const SIZED_CLIENTS: usize = 8;
+const SIZED_OPEN_REQUESTS: u32 = 8;
+/// Sizes of the largest tenth, the next fifth and all other objects, by the object's last digit.
 const SIZES: [(char, usize); 3] = [('a', 240_000), ('b', 120_000), ('c', 4_000)];
-/// Between one bad client and the next.
-const RUDE: Duration = Duration::from_millis(5);
+/// Interval between misbehaving clients.
+const MISBEHAVING_INTERVAL: Duration = Duration::from_millis(5);
 const SHIM_SEED: u64 = 43;
 const SETTINGS: &str = r#"{"balancers": 2, "me": 0, "zone": 1, "zones": ["hub", "edge"], "weight_source": "rough",
  "models": ["small", "parent", "origin"],
@@ -83,60 +105,61 @@
  "domain": {"class_fresh": [0, 0, 0, 0], "goes_through": [false, true, true, false], "may_pass_by": true, "obey_after": 1000000,
   "pace_kb_per_s": 5000, "parent_kind": 1, "source_kind": 2, "purge_done": 6000000, "count_by_zone": [0, 2]}}"#;
 
-/// The other shape of a deployment, as changes of the settings above.
-const SHAPE: [(&str, &str); 4] = [
+/// Replacements in the settings above for the other shape of deployment.
+const OTHER_SHAPE: [(&str, &str); 4] = [
     ("\"weight_source\": \"rough\"", "\"weight_source\": \"none\""),
     ("\"cancel\": true", "\"cancel\": true, \"probing\": true"),
     ("\"may_pass_by\": true", "\"may_pass_by\": false, \"peers_fill\": \"none\", \"detail\": \"hit\""),
     ("\"rules\"", "\"stats\": {\"how\": \"answers\", \"columns\": [\"util\", \"x0\"]}, \"rules\""),
 ];
 
-struct Seen {
+/// A message that arrived at a host.
+struct HostMessage {
     stream: TcpStream,
     words: Vec<String>,
 }
 
-/// What comes in at a host's addresses, and how it is taken.
+/// The state shared by a host's connection threads.
 #[derive(Clone)]
-struct Door {
-    tell: Sender<Seen>,
+struct HostServer {
+    messages: Sender<HostMessage>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
-    shut: Arc<AtomicBool>,
-    /// Nothing is read.
-    still: Arc<AtomicBool>,
-    /// All is answered at once, with so many bytes.
-    auto: Arc<Mutex<Option<usize>>>,
-    /// All is answered by its size, in so many places and at so many bytes a second, and how many places are in use.
-    paced: Arc<Mutex<Option<(usize, usize)>>>,
-    busy: Arc<AtomicUsize>,
-    /// How many connections were taken, and the objects of all attempts that came.
-    taken: Arc<AtomicUsize>,
+    is_stopped: Arc<AtomicBool>,
+    /// Whether reading is stopped.
+    is_reading_stopped: Arc<AtomicBool>,
+    /// If set, everything is answered at once with this many bytes.
+    auto_answer_bytes: Arc<Mutex<Option<usize>>>,
+    /// If set, objects are answered by size: the number of places and the rate in bytes/s; and the places in use.
+    paced_answers: Arc<Mutex<Option<(usize, usize)>>>,
+    busy_places: Arc<AtomicUsize>,
+    /// The number of connections accepted, and the objects of all attempts received.
+    accepted: Arc<AtomicUsize>,
     objects: Arc<Mutex<Vec<String>>>,
 }
 
-/// A cache host, parent or origin: what comes to any of its addresses is noted, and answered on command.
+/// A simulated cache, parent or origin, which receives messages at several addresses and answers on command.
 struct Host {
     sort: &'static str,
     addresses: Vec<SocketAddr>,
-    seen: Receiver<Seen>,
-    door: Door,
-    last: Option<Seen>,
-    held: Vec<TcpStream>,
-    /// Those that nobody takes from.
-    deaf: Vec<TcpListener>,
-    /// So many connections are not the dispatcher's, or older than when it began to hear.
-    old: usize,
-    /// What was answered last, and what of it is left.
-    said: Option<(TcpStream, Vec<u8>)>,
-    left: Vec<u8>,
+    messages: Receiver<HostMessage>,
+    server: HostServer,
+    last_message: Option<HostMessage>,
+    backlog_streams: Vec<TcpStream>,
+    /// Listeners from which nothing is accepted.
+    deaf_listeners: Vec<TcpListener>,
+    /// The number of accepted connections that are the test's own, or older than the last `hear`.
+    old_connections: usize,
+    /// The last answer, and its bytes that are not sent yet.
+    last_answer: Option<(TcpStream, Vec<u8>)>,
+    unsent_bytes: Vec<u8>,
 }
 
-/// With small buffers where it is narrow; a full backlog is soon reached.
+/// Creates a listener, with a small receive buffer if narrow.
 fn listener(address: &str, narrow: bool, backlog: i32) -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
     if narrow {
-        socket.set_recv_buffer_size(NARROW).unwrap();
+        socket.set_recv_buffer_size(NARROW_BUFFER).unwrap();
     }
     socket.bind(&address.parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(backlog).unwrap();
@@ -147,13 +170,13 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis()
 }
 
-fn written(id: &str, word: &str, fields: &str, bytes: usize) -> Vec<u8> {
+fn encode_answer(id: &str, word: &str, fields: &str, bytes: usize) -> Vec<u8> {
     let body = "x".repeat(bytes);
     let parts = [id, word, fields, &body].map(|part| format!("${}\r\n{part}\r\n", part.len()));
     format!("*4\r\n{}", parts.concat()).into_bytes()
 }
 
-fn bulk(reader: &mut impl BufRead) -> Option<Vec<String>> {
+fn read_message(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let mut number = |mark: char| -> Option<usize> {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
@@ -171,68 +194,91 @@
     Some(words)
 }
 
-/// What an attempt is for.
+/// The object of an attempt.
 fn object(words: &[String]) -> &str {
     words[2].split("k=").nth(1).unwrap().split(',').next().unwrap()
 }
 
 impl Host {
     fn start(sort: &'static str, narrow: bool) -> Host {
-        let (tell, seen) = channel();
-        let (streams, shut, still, auto, paced, busy, taken, objects) = Default::default();
-        let door = Door { tell, streams, shut, still, auto, paced, busy, taken, objects };
+        let (sender, messages) = channel();
+        let (streams, is_stopped, is_reading_stopped) = Default::default();
+        let (auto_answer_bytes, paced_answers, busy_places, accepted, objects) = Default::default();
+        let server = HostServer {
+            messages: sender,
+            streams,
+            is_stopped,
+            is_reading_stopped,
+            auto_answer_bytes,
+            paced_answers,
+            busy_places,
+            accepted,
+            objects,
+        };
         let listeners = [0; 2].map(|_| listener("127.0.0.1:0", narrow, BACKLOG));
         let addresses = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
-        let (last, held, deaf, old, said, left) = Default::default();
-        let host = Host { sort, addresses, seen, door, last, held, deaf, old, said, left };
+        let (last_message, backlog_streams, deaf_listeners) = Default::default();
+        let (old_connections, last_answer, unsent_bytes) = Default::default();
+        let host = Host {
+            sort,
+            addresses,
+            messages,
+            server,
+            last_message,
+            backlog_streams,
+            deaf_listeners,
+            old_connections,
+            last_answer,
+            unsent_bytes,
+        };
         listeners.into_iter().for_each(|listener| host.open(listener));
         host
     }
 
     fn open(&self, listener: TcpListener) {
-        let door = self.door.clone();
-        spawn(move || door.accept(listener));
+        let server = self.server.clone();
+        spawn(move || server.accept(listener));
     }
 
-    /// No more connections are taken; what waits to be taken stays so.
+    /// Stops accepting; pending connections stay pending.
     fn stop(&self) {
-        self.door.shut.store(true, Ordering::SeqCst);
+        self.server.is_stopped.store(true, Ordering::SeqCst);
         self.addresses.iter().for_each(|address| drop(TcpStream::connect(address)));
         sleep(Duration::from_millis(20));
     }
 
     fn cut(&self) {
-        let streams = std::mem::take(&mut *self.door.streams.lock().unwrap());
+        let streams = std::mem::take(&mut *self.server.streams.lock().unwrap());
         streams.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
-    /// Its connections end by a reset; what came there before has been taken.
+    /// Resets the host's connections; messages received before have been taken.
     fn reset(&mut self) {
-        (self.last, self.said) = (None, None);
-        for stream in std::mem::take(&mut *self.door.streams.lock().unwrap()) {
+        (self.last_message, self.last_answer) = (None, None);
+        for stream in std::mem::take(&mut *self.server.streams.lock().unwrap()) {
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             let _ = stream.shutdown(Shutdown::Read);
         }
     }
 
-    /// A backlog that is full: the machine drops what would connect.
-    fn deafen(&mut self) {
+    /// Fills the backlogs, so that the kernel drops new connects.
+    fn stop_accepting_silently(&mut self) {
         self.stop();
         for address in self.addresses.clone() {
             let listener = listener(&address.to_string(), false, 1);
             while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(40)) {
-                self.held.push(stream);
+                self.backlog_streams.push(stream);
             }
-            self.deaf.push(listener);
+            self.deaf_listeners.push(listener);
         }
     }
 
-    /// One that was deaf or down takes connections again.
+    /// Accepts connections again after `deaf` or `down`.
     fn hear(&mut self) {
-        self.door.shut = Arc::default();
-        self.old = self.door.taken.load(Ordering::SeqCst) + self.held.len();
-        self.held.clear();
-        let mut listeners = std::mem::take(&mut self.deaf);
+        self.server.is_stopped = Arc::default();
+        self.old_connections = self.server.accepted.load(Ordering::SeqCst) + self.backlog_streams.len();
+        self.backlog_streams.clear();
+        let mut listeners = std::mem::take(&mut self.deaf_listeners);
         if listeners.is_empty() {
             let anew = |address: &SocketAddr| listener(&address.to_string(), false, BACKLOG);
             listeners = self.addresses.iter().map(anew).collect();
@@ -241,16 +287,16 @@
     }
 }
 
-impl Door {
+impl HostServer {
     fn accept(self, on: TcpListener) {
         for stream in on.incoming().map_while(Result::ok) {
-            if self.shut.load(Ordering::SeqCst) {
+            if self.is_stopped.load(Ordering::SeqCst) {
                 return;
             }
             self.streams.lock().unwrap().push(stream.try_clone().unwrap());
-            self.taken.fetch_add(1, Ordering::SeqCst);
-            let door = self.clone();
-            spawn(move || door.read(stream));
+            self.accepted.fetch_add(1, Ordering::SeqCst);
+            let server = self.clone();
+            spawn(move || server.read(stream));
         }
     }
 
@@ -258,31 +304,32 @@
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         let writer = Arc::new(Mutex::new(stream.try_clone().unwrap()));
         loop {
-            while self.still.load(Ordering::SeqCst) {
+            while self.is_reading_stopped.load(Ordering::SeqCst) {
                 sleep(Duration::from_millis(1));
             }
-            let Some(words) = bulk(&mut reader) else { return };
+            let Some(words) = read_message(&mut reader) else { return };
             if words[0] == "want" {
                 self.objects.lock().unwrap().push(object(&words).to_owned());
             }
-            let (auto, paced) = (*self.auto.lock().unwrap(), *self.paced.lock().unwrap());
+            let (auto, paced) =
+                (*self.auto_answer_bytes.lock().unwrap(), *self.paced_answers.lock().unwrap());
             if let Some(pace) = paced {
                 self.answer_paced(words, pace, &writer);
                 continue;
             }
             match auto {
                 Some(bytes) if words[0] == "want" => {
-                    drop((&stream).write_all(&written(&words[1], "DONE", GOOD, bytes)));
+                    drop((&stream).write_all(&encode_answer(&words[1], "DONE", COPY_FIELDS, bytes)));
                 }
                 Some(_) => {}
-                None => drop(self.tell.send(Seen { stream: stream.try_clone().unwrap(), words })),
+                None => drop(self.messages.send(HostMessage { stream: stream.try_clone().unwrap(), words })),
             }
         }
     }
 }
 
-impl Door {
-    /// Full once its places are in use; else each takes the time of its bytes.
+impl HostServer {
+    /// Answers after the time that the object's size takes, or that the host is full if all places are in use.
     fn answer_paced(
         &self,
         words: Vec<String>,
@@ -293,46 +340,46 @@
             return;
         }
         let bytes = SIZES.iter().find(|(digit, _)| object(&words).ends_with(*digit)).unwrap().1;
-        let (door, writer) = (self.clone(), writer.clone());
+        let (server, writer) = (self.clone(), writer.clone());
         let say = move |word: &str, fields: &str, bytes: usize| {
-            drop(writer.lock().unwrap().write_all(&written(&words[1], word, fields, bytes)));
+            drop(writer.lock().unwrap().write_all(&encode_answer(&words[1], word, fields, bytes)));
         };
-        if self.busy.fetch_add(1, Ordering::SeqCst) >= places {
-            self.busy.fetch_sub(1, Ordering::SeqCst);
+        if self.busy_places.fetch_add(1, Ordering::SeqCst) >= places {
+            self.busy_places.fetch_sub(1, Ordering::SeqCst);
             return say("WAIT", "-", 0);
         }
         spawn(move || {
             sleep(Duration::from_secs_f64(bytes as f64 / pace as f64));
-            door.busy.fetch_sub(1, Ordering::SeqCst);
-            say("DONE", GOOD, bytes);
+            server.busy_places.fetch_sub(1, Ordering::SeqCst);
+            say("DONE", COPY_FIELDS, bytes);
         });
     }
 }
 
-/// A change log that knows the list of one dispatcher.
+/// A simulated change log.
 #[derive(Clone)]
-struct Feed {
+struct ChangeLog {
     address: SocketAddr,
     changes: Arc<Mutex<Vec<String>>>,
     mode: Arc<Mutex<String>>,
 }
 
-impl Feed {
-    fn start() -> Feed {
+impl ChangeLog {
+    fn start() -> ChangeLog {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let feed = Feed {
+        let change_log = ChangeLog {
             address: listener.local_addr().unwrap(),
             changes: Default::default(),
             mode: Arc::new(Mutex::new("well".into())),
         };
-        let own = feed.clone();
+        let own = change_log.clone();
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let own = own.clone();
                 spawn(move || own.serve(stream));
             }
         });
-        feed
+        change_log
     }
 
     fn results(&self, since: usize) -> String {
@@ -405,9 +452,9 @@
     child: Child,
     config: ConfigFile,
     listen: String,
-    lines: Receiver<String>,
-    /// Lines from before it listened.
-    early: Vec<String>,
+    log_lines: Receiver<String>,
+    /// Log lines from before it listened.
+    early_log_lines: Vec<String>,
 }
 
 impl Drop for Dispatcher {
@@ -417,7 +464,7 @@
     }
 }
 
-/// A file that goes when it is dropped.
+/// A file that is removed on drop.
 struct ConfigFile(std::path::PathBuf);
 
 impl Drop for ConfigFile {
@@ -426,7 +473,7 @@
     }
 }
 
-/// Starts a dispatcher that may hold so many descriptors.
+/// Starts a dispatcher with a limit on descriptors.
 fn run(config: &str, descriptors: u32, more: &str, shim: Option<&Shim>) -> (Child, ConfigFile) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -434,7 +481,7 @@
     std::fs::write(&path, config).unwrap();
     let environment = shim.map(|shim| shim.environment().unwrap()).into_iter().flatten();
     let environment: Vec<String> = environment.map(|(name, value)| format!("{name}={value}")).collect();
-    // The library is for the dispatcher alone, not for the shell that starts it.
+    // The shim library must be loaded by the dispatcher, not by the shell that starts it.
     let environment = environment.join(" ");
     let serve =
         format!("ulimit -n {descriptors}; exec env {environment} \"$0\" serve --config \"$1\" {more}");
@@ -444,28 +491,28 @@
     (child, ConfigFile(path))
 }
 
-fn config(listen: &str, feed: &Feed, known: &str, memory: u32) -> String {
+fn config(listen: &str, change_log: &ChangeLog, known: &str, memory: u32) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","seed":"00f1","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":256}},
         "changelog":"{}","known":{known},"settings":{SETTINGS}}}"#,
-        feed.address
+        change_log.address
     )
 }
 
 impl Dispatcher {
     fn start(config: &str, descriptors: u32, more: &str, shim: Option<&Shim>) -> Dispatcher {
         let (mut child, config) = run(config, descriptors, more, shim);
-        let (tell, lines) = channel();
+        let (sender, log_lines) = channel();
         let errors = BufReader::new(child.stderr.take().unwrap());
-        spawn(move || errors.lines().map_while(Result::ok).for_each(|line| drop(tell.send(line))));
-        let (listen, early) = Default::default();
-        let mut dispatcher = Dispatcher { child, config, listen, lines, early };
+        spawn(move || errors.lines().map_while(Result::ok).for_each(|line| drop(sender.send(line))));
+        let (listen, early_log_lines) = Default::default();
+        let mut dispatcher = Dispatcher { child, config, listen, log_lines, early_log_lines };
         let line = loop {
-            let line = dispatcher.lines.recv_timeout(PATIENCE).expect("no start");
+            let line = dispatcher.log_lines.recv_timeout(TIMEOUT).expect("no start");
             if line.contains("start: n0 on ") {
                 break line;
             }
-            dispatcher.early.push(line);
+            dispatcher.early_log_lines.push(line);
         };
         dispatcher.listen = line.split("on ").nth(1).unwrap().split(',').next().unwrap().to_owned();
         dispatcher
@@ -476,7 +523,7 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// All of its threads stand still.
+    /// Suspends the process and waits until all its threads have stopped.
     fn pause(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.child.id());
@@ -484,37 +531,37 @@
             let said = std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap_or_default();
             said.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
         };
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !std::fs::read_dir(&tasks).unwrap().all(stands) {
-            assert!(Instant::now() < end, "it doesn't stand still");
+            assert!(Instant::now() < end, "the process was not suspended");
             sleep(Duration::from_millis(1));
         }
     }
 
-    /// Its open files, and the connections that wait at its listener to be taken.
-    fn sockets(&self) -> [usize; 2] {
+    /// The number of open files, and of connections pending at the listener.
+    fn open_files_and_pending(&self) -> [usize; 2] {
         let files = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count();
         let port = self.listen.rsplit(':').next().unwrap().parse::<u16>().unwrap();
         let all = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let listens = |words: &[&str]| words[1].ends_with(&format!(":{port:04X}")) && words[3] == "0A";
         let mut lines = all.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-        let line = lines.find(|words| listens(words)).expect("it doesn't listen");
+        let line = lines.find(|words| listens(words)).expect("no listening socket");
         [files, usize::from_str_radix(line[4].split(':').nth(1).unwrap(), 16).unwrap()]
     }
 
-    /// Replaces the configuration and has it read anew.
+    /// Replaces the configuration and has it reloaded.
     fn reload(&self, text: &str) {
         std::fs::write(&self.config.0, text).unwrap();
         self.signal("-HUP");
     }
 
     fn log(&self, words: &str) -> String {
-        if let Some(line) = self.early.iter().find(|line| line.contains(words)) {
+        if let Some(line) = self.early_log_lines.iter().find(|line| line.contains(words)) {
             return line.clone();
         }
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
-            let line = self.lines.recv_timeout(end.saturating_duration_since(Instant::now()));
+            let line = self.log_lines.recv_timeout(end.saturating_duration_since(Instant::now()));
             let line = line.unwrap_or_else(|_| panic!("no log line with '{words}'"));
             if line.contains(words) {
                 return line;
@@ -523,8 +570,9 @@
     }
 }
 
+/// A client's answer.
 #[derive(Debug)]
-struct Got {
+struct ClientAnswer {
     id: u32,
     word: String,
     bytes: usize,
@@ -532,20 +580,20 @@
     at: Instant,
 }
 
-enum Came {
-    Answer(Got),
-    /// The end of the stream, when it came and whether it was a clean one.
+enum Received {
+    Answer(ClientAnswer),
+    /// The end of the stream: when, and whether it was clean.
     End(Instant, bool),
 }
 
 struct Client {
     stream: TcpStream,
-    answers: Receiver<Came>,
-    tell: Option<Sender<Came>>,
+    answers: Receiver<Received>,
+    sender: Option<Sender<Received>>,
     reader: Option<JoinHandle<()>>,
-    early: VecDeque<Got>,
-    asked: BTreeMap<u32, Instant>,
-    end: Option<(Instant, bool)>,
+    received: VecDeque<ClientAnswer>,
+    sent_at: BTreeMap<u32, Instant>,
+    stream_end: Option<(Instant, bool)>,
 }
 
 fn string(from: &mut impl Read) -> String {
@@ -559,13 +607,13 @@
     (0..count).map(|_| (string(from), string(from))).collect()
 }
 
-/// One answer, or the end; a stream that ends within one is a failure of the test.
-fn got(from: &mut impl BufRead) -> Came {
+/// Reads one answer, or the end of the stream; an end within an answer fails the test.
+fn read_answer(from: &mut impl BufRead) -> Received {
     use rmp::decode::*;
     match from.fill_buf() {
-        Ok([]) => return Came::End(Instant::now(), true),
+        Ok([]) => return Received::End(Instant::now(), true),
         Ok(_) => {}
-        Err(_) => return Came::End(Instant::now(), false),
+        Err(_) => return Received::End(Instant::now(), false),
     }
     let at = Instant::now();
     assert_eq!(read_array_len(from).unwrap(), 4);
@@ -575,7 +623,7 @@
     if marker == rmp::Marker::FixArray(2) {
         let (word, fields) = (string(from), map(from));
         read_nil(from).unwrap();
-        return Came::Answer(Got { id, word, bytes: 0, fields, at });
+        return Received::Answer(ClientAnswer { id, word, bytes: 0, fields, at });
     }
     assert_eq!(marker, rmp::Marker::Null);
     assert_eq!(read_array_len(from).unwrap(), 2);
@@ -590,10 +638,10 @@
     let mut body = vec![0; bytes];
     from.read_exact(&mut body).unwrap();
     assert!(body.iter().all(|byte| *byte == b'x'), "the body came changed");
-    Came::Answer(Got { id, word: word.into(), bytes, fields: map(from), at: Instant::now() })
+    Received::Answer(ClientAnswer { id, word: word.into(), bytes, fields: map(from), at: Instant::now() })
 }
 
-fn asking(port: u16, id: u32, band: &str, object: &str, given: &[&str]) -> Vec<u8> {
+fn encode_request(port: u16, id: u32, band: &str, object: &str, given: &[&str]) -> Vec<u8> {
     use rmp::encode::*;
     let mut fields: BTreeMap<&str, String> = BTreeMap::new();
     fields.insert("txn", format!("{port:08x}{id:08x}"));
@@ -624,7 +672,7 @@
     out
 }
 
-/// Questions for the state, under these ids.
+/// Status requests with these ids.
 fn statuses(ids: std::ops::RangeInclusive<u8>) -> Vec<u8> {
     ids.flat_map(|id| [&[0x94, 0, id, 0xa6][..], b"status", &[0xc0]].concat()).collect()
 }
@@ -633,13 +681,20 @@
     fn start(listen: &str, deaf: bool, narrow: bool) -> Client {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         if narrow {
-            socket.set_recv_buffer_size(NARROW).unwrap();
+            socket.set_recv_buffer_size(NARROW_BUFFER).unwrap();
         }
         socket.connect(&listen.parse::<SocketAddr>().unwrap().into()).unwrap();
-        let (tell, answers) = channel();
-        let (reader, early, asked, end) = Default::default();
-        let mut client =
-            Client { stream: socket.into(), answers, tell: Some(tell), reader, early, asked, end };
+        let (sender, answers) = channel();
+        let (reader, received, sent_at, stream_end) = Default::default();
+        let mut client = Client {
+            stream: socket.into(),
+            answers,
+            sender: Some(sender),
+            reader,
+            received,
+            sent_at,
+            stream_end,
+        };
         if !deaf {
             client.hear();
         }
@@ -648,10 +703,10 @@
 
     fn hear(&mut self) {
         let (mut reader, tell) =
-            (BufReader::new(self.stream.try_clone().unwrap()), self.tell.take().unwrap());
+            (BufReader::new(self.stream.try_clone().unwrap()), self.sender.take().unwrap());
         self.reader = Some(spawn(move || loop {
-            let came = got(&mut reader);
-            let ends = matches!(came, Came::End(..));
+            let came = read_answer(&mut reader);
+            let ends = matches!(came, Received::End(..));
             if tell.send(came).is_err() || ends {
                 return;
             }
@@ -659,49 +714,49 @@
     }
 
     fn ask(&mut self, id: u32, band: &str, object: &str, given: &[&str]) {
-        self.asked.insert(id, Instant::now());
+        self.sent_at.insert(id, Instant::now());
         let port = self.stream.local_addr().unwrap().port();
-        let _ = self.stream.write_all(&asking(port, id, band, object, given));
+        let _ = self.stream.write_all(&encode_request(port, id, band, object, given));
     }
 
-    /// What comes next goes where it belongs; false once all has come, or nothing did in time.
+    /// Receives the next answer or the end of the stream; false after the end, or if nothing arrives in time.
     fn next(&mut self, within: Duration) -> bool {
-        if self.end.is_some() {
+        if self.stream_end.is_some() {
             return false;
         }
         match self.answers.recv_timeout(within) {
-            Ok(Came::Answer(got)) => self.early.push_back(got),
-            Ok(Came::End(at, clean)) => self.end = Some((at, clean)),
+            Ok(Received::Answer(got)) => self.received.push_back(got),
+            Ok(Received::End(at, clean)) => self.stream_end = Some((at, clean)),
             Err(std::sync::mpsc::RecvTimeoutError::Timeout) => return false,
-            // Its thread failed on what came.
-            Err(_) => self.end = Some((Instant::now(), false)),
+            // The reading thread has panicked.
+            Err(_) => self.stream_end = Some((Instant::now(), false)),
         }
         true
     }
 
-    fn answered(&mut self, id: u32) -> Option<Got> {
+    fn answered(&mut self, id: u32) -> Option<ClientAnswer> {
         loop {
-            if let Some(place) = self.early.iter().position(|got| got.id == id) {
-                return self.early.remove(place);
+            if let Some(place) = self.received.iter().position(|got| got.id == id) {
+                return self.received.remove(place);
             }
-            if !self.next(PATIENCE) {
+            if !self.next(TIMEOUT) {
                 return None;
             }
         }
     }
 
-    fn answer(&mut self, id: u32) -> Got {
+    fn answer(&mut self, id: u32) -> ClientAnswer {
         let got = self.answered(id);
-        got.unwrap_or_else(|| panic!("no answer to {id}, end {:?}", self.end))
+        got.unwrap_or_else(|| panic!("no answer to {id}, end {:?}", self.stream_end))
     }
 
-    /// A clean end, also once what was sent has crossed it.
+    /// Expects a clean end of the stream, also after the last message sent has crossed it.
     fn ended(&mut self) {
-        while self.next(PATIENCE) {}
-        let (at, clean) = self.end.expect("no end");
-        assert!(clean, "no clean end");
-        assert!(self.early.is_empty(), "more came: {:?}", self.early);
-        let last = self.asked.values().copied().max().map_or(at, |asked| asked.max(at));
+        while self.next(TIMEOUT) {}
+        let (at, clean) = self.stream_end.expect("no end");
+        assert!(clean, "the connection did not end cleanly");
+        assert!(self.received.is_empty(), "unexpected answers: {:?}", self.received);
+        let last = self.sent_at.values().copied().max().map_or(at, |asked| asked.max(at));
         sleep(QUIET.saturating_sub(last.elapsed()));
         let error = self.stream.take_error().unwrap();
         assert!(error.is_none(), "{error:?} after the end");
@@ -714,8 +769,8 @@
     }
 }
 
-/// Clients that flood and go, break off in a message, reset under an answer, repeat ids and never read.
-fn rude(listen: &str, until: &AtomicBool) -> usize {
+/// Runs clients that flood and leave, stop within a message, reset, repeat ids or never read; returns their number.
+fn run_misbehaving_clients(listen: &str, until: &AtomicBool) -> usize {
     let mut standing = Vec::new();
     let mut count = 0;
     while !until.load(Ordering::SeqCst) {
@@ -723,7 +778,7 @@
         let mut client = Client::start(listen, true, count % 5 == 4);
         let port = client.stream.local_addr().unwrap().port();
         let asks = |ids: std::ops::RangeInclusive<u32>| -> Vec<u8> {
-            ids.flat_map(|id| asking(port, id, "video", &format!("{port:x}{id:x}"), &[])).collect()
+            ids.flat_map(|id| encode_request(port, id, "video", &format!("{port:x}{id:x}"), &[])).collect()
         };
         let sent = match count % 5 {
             0 => asks(1..=300),
@@ -738,63 +793,70 @@
             4 => standing.push(client),
             _ => {}
         }
-        sleep(RUDE);
+        sleep(MISBEHAVING_INTERVAL);
     }
     count
 }
 
+/// The state of a running scenario.
 #[derive(Default)]
-struct Play {
+struct Scenario {
     hosts: BTreeMap<String, Host>,
-    feeds: Vec<Feed>,
+    change_logs: Vec<ChangeLog>,
     dispatchers: Vec<Dispatcher>,
     clients: BTreeMap<String, Client>,
-    it: String,
-    memory: u32,
-    unknown: Option<String>,
-    many: Vec<(usize, String)>,
+    last_host: String,
+    memory_mb: u32,
+    unknown_mode: Option<String>,
+    aliases: Vec<(usize, String)>,
     descriptors: u32,
-    crowd: Vec<TcpStream>,
-    store: Option<tempfile::TempDir>,
+    idle_streams: Vec<TcpStream>,
+    store_folder: Option<tempfile::TempDir>,
     config: Option<String>,
-    shape: bool,
-    set: Vec<(String, serde_json::Value)>,
-    ended: Option<Instant>,
-    lap: Option<Instant>,
-    anew: bool,
+    has_other_shape: bool,
+    overrides: Vec<(String, serde_json::Value)>,
+    terminated_at: Option<Instant>,
+    last_lap: Option<Instant>,
+    starts_now: bool,
     shim: Option<Shim>,
 }
 
-impl Play {
+impl Scenario {
     fn run_all(&mut self) {
-        let memory = if self.memory == 0 { 192 } else { self.memory };
-        let known = |feed: &Feed| if self.unknown.is_some() { "null".to_owned() } else { feed.results(0) };
+        let memory = if self.memory_mb == 0 { 192 } else { self.memory_mb };
+        let known = |change_log: &ChangeLog| {
+            if self.unknown_mode.is_some() {
+                "null".to_owned()
+            } else {
+                change_log.results(0)
+            }
+        };
         let descriptors = if self.descriptors == 0 { 256 } else { self.descriptors };
         let operator = |folder: &tempfile::TempDir| {
             format!("--last-good --operator {}", folder.path().join("operator.jsonnet").display())
         };
-        let more = self.store.as_ref().map(operator).unwrap_or_default();
-        let text = |feed| {
-            let usual = || config("127.0.0.1:0", feed, &known(feed), memory);
+        let more = self.store_folder.as_ref().map(operator).unwrap_or_default();
+        let text = |change_log| {
+            let usual = || config("127.0.0.1:0", change_log, &known(change_log), memory);
             let text = self.config.clone().unwrap_or_else(usual);
-            let changes = SHAPE.iter().filter(|_| self.shape);
+            let changes = OTHER_SHAPE.iter().filter(|_| self.has_other_shape);
             let text = changes.fold(text, |text, (from, to)| text.replacen(from, to, 1));
-            if self.set.is_empty() {
+            if self.overrides.is_empty() {
                 return text;
             }
             let mut all: serde_json::Value = serde_json::from_str(&text).unwrap();
-            for (pointer, value) in &self.set {
+            for (pointer, value) in &self.overrides {
                 *all.pointer_mut(pointer).expect("no such setting") = value.clone();
             }
             all.to_string()
         };
-        let start = |feed| Dispatcher::start(&text(feed), descriptors, &more, self.shim.as_ref());
-        self.dispatchers = self.feeds.iter().map(start).collect();
+        let start = |change_log| Dispatcher::start(&text(change_log), descriptors, &more, self.shim.as_ref());
+        self.dispatchers = self.change_logs.iter().map(start).collect();
     }
 
     fn change(&self, what: impl Fn(usize) -> String) {
-        for (number, feed) in self.feeds.iter().enumerate() {
-            let mut changes = feed.changes.lock().unwrap();
+        for (number, change_log) in self.change_logs.iter().enumerate() {
+            let mut changes = change_log.changes.lock().unwrap();
             let seq = changes.len() + 1;
             changes.push(format!(r#"{{"seq":{seq},{}}}"#, what(number)));
         }
@@ -804,19 +866,19 @@
         let host = &self.hosts[name];
         let (zone, kind) = if host.sort == "cache" { ("edge", "small") } else { ("hub", host.sort) };
         let address = host.addresses[number];
-        let started = if self.anew { unix_ms() } else { 0 };
+        let started = if self.starts_now { unix_ms() } else { 0 };
         format!(
             r#"{{"id":"s-{name}","addr":"{address}","zone":"{zone}","kind":"{kind}","cell":0,"state":"{state}","weight":20,"started_ms":{started}}}"#
         )
     }
 
-    /// A further loopback address at a host's port.
+    /// Another loopback address with a host's port.
     fn alias(&self, name: &str, place: usize, number: usize) -> SocketAddr {
         let port = self.hosts[name].addresses[number].port();
         SocketAddr::from(([127, 1, (place / 200) as u8, (place % 200 + 1) as u8], port))
     }
 
-    /// An entry as it would be, but for what the words change of it.
+    /// A list entry with the changes given by the words.
     fn changed_entry(&self, words: &[&str], number: usize) -> String {
         let [name, state, more @ ..] = words else { panic!("no entry: {words:?}") };
         let mut entry: serde_json::Value = serde_json::from_str(&self.entry(name, state, number)).unwrap();
@@ -844,7 +906,7 @@
         self.change(|number| {
             let mut entries: Vec<String> =
                 entries.iter().map(|(name, state)| self.entry(name, state, number)).collect();
-            for (place, name) in self.many.iter().filter(|_| whole) {
+            for (place, name) in self.aliases.iter().filter(|_| whole) {
                 let (address, alias) = (self.hosts[name].addresses[number], self.alias(name, *place, number));
                 let entry = self.entry(name, "in_service", number);
                 let entry = entry.replace(&address.to_string(), &alias.to_string());
@@ -854,29 +916,29 @@
         });
     }
 
-    /// The next message at a host; what a message holds is compared with the words given.
+    /// Takes the next message at a host and checks it against the words.
     fn take(&mut self, name: &str, wanted: &[&str]) {
         let never_mind = wanted.contains(&"never_mind");
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         let (name, seen) = loop {
             let mut hosts = self.hosts.iter().filter(|(host, _)| name == "any" || *host == name);
-            let found = hosts.find_map(|(host, known)| Some((host.clone(), known.seen.try_recv().ok()?)));
+            let found = hosts.find_map(|(host, known)| Some((host.clone(), known.messages.try_recv().ok()?)));
             if let Some(found) = found {
                 break found;
             }
-            assert!(Instant::now() < end, "nothing came to {name}");
+            assert!(Instant::now() < end, "nothing arrived at {name}");
             sleep(Duration::from_millis(1));
         };
         let host = self.hosts.get_mut(&name).unwrap();
-        self.it = name;
+        self.last_host = name;
         if never_mind {
             assert_eq!(seen.words[0], "never_mind");
-            assert_eq!(seen.words[1], host.last.as_ref().unwrap().words[1]);
+            assert_eq!(seen.words[1], host.last_message.as_ref().unwrap().words[1]);
             return;
         }
         if wanted == ["busy"] {
             assert_eq!(seen.words[0], "busy");
-            host.last = Some(seen);
+            host.last_message = Some(seen);
             return;
         }
         assert_eq!(seen.words[0], "want", "{:?}", seen.words);
@@ -902,13 +964,13 @@
                 assert_eq!(fields.get(name), Some(&value), "{word}, but {said}");
             }
         }
-        host.last = Some(seen);
+        host.last_message = Some(seen);
     }
 
     fn answer(&mut self, name: &str, word: &str, more: &[&str]) {
-        let name = if name == "it" { self.it.clone() } else { name.to_owned() };
+        let name = if name == "it" { self.last_host.clone() } else { name.to_owned() };
         let host = self.hosts.get_mut(&name).unwrap();
-        let last = host.last.as_ref().expect("nothing was taken");
+        let last = host.last_message.as_ref().expect("nothing was taken");
         let (mut id, mut fields, mut bytes) = (last.words[1].clone(), "-".to_owned(), 0);
         let (mut short, mut copies, mut bare) = (0, 1, false);
         for word in more {
@@ -927,13 +989,13 @@
             }
         }
         if matches!(word, "DONE" | "KEEP") && !bare && !fields.contains("ver") {
-            fields = format!("{GOOD}{}", if fields == "-" { "".into() } else { format!(",{fields}") });
+            fields = format!("{COPY_FIELDS}{}", if fields == "-" { "".into() } else { format!(",{fields}") });
         }
-        let whole = written(&id, word, &fields, bytes);
+        let whole = encode_answer(&id, word, &fields, bytes);
         let mut out = whole.repeat(copies);
-        host.left = out.split_off(out.len() - short);
+        host.unsent_bytes = out.split_off(out.len() - short);
         (&last.stream).write_all(&out).unwrap();
-        host.said = Some((last.stream.try_clone().unwrap(), whole));
+        host.last_answer = Some((last.stream.try_clone().unwrap(), whole));
     }
 
     fn expect(&mut self, client: &str, id: u32, word: &str, more: &[&str]) {
@@ -949,7 +1011,7 @@
             match name {
                 "bytes" => assert_eq!(got.bytes.to_string(), value),
                 "within" => {
-                    let took = got.at - self.clients[client].asked[&id];
+                    let took = got.at - self.clients[client].sent_at[&id];
                     assert!(took < Duration::from_millis(value.parse().unwrap()), "after {took:?}");
                 }
                 _ => assert_eq!(got.fields.get(name).map(|v| &v[..]), Some(value), "{got:?}"),
@@ -957,16 +1019,16 @@
         }
     }
 
-    /// So many attempts for an object came to hosts, ever.
+    /// The number of attempts for an object at all hosts so far.
     fn count(&self, object: &str) -> usize {
         let named = format!("{object:0>16}");
-        let count = |host: &Host| host.door.objects.lock().unwrap().iter().filter(|o| **o == named).count();
+        let count = |host: &Host| host.server.objects.lock().unwrap().iter().filter(|o| **o == named).count();
         self.hosts.values().map(count).sum()
     }
 
-    /// Usual clients, one request after another: what half and 99 in 100 took at most, and how many were served.
-    fn usual(&self, count: usize) -> ([Duration; 2], usize) {
-        let threads = (0..USUAL).map(|_| {
+    /// Runs ordinary clients, one request after another. Returns the median, the 99th percentile and the number served.
+    fn run_ordinary_clients(&self, count: usize) -> ([Duration; 2], usize) {
+        let threads = (0..ORDINARY_CLIENTS).map(|_| {
             let mut client = Client::start(&self.dispatchers[0].listen, false, false);
             spawn(move || {
                 let port = client.stream.local_addr().unwrap().port();
@@ -974,7 +1036,7 @@
                     client.ask(id, "video", &format!("{port:x}{id:x}"), &[]);
                     let got = client.answer(id);
                     assert!(["settled", "Rejected"].contains(&&got.word[..]), "{got:?}");
-                    (got.at - client.asked[&id], got.word == "settled")
+                    (got.at - client.sent_at[&id], got.word == "settled")
                 });
                 took.collect::<Vec<_>>()
             })
@@ -986,21 +1048,21 @@
         ([place(50), place(99)], all.iter().filter(|(_, served)| *served).count())
     }
 
-    /// Clients that ask for objects of all sizes, some at once: of all, of the largest tenth and of the next fifth, the
-    /// share that was served.
+    /// Runs clients that request objects of all sizes. Returns the share served of all, of the largest tenth and of the
+    /// next fifth.
     fn shares_by_size(&self, count: u32) -> [f64; 3] {
-        let threads = (0..SIZED).map(|_| {
+        let threads = (0..SIZED_CLIENTS).map(|_| {
             let mut client = Client::start(&self.dispatchers[0].listen, false, false);
             spawn(move || {
                 let port = client.stream.local_addr().unwrap().port();
                 let mut served = [[0.0_f64; 2]; SIZES.len()];
-                for id in 1..=count + SIZED_OPEN {
+                for id in 1..=count + SIZED_OPEN_REQUESTS {
                     let sort = |id: u32| [0, 1, 1, 2, 2, 2, 2, 2, 2, 2][id as usize % 10];
                     if id <= count {
                         let object = format!("{port:x}{id:x}{}", SIZES[sort(id)].0);
                         client.ask(id, "video", &object, &[]);
                     }
-                    if let Some(id) = id.checked_sub(SIZED_OPEN).filter(|id| *id > 0) {
+                    if let Some(id) = id.checked_sub(SIZED_OPEN_REQUESTS).filter(|id| *id > 0) {
                         let got = client.answer(id);
                         assert!(["settled", "Rejected"].contains(&&got.word[..]), "{got:?}");
                         assert!(
@@ -1041,7 +1103,7 @@
                         let alias = self.alias(name, place, number);
                         host(name).open(listener(&alias.to_string(), false, BACKLOG));
                     }
-                    self.many.push((place, (*name).into()));
+                    self.aliases.push((place, (*name).into()));
                 }
             }
             ["tell", words @ ..] => self.change(|number| {
@@ -1049,9 +1111,9 @@
                 let entries: Vec<String> = entries.map(|words| self.changed_entry(words, number)).collect();
                 format!(r#""fleet":{{"version":1,"full":false,"servers":[{}]}}"#, entries.join(","))
             }),
-            ["unknown", mode @ ..] => self.unknown = Some((*mode.first().unwrap_or(&"mute")).into()),
+            ["unknown", mode @ ..] => self.unknown_mode = Some((*mode.first().unwrap_or(&"mute")).into()),
             ["set", pointer, json] => {
-                self.set.push(((*pointer).into(), serde_json::from_str(json).unwrap()));
+                self.overrides.push(((*pointer).into(), serde_json::from_str(json).unwrap()));
             }
             ["descriptors", count] => self.descriptors = count.parse().unwrap(),
             ["each", client, from, to] => {
@@ -1065,21 +1127,23 @@
             ["crowd", count, more @ ..] => {
                 let listen = &self.dispatchers[0].listen;
                 let count: usize = count.parse().unwrap();
-                self.crowd = (0..count).map(|_| TcpStream::connect(listen).unwrap()).collect();
+                self.idle_streams = (0..count).map(|_| TcpStream::connect(listen).unwrap()).collect();
                 if more == ["asked"] {
                     let asks = |mut stream: &TcpStream| stream.write_all(&statuses(1..=1)).unwrap();
-                    self.crowd.iter().for_each(asks);
+                    self.idle_streams.iter().for_each(asks);
                 }
             }
-            ["memory", mb] => self.memory = mb.parse().unwrap(),
+            ["memory", mb] => self.memory_mb = mb.parse().unwrap(),
             ["start", count @ ..] => {
                 let count = count.first().map_or(1, |n| n.parse().unwrap());
-                self.feeds = (0..count).map(|_| Feed::start()).collect();
+                self.change_logs = (0..count).map(|_| ChangeLog::start()).collect();
                 let all: Vec<(&str, &str)> =
                     self.hosts.keys().map(|name| (&name[..], "in_service")).collect();
                 self.list(&all, true);
-                if let Some(mode) = &self.unknown {
-                    self.feeds.iter().for_each(|feed| feed.mode.lock().unwrap().clone_from(mode));
+                if let Some(mode) = &self.unknown_mode {
+                    self.change_logs
+                        .iter()
+                        .for_each(|change_log| change_log.mode.lock().unwrap().clone_from(mode));
                 }
                 self.run_all();
             }
@@ -1089,7 +1153,7 @@
             }
             ["list", name, state, more @ ..] => {
                 let odd = more.contains(&"odd").then_some((*name, "odd"));
-                self.anew |= more.contains(&"anew");
+                self.starts_now |= more.contains(&"anew");
                 self.list(&[Some((*name, *state)), odd].into_iter().flatten().collect::<Vec<_>>(), false);
                 if more.is_empty() {
                     let phase = match *state {
@@ -1111,7 +1175,10 @@
                 self.change(|_| format!(r#""invalidate":{{{named},"time":{now}}}"#));
                 sleep(QUIET);
             }
-            ["feed", mode] => self.feeds.iter().for_each(|feed| *feed.mode.lock().unwrap() = (*mode).into()),
+            ["feed", mode] => self
+                .change_logs
+                .iter()
+                .for_each(|change_log| *change_log.mode.lock().unwrap() = (*mode).into()),
             ["client", name, more @ ..] => {
                 let number: usize = more.first().and_then(|n| n.parse().ok()).unwrap_or(1);
                 let listen = &self.dispatchers[number - 1].listen;
@@ -1125,16 +1192,16 @@
                 for id in 1..=200 {
                     self.clients.get_mut(*client).unwrap().ask(id, "video", "01", &[]);
                     let host = self.hosts.get_mut(*name).unwrap();
-                    let seen = host.seen.recv_timeout(10 * QUIET);
+                    let seen = host.messages.recv_timeout(10 * QUIET);
                     let Some(seen) = seen.ok().filter(|seen| seen.words[0] == "want") else {
                         sleep(QUIET);
-                        while host.seen.try_recv().is_ok() {}
+                        while host.messages.try_recv().is_ok() {}
                         return;
                     };
-                    host.last = Some(seen);
+                    host.last_message = Some(seen);
                     self.answer(name, "DONE", &["bytes=239000"]);
                 }
-                panic!("the client may leave all unread");
+                panic!("the client was not disconnected");
             }
             ["withdraw", client, id] => {
                 let mut out = vec![0x93, 2, 0xa8];
@@ -1152,7 +1219,7 @@
                     .collect();
                 let stream = match self.clients.get(*name) {
                     Some(client) => &client.stream,
-                    None => &host(name).last.as_ref().unwrap().stream,
+                    None => &host(name).last_message.as_ref().unwrap().stream,
                 };
                 let _ = { stream }.write_all(&bytes);
             }
@@ -1170,12 +1237,12 @@
                 let known = self.clients.get_mut(*client).unwrap();
                 if known.answered(id.parse().unwrap()).is_none() {
                     known.ended();
-                    assert_eq!(self.count(object), 0, "sent on, and not answered");
+                    assert_eq!(self.count(object), 0, "handed off, but not answered");
                 }
             }
             ["once", client, id, most @ ..] => {
                 let (id, client) = (id.parse().unwrap(), self.clients.get_mut(*client).unwrap());
-                let took = client.answer(id).at - client.asked[&id];
+                let took = client.answer(id).at - client.sent_at[&id];
                 if let Some(most) = most.first() {
                     assert!(took < Duration::from_millis(most.parse().unwrap()), "{id} after {took:?}");
                 }
@@ -1185,7 +1252,7 @@
                 assert_eq!(self.count(object).to_string(), *count, "attempts for {object}");
             }
             ["take", name, wanted @ ..] => {
-                let name = if *name == "it" { self.it.clone() } else { (*name).into() };
+                let name = if *name == "it" { self.last_host.clone() } else { (*name).into() };
                 self.take(&name, wanted);
             }
             ["answer", name, word, more @ ..] => self.answer(name, word, more),
@@ -1195,43 +1262,43 @@
                 match self.clients.get_mut(*name) {
                     Some(client) => {
                         while client.next(Duration::ZERO) {}
-                        assert!(client.early.is_empty(), "{:?}", client.early);
+                        assert!(client.received.is_empty(), "{:?}", client.received);
                     }
                     None => {
-                        let came = self.hosts[*name].seen.try_recv();
+                        let came = self.hosts[*name].messages.try_recv();
                         assert!(came.is_err(), "{:?}", came.map(|seen| seen.words));
                     }
                 }
             }
-            ["shape"] => self.shape = true,
-            ["came", name] => assert!(host(name).seen.try_recv().is_ok(), "nothing came to {name}"),
-            ["drain", name] => while host(name).seen.try_recv().is_ok() {},
+            ["shape"] => self.has_other_shape = true,
+            ["came", name] => assert!(host(name).messages.try_recv().is_ok(), "nothing arrived at {name}"),
+            ["drain", name] => while host(name).messages.try_recv().is_ok() {},
             ["cut", name] => host(name).cut(),
             ["down", name] => {
                 host(name).stop();
                 host(name).cut();
             }
-            ["deaf", name] => self.hosts.get_mut(*name).unwrap().deafen(),
+            ["deaf", name] => self.hosts.get_mut(*name).unwrap().stop_accepting_silently(),
             ["hear", name] => match self.clients.get_mut(*name) {
                 Some(client) => client.hear(),
                 None => self.hosts.get_mut(*name).unwrap().hear(),
             },
             ["up", name] => {
-                let (end, host) = (Instant::now() + PATIENCE, host(name));
-                while host.door.taken.load(Ordering::SeqCst) <= host.old {
-                    assert!(Instant::now() < end, "no connection came up");
+                let (end, host) = (Instant::now() + TIMEOUT, host(name));
+                while host.server.accepted.load(Ordering::SeqCst) <= host.old_connections {
+                    assert!(Instant::now() < end, "no connection was established");
                     sleep(Duration::from_millis(1));
                 }
             }
-            ["still", name] => host(name).door.still.store(true, Ordering::SeqCst),
-            ["reads", name] => host(name).door.still.store(false, Ordering::SeqCst),
+            ["still", name] => host(name).server.is_reading_stopped.store(true, Ordering::SeqCst),
+            ["reads", name] => host(name).server.is_reading_stopped.store(false, Ordering::SeqCst),
             ["auto", name, bytes @ ..] => {
                 let bytes = bytes.first().map_or(1, |bytes| bytes.parse().unwrap());
-                *host(name).door.auto.lock().unwrap() = Some(bytes);
+                *host(name).server.auto_answer_bytes.lock().unwrap() = Some(bytes);
             }
             ["paced", name, places, kb] => {
                 let pace = (places.parse().unwrap(), 1000 * kb.parse::<usize>().unwrap());
-                *host(name).door.paced.lock().unwrap() = Some(pace);
+                *host(name).server.paced_answers.lock().unwrap() = Some(pace);
             }
             ["largest", count, part] => {
                 let [all, largest, next] = self.shares_by_size(count.parse().unwrap());
@@ -1243,8 +1310,8 @@
                 let client = self.clients.get_mut(*client).unwrap();
                 let port = client.stream.local_addr().unwrap().port();
                 let ids = from.parse::<u32>().unwrap()..=to.parse().unwrap();
-                client.asked.extend(ids.clone().map(|id| (id, Instant::now())));
-                let asks = ids.flat_map(|id| asking(port, id, "video", &format!("{id:x}"), &[]));
+                client.sent_at.extend(ids.clone().map(|id| (id, Instant::now())));
+                let asks = ids.flat_map(|id| encode_request(port, id, "video", &format!("{id:x}"), &[]));
                 client.stream.set_nodelay(true).unwrap();
                 for piece in asks.collect::<Vec<u8>>().chunks(bytes.parse().unwrap()) {
                     client.stream.write_all(piece).unwrap();
@@ -1252,19 +1319,19 @@
                 }
             }
             ["again", name] => {
-                let (stream, whole) = host(name).said.as_ref().unwrap();
+                let (stream, whole) = host(name).last_answer.as_ref().unwrap();
                 { stream }.write_all(whole).unwrap();
             }
             ["rest", name] => {
                 let host = self.hosts.get_mut(*name).unwrap();
-                let left = std::mem::take(&mut host.left);
-                (&host.last.as_ref().unwrap().stream).write_all(&left).unwrap();
+                let left = std::mem::take(&mut host.unsent_bytes);
+                (&host.last_message.as_ref().unwrap().stream).write_all(&left).unwrap();
             }
             ["drip", name] => {
-                let name = if *name == "it" { &self.it } else { *name };
-                let last = host(name).last.as_ref().unwrap();
+                let name = if *name == "it" { &self.last_host } else { *name };
+                let last = host(name).last_message.as_ref().unwrap();
                 let mut stream = last.stream.try_clone().unwrap();
-                let mut whole = written(&last.words[1], "DONE", GOOD, 200_000);
+                let mut whole = encode_answer(&last.words[1], "DONE", COPY_FIELDS, 200_000);
                 whole.truncate(whole.len() - 199_000);
                 spawn(move || {
                     while stream.write_all(&whole).is_ok() {
@@ -1302,25 +1369,28 @@
             ["signal", name] => self.dispatchers[0].signal(&format!("-{name}")),
             ["usual", count, beside @ ..] => {
                 let count = count.parse().unwrap();
-                let (alone, served) = self.usual(count);
+                let (alone, served) = self.run_ordinary_clients(count);
                 println!("alone: {alone:?}, {served} served");
                 let ["beside", most] = beside else { return };
                 let (until, listen) = (Arc::new(AtomicBool::new(false)), self.dispatchers[0].listen.clone());
                 let own = until.clone();
-                let bad = spawn(move || rude(&listen, &own));
-                let (with, served) = self.usual(count);
+                let misbehaving = spawn(move || run_misbehaving_clients(&listen, &own));
+                let (with, served) = self.run_ordinary_clients(count);
                 until.store(true, Ordering::SeqCst);
-                println!("beside {} bad ones: {with:?}, {served} served", bad.join().unwrap());
+                println!(
+                    "beside {} misbehaving ones: {with:?}, {served} served",
+                    misbehaving.join().unwrap()
+                );
                 let most = Duration::from_millis(most.parse().unwrap());
                 assert!(
                     with[1] < most,
-                    "99 in 100 within {:?} beside bad ones, {:?} alone",
+                    "99th percentile {:?} beside misbehaving clients, {:?} alone",
                     with[1],
                     alone[1]
                 );
             }
             ["term"] => {
-                self.ended = Some(Instant::now());
+                self.terminated_at = Some(Instant::now());
                 self.dispatchers[0].signal("-TERM");
             }
             ["store", settings @ ..] => {
@@ -1331,39 +1401,39 @@
                     settings.concat()
                 );
                 std::fs::write(folder.path().join("operator.jsonnet"), text).unwrap();
-                self.store = Some(folder);
+                self.store_folder = Some(folder);
             }
-            ["forget"] => self.feeds.iter().for_each(|feed| {
-                feed.changes.lock().unwrap().retain(|change| change.contains("fleet"));
-                *feed.mode.lock().unwrap() = "mute".into();
+            ["forget"] => self.change_logs.iter().for_each(|change_log| {
+                change_log.changes.lock().unwrap().retain(|change| change.contains("fleet"));
+                *change_log.mode.lock().unwrap() = "mute".into();
             }),
             ["spoil"] => {
-                let path = self.store.as_ref().unwrap().path().join("kept/0000000001.log");
+                let path = self.store_folder.as_ref().unwrap().path().join("kept/0000000001.log");
                 let mut bytes = std::fs::read(&path).unwrap();
                 bytes[80] ^= 1;
                 std::fs::write(path, bytes).unwrap();
             }
             ["config", words @ ..] => self.config = Some(words.join(" ")),
             ["move"] => {
-                let old = std::mem::replace(&mut self.feeds[0], Feed::start());
+                let old = std::mem::replace(&mut self.change_logs[0], ChangeLog::start());
                 *old.mode.lock().unwrap() = "mute".into();
                 let changes = old.changes.lock().unwrap().clone();
-                *self.feeds[0].changes.lock().unwrap() = changes;
-                self.dispatchers[0].reload(&config("127.0.0.1:0", &self.feeds[0], "null", 192));
+                *self.change_logs[0].changes.lock().unwrap() = changes;
+                self.dispatchers[0].reload(&config("127.0.0.1:0", &self.change_logs[0], "null", 192));
             }
             ["reload", words @ ..] => self.dispatchers[0].reload(&words.join(" ")),
             ["exit", code, most @ ..] => {
-                let end = Instant::now() + 2 * PATIENCE;
+                let end = Instant::now() + 2 * TIMEOUT;
                 let status = loop {
                     if let Some(status) = self.dispatchers[0].child.try_wait().unwrap() {
                         break status;
                     }
-                    assert!(Instant::now() < end, "it doesn't end");
+                    assert!(Instant::now() < end, "the process doesn't exit");
                     sleep(Duration::from_millis(5));
                 };
                 assert_eq!(status.code(), Some(code.parse().unwrap()), "{status}");
                 if let Some(most) = most.first() {
-                    let took = self.ended.unwrap().elapsed();
+                    let took = self.terminated_at.unwrap().elapsed();
                     assert!(took < Duration::from_millis(most.parse().unwrap()), "after {took:?}");
                 }
             }
@@ -1371,7 +1441,7 @@
             ["holds", threads, files] => {
                 let folder = |name: &str| format!("/proc/{}/{name}", self.dispatchers[0].child.id());
                 let count = |name| std::fs::read_dir(folder(name)).unwrap().count();
-                let end = Instant::now() + PATIENCE;
+                let end = Instant::now() + TIMEOUT;
                 let most: [usize; 2] = [threads.parse().unwrap(), files.parse().unwrap()];
                 while count("task") > most[0] || count("fd") > most[1] {
                     assert!(Instant::now() < end, "{} threads, {} files", count("task"), count("fd"));
@@ -1382,7 +1452,7 @@
                 let (most, within): (usize, u64) = (most.parse().unwrap(), within.parse().unwrap());
                 let end = Instant::now() + Duration::from_millis(within);
                 loop {
-                    let [files, waiting] = self.dispatchers[0].sockets();
+                    let [files, waiting] = self.dispatchers[0].open_files_and_pending();
                     if files + waiting <= most {
                         break;
                     }
@@ -1391,7 +1461,7 @@
                 }
             }
             ["lap", most @ ..] => {
-                let took = self.lap.replace(Instant::now()).map(|lap| lap.elapsed());
+                let took = self.last_lap.replace(Instant::now()).map(|lap| lap.elapsed());
                 if let Some(most) = most.first() {
                     assert!(took.unwrap() < Duration::from_millis(most.parse().unwrap()), "after {took:?}");
                 }
@@ -1402,8 +1472,8 @@
     }
 }
 
-/// The command once for each number of the range in it.
-fn each(command: &str) -> Vec<String> {
+/// Repeats a command for each number of the range `{a..b}` in it.
+fn expand(command: &str) -> Vec<String> {
     let Some((_, rest)) = command.split_once('{').filter(|(_, rest)| rest.contains("..")) else {
         return vec![command.into()];
     };
@@ -1497,13 +1567,13 @@
 #[test_case(include_str!("sockets/log_silent.txt"); "log_silent")]
 #[test_case(include_str!("sockets/accept_aborted.txt"); "accept_aborted")]
 fn plays(text: &str) {
-    let mut play = Play::default();
+    let mut scenario = Scenario::default();
     for (number, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap();
         for command in line.split(';').map(str::trim).filter(|command| !command.is_empty()) {
             println!("line {}: {command}", number + 1);
-            for command in each(command) {
-                play.command(&command.split_whitespace().collect::<Vec<_>>());
+            for command in expand(command) {
+                scenario.command(&command.split_whitespace().collect::<Vec<_>>());
             }
         }
     }
@@ -1512,22 +1582,22 @@
 #[test_case("\"limits\"", "\"limit\"", 2, "lacks limits/memory_mb"; "a key")]
 #[test_case("\"settings\"", "\"set\"", 2, "lacks settings"; "the settings")]
 #[test_case("\"zone\":", "\"zon\":", 2, "lack the number /zone"; "a key of the settings")]
-#[test_case("\"cold_from\"", "\"cold\"", 2, "lack the number /rules/cold_from"; "a figure of the rules")]
+#[test_case("\"cold_from\"", "\"cold\"", 2, "lack the number /rules/cold_from"; "a number of the rules")]
 #[test_case("\"may_pass_by\": true", "\"may_pass_by\": 1", 2, "settings/domain/may_pass_by has to be true"; "a wrong type")]
 #[test_case("\"cold_from\": 0.2", "\"cold_from\": 2", 2, "settings/rules/cold_from is out of range"; "out of range")]
 #[test_case("\"domain\": {", "\"domain\": {\"detail\": \"some\",", 2, "settings/domain/detail has to be one of"; "an unknown word")]
-#[test_case("[0, 0, 0, 0]", "[0, 0]", 2, "settings/domain/class_fresh has 2 places, settings/services has 4"; "another's bands")]
-#[test_case("[0, 2]", "[0, 2, 1]", 2, "settings/domain/count_by_zone has 3 places"; "another's locations")]
+#[test_case("[0, 0, 0, 0]", "[0, 0]", 2, "settings/domain/class_fresh has 2 places, settings/services has 4"; "another number of classes")]
+#[test_case("[0, 2]", "[0, 2, 1]", 2, "settings/domain/count_by_zone has 3 places"; "another number of locations")]
 #[test_case("[0, 2]", "[0, 2], \"stale_for\": [0, 9, 0, 0]", 2, "settings/domain/stale_for/1 has no"; "a grace without a fresh time")]
 #[test_case("\"pace_kb_per_s\": 5000", "\"zone_link_kb_per_s\": [0, 9]", 2, "settings/domain/pace_kb_per_s is wanted"; "links without a pace")]
 #[test_case("\"parent_kind\": 1", "\"parent_kind\": 2", 2, "settings/domain/parent_kind is the same as"; "one kind for parents and origin")]
-#[test_case("00f1", "seed", 2, "seed can't be used"; "a seed that is none")]
+#[test_case("00f1", "seed", 2, "seed can't be used"; "an invalid seed")]
 #[test_case("{\"name\"", "name", 2, "isn't JSON"; "not JSON")]
 #[test_case("127.0.0.1:0", "TAKEN", 1, "can't serve on"; "an address in use")]
-fn ends_at_start(part: &str, by: &str, code: i32, words: &str) {
+fn an_unusable_configuration_ends_the_start(part: &str, by: &str, code: i32, words: &str) {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let by = by.replace("TAKEN", &taken.local_addr().unwrap().to_string());
-    let text = config("127.0.0.1:0", &Feed::start(), "null", 192).replacen(part, &by, 1);
+    let text = config("127.0.0.1:0", &ChangeLog::start(), "null", 192).replacen(part, &by, 1);
     assert!(text.contains(&by), "nothing was replaced");
     let (child, _file) = run(&text, 256, "", None);
     let output = child.wait_with_output().unwrap();
