--- a/crates/dispatcher/src/attempt_log.rs
+++ b/crates/dispatcher/src/attempt_log.rs
@@ -1,5 +1,5 @@
-//! Logs the attempts of requests: all of them at debug level, and at info level those that took most of the request's
-//! time.
+//! Logs the attempts of requests: all of them at debug level, and at info level those that took most of the
+//! request's time.
 use crate::ids::HandOffId;
 use cherrypass::calls::{Fill, Outcome};
 use cherrypass::time::{Span, Time};
@@ -18,26 +18,27 @@
     pub host: &'a str,
     /// When the request arrived, and its time limit.
     pub request_time: Option<(Time, Span)>,
-    pub decided: Time,
-    pub written: Option<Time>,
-    pub ended: Time,
+    pub decided_at: Time,
+    pub written_at: Option<Time>,
+    pub ended_at: Time,
     pub outcome: Outcome,
     pub fill: Option<Fill>,
 }
 
 impl EndedAttempt<'_> {
     fn is_slow(&self) -> bool {
-        self.request_time.is_some_and(|(_, limit)| self.ended - self.decided >= limit.times(SLOW_FRACTION))
+        self.request_time
+            .is_some_and(|(_, limit)| self.ended_at - self.decided_at >= limit.times(SLOW_FRACTION))
     }
 
     fn describe(&self) -> String {
         let request = self.request.map_or("already answered".into(), String::from_utf8_lossy);
-        let ms = |at: Time| at.0 as i64 / 1000 - self.decided.0 as i64 / 1000;
+        let ms = |at: Time| at.0 as i64 / 1000 - self.decided_at.0 as i64 / 1000;
         let since_request = self.request_time.map_or("".to_owned(), |(received_at, limit)| {
             format!(" {} ms after it arrived with {} ms left", -ms(received_at), limit.0 / 1000)
         });
         let written =
-            self.written.map_or("never written".to_owned(), |at| format!("written after {} ms", ms(at)));
+            self.written_at.map_or("never written".to_owned(), |at| format!("written after {} ms", ms(at)));
         let oldest = self.fill.map_or("no copy".to_owned(), |fill| match fill.oldest.0 {
             0 => "a copy of any age".to_owned(),
             oldest => format!("a copy of at most {} ms", oldest / 1000),
@@ -48,7 +49,7 @@
             self.id.1 .0,
             self.host,
             self.outcome,
-            ms(self.ended)
+            ms(self.ended_at)
         )
     }
 }
@@ -63,7 +64,7 @@
 
 impl AttemptLog {
     pub fn log(&mut self, attempt: &EndedAttempt) {
-        if attempt.is_slow() && self.may_write(attempt.ended) {
+        if attempt.is_slow() && self.may_write(attempt.ended_at) {
             tracing::info!("{}", attempt.describe());
         } else {
             tracing::debug!("{}", attempt.describe());
--- a/crates/dispatcher/src/cancellation.rs
+++ b/crates/dispatcher/src/cancellation.rs
@@ -1,5 +1,5 @@
-//! Cancellation of requests. The thread that reads clients marks a request as cancelled at once, ahead of the router's
-//! queue, so that no attempt starts after its client has left.
+//! Cancellation of requests. The thread that reads clients marks a request as cancelled at once, ahead of the
+//! router's queue, so that no attempt starts after its client has left.
 use crate::connection::Connection;
 use crate::msgpack;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -33,8 +33,8 @@
         !self.cancelled.load(Relaxed) && !self.connection.is_closed()
     }
 
-    /// Like [`Self::is_live`], but also checks the socket for a close or a withdraw that has not been read yet. Called
-    /// right before an attempt starts.
+    /// Like [`Self::is_live`], but also checks the socket for a close or a withdraw that has not been read
+    /// yet. Called right before an attempt starts.
     pub fn check_live(&self) -> bool {
         let withdraws = |unread: &[u8]| msgpack::withdraws(unread, self.id);
         let _reads_locked = self.connection.lock_reads();
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -1,5 +1,5 @@
-//! Client connections. One thread accepts and reads all of them, so that idle connections don't cost threads; answers are
-//! written by the router, or by a thread per slow reader.
+//! Client connections. One thread accepts and reads all of them, so that idle connections don't cost threads;
+//! answers are written by the router, or by a thread per slow reader.
 use crate::cancellation::{CancelHandle, CancelToken};
 use crate::capacity::{Gauge, Reservation};
 use crate::clock;
@@ -24,13 +24,13 @@
 pub const READ_BYTES: usize = 8 * 1024;
 /// A connection that has sent no complete message by then is closed, so that it ends within 3 s.
 const FIRST_MESSAGE_TIMEOUT: Span = Span::millis(2_000);
-/// A connection whose message stays incomplete is closed after the first timeout if it has no open visits. After the
-/// second its open visits are answered, so that it closes within 3 s.
+/// A connection whose message stays incomplete is closed after the first timeout if it has no open visits.
+/// After the second its open visits are answered, so that it closes within 3 s.
 const PARTIAL_MESSAGE_TIMEOUTS: [Span; 2] = [Span::millis(1_500), Span::millis(2_500)];
 /// By the protocol clients close unused connections after 4 s.
 const IDLE_TIMEOUT: Span = Span::millis(4_500);
-/// First pause of accepting after a system shortage; and how long one may last before it is treated like a lack of
-/// descriptors.
+/// First pause of accepting after a system shortage; and how long one may last before it is treated like a
+/// lack of descriptors.
 const MIN_ACCEPT_PAUSE: Span = Span::millis(5);
 const MAX_SHORTAGE: Span = Span::millis(1_000);
 /// How often connections are checked, normally and during shutdown.
@@ -41,13 +41,13 @@
 /// How long a client is queued for a place before it is refused, and how often the queue is checked.
 const QUEUE_TIMEOUT: Span = Span::millis(400);
 const QUEUE_POLL_INTERVAL: Span = Span::millis(2);
-/// Limits on discarding the input of connections that this side has shut down: time, bytes and connections. By the
-/// protocol a request that crosses the shutdown arrives within 50 ms.
+/// Limits on discarding the input of connections that this side has shut down: time, bytes and connections.
+/// By the protocol a request that crosses the shutdown arrives within 50 ms.
 const LINGER_TIMEOUT: Span = Span::millis(300);
 const MAX_LINGER_BYTES: usize = 4 * msgpack::MAX_MESSAGE_BYTES;
 const MAX_LINGERING: usize = 16;
-/// Limits of the queue: an absolute one, and a queued client per so many allowed clients. Queued clients use descriptors
-/// beyond those reserved for clients and hosts.
+/// Limits of the queue: an absolute one, and a queued client per so many allowed clients. Queued clients use
+/// descriptors beyond those reserved for clients and hosts.
 const MAX_QUEUED: usize = 16;
 const CLIENTS_PER_QUEUED: usize = 8;
 /// Descriptors left to the change log and hosts when fewer are available than the limits promise.
@@ -97,13 +97,14 @@
     /// The room taken by the host's answer until it is written.
     pub answer_room: Option<Reservation>,
     /// The unread bytes counted for the client and in total until the answer is written.
-    pub unread: Option<[Reservation; 2]>,
+    pub unread_bytes: Option<[Reservation; 2]>,
     /// Keeps the connection in use until the answer is written.
     pub in_use: Option<Reservation>,
 }
 
 impl ToClient {
-    /// The bytes counted while the answer is unread; a body may keep the whole buffer alive that it was read into.
+    /// The bytes counted while the answer is unread; a body may keep the whole buffer alive that it was read
+    /// into.
     pub fn weight(&self) -> usize {
         self.length().max(if self.answer_room.is_some() { READ_BYTES } else { 0 })
     }
@@ -126,7 +127,8 @@
 /// The writing side of a client connection.
 pub struct Outlet {
     pub connection: Arc<Connection>,
-    /// The thread that writes once an answer could not be written without blocking, and the answers queued for it.
+    /// The thread that writes once an answer could not be written without blocking, and the answers queued
+    /// for it.
     slow_writer: Option<Sender<QueuedAnswer>>,
     queued: Gauge,
 }
@@ -148,8 +150,8 @@
         Outlet { connection, slow_writer: None, queued: Gauge::default() }
     }
 
-    /// Writes an answer without blocking, so that a slow reader doesn't delay other clients: what the socket doesn't
-    /// take, and answers after it, go to a slow writer thread.
+    /// Writes an answer without blocking, so that a slow reader doesn't delay other clients: what the socket
+    /// doesn't take, and answers after it, go to a slow writer thread.
     pub fn send(&mut self, answer: ToClient, latencies: &Arc<Latencies>) {
         let mut written = 0;
         if self.queued() == 0 {
@@ -176,7 +178,7 @@
 /// A client that waits for a place and is not read from.
 struct QueuedClient {
     client: Client,
-    since: Time,
+    queued_at: Time,
     /// Whether the client has sent something.
     has_sent: bool,
 }
@@ -237,8 +239,9 @@
     /// In order of arrival.
     queue: VecDeque<QueuedClient>,
     next_id: u64,
-    /// Clients with messages that the router's queue could not take yet, served in turn. Only these are not read from
-    /// while the router is busy, so that a client that sends much delays neither others nor the news that they left.
+    /// Clients with messages that the router's queue could not take yet, served in turn. Only these are not
+    /// read from while the router is busy, so that a client that sends much delays neither others nor the
+    /// news that they left.
     unforwarded: VecDeque<u64>,
     /// Until when accepting is paused for lack of resources.
     accept_paused_until: Option<Time>,
@@ -390,8 +393,8 @@
         true
     }
 
-    /// Forwards messages to the router, one of each client in turn, until its queue is full. Clients with messages left
-    /// are not read from meanwhile.
+    /// Forwards messages to the router, one of each client in turn, until its queue is full. Clients with
+    /// messages left are not read from meanwhile.
     fn forward_messages(&mut self) -> Result<(), CloseReason> {
         while let Some(key) = self.unforwarded.pop_front() {
             let Some(client) = self.admitted.get_mut(&key) else { continue };
@@ -427,8 +430,9 @@
         Ok(self.epoll.modify(&self.listener, &mut EpollEvent::new(flags, LISTENER))?)
     }
 
-    /// Accepts pending connections, a limited number so that others are read in between. Connections left in the backlog
-    /// would use the system's sockets all the same, and clients with requests would wait behind idle ones.
+    /// Accepts pending connections, a limited number so that others are read in between. Connections left in
+    /// the backlog would use the system's sockets all the same, and clients with requests would wait behind
+    /// idle ones.
     fn accept(&mut self) -> io::Result<()> {
         let mut has_accepted = false;
         for _ in 0..EVENTS_PER_WAIT {
@@ -460,8 +464,8 @@
         }
     }
 
-    /// Pauses accepting after a system shortage, with a growing delay. A lasting shortage is treated like a lack of
-    /// descriptors.
+    /// Pauses accepting after a system shortage, with a growing delay. A lasting shortage is treated like a
+    /// lack of descriptors.
     fn pause_for_shortage(&mut self, error: &io::Error) -> io::Result<()> {
         let now = clock::now();
         let failures = self.accept_failures.get_or_insert(AcceptFailures {
@@ -482,8 +486,8 @@
         self.poll_listener(false)
     }
 
-    /// Pauses accepting when the process is out of descriptors. The first time the number of clients is reduced, so that
-    /// idle clients don't hold the descriptors that the change log and hosts need.
+    /// Pauses accepting when the process is out of descriptors. The first time the number of clients is
+    /// reduced, so that idle clients don't hold the descriptors that the change log and hosts need.
     fn pause_without_descriptors(&mut self, error: &io::Error) -> io::Result<()> {
         let now = clock::now();
         let failures = self.accept_failures.get_or_insert(AcceptFailures {
@@ -505,8 +509,8 @@
         self.pause_accepting(SWEEP_INTERVAL)
     }
 
-    /// Admits a new client or queues it. If the queue is too long, the oldest client that has sent nothing is refused, or
-    /// else the oldest.
+    /// Admits a new client or queues it. If the queue is too long, the oldest client that has sent nothing is
+    /// refused, or else the oldest.
     fn admit_or_queue(&mut self, client: Client) {
         let key = client.id.0;
         let configured = client.connection.configure(Some(clock::duration(self.write_timeout)));
@@ -520,7 +524,7 @@
             self.admitted.insert(key, client);
             return;
         }
-        self.queue.push_back(QueuedClient { client, since: clock::now(), has_sent: false });
+        self.queue.push_back(QueuedClient { client, queued_at: clock::now(), has_sent: false });
         if self.queue.len() > (self.max_clients / CLIENTS_PER_QUEUED).clamp(1, MAX_QUEUED) {
             let silent = self.queue.iter().position(|queued| !queued.has_sent);
             let first = self.queue.remove(silent.unwrap_or(0));
@@ -548,7 +552,8 @@
         queued.client.close(CloseReason::ClosedByPeer);
     }
 
-    /// Admits queued clients, those that have sent something first, and refuses those that have waited too long.
+    /// Admits queued clients, those that have sent something first, and refuses those that have waited too
+    /// long.
     fn admit_queued(&mut self) {
         let now = clock::now();
         while self.admitted.len() + self.queue.len() > self.max_clients && self.evict(now) {}
@@ -560,14 +565,14 @@
             client.pause_reading(false, &self.epoll);
             self.admitted.insert(client.id.0, client);
         }
-        while self.queue.front().is_some_and(|queued| now > queued.since + QUEUE_TIMEOUT) {
+        while self.queue.front().is_some_and(|queued| now > queued.queued_at + QUEUE_TIMEOUT) {
             let first = self.queue.pop_front();
             first.into_iter().for_each(|queued| self.refuse(queued.client));
         }
     }
 
-    /// Closes the connection that has been unused longest, preferring those that never sent a message. Returns whether one
-    /// was closed.
+    /// Closes the connection that has been unused longest, preferring those that never sent a message.
+    /// Returns whether one was closed.
     fn evict(&mut self, now: Time) -> bool {
         let unused = self.admitted.values().filter_map(|client| Some((client.unused_for(now)?, client)));
         let unused = unused.filter(|(span, _)| *span > MIN_EVICTION_AGE);
@@ -756,8 +761,8 @@
         if messages.is_empty() || self.connection.is_closed() {
             return Ok(());
         }
-        // Ids must increase, so that no answer can be taken for that of another message. No message of this read is
-        // processed otherwise.
+        // Ids must increase, so that no answer can be taken for that of another message. No message of this
+        // read is processed otherwise.
         for message in &messages {
             if let Message::Visit(id, _) | Message::Malformed(id, _) | Message::Status(id) = message {
                 if *id <= self.last_id {
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -1,11 +1,12 @@
-//! The process's monotonic and wall clocks. All durations (deadlines, delays, windows, ages) are measured on the
-//! monotonic clock, which never steps; the wall clock serves log lines and records that outlast the process. The change
-//! log's timestamps are interpreted by [`crate::change_clock`].
+//! The process's monotonic and wall clocks. All durations (deadlines, delays, windows, ages) are measured on
+//! the monotonic clock, which never steps; the wall clock serves log lines and records that outlast the
+//! process. The change log's timestamps are interpreted by [`crate::change_clock`].
 use cherrypass::time::{Span, Time, UnixTime};
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The monotonic time at which the process starts; not zero, so that earlier points in time can be represented.
+/// The monotonic time at which the process starts; not zero, so that earlier points in time can be
+/// represented.
 const START: Time = Time(365 * 86_400 * 1_000_000);
 
 struct ProcessStart {
@@ -33,8 +34,8 @@
     UnixTime(since.as_micros() as u64)
 }
 
-/// Unix time for records that outlast the process: the wall clock at process start plus the monotonic time since. Steps
-/// of the wall clock while the process runs don't affect when records expire.
+/// Unix time for records that outlast the process: the wall clock at process start plus the monotonic time
+/// since. Steps of the wall clock while the process runs don't affect when records expire.
 pub fn unix() -> UnixTime {
     unix_at(now())
 }
--- a/crates/dispatcher/src/connection.rs
+++ b/crates/dispatcher/src/connection.rs
@@ -70,9 +70,9 @@
         }
     }
 
-    /// Whether the host's process may have ended: one that dies resets its connections. A regular close doesn't count,
-    /// as hosts close idle connections and cut answers short; neither does a connect timeout, as connections may come
-    /// up late.
+    /// Whether the host's process may have ended: one that dies resets its connections. A regular close
+    /// doesn't count, as hosts close idle connections and cut answers short; neither does a connect timeout,
+    /// as connections may come up late.
     pub fn may_be_process_end(self) -> bool {
         matches!(self, CloseReason::Reset | CloseReason::WriteFailed | CloseReason::Refused)
     }
@@ -121,8 +121,8 @@
         Connection { stream, close_reason, peer_closed, last_read_at, partial_since, read_lock }
     }
 
-    /// Sets the socket options. Reads get no timeout, since the kernel interrupts all that have one when a stopped
-    /// process continues; sweeps close stalled connections instead.
+    /// Sets the socket options. Reads get no timeout, since the kernel interrupts all that have one when a
+    /// stopped process continues; sweeps close stalled connections instead.
     pub fn configure(&self, write_timeout: Option<Duration>) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         // Fits one whole answer, and no more piles up for a peer that doesn't read.
@@ -136,8 +136,8 @@
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Shuts down the writing direction, so that everything written still reaches the peer. The reader must discard
-    /// further input before the socket is closed, or a reset could destroy the last answers.
+    /// Shuts down the writing direction, so that everything written still reaches the peer. The reader must
+    /// discard further input before the socket is closed, or a reset could destroy the last answers.
     pub fn shut_down_write(&self, reason: CloseReason) {
         let _ = self.close_reason.set(reason);
         let _ = self.stream.shutdown(Shutdown::Write);
@@ -163,14 +163,14 @@
         self.is_peer_closed() || self.is_shut_down()
     }
 
-    /// Locks the reading side. The reader holds the lock from a read until it has processed the messages, so that whoever
-    /// else holds it finds a cancellation either unread in the socket or marked.
+    /// Locks the reading side. The reader holds the lock from a read until it has processed the messages, so
+    /// that whoever else holds it finds a cancellation either unread in the socket or marked.
     pub fn lock_reads(&self) -> MutexGuard<'_, ()> {
         self.read_lock.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the connection is closed, including a close that the kernel knows and nobody has read yet, or whether the
-    /// unread bytes satisfy `matches`.
+    /// Whether the connection is closed, including a close that the kernel knows and nobody has read yet, or
+    /// whether the unread bytes satisfy `matches`.
     pub fn check_closed(&self, matches: impl Fn(&[u8]) -> bool) -> bool {
         if self.is_closed() {
             return true;
@@ -205,8 +205,8 @@
         Some(self.partial_since.load(Relaxed)).filter(|at| *at > 0).map(|at| now - Time(at))
     }
 
-    /// Called by the reader after it has taken all complete messages: `buffer` is what remains, `any` whether there was
-    /// one.
+    /// Called by the reader after it has taken all complete messages: `buffer` is what remains, `any` whether
+    /// there was one.
     pub fn messages_taken(&self, buffer: &[u8], any: bool) {
         if buffer.is_empty() {
             self.partial_since.store(0, Relaxed);
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Reads available bytes without blocking. Returns the time of the read, or none if nothing is available, and the
-    /// reason to close the connection if the stream has ended or failed.
+    /// Reads available bytes without blocking. Returns the time of the read, or none if nothing is available,
+    /// and the reason to close the connection if the stream has ended or failed.
     pub fn try_read(&self, into: &mut bytes::BytesMut, most: usize) -> Result<Option<Time>, CloseReason> {
         let old_length = into.len();
         into.resize(old_length + most, 0);
@@ -268,7 +268,8 @@
     }
 }
 
-/// Writes the parts after the first `written` bytes without joining them, until all are written or a write fails.
+/// Writes the parts after the first `written` bytes without joining them, until all are written or a write
+/// fails.
 fn write_all(
     parts: &[&[u8]],
     written: &mut usize,
@@ -291,8 +292,8 @@
     Ok(())
 }
 
-/// Whether a call would block, timed out or was interrupted. The kernel interrupts calls with a timeout when a stopped
-/// process continues.
+/// Whether a call would block, timed out or was interrupted. The kernel interrupts calls with a timeout when
+/// a stopped process continues.
 pub fn is_timeout(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
--- a/crates/dispatcher/src/host_connections.rs
+++ b/crates/dispatcher/src/host_connections.rs
@@ -1,4 +1,5 @@
-//! The thread that connects to hosts and reads all of these connections, so that a connection doesn't cost a thread.
+//! The thread that connects to hosts and reads all of these connections, so that a connection doesn't cost a
+//! thread.
 use crate::capacity::HostCapacity;
 use crate::clock;
 use crate::connection::{spawn, CloseReason, Connection};
@@ -99,7 +100,8 @@
                 }
             };
             for event in &events[..found] {
-                // Stops reading while too many answers wait to be passed on; the time doesn't count as a stalled message.
+                // Stops reading while too many answers wait to be passed on; the time doesn't count as a
+                // stalled message.
                 while self.capacity.is_full() {
                     std::thread::sleep(CAPACITY_WAIT);
                     for entry in self.lock().1.values() {
--- a/crates/dispatcher/src/host_messages.rs
+++ b/crates/dispatcher/src/host_messages.rs
@@ -12,8 +12,8 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// How far a hand-off has been sent, shared between the router and the writing threads. A hand-off that was not
-/// completely written cannot have run.
+/// How far a hand-off has been sent, shared between the router and the writing threads. A hand-off that was
+/// not completely written cannot have run.
 #[derive(Clone, Debug, Default)]
 pub struct SendState(Arc<AtomicU64>);
 
@@ -63,7 +63,7 @@
     /// Whether the host fills a miss from a source that fetches the object if it lacks it.
     pub fills_miss: bool,
     /// Deadline for the answer.
-    pub until: Time,
+    pub deadline: Time,
     /// Sending must not start after this.
     pub latest_start: Time,
     pub cancel: CancelToken,
@@ -71,16 +71,16 @@
 }
 
 impl HandOff {
-    /// Claims the hand-off for sending, unless it is too late, its client has left or it was revoked meanwhile. Every
-    /// hand-off passes this check right before its first byte, however long it waited for a connection, a record or a
-    /// slow host.
+    /// Claims the hand-off for sending, unless it is too late, its client has left or it was revoked
+    /// meanwhile. Every hand-off passes this check right before its first byte, however long it waited for a
+    /// connection, a record or a slow host.
     pub fn start(&self, now: Time) -> bool {
         now < self.latest_start && self.cancel.check_live() && self.send_state.start()
     }
 
     /// The encoded request up to its body.
     pub fn head(&self, now: Time) -> Bytes {
-        let wait = ((self.until - now).0 / 1000).max(1);
+        let wait = ((self.deadline - now).0 / 1000).max(1);
         resp::hand_off_head(&self.txn, &format!("{},w={wait}", self.fields), self.body.len())
     }
 }
@@ -106,8 +106,8 @@
     Closed(ConnectionId, CloseReason, Time),
 }
 
-/// A message to the thread that runs all host actors. A single thread serves them all, so that long lists of hosts
-/// don't cost a thread each.
+/// A message to the thread that runs all host actors. A single thread serves them all, so that long lists of
+/// hosts don't cost a thread each.
 pub enum HostThreadMessage {
     AddHost(Box<NewHost>),
     ToHost(HostActorId, ToHost),
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -1,5 +1,5 @@
-//! Host actors (caches, parents, origin). Each writes to a pool of connections; one thread runs all actors, and another
-//! one ([`crate::host_connections`]) reads the connections.
+//! Host actors (caches, parents, origin). Each writes to a pool of connections; one thread runs all actors,
+//! and another one ([`crate::host_connections`]) reads the connections.
 use crate::capacity::{HostCapacity, Reservation};
 use crate::clock;
 use crate::config::Reach;
@@ -107,9 +107,9 @@
     }
 }
 
-/// Closes the connection that has been idle longest if the host has none and all are in use, so that connections follow
-/// the traffic when there are more hosts than connections. Visits that alternate between more hosts than that open a
-/// connection each.
+/// Closes the connection that has been idle longest if the host has none and all are in use, so that
+/// connections follow the traffic when there are more hosts than connections. Visits that alternate between
+/// more hosts than that open a connection each.
 fn free_connection_for(hosts: &mut BTreeMap<HostActorId, Box<Host>>, number: HostActorId) {
     let Some(host) = hosts.get(&number) else { return };
     let has_connection = host.pool.values().any(|pooled| pooled.is_usable());
@@ -165,7 +165,7 @@
     fills_miss: bool,
     /// An earlier hand-off of the same request was answered on this connection.
     is_repeat: bool,
-    until: Time,
+    deadline: Time,
     send_state: SendState,
 }
 
@@ -182,7 +182,8 @@
     in_flight: BTreeMap<Txn, PendingHandOff>,
     /// Cancelled ids, and until when a late answer to them is possible.
     cancelled: BTreeMap<Txn, Time>,
-    /// Ids answered on this connection that may be handed off again: until when, and whether the answer was a miss.
+    /// Ids answered on this connection that may be handed off again: until when, and whether the answer was a
+    /// miss.
     answered: BTreeMap<Txn, (Time, bool)>,
     /// Cancelled hand-offs whose cancel has not been written yet.
     unsent_cancels: Vec<HandOffId>,
@@ -195,8 +196,8 @@
 
 impl PooledConnection {
     fn accepts(&self, txn: Txn, streams: usize) -> bool {
-        // A late answer to a cancelled hand-off must not be taken for one to the visit's next hand-off, nor must a
-        // duplicate of an earlier answer; duplicates of a miss can be told apart.
+        // A late answer to a cancelled hand-off must not be taken for one to the visit's next hand-off, nor
+        // must a duplicate of an earlier answer; duplicates of a miss can be told apart.
         let answered = self.answered.get(&txn).is_some_and(|(_, miss)| !miss);
         let taken = self.in_flight.contains_key(&txn) || self.cancelled.contains_key(&txn) || answered;
         self.is_usable() && !taken && self.in_flight.len() < streams
@@ -211,8 +212,8 @@
         !self.is_closing && self.connection.is_some() && self.in_flight.is_empty()
     }
 
-    /// Closes the connection. One that is still connecting keeps its reservation until the connect ends, as it keeps its
-    /// descriptor.
+    /// Closes the connection. One that is still connecting keeps its reservation until the connect ends, as
+    /// it keeps its descriptor.
     fn close(&mut self, reason: CloseReason) {
         self.is_closing = true;
         if let Some(connection) = &self.connection {
@@ -330,9 +331,9 @@
         }
     }
 
-    /// Handles the loss of a connection. If the host's process may have ended and no connection that was up at the time
-    /// is left, the router is told, and hand-offs that wait for a connection are decided again, as they were decided for
-    /// the old process.
+    /// Handles the loss of a connection. If the host's process may have ended and no connection that was up
+    /// at the time is left, the router is told, and hand-offs that wait for a connection are decided again,
+    /// as they were decided for the old process.
     fn connection_lost(&mut self, lost: &PooledConnection, reason: CloseReason) {
         let last_read_at = lost.connection.as_ref().map(|connection| connection.last_read_at());
         let was_beside = |other: &PooledConnection| match (other.up_since, last_read_at) {
@@ -354,8 +355,8 @@
         waiting.into_iter().for_each(|id| self.report_end(id, Outcome::Unsent, None, clock::now()));
     }
 
-    /// Closes connections without hand-offs in flight if the host was removed or they are being retired. Hand-offs in
-    /// flight may still be answered; each has its timeout.
+    /// Closes connections without hand-offs in flight if the host was removed or they are being retired.
+    /// Hand-offs in flight may still be answered; each has its timeout.
     fn close_unused(&mut self) {
         let removed = Some(CloseReason::HostRemoved).filter(|_| self.is_removed);
         let unused =
@@ -367,8 +368,8 @@
         }
     }
 
-    /// Revokes the hand-offs that have not been sent to a draining or removed host, where they could wait past the grace
-    /// of the drain. They don't count as failures of the host.
+    /// Revokes the hand-offs that have not been sent to a draining or removed host, where they could wait
+    /// past the grace of the drain. They don't count as failures of the host.
     fn revoke_unsent(&mut self) {
         if !self.is_draining && !self.is_removed {
             return;
@@ -389,8 +390,8 @@
         let _ = self.shared.router.send(Input::HandOff(id, FromHost::Ended { outcome, answer, at }));
     }
 
-    /// Assigns a hand-off to the connection with the fewest in flight, or to a new one if that is loaded and the host's
-    /// share of connections allows it.
+    /// Assigns a hand-off to the connection with the fewest in flight, or to a new one if that is loaded and
+    /// the host's share of connections allows it.
     fn hand_off(&mut self, hand_off: HandOff) {
         if self.is_draining || self.is_removed {
             self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
@@ -412,21 +413,19 @@
             self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
             return;
         };
-        let HandOff { id, expects_copy: copy, fills_miss: fills, until, .. } = hand_off;
-        let (wire, seen, way) =
-            (hand_off.txn.clone(), hand_off.client_tag.clone(), hand_off.send_state.clone());
-        let again = pooled.answered.contains_key(&txn);
+        let HandOff { id, expects_copy, fills_miss, deadline, .. } = hand_off;
+        let is_repeat = pooled.answered.contains_key(&txn);
         pooled.in_flight.insert(
             txn,
             PendingHandOff {
                 id,
-                txn: wire,
-                client_tag: seen,
-                expects_copy: copy,
-                fills_miss: fills,
-                is_repeat: again,
-                until,
-                send_state: way,
+                txn: hand_off.txn.clone(),
+                client_tag: hand_off.client_tag.clone(),
+                expects_copy,
+                fills_miss,
+                is_repeat,
+                deadline,
+                send_state: hand_off.send_state.clone(),
             },
         );
         match connection.filter(|_| pooled.connection.is_some()) {
@@ -435,8 +434,8 @@
         }
     }
 
-    /// Writes a message without blocking. If it doesn't fit the socket buffer, a slow writer thread takes over for the
-    /// rest and all later messages.
+    /// Writes a message without blocking. If it doesn't fit the socket buffer, a slow writer thread takes
+    /// over for the rest and all later messages.
     fn write(&mut self, id: ConnectionId, message: Outgoing) {
         let Some(pooled) = self.pool.get_mut(&id) else { return };
         let Some(connection) = pooled.connection.clone() else { return };
@@ -532,12 +531,12 @@
             return;
         }
         pooled.unsent_cancels.push(id);
-        pooled.cancelled.insert(txn, out.until.max(now));
+        pooled.cancelled.insert(txn, out.deadline.max(now));
         // A silent connection would look the least loaded; it must not get new hand-offs.
         let is_silent = |connection: &Arc<Connection>| {
             out.send_state.written_at().is_some_and(|at| connection.last_read_at() < at)
         };
-        if now >= out.until && pooled.connection.as_ref().is_some_and(is_silent) {
+        if now >= out.deadline && pooled.connection.as_ref().is_some_and(is_silent) {
             pooled.retire_reason = Some(CloseReason::Silent);
         }
         self.write(connection, Outgoing::Cancel(id, resp::cancel_request(&out.txn)));
@@ -559,8 +558,8 @@
             return;
         }
         let txn = Txn::parse(&answer.id);
-        // A miss on a repeated hand-off that fills is a duplicate of the earlier miss: a host with a source to fill from
-        // doesn't answer with one.
+        // A miss on a repeated hand-off that fills is a duplicate of the earlier miss: a host with a source
+        // to fill from doesn't answer with one.
         let is_duplicate =
             |out: &PendingHandOff| out.is_repeat && out.fills_miss && answer.outcome == Outcome::Miss;
         let is_expected =
@@ -571,10 +570,10 @@
             return;
         };
         if answer.outcome != Outcome::Settled {
-            pooled.answered.insert(txn, (out.until, answer.outcome == Outcome::Miss));
+            pooled.answered.insert(txn, (out.deadline, answer.outcome == Outcome::Miss));
         }
-        // An answer may confirm the client's copy only by naming the tag that the client sent, and a copy must name its
-        // tag. Other answers reach no client, nor does anything after them on this connection.
+        // An answer may confirm the client's copy only by naming the tag that the client sent, and a copy
+        // must name its tag. Other answers reach no client, nor does anything after them on this connection.
         let is_settled = answer.outcome == Outcome::Settled;
         let is_other_copy =
             answer.client_copy_current && (out.client_tag.is_none() || out.client_tag != answer.tag);
--- a/crates/dispatcher/src/inbox.rs
+++ b/crates/dispatcher/src/inbox.rs
@@ -1,5 +1,5 @@
-//! Messages to the router from clients, hosts, the change log, signals, the store and the fleet. Their senders depend on
-//! this module rather than on the router.
+//! Messages to the router from clients, hosts, the change log, signals, the store and the fleet. Their
+//! senders depend on this module rather than on the router.
 use crate::cancellation::CancelToken;
 use crate::capacity::Reservation;
 use crate::connection::Connection;
--- a/crates/dispatcher/src/latency.rs
+++ b/crates/dispatcher/src/latency.rs
@@ -25,7 +25,8 @@
         self.max.fetch_max(span.0, Relaxed);
     }
 
-    /// Formats the median, the 99th percentile, the maximum and the count since the last call, and resets them.
+    /// Formats the median, the 99th percentile, the maximum and the count since the last call, and resets
+    /// them.
     pub fn summarize(&self) -> String {
         let counts: Vec<u32> = self.buckets.iter().map(|bucket| bucket.swap(0, Relaxed)).collect();
         let total: u32 = counts.iter().sum();
--- a/crates/dispatcher/src/logger.rs
+++ b/crates/dispatcher/src/logger.rs
@@ -1,6 +1,6 @@
-//! Logging to standard error through a background thread, so that a blocked reader never blocks the dispatcher; lines
-//! that don't fit the queue are dropped and counted. The text format writes only the message; JSON adds codes and ids as
-//! fields.
+//! Logging to standard error through a background thread, so that a blocked reader never blocks the
+//! dispatcher; lines that don't fit the queue are dropped and counted. The text format writes only the
+//! message; JSON adds codes and ids as fields.
 use crate::clock;
 use clap::ValueEnum;
 use std::fmt;
--- a/crates/dispatcher/src/msgpack.rs
+++ b/crates/dispatcher/src/msgpack.rs
@@ -60,8 +60,8 @@
     decode_message(&message).map(Some)
 }
 
-/// Whether unread bytes withdraw a request. They may start in the middle of a message, so the method's name is searched
-/// for. A request body with the same bytes can only withdraw requests of its own client.
+/// Whether unread bytes withdraw a request. They may start in the middle of a message, so the method's name
+/// is searched for. A request body with the same bytes can only withdraw requests of its own client.
 pub fn withdraws(unread: &[u8], id: u32) -> bool {
     const NAME: &[u8] = b"withdraw";
     let named = unread.windows(NAME.len()).enumerate().filter(|(_, word)| *word == NAME);
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -1,5 +1,5 @@
-//! The router: owns the decision module, the open visits and the hand-offs in flight. It turns messages into calls of the
-//! module and carries out the module's decisions.
+//! The router: owns the decision module, the open visits and the hand-offs in flight. It turns messages into
+//! calls of the module and carries out the module's decisions.
 use crate::attempt_log::{AttemptLog, EndedAttempt};
 use crate::cancellation::CancelToken;
 use crate::capacity::{Gauge, HostCapacity, Reservation};
@@ -43,8 +43,8 @@
 /// How far a request's time limit may exceed its class's deadline, for latency and rounding.
 const TIME_LIMIT_MARGIN: Span = Span::millis(50);
 const SWEEP_INTERVAL: Span = Span::millis(250);
-/// A wait that overruns by this much means that the process was suspended; it then waits up to `MAX_CATCH_UP` for the
-/// change log.
+/// A wait that overruns by this much means that the process was suspended; it then waits up to `MAX_CATCH_UP`
+/// for the change log.
 const SUSPENSION_THRESHOLD: Span = Span::millis(500);
 const MAX_CATCH_UP: Span = Span::millis(150);
 const SWEEPS_PER_REPORT: u32 = 40;
@@ -84,7 +84,7 @@
 struct OpenVisit {
     client: ClientId,
     request_id: u32,
-    band: BandId,
+    class: BandId,
     request: VisitRequest,
     received_at: Time,
     /// When the event was read that the next hand-off follows on.
@@ -231,7 +231,8 @@
         self.keeper = Some(keeper);
     }
 
-    /// Applies the changes known at startup. All timestamps are observed first, as each may help to date the others.
+    /// Applies the changes known at startup. All timestamps are observed first, as each may help to date the
+    /// others.
     pub fn apply_known_changes(&mut self, changes: Vec<Change>) {
         changes.iter().for_each(|change| self.observe_timestamps(change));
         changes.into_iter().for_each(|change| self.apply_change(change));
@@ -305,11 +306,11 @@
                 self.handle(input);
                 self.carry_out_decisions();
             }
-            // Handles the messages that have queued up, only some of the clients', so that a full mailbox delays
-            // neither timers nor hosts.
+            // Handles the messages that have queued up, only some of the clients', so that a full mailbox
+            // delays neither timers nor hosts.
             for (index, most) in [(0, usize::MAX), (1, CLIENT_MESSAGES_PER_TURN)] {
-                let waiting = self.mailboxes[index].len().min(most);
-                for _ in 0..waiting {
+                let queued = self.mailboxes[index].len().min(most);
+                for _ in 0..queued {
                     let Ok(input) = self.mailboxes[index].try_recv() else { break };
                     self.handle(input);
                     self.carry_out_decisions();
@@ -323,8 +324,9 @@
         }
     }
 
-    /// After the process was suspended, applies the changes made meanwhile before anything is sent again, so that queued
-    /// requests don't miss purges and drains. The wait is short, as the requests' deadlines are running.
+    /// After the process was suspended, applies the changes made meanwhile before anything is sent again, so
+    /// that queued requests don't miss purges and drains. The wait is short, as the requests' deadlines are
+    /// running.
     fn catch_up(&mut self) {
         let since = clock::now();
         let until = since + MAX_CATCH_UP;
@@ -530,7 +532,7 @@
         let open = OpenVisit {
             client,
             request_id: id,
-            band: BandId(class as u16),
+            class: BandId(class as u16),
             request,
             received_at,
             last_event_at: received_at,
@@ -560,9 +562,9 @@
     ) {
         let Some(known) = self.clients.get_mut(&client) else { return };
         let (answered_at, answer_room) = answer_read.unzip();
-        let mut answer = ToClient { parts, answered_at, answer_room, unread: None, in_use };
+        let mut answer = ToClient { parts, answered_at, answer_room, unread_bytes: None, in_use };
         let weight = answer.weight();
-        answer.unread = Some([known.unread_bytes.reserve(weight), self.unread_bytes.reserve(weight)]);
+        answer.unread_bytes = Some([known.unread_bytes.reserve(weight), self.unread_bytes.reserve(weight)]);
         let total_unread = self.unread_bytes.amount();
         self.latencies.max_unread_bytes.fetch_max(total_unread, Relaxed);
         known.outlet.send(answer, &self.latencies);
@@ -586,7 +588,7 @@
     ) {
         let Some(open) = self.close_visit(visit, answer_read.is_some()) else { return };
         if let (Some(sharing), Some((at, _))) = (&mut self.sharing, &answer_read) {
-            sharing.settled(&self.brain, open.band, *at - open.received_at);
+            sharing.settled(&self.brain, open.class, *at - open.received_at);
         }
         if let Some(known) = self.clients.get_mut(&open.client) {
             known.open_visits.remove(&open.request_id);
@@ -613,9 +615,9 @@
             request: open.map(|open| &open.request.txn[..]),
             host: self.hosts.get(&out.host).map_or("a removed host", |known| &known.name),
             request_time: open.map(|open| (open.received_at, open.request.time_limit)),
-            decided: out.decided_at,
-            written: out.send_state.written_at(),
-            ended: at,
+            decided_at: out.decided_at,
+            written_at: out.send_state.written_at(),
+            ended_at: at,
             outcome,
             fill: out.fill,
         });
@@ -643,16 +645,17 @@
         self.brain.ended(at, end);
     }
 
-    /// Feeds a copy's creation time, which the origin stamps with the same clock as the change log, to the change log's
-    /// clock. Times in the future of the wall clock are ignored, as a host's answers may be wrong.
+    /// Feeds a copy's creation time, which the origin stamps with the same clock as the change log, to the
+    /// change log's clock. Times in the future of the wall clock are ignored, as a host's answers may be
+    /// wrong.
     fn observe_copy_time(&mut self, now: Time, created: UnixTime) {
         if created <= clock::wall() {
             self.change_clock.heard(now, created);
         }
     }
 
-    /// Cancels a hand-off; a later answer to it is dropped. For the module it ends only once the cancel has been sent, so
-    /// that the next hand-off cannot overtake the cancel and run a second time.
+    /// Cancels a hand-off; a later answer to it is dropped. For the module it ends only once the cancel has
+    /// been sent, so that the next hand-off cannot overtake the cancel and run a second time.
     fn cancel_hand_off(&mut self, id: HandOffId, outcome: Outcome) {
         let Some(out) = self.hand_offs.get_mut(&id).filter(|out| out.cancelled_as.is_none()) else { return };
         let is_revoked = out.send_state.revoke();
@@ -665,8 +668,8 @@
         }
     }
 
-    /// Ends a hand-off that has not been started by its latest start, without blaming the host. Attempts that wait for a
-    /// connection don't all arrive late once it is up.
+    /// Ends a hand-off that has not been started by its latest start, without blaming the host. Attempts that
+    /// wait for a connection don't all arrive late once it is up.
     fn expire_unsent(&mut self, id: HandOffId) {
         if let Some(out) = self.hand_offs.get(&id).filter(|out| out.send_state.revoke()) {
             let _ = out.mailbox.send(ToHost::Cancel(id));
@@ -735,7 +738,7 @@
         let triggered_at = std::mem::replace(&mut open.last_event_at, now);
         let request = &open.request;
         let writes =
-            self.config.settings.bands.get(usize::from(open.band.0)).is_some_and(|class| class.writes);
+            self.config.settings.bands.get(usize::from(open.class.0)).is_some_and(|class| class.writes);
         let source = fill.filter(|fill| fill.source != host).and_then(|fill| self.hosts.get(&fill.source));
         let hand_off = HandOff {
             id,
@@ -745,7 +748,7 @@
             client_tag: request.cached_tag.clone(),
             expects_copy: fill.is_some() && !writes,
             fills_miss: source.is_some() && fill.is_some_and(|fill| !fill.held),
-            until,
+            deadline: until,
             latest_start: latest,
             cancel: open.cancel.clone(),
             send_state: SendState::default(),
@@ -759,7 +762,7 @@
         };
         let mut record = None;
         if let Some(keeper) = self.keeper.as_mut().filter(|keeper| keeper.records_hand_offs()) {
-            let effect = self.config.settings.bands.get(usize::from(open.band.0)).map(|class| class.effect);
+            let effect = self.config.settings.bands.get(usize::from(open.class.0)).map(|class| class.effect);
             let may_have_run = MayHaveRun {
                 band: String::from_utf8_lossy(&open.request.class).into_owned(),
                 at: clock::unix_at(now).0,
@@ -809,7 +812,8 @@
         }
     }
 
-    /// The store has accepted or rejected a hand-off's record. The hand-off may have been cancelled meanwhile.
+    /// The store has accepted or rejected a hand-off's record. The hand-off may have been cancelled
+    /// meanwhile.
     fn record_stored(&mut self, id: HandOffId, taken: Taken) {
         let Some(keeper) = &mut self.keeper else { return };
         let may_be_sent = keeper.visits.taken(id.0, taken);
@@ -876,7 +880,8 @@
         }
     }
 
-    /// The hosts that are no longer valid as sources of fills: they are draining or gone, or their process is new.
+    /// The hosts that are no longer valid as sources of fills: they are draining or gone, or their process is
+    /// new.
     fn changed_sources(&self, entries: &[Listing], gone: &[HostId]) -> BTreeSet<HostId> {
         let is_new =
             |entry: &Listing| self.hosts.get(&entry.host).is_some_and(|known| known.started < entry.since);
@@ -884,8 +889,8 @@
         changed.map(|entry| entry.host).chain(gone.iter().copied()).collect()
     }
 
-    /// Ends those of these hand-offs that have not been started, so that they are decided again. They were decided before a
-    /// purge or a change of their source.
+    /// Ends those of these hand-offs that have not been started, so that they are decided again. They were
+    /// decided before a purge or a change of their source.
     fn redecide_unsent(&mut self, stale: Vec<HandOffId>) {
         for id in stale {
             let Some(out) = self.hand_offs.get(&id).filter(|out| out.send_state.revoke()) else { continue };
@@ -935,8 +940,8 @@
         }
     }
 
-    /// Limits the age of copies while the change log is silent, as it may have purges to tell. Drains can't be guarded
-    /// against: any host may be draining.
+    /// Limits the age of copies while the change log is silent, as it may have purges to tell. Drains can't
+    /// be guarded against: any host may be draining.
     fn check_changelog(&mut self) {
         // With carriers the fleet proves that no change is missing.
         if self.sharing.as_ref().is_some_and(Sharing::has_carriers) {
@@ -991,8 +996,9 @@
             + LAST_ANSWERS_MARGIN
     }
 
-    /// Closes connections that are not in use, and ends the process once none is left; requests are served until then.
-    /// Visits that are still open shortly before the process may be killed are given up, so that they get an answer.
+    /// Closes connections that are not in use, and ends the process once none is left; requests are served
+    /// until then. Visits that are still open shortly before the process may be killed are given up, so that
+    /// they get an answer.
     fn close_connections(&mut self, now: Time) {
         self.shutdown.advance_to(Stage::Closing);
         let unread: usize = self.clients.values().map(|client| client.outlet.queued()).sum();
@@ -1020,7 +1026,8 @@
     Ended { visit, number, outcome, note, took, report: Report::default(), last: false }
 }
 
-/// Encodes the fields of a hand-off. Ages are rounded down to milliseconds, so that no older copy is accepted.
+/// Encodes the fields of a hand-off. Ages are rounded down to milliseconds, so that no older copy is
+/// accepted.
 fn hand_off_fields(request: &VisitRequest, fill: Option<Fill>, source: Option<&str>) -> String {
     let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
     let mut fields = String::with_capacity(160);
--- a/crates/dispatcher/src/signals.rs
+++ b/crates/dispatcher/src/signals.rs
@@ -1,5 +1,5 @@
-//! Signal handling: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration. A configuration
-//! that can't be used leaves the current one in force.
+//! Signal handling: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration. A
+//! configuration that can't be used leaves the current one in force.
 use crate::config::Config;
 use crate::connection::spawn;
 use crate::inbox::Input;
@@ -17,8 +17,8 @@
     pub changelog: Sender<SocketAddr>,
 }
 
-/// Registers the signals, which are then queued until they are handled, so that one that arrives during startup does
-/// not kill the process.
+/// Registers the signals, which are then queued until they are handled, so that one that arrives during
+/// startup does not kill the process.
 pub fn register() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
--- a/crates/dispatcher/src/startup.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -20,14 +20,14 @@
     router: Router,
 }
 
-/// Capacity of the router's queue of client messages. Messages of hosts, the change log and signals have a queue
-/// of their own, so that a flood of requests cannot delay answers and purges.
+/// Capacity of the router's queue of client messages. Messages of hosts, the change log and signals have a
+/// queue of their own, so that a flood of requests cannot delay answers and purges.
 const CLIENT_QUEUE_LEN: usize = 128;
 const MIN_WRITE_TIMEOUT: Span = Span::millis(1_000);
 
 impl Dispatcher {
-    /// Binds the listener and starts the threads. `fleet` holds the operators' section and the settings derived
-    /// from it.
+    /// Binds the listener and starts the threads. `fleet` holds the operators' section and the settings
+    /// derived from it.
     pub fn start(
         mut config: Config,
         kept: Option<Kept>,
--- a/crates/dispatcher/tests/cancellation.rs
+++ b/crates/dispatcher/tests/cancellation.rs
@@ -1,5 +1,5 @@
-//! Cancellation of requests: a close or a withdraw that is still unread in the socket counts when an attempt is about to
-//! start.
+//! Cancellation of requests: a close or a withdraw that is still unread in the socket counts when an attempt
+//! is about to start.
 use bytes::BytesMut;
 use cherrypass_dispatcher::cancellation::CancelToken;
 use cherrypass_dispatcher::connection::Connection;
--- a/crates/dispatcher/tests/full_size.rs
+++ b/crates/dispatcher/tests/full_size.rs
@@ -1,6 +1,6 @@
 //! Lists at their maximum size: 1,024 hosts, dispatchers, locations, host kinds and classes pass through the
-//! configuration, the list, the module and the operators' file; and the program serves such a list within its limits.
-//! The rollout to as many dispatchers is tested by `full_size` of `crates/fleet`.
+//! configuration, the list, the module and the operators' file; and the program serves such a list within its
+//! limits. The rollout to as many dispatchers is tested by `full_size` of `crates/fleet`.
 #[path = "discovery/bed.rs"]
 #[allow(dead_code, reason = "shared with other tests, which use the rest")]
 mod bed;
--- a/crates/dispatcher/tests/restarts.rs
+++ b/crates/dispatcher/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Restarts under load: of thirty dispatchers on one core, with clients, hosts and one change log, nine in ten are ready
-//! within 6 s, and all serve afterwards.
+//! Restarts under load: of thirty dispatchers on one core, with clients, hosts and one change log, nine in
+//! ten are ready within 6 s, and all serve afterwards.
 #[allow(dead_code)]
 #[path = "discovery/bed.rs"]
 mod bed;
@@ -67,8 +67,8 @@
 }
 
 impl Fleet {
-    /// Stops these dispatchers by SIGTERM. Each is started again as soon as it has ended, and the time until it is ready
-    /// is measured from then.
+    /// Stops these dispatchers by SIGTERM. Each is started again as soon as it has ended, and the time until
+    /// it is ready is measured from then.
     fn restart(
         &mut self,
         which: impl Iterator<Item = usize>,
--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -1,9 +1,10 @@
-//! Plays the scenarios in `tests/sockets/` over loopback with real dispatchers and simulated hosts, change logs and clients.
-//! Commands are separated by lines or `;`, `#` starts a comment, and `{1..9}` repeats a command once for each number.
+//! Plays the scenarios in `tests/sockets/` over loopback with real dispatchers and simulated hosts, change
+//! logs and clients. Commands are separated by lines or `;`, `#` starts a comment, and `{1..9}` repeats a
+//! command once for each number.
 //!
 //! Setup, before `start`:
-//! - `host NAME SORT [narrow]`: a cache, parent or origin, with small socket buffers if narrow; `host NAME at OTHER`: a new
-//!   name for the host at another one's address
+//! - `host NAME SORT [narrow]`: a cache, parent or origin, with small socket buffers if narrow; `host NAME at
+//!   OTHER`: a new name for the host at another one's address
 //! - `many N NAME`: N more listed hosts, at addresses of their own that lead to that host
 //! - `memory MB`, `descriptors N`: limits of the dispatcher; `set POINTER JSON`: a value in the configuration
 //! - `unknown [MODE]`: no hosts are known at the start, and the change log is in this mode (mute)
@@ -12,27 +13,29 @@
 //! - `shim`: the dispatchers run with `cherrypass-shim`
 //!
 //! Dispatchers:
-//! - `start [N]`; `restart`: killed and started again; `term`: SIGTERM; `signal NAME`; `pause` and `resume`: suspended and
-//!   continued; `exit CODE [MS]`: they exit with this code, within this time of `term`
+//! - `start [N]`; `restart`: killed and started again; `term`: SIGTERM; `signal NAME`; `pause` and `resume`:
+//!   suspended and continued; `exit CODE [MS]`: they exit with this code, within this time of `term`
 //! - `reload TEXT`: SIGHUP with this configuration; `move`: the change log moves to another address, SIGHUP
-//! - `forget`: the change log knows the host list alone; `spoil`: one byte of the store's first segment changes
+//! - `forget`: the change log knows the host list alone; `spoil`: one byte of the store's first segment
+//!   changes
 //! - `log WORDS`: a log line with these words is written
-//! - `holds N M`: at most N threads and M open files before long; `stands N MS`: at most N open files and pending
-//!   connections within this time
-//! - `step MS`: the dispatchers' wall clock is ahead by this from now on, or behind if negative; `fault CALL ERRNO
-//!   PER_MILLION`: this share of their calls fails (for `short-read` and `short-write` ERRNO is a number of bytes);
-//!   `delivered CALL N`: at least N faults were injected
+//! - `holds N M`: at most N threads and M open files before long; `stands N MS`: at most N open files and
+//!   pending connections within this time
+//! - `step MS`: the dispatchers' wall clock is ahead by this from now on, or behind if negative; `fault CALL
+//!   ERRNO PER_MILLION`: this share of their calls fails (for `short-read` and `short-write` ERRNO is a
+//!   number of bytes); `delivered CALL N`: at least N faults were injected
 //!
 //! Change log:
-//! - `list NAME STATE [unheard|odd|anew]`: one host's state; without waiting for the log line, with an unusable entry beside
-//!   it, or with a process that has just started
-//! - `tell NAME STATE [at=OTHER|KEY=JSON|KEY=now+MS|KEY=now-MS|!KEY] [and NAME STATE …]`: one event of these entries, with
-//!   another host's address, with changed values or without a key
+//! - `list NAME STATE [unheard|odd|anew]`: one host's state; without waiting for the log line, with an
+//!   unusable entry beside it, or with a process that has just started
+//! - `tell NAME STATE [at=OTHER|KEY=JSON|KEY=now+MS|KEY=now-MS|!KEY] [and NAME STATE …]`: one event of these
+//!   entries, with another host's address, with changed values or without a key
 //! - `purge OBJECT|group`
 //! - `feed MODE`: well, refuse, mute, prose, gap, repeat, state, cut, stop, drip
 //!
 //! Clients:
-//! - `client NAME [N] [deaf] [narrow]`: connects to the Nth dispatcher; deaf clients read nothing before `hear`
+//! - `client NAME [N] [deaf] [narrow]`: connects to the Nth dispatcher; deaf clients read nothing before
+//!   `hear`
 //! - `ask CLIENT ID BAND OBJECT [FIELD=VALUE|body=N]`, `withdraw CLIENT ID`, `raw CLIENT|HOST HEX`
 //! - `each CLIENT FROM TO`: requests for these objects one after another, each served
 //! - `pipe CLIENT FROM TO BYTES`: all these requests at once, written in pieces of this size
@@ -40,27 +43,33 @@
 //! - `flood CLIENT HOST`: requests with large answers until the client's connection ends
 //! - `close CLIENT`, `half-close CLIENT`, `reset HOST|CLIENT`, `hear HOST|CLIENT`
 //! - `crowd N [asked]`: connections that stay idle, at once or after one request
-//! - `expect CLIENT ID settled|turned-back|written-off|ready|not-ready|bad [FIELD=VALUE] [bytes=N] [within=MS]`
-//! - `once CLIENT ID [MS]`: any answer, within this time; `either CLIENT ID OBJECT`: an answer, or a clean end without an
-//!   attempt; `ended CLIENT`: a clean end with no further answers; `nothing HOST|CLIENT`: nothing has arrived
+//! - `expect CLIENT ID settled|turned-back|written-off|ready|not-ready|bad [FIELD=VALUE] [bytes=N]
+//!   [within=MS]`
+//! - `once CLIENT ID [MS]`: any answer, within this time; `either CLIENT ID OBJECT`: an answer, or a clean
+//!   end without an attempt; `ended CLIENT`: a clean end with no further answers; `nothing HOST|CLIENT`:
+//!   nothing has arrived
 //!
 //! Hosts:
-//! - `take HOST|any|it [FIELD=VALUE|FIELD<N|FIELD>N|!FIELD|!FIELD=VALUE|never_mind|busy]`: the next message, checked
-//! - `answer HOST WORD [FIELDS|bare] [bytes=N] [id=ID] [short=N] [twice]`: answers the last message; bare without fields,
-//!   short without the last bytes, twice in one write
-//! - `rest HOST`: the bytes left by `short`; `again HOST`: the last answer once more; `drip HOST`: an answer that never ends
-//! - `auto HOST [BYTES]`: answers everything at once; `paced HOST PLACES KB`: answers objects by their size, 240, 120 or
-//!   4 kB, at this rate in kB/s, PLACES at a time
-//! - `drain HOST`: drops what has arrived; `came HOST`: something has arrived; `count OBJECT N`: attempts at all hosts so far
-//! - `cut HOST`: closes its connections; `down HOST`: also refuses new ones; `deaf HOST`: new connections never come up;
-//!   `up HOST`: a connection has come up since `hear`; `still HOST` and `reads HOST`: stops and resumes reading
+//! - `take HOST|any|it [FIELD=VALUE|FIELD<N|FIELD>N|!FIELD|!FIELD=VALUE|never_mind|busy]`: the next message,
+//!   checked
+//! - `answer HOST WORD [FIELDS|bare] [bytes=N] [id=ID] [short=N] [twice]`: answers the last message; bare
+//!   without fields, short without the last bytes, twice in one write
+//! - `rest HOST`: the bytes left by `short`; `again HOST`: the last answer once more; `drip HOST`: an answer
+//!   that never ends
+//! - `auto HOST [BYTES]`: answers everything at once; `paced HOST PLACES KB`: answers objects by their size,
+//!   240, 120 or 4 kB, at this rate in kB/s, PLACES at a time
+//! - `drain HOST`: drops what has arrived; `came HOST`: something has arrived; `count OBJECT N`: attempts at
+//!   all hosts so far
+//! - `cut HOST`: closes its connections; `down HOST`: also refuses new ones; `deaf HOST`: new connections
+//!   never come up; `up HOST`: a connection has come up since `hear`; `still HOST` and `reads HOST`: stops
+//!   and resumes reading
 //!
 //! Time and load:
 //! - `wait MS`; `lap`, `lap MS`: at most this long after the previous `lap`
-//! - `usual N [beside MS]`: the times of ordinary clients, alone and beside misbehaving ones, and a limit on the 99th
-//!   percentile then
-//! - `largest N PART`: of N requests of each client, those for the largest tenth and the next fifth of objects are served
-//!   at least at PART of the overall rate
+//! - `usual N [beside MS]`: the times of ordinary clients, alone and beside misbehaving ones, and a limit on
+//!   the 99th percentile then
+//! - `largest N PART`: of N requests of each client, those for the largest tenth and the next fifth of
+//!   objects are served at least at PART of the overall rate
 use cherrypass_shim::control::Call;
 use cherrypass_shim::errors::errno;
 use cherrypass_shim::{Fault, Shim};
@@ -129,7 +138,8 @@
     is_reading_stopped: Arc<AtomicBool>,
     /// If set, everything is answered at once with this many bytes.
     auto_answer_bytes: Arc<Mutex<Option<usize>>>,
-    /// If set, objects are answered by size: the number of places and the rate in bytes/s; and the places in use.
+    /// If set, objects are answered by size: the number of places and the rate in bytes/s; and the places in
+    /// use.
     paced_answers: Arc<Mutex<Option<(usize, usize)>>>,
     busy_places: Arc<AtomicUsize>,
     /// The number of connections accepted, and the objects of all attempts received.
@@ -329,7 +339,8 @@
 }
 
 impl HostServer {
-    /// Answers after the time that the object's size takes, or that the host is full if all places are in use.
+    /// Answers after the time that the object's size takes, or that the host is full if all places are in
+    /// use.
     fn answer_paced(
         &self,
         words: Vec<String>,
@@ -769,7 +780,8 @@
     }
 }
 
-/// Runs clients that flood and leave, stop within a message, reset, repeat ids or never read; returns their number.
+/// Runs clients that flood and leave, stop within a message, reset, repeat ids or never read; returns their
+/// number.
 fn run_misbehaving_clients(listen: &str, until: &AtomicBool) -> usize {
     let mut standing = Vec::new();
     let mut count = 0;
@@ -1026,7 +1038,8 @@
         self.hosts.values().map(count).sum()
     }
 
-    /// Runs ordinary clients, one request after another. Returns the median, the 99th percentile and the number served.
+    /// Runs ordinary clients, one request after another. Returns the median, the 99th percentile and the
+    /// number served.
     fn run_ordinary_clients(&self, count: usize) -> ([Duration; 2], usize) {
         let threads = (0..ORDINARY_CLIENTS).map(|_| {
             let mut client = Client::start(&self.dispatchers[0].listen, false, false);
@@ -1048,8 +1061,8 @@
         ([place(50), place(99)], all.iter().filter(|(_, served)| *served).count())
     }
 
-    /// Runs clients that request objects of all sizes. Returns the share served of all, of the largest tenth and of the
-    /// next fifth.
+    /// Runs clients that request objects of all sizes. Returns the share served of all, of the largest tenth
+    /// and of the next fifth.
     fn shares_by_size(&self, count: u32) -> [f64; 3] {
         let threads = (0..SIZED_CLIENTS).map(|_| {
             let mut client = Client::start(&self.dispatchers[0].listen, false, false);
