--- a/crates/dispatcher/src/host_connections.rs
+++ b/crates/dispatcher/src/host_connections.rs
@@ -17,15 +17,17 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 const READ_BYTES: usize = 16 * 1024;
+/// How often the room for answers is checked while it is exhausted.
 const CAPACITY_WAIT: std::time::Duration = std::time::Duration::from_millis(1);
 /// How many events one wait returns at most.
 const EVENTS_PER_WAIT: usize = 64;
 
-/// All connections to hosts, by epoll key.
+/// All connections to hosts, watched by one epoll instance.
 pub struct HostConnections {
     epoll: Epoll,
     capacity: HostCapacity,
     connect_limit: Span,
+    /// The last key given out, and the connections by key.
     registered: Mutex<(u64, BTreeMap<u64, Registered>)>,
 }
 
@@ -41,6 +43,7 @@
 }
 
 impl HostConnections {
+    /// Starts the thread. A connect that takes longer than `connect_limit` fails.
     pub fn start(capacity: HostCapacity, connect_limit: Span) -> io::Result<Arc<HostConnections>> {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
         let connections =
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -40,6 +40,7 @@
 }
 
 impl Hosts {
+    /// Starts the threads of the host actors and of their connections.
     pub fn start(reach: Reach, capacity: HostCapacity, router: Sender<Input>) -> std::io::Result<Hosts> {
         let (messages, mailbox) = unbounded();
         let connections = HostConnections::start(capacity.clone(), reach.connect_limit)?;
@@ -63,12 +64,13 @@
         mailbox
     }
 
-    /// Has timeouts of connections and messages checked.
+    /// Has the connections checked for timeouts.
     pub fn sweep(&self, now: Time) {
         let _ = self.messages.send(HostThreadMessage::Sweep(now));
     }
 }
 
+/// Runs all host actors until their mailbox is closed.
 fn run(mailbox: &Receiver<HostThreadMessage>, shared: &Shared) {
     let mut hosts: BTreeMap<HostActorId, Box<Host>> = BTreeMap::new();
     while let Some(message) = mailbox::recv(mailbox) {
@@ -76,16 +78,16 @@
             HostThreadMessage::AddHost(host) => {
                 hosts.insert(host.mailbox.id, Box::new(Host::new(*host, shared.clone())));
             }
-            HostThreadMessage::ToHost(number, message) => {
+            HostThreadMessage::ToHost(actor, message) => {
                 if matches!(message, ToHost::HandOff(_)) {
-                    free_connection_for(&mut hosts, number);
+                    free_connection_for(&mut hosts, actor);
                 }
-                match (hosts.get_mut(&number), message) {
+                match (hosts.get_mut(&actor), message) {
                     (Some(host), message) => {
                         host.handle(message);
                         host.close_unused();
                         if host.is_removed && host.pool.is_empty() {
-                            hosts.remove(&number);
+                            hosts.remove(&actor);
                         }
                     }
                     (None, ToHost::HandOff(HandOff { id, .. })) => {
@@ -110,8 +112,8 @@
 /// Closes the connection that has been idle longest if the host has none and all are in use, so that
 /// connections follow the traffic when there are more hosts than connections. Visits that alternate between
 /// more hosts than that open a connection each.
-fn free_connection_for(hosts: &mut BTreeMap<HostActorId, Box<Host>>, number: HostActorId) {
-    let Some(host) = hosts.get(&number) else { return };
+fn free_connection_for(hosts: &mut BTreeMap<HostActorId, Box<Host>>, actor: HostActorId) {
+    let Some(host) = hosts.get(&actor) else { return };
     let has_connection = host.pool.values().any(|pooled| pooled.is_usable());
     if has_connection || host.is_removed || host.shared.capacity.reserve_connection().is_some() {
         return;
@@ -142,7 +144,7 @@
         match self {
             Outgoing::HandOff(hand_off) => write(&[&hand_off.head(clock::now()), &hand_off.body, resp::CRLF]),
             Outgoing::Cancel(_, message) => write(&[message]),
-            Outgoing::Probe(number) => write(&[resp::probe_request(*number).as_bytes()]),
+            Outgoing::Probe(probe) => write(&[resp::probe_request(*probe).as_bytes()]),
         }
     }
 }
@@ -195,12 +197,13 @@
 }
 
 impl PooledConnection {
+    /// Whether a hand-off with this id may be sent on the connection.
     fn accepts(&self, txn: Txn, streams: usize) -> bool {
         // A late answer to a cancelled hand-off must not be taken for one to the visit's next hand-off, nor
         // must a duplicate of an earlier answer; duplicates of a miss can be told apart.
         let answered = self.answered.get(&txn).is_some_and(|(_, miss)| !miss);
-        let taken = self.in_flight.contains_key(&txn) || self.cancelled.contains_key(&txn) || answered;
-        self.is_usable() && !taken && self.in_flight.len() < streams
+        let in_use = self.in_flight.contains_key(&txn) || self.cancelled.contains_key(&txn) || answered;
+        self.is_usable() && !in_use && self.in_flight.len() < streams
     }
 
     /// Whether the connection may take more hand-offs.
@@ -223,6 +226,7 @@
     }
 }
 
+/// A host's actor.
 struct Host {
     name: String,
     address: SocketAddr,
@@ -260,11 +264,11 @@
         match message {
             ToHost::HandOff(hand_off) => self.hand_off(hand_off),
             ToHost::Cancel(id) => self.cancel(id),
-            ToHost::Probe(number) => {
-                self.probe = Some(number);
+            ToHost::Probe(probe) => {
+                self.probe = Some(probe);
                 let is_up = |p: &PooledConnection| p.is_usable() && p.connection.is_some();
                 match self.pool.iter().find(|(_, pooled)| is_up(pooled)).map(|(id, _)| *id) {
-                    Some(id) => self.write(id, Outgoing::Probe(number)),
+                    Some(id) => self.write(id, Outgoing::Probe(probe)),
                     None if self.pool.values().any(PooledConnection::is_usable) => {}
                     None => drop(self.open_connection()),
                 }
@@ -297,8 +301,8 @@
                 for hand_off in std::mem::take(&mut pooled.waiting) {
                     self.write(id, Outgoing::HandOff(hand_off));
                 }
-                if let Some(number) = self.probe {
-                    self.write(id, Outgoing::Probe(number));
+                if let Some(probe) = self.probe {
+                    self.write(id, Outgoing::Probe(probe));
                 }
             }
             ToHost::CancelSent(connection, id, at) => self.cancel_sent(connection, id, at),
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -171,9 +171,10 @@
 }
 
 impl Router {
+    /// Creates the router and starts the host actors, which answer through `sender`.
     pub fn new(
         config: Config,
-        own: Sender<Input>,
+        sender: Sender<Input>,
         mailboxes: [Receiver<Input>; 2],
         shutdown: Arc<Shutdown>,
     ) -> std::io::Result<Router> {
@@ -182,9 +183,9 @@
         let brain = Brain::start(config.settings.clone(), config.seed, now);
         let mut timers = DueTimes::default();
         timers.put(now + SWEEP_INTERVAL, Timer::Sweep);
-        let host_actors = Hosts::start(config.reach, capacity, own)?;
-        let set = &config.settings;
-        let list = List::new(set.cold_cache.ramp.max(set.cold_parent.ramp), set.weights_told);
+        let host_actors = Hosts::start(config.reach, capacity, sender)?;
+        let settings = &config.settings;
+        let list = List::new(settings.cold_cache.ramp.max(settings.cold_parent.ramp), settings.weights_told);
         Ok(Router {
             config,
             brain,
@@ -677,6 +678,7 @@
         }
     }
 
+    /// Carries out the decisions that the module has made.
     fn carry_out_decisions(&mut self) {
         let now = clock::now();
         while let Some(decision) = self.brain.next(now) {
--- a/crates/dispatcher/tests/bad_input.rs
+++ b/crates/dispatcher/tests/bad_input.rs
@@ -36,10 +36,10 @@
     program.arg(command).arg("--config").arg(config).stdin(Stdio::null());
     program.args(operator.iter().flat_map(|path| [Path::new("--operator"), path]));
     let output = program.output().unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(output.status.code(), Some(code), "{said}");
-    let lines: Vec<&str> = said.lines().filter(|line| line.starts_with("cherrypass: ")).collect();
-    assert_eq!(lines.len(), 1, "{said}");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(code), "{stderr}");
+    let lines: Vec<&str> = stderr.lines().filter(|line| line.starts_with("cherrypass: ")).collect();
+    assert_eq!(lines.len(), 1, "{stderr}");
     lines[0].to_owned()
 }
 
@@ -53,9 +53,9 @@
 fn a_missing_configuration(command: &str) {
     let files = Files::new();
     let path = files.path("none.json");
-    let said = error_line(command, 2, &path, None);
+    let line = error_line(command, 2, &path, None);
     assert_contains(
-        &said,
+        &line,
         &[path.to_str().unwrap(), "can't be read", "name a file that is there and may be read"],
     );
 }
@@ -64,9 +64,9 @@
 #[test_case("check"; "check")]
 fn a_folder_as_configuration(command: &str) {
     let files = Files::new();
-    let said = error_line(command, 2, files.0.path(), None);
+    let line = error_line(command, 2, files.0.path(), None);
     assert_contains(
-        &said,
+        &line,
         &[files.0.path().to_str().unwrap(), "can't be read", "name a file that is there and may be read"],
     );
 }
@@ -76,9 +76,9 @@
 fn a_missing_operators_file(command: &str) {
     let files = Files::new();
     let (config, path) = (files.write("c.json", GOOD), files.path("none.jsonnet"));
-    let said = error_line(command, 2, &config, Some(&path));
+    let line = error_line(command, 2, &config, Some(&path));
     assert_contains(
-        &said,
+        &line,
         &[path.to_str().unwrap(), "can't be read", "name one that is there and may be read, or none"],
     );
 }
@@ -107,9 +107,9 @@
     let path = files.write("c.json", &spoil(GOOD));
     assert_ne!(spoil(GOOD), GOOD, "nothing was changed");
     for command in ["serve", "check"] {
-        let said = error_line(command, 2, &path, None);
-        assert_contains(&said, words);
-        assert_contains(&said, &[path.to_str().unwrap()]);
+        let line = error_line(command, 2, &path, None);
+        assert_contains(&line, words);
+        assert_contains(&line, &[path.to_str().unwrap()]);
     }
 }
 
--- a/crates/dispatcher/tests/full_size.rs
+++ b/crates/dispatcher/tests/full_size.rs
@@ -140,27 +140,28 @@
     for (members, followers, place) in
         [(FULL_SIZE + 1, 0, "fleet.members"), (FULL_SIZE, FULL_SIZE + 1, "fleet.followers")]
     {
-        let said =
+        let message =
             cherrypass_operator::decode("all.jsonnet", operators_file(members, followers)).unwrap_err();
-        let said = said.to_string();
+        let message = message.to_string();
         let words =
             ["all.jsonnet", place, "1025 are more than 1024", "make a fleet of its own of the others"];
-        assert!(words.iter().all(|word| said.contains(word)) && !said.contains('\n'), "{said}");
+        assert!(words.iter().all(|word| message.contains(word)) && !message.contains('\n'), "{message}");
     }
     let places = cherrypass::ids::PLACES;
     for key in ["zones", "models"] {
         let mut value = config(FULL_SIZE, unused_address(), &[]);
         value["settings"][key] = json!(names("x", places + 1));
-        let said = Config::decode(value.to_string().as_bytes()).unwrap_err().to_string();
+        let message = Config::decode(value.to_string().as_bytes()).unwrap_err().to_string();
         let words = [&format!("settings/{key} has 65537 entries, 65536 are taken"), "leave out"];
-        assert!(words.iter().all(|word| said.contains(*word)) && !said.contains('\n'), "{said}");
+        assert!(words.iter().all(|word| message.contains(*word)) && !message.contains('\n'), "{message}");
     }
     // A cell out of range is not truncated to another one.
     let mut server = entry("h0", address(0), 0, 0);
     server["cell"] = json!(65_536);
     let value = config(FULL_SIZE, unused_address(), &[server]);
-    let said = Config::decode(value.to_string().as_bytes()).unwrap().check_known().unwrap_err().to_string();
-    assert!(said.contains("change 1: cell can't be used (servers/0)"), "{said}");
+    let message =
+        Config::decode(value.to_string().as_bytes()).unwrap().check_known().unwrap_err().to_string();
+    assert!(message.contains("change 1: cell can't be used (servers/0)"), "{message}");
 }
 
 /// Hosts that answer, among 1,024 listed.
--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -290,8 +290,8 @@
         self.backlog_streams.clear();
         let mut listeners = std::mem::take(&mut self.deaf_listeners);
         if listeners.is_empty() {
-            let anew = |address: &SocketAddr| listener(&address.to_string(), false, BACKLOG);
-            listeners = self.addresses.iter().map(anew).collect();
+            let reopen = |address: &SocketAddr| listener(&address.to_string(), false, BACKLOG);
+            listeners = self.addresses.iter().map(reopen).collect();
         }
         listeners.into_iter().for_each(|listener| self.open(listener));
     }
@@ -352,17 +352,17 @@
         }
         let bytes = SIZES.iter().find(|(digit, _)| object(&words).ends_with(*digit)).unwrap().1;
         let (server, writer) = (self.clone(), writer.clone());
-        let say = move |word: &str, fields: &str, bytes: usize| {
+        let write_answer = move |word: &str, fields: &str, bytes: usize| {
             drop(writer.lock().unwrap().write_all(&encode_answer(&words[1], word, fields, bytes)));
         };
         if self.busy_places.fetch_add(1, Ordering::SeqCst) >= places {
             self.busy_places.fetch_sub(1, Ordering::SeqCst);
-            return say("WAIT", "-", 0);
+            return write_answer("WAIT", "-", 0);
         }
         spawn(move || {
             sleep(Duration::from_secs_f64(bytes as f64 / pace as f64));
             server.busy_places.fetch_sub(1, Ordering::SeqCst);
-            say("DONE", COPY_FIELDS, bytes);
+            write_answer("DONE", COPY_FIELDS, bytes);
         });
     }
 }
@@ -412,7 +412,7 @@
                 line.clear();
             }
             let since = first.split("since=").nth(1).unwrap().split('&').next().unwrap().parse().unwrap();
-            let begun = Instant::now();
+            let start = Instant::now();
             let body = loop {
                 match &self.mode.lock().unwrap()[..] {
                     "refuse" => return,
@@ -435,7 +435,7 @@
                             since + 1
                         )
                     }
-                    _ if self.changes.lock().unwrap().len() > since || begun.elapsed() > QUIET => {
+                    _ if self.changes.lock().unwrap().len() > since || start.elapsed() > QUIET => {
                         break self.results(since);
                     }
                     _ => {}
@@ -538,12 +538,12 @@
     fn pause(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.child.id());
-        let stands = |task: std::io::Result<std::fs::DirEntry>| {
-            let said = std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap_or_default();
-            said.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
+        let is_stopped = |task: std::io::Result<std::fs::DirEntry>| {
+            let stat = std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap_or_default();
+            stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
         };
         let end = Instant::now() + TIMEOUT;
-        while !std::fs::read_dir(&tasks).unwrap().all(stands) {
+        while !std::fs::read_dir(&tasks).unwrap().all(is_stopped) {
             assert!(Instant::now() < end, "the process was not suspended");
             sleep(Duration::from_millis(1));
         }
@@ -736,7 +736,7 @@
             return false;
         }
         match self.answers.recv_timeout(within) {
-            Ok(Received::Answer(got)) => self.received.push_back(got),
+            Ok(Received::Answer(answer)) => self.received.push_back(answer),
             Ok(Received::End(at, clean)) => self.stream_end = Some((at, clean)),
             Err(std::sync::mpsc::RecvTimeoutError::Timeout) => return false,
             // The reading thread has panicked.
@@ -747,7 +747,7 @@
 
     fn answered(&mut self, id: u32) -> Option<ClientAnswer> {
         loop {
-            if let Some(place) = self.received.iter().position(|got| got.id == id) {
+            if let Some(place) = self.received.iter().position(|answer| answer.id == id) {
                 return self.received.remove(place);
             }
             if !self.next(TIMEOUT) {
@@ -757,8 +757,8 @@
     }
 
     fn answer(&mut self, id: u32) -> ClientAnswer {
-        let got = self.answered(id);
-        got.unwrap_or_else(|| panic!("no answer to {id}, end {:?}", self.stream_end))
+        let answer = self.answered(id);
+        answer.unwrap_or_else(|| panic!("no answer to {id}, end {:?}", self.stream_end))
     }
 
     /// Expects a clean end of the stream, also after the last message sent has crossed it.
@@ -932,7 +932,7 @@
     fn take(&mut self, name: &str, wanted: &[&str]) {
         let never_mind = wanted.contains(&"never_mind");
         let end = Instant::now() + TIMEOUT;
-        let (name, seen) = loop {
+        let (name, message) = loop {
             let mut hosts = self.hosts.iter().filter(|(host, _)| name == "any" || *host == name);
             let found = hosts.find_map(|(host, known)| Some((host.clone(), known.messages.try_recv().ok()?)));
             if let Some(found) = found {
@@ -944,39 +944,39 @@
         let host = self.hosts.get_mut(&name).unwrap();
         self.last_host = name;
         if never_mind {
-            assert_eq!(seen.words[0], "never_mind");
-            assert_eq!(seen.words[1], host.last_message.as_ref().unwrap().words[1]);
+            assert_eq!(message.words[0], "never_mind");
+            assert_eq!(message.words[1], host.last_message.as_ref().unwrap().words[1]);
             return;
         }
         if wanted == ["busy"] {
-            assert_eq!(seen.words[0], "busy");
-            host.last_message = Some(seen);
+            assert_eq!(message.words[0], "busy");
+            host.last_message = Some(message);
             return;
         }
-        assert_eq!(seen.words[0], "want", "{:?}", seen.words);
+        assert_eq!(message.words[0], "want", "{:?}", message.words);
         let fields: BTreeMap<&str, &str> =
-            seen.words[2].split(',').filter_map(|f| f.split_once('=')).collect();
+            message.words[2].split(',').filter_map(|f| f.split_once('=')).collect();
         for word in wanted {
-            let said = &seen.words[2];
+            let encoded = &message.words[2];
             if let Some((name, value)) = word.strip_prefix('!').and_then(|word| word.split_once('=')) {
-                assert_ne!(fields.get(name), Some(&value), "{word}, but {said}");
+                assert_ne!(fields.get(name), Some(&value), "{word}, but {encoded}");
             } else if let Some(name) = word.strip_prefix('!') {
-                assert!(!fields.contains_key(name), "{name} in {said}");
+                assert!(!fields.contains_key(name), "{name} in {encoded}");
             } else if let Some((name, most)) = word.split_once('<') {
                 let value: u64 =
-                    fields.get(name).unwrap_or_else(|| panic!("no {name} in {said}")).parse().unwrap();
-                assert!((1..most.parse().unwrap()).contains(&value), "{word}, but {said}");
+                    fields.get(name).unwrap_or_else(|| panic!("no {name} in {encoded}")).parse().unwrap();
+                assert!((1..most.parse().unwrap()).contains(&value), "{word}, but {encoded}");
             } else if let Some((name, least)) = word.split_once('>') {
                 let value: Option<u64> = fields.get(name).map(|value| value.parse().unwrap());
-                assert!(value > Some(least.parse().unwrap()), "{word}, but {said}");
+                assert!(value > Some(least.parse().unwrap()), "{word}, but {encoded}");
             } else if let Some(size) = word.strip_prefix("body=") {
-                assert_eq!(seen.words[3], "y".repeat(size.parse().unwrap()));
+                assert_eq!(message.words[3], "y".repeat(size.parse().unwrap()));
             } else {
                 let (name, value) = word.split_once('=').unwrap();
-                assert_eq!(fields.get(name), Some(&value), "{word}, but {said}");
+                assert_eq!(fields.get(name), Some(&value), "{word}, but {encoded}");
             }
         }
-        host.last_message = Some(seen);
+        host.last_message = Some(message);
     }
 
     fn answer(&mut self, name: &str, word: &str, more: &[&str]) {
@@ -1011,22 +1011,22 @@
     }
 
     fn expect(&mut self, client: &str, id: u32, word: &str, more: &[&str]) {
-        let got = self.clients.get_mut(client).unwrap().answer(id);
-        let said = match &got.word[..] {
+        let answer = self.clients.get_mut(client).unwrap().answer(id);
+        let outcome = match &answer.word[..] {
             "Rejected" => "turned-back",
             "Failed" => "written-off",
             "BadRequest" => "bad",
             other => other,
         };
-        assert_eq!(said, word, "visit {id}: {got:?}");
+        assert_eq!(outcome, word, "visit {id}: {answer:?}");
         for (name, value) in more.iter().map(|word| word.split_once('=').unwrap()) {
             match name {
-                "bytes" => assert_eq!(got.bytes.to_string(), value),
+                "bytes" => assert_eq!(answer.bytes.to_string(), value),
                 "within" => {
-                    let took = got.at - self.clients[client].sent_at[&id];
+                    let took = answer.at - self.clients[client].sent_at[&id];
                     assert!(took < Duration::from_millis(value.parse().unwrap()), "after {took:?}");
                 }
-                _ => assert_eq!(got.fields.get(name).map(|v| &v[..]), Some(value), "{got:?}"),
+                _ => assert_eq!(answer.fields.get(name).map(|v| &v[..]), Some(value), "{answer:?}"),
             }
         }
     }
@@ -1047,9 +1047,9 @@
                 let port = client.stream.local_addr().unwrap().port();
                 let took = (1..=count as u32).map(|id| {
                     client.ask(id, "video", &format!("{port:x}{id:x}"), &[]);
-                    let got = client.answer(id);
-                    assert!(["settled", "Rejected"].contains(&&got.word[..]), "{got:?}");
-                    (got.at - client.sent_at[&id], got.word == "settled")
+                    let answer = client.answer(id);
+                    assert!(["settled", "Rejected"].contains(&&answer.word[..]), "{answer:?}");
+                    (answer.at - client.sent_at[&id], answer.word == "settled")
                 });
                 took.collect::<Vec<_>>()
             })
@@ -1076,14 +1076,14 @@
                         client.ask(id, "video", &object, &[]);
                     }
                     if let Some(id) = id.checked_sub(SIZED_OPEN_REQUESTS).filter(|id| *id > 0) {
-                        let got = client.answer(id);
-                        assert!(["settled", "Rejected"].contains(&&got.word[..]), "{got:?}");
+                        let answer = client.answer(id);
+                        assert!(["settled", "Rejected"].contains(&&answer.word[..]), "{answer:?}");
                         assert!(
-                            got.word != "settled" || got.bytes == SIZES[sort(id)].1,
+                            answer.word != "settled" || answer.bytes == SIZES[sort(id)].1,
                             "{} bytes",
-                            got.bytes
+                            answer.bytes
                         );
-                        served[sort(id)][usize::from(got.word == "settled")] += 1.0;
+                        served[sort(id)][usize::from(answer.word == "settled")] += 1.0;
                     }
                 }
                 served
@@ -1205,13 +1205,13 @@
                 for id in 1..=200 {
                     self.clients.get_mut(*client).unwrap().ask(id, "video", "01", &[]);
                     let host = self.hosts.get_mut(*name).unwrap();
-                    let seen = host.messages.recv_timeout(10 * QUIET);
-                    let Some(seen) = seen.ok().filter(|seen| seen.words[0] == "want") else {
+                    let message = host.messages.recv_timeout(10 * QUIET);
+                    let Some(message) = message.ok().filter(|message| message.words[0] == "want") else {
                         sleep(QUIET);
                         while host.messages.try_recv().is_ok() {}
                         return;
                     };
-                    host.last_message = Some(seen);
+                    host.last_message = Some(message);
                     self.answer(name, "DONE", &["bytes=239000"]);
                 }
                 panic!("the client was not disconnected");
@@ -1279,7 +1279,7 @@
                     }
                     None => {
                         let came = self.hosts[*name].messages.try_recv();
-                        assert!(came.is_err(), "{:?}", came.map(|seen| seen.words));
+                        assert!(came.is_err(), "{:?}", came.map(|message| message.words));
                     }
                 }
             }
@@ -1614,8 +1614,8 @@
     assert!(text.contains(&by), "nothing was replaced");
     let (child, _file) = run(&text, 256, "", None);
     let output = child.wait_with_output().unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(output.status.code(), Some(code), "{said}");
-    let lines: Vec<&str> = said.lines().filter(|line| line.starts_with("cherrypass:")).collect();
-    assert!(lines.len() == 1 && lines[0].contains(words), "{said}");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(code), "{stderr}");
+    let lines: Vec<&str> = stderr.lines().filter(|line| line.starts_with("cherrypass:")).collect();
+    assert!(lines.len() == 1 && lines[0].contains(words), "{stderr}");
 }
