--- /dev/null
+++ b/crates/dispatcher/src/host_messages.rs
@@ -0,0 +1,137 @@
+//! Messages to the host actors, from the router and from the hosts' connections.
+use crate::cancellation::CancelToken;
+use crate::capacity::Reservation;
+use crate::clock;
+use crate::connection::{CloseReason, Connection};
+use crate::ids::{ConnectionId, HandOffId, HostActorId, ProbeId};
+use crate::resp::{self, Answer};
+use bytes::Bytes;
+use cherrypass::time::Time;
+use crossbeam_channel::Sender;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::sync::Arc;
+
+/// How far a hand-off has been sent, shared between the router and the writing threads. A hand-off that was
+/// not completely written cannot have run.
+#[derive(Clone, Debug, Default)]
+pub struct SendState(Arc<AtomicU64>);
+
+const UNSENT: u64 = 0;
+const STARTED: u64 = 1;
+const REVOKED: u64 = u64::MAX;
+
+impl SendState {
+    /// Claims the hand-off for writing its first byte; false if it was revoked.
+    pub fn start(&self) -> bool {
+        self.0.compare_exchange(UNSENT, STARTED, Relaxed, Relaxed).is_ok()
+    }
+
+    /// Records that the hand-off was written completely.
+    pub fn mark_written(&self) {
+        self.0.store(clock::now().0, Relaxed);
+    }
+
+    /// Prevents the hand-off from being sent; false if sending has already started.
+    pub fn revoke(&self) -> bool {
+        self.0.compare_exchange(UNSENT, REVOKED, Relaxed, Relaxed).is_ok()
+    }
+
+    pub fn is_revoked(&self) -> bool {
+        self.0.load(Relaxed) == REVOKED
+    }
+
+    /// When the hand-off was written completely, if it was.
+    pub fn written_at(&self) -> Option<Time> {
+        Some(self.0.load(Relaxed)).filter(|at| ![UNSENT, STARTED, REVOKED].contains(at)).map(Time)
+    }
+}
+
+/// An attempt of a visit, to be sent to a host.
+#[derive(Clone, Debug)]
+pub struct HandOff {
+    pub id: HandOffId,
+    /// The client's id of the visit, which identifies the hand-off on the wire.
+    pub txn: Bytes,
+    /// The encoded fields except the time left for the answer, which is added when the hand-off is sent.
+    pub fields: String,
+    pub body: Bytes,
+    /// The tag of the copy that the client has cached.
+    pub client_tag: Option<Bytes>,
+    /// Whether the answer is a cached copy; the answer to a write is not, even through a cache.
+    pub expects_copy: bool,
+    /// Whether the host fills a miss from a source that fetches the object if it lacks it.
+    pub fills_miss: bool,
+    /// Deadline for the answer.
+    pub deadline: Time,
+    /// Sending must not start after this.
+    pub latest_start: Time,
+    pub cancel: CancelToken,
+    pub send_state: SendState,
+}
+
+impl HandOff {
+    /// Claims the hand-off for sending, unless it is too late, its client has left or it was revoked
+    /// meanwhile. Every hand-off passes this check right before its first byte, however long it waited for a
+    /// connection, a record or a slow host.
+    pub fn start(&self, now: Time) -> bool {
+        now < self.latest_start && self.cancel.check_live() && self.send_state.start()
+    }
+
+    /// The encoded request up to its body.
+    pub fn head(&self, now: Time) -> Bytes {
+        let wait = ((self.deadline - now).0 / 1000).max(1);
+        resp::hand_off_head(&self.txn, &format!("{},w={wait}", self.fields), self.body.len())
+    }
+}
+
+/// A message to one host's actor.
+pub enum ToHost {
+    HandOff(HandOff),
+    Cancel(HandOffId),
+    /// Ask the host for its load.
+    Probe(ProbeId),
+    /// The connect timeout of the hand-off's connection has passed.
+    ConnectTimeout(HandOffId),
+    /// Whether the host is draining and must get no new hand-offs.
+    SetDraining(bool),
+    /// The host is no longer listed.
+    Remove,
+    Connected(ConnectionId, Arc<Connection>),
+    /// A cancel was written.
+    CancelSent(ConnectionId, HandOffId, Time),
+    /// A queued hand-off failed [`HandOff::start`] when its turn came.
+    NotStarted(ConnectionId, HandOffId),
+    Answer(ConnectionId, Answer, Reservation, Time),
+    Closed(ConnectionId, CloseReason, Time),
+}
+
+/// A message to the thread that runs all host actors. A single thread serves them all, so that long lists of
+/// hosts don't cost a thread each.
+pub enum HostThreadMessage {
+    AddHost(Box<NewHost>),
+    ToHost(HostActorId, ToHost),
+    Sweep(Time),
+}
+
+/// A host for which the thread creates an actor.
+pub struct NewHost {
+    pub name: String,
+    pub address: SocketAddr,
+    pub mailbox: HostMailbox,
+    pub registration: Reservation,
+}
+
+/// The sending side of a host actor's mailbox.
+#[derive(Clone, Debug)]
+pub struct HostMailbox {
+    pub id: HostActorId,
+    pub messages: Sender<HostThreadMessage>,
+}
+
+impl HostMailbox {
+    /// Sends a message; false once the hosts' thread has ended.
+    pub fn send(&self, message: ToHost) -> bool {
+        self.messages.send(HostThreadMessage::ToHost(self.id, message)).is_ok()
+    }
+}
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -1,13 +1,13 @@
-//! Hosts (caches, parents, origin): each an actor that writes to a pool of connections, all of them on one thread;
-//! another one (`lines`) reads them.
-use crate::bounds::{Held, Room};
+//! Host actors (caches, parents, origin). Each writes to a pool of connections; one thread runs all actors,
+//! and another one ([`crate::host_connections`]) reads the connections.
+use crate::capacity::{HostCapacity, Reservation};
 use crate::clock;
 use crate::config::Reach;
-use crate::ids::{HandOffId, HostNo, LineId, ProbeNo, Txn};
+use crate::connection::{spawn, CloseReason, Connection};
+use crate::host_connections::HostConnections;
+use crate::host_messages::{HandOff, HostMailbox, HostThreadMessage, NewHost, SendState, ToHost};
+use crate::ids::{ConnectionId, HandOffId, HostActorId, ProbeId, Txn};
 use crate::inbox::{FromHost, Input};
-use crate::letters::{HandOff, Letter, Mailbox, Newcomer, ToHost, Way};
-use crate::line::{spawn, Code, Line};
-use crate::lines::Lines;
 use crate::mailbox;
 use crate::resp::{self, Answer};
 use bytes::Bytes;
@@ -18,573 +18,624 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A connection with less than this part of its most out takes one more before another is opened.
-const LIGHT: usize = 8;
-/// Past a visit's time its id may not come again, but for the time on the way.
-const LATE: Span = Span::millis(100);
+/// A connection takes more hand-offs up to its maximum divided by this before another one is opened.
+const LIGHT_LOAD_DIVISOR: usize = 8;
+/// Grace for late answers on the network: only after it may the id of a cancelled hand-off be reused.
+const LATE_ANSWER_MARGIN: Span = Span::millis(100);
 
-/// All hosts' actors.
+/// Handle to the thread that runs all host actors.
 pub struct Hosts {
-    letters: Sender<Letter>,
-    next: u64,
-    room: Room,
+    messages: Sender<HostThreadMessage>,
+    next_id: u64,
+    capacity: HostCapacity,
 }
 
-/// What all hosts' actors have in common.
+/// State shared by all host actors.
 #[derive(Clone)]
-struct Common {
+struct Shared {
     reach: Reach,
-    room: Room,
-    wires: Arc<Lines>,
+    capacity: HostCapacity,
+    connections: Arc<HostConnections>,
     router: Sender<Input>,
 }
 
 impl Hosts {
-    pub fn start(reach: Reach, room: Room, router: Sender<Input>) -> std::io::Result<Hosts> {
-        let (letters, mailbox) = unbounded();
-        let wires = Lines::start(room.clone(), reach.connect_limit)?;
-        let common = Common { reach, room: room.clone(), wires, router };
-        spawn("hosts", move || run(&mailbox, &common))?;
-        Ok(Hosts { letters, next: 0, room })
+    /// Starts the threads of the host actors and of their connections.
+    pub fn start(reach: Reach, capacity: HostCapacity, router: Sender<Input>) -> std::io::Result<Hosts> {
+        let (messages, mailbox) = unbounded();
+        let connections = HostConnections::start(capacity.clone(), reach.connect_limit)?;
+        let shared = Shared { reach, capacity: capacity.clone(), connections, router };
+        spawn("hosts", move || run(&mailbox, &shared))?;
+        Ok(Hosts { messages, next_id: 0, capacity })
     }
 
-    /// One more host, and its mailbox.
-    pub fn join(&mut self, name: &str, address: SocketAddr) -> Mailbox {
-        let number = HostNo(self.next);
-        self.next += 1;
-        let own = Mailbox { number, letters: self.letters.clone() };
-        let host = Newcomer { name: name.to_owned(), address, own: own.clone(), joined: self.room.join() };
-        let _ = self.letters.send(Letter::Join(Box::new(host)));
-        own
+    /// Adds a host and returns its mailbox.
+    pub fn add(&mut self, name: &str, address: SocketAddr) -> HostMailbox {
+        let id = HostActorId(self.next_id);
+        self.next_id += 1;
+        let mailbox = HostMailbox { id, messages: self.messages.clone() };
+        let host = NewHost {
+            name: name.to_owned(),
+            address,
+            mailbox: mailbox.clone(),
+            registration: self.capacity.add_host(),
+        };
+        let _ = self.messages.send(HostThreadMessage::AddHost(Box::new(host)));
+        mailbox
     }
 
+    /// Has the connections checked for timeouts.
     pub fn sweep(&self, now: Time) {
-        let _ = self.letters.send(Letter::Sweep(now));
+        let _ = self.messages.send(HostThreadMessage::Sweep(now));
     }
 }
 
-fn run(mailbox: &Receiver<Letter>, common: &Common) {
-    let mut hosts: BTreeMap<HostNo, Box<Host>> = BTreeMap::new();
-    while let Some(letter) = mailbox::next(mailbox) {
-        match letter {
-            Letter::Join(host) => {
-                hosts.insert(host.own.number, Box::new(Host::new(*host, common.clone())));
+/// Runs all host actors until their mailbox is closed.
+fn run(mailbox: &Receiver<HostThreadMessage>, shared: &Shared) {
+    let mut hosts: BTreeMap<HostActorId, Box<Host>> = BTreeMap::new();
+    while let Some(message) = mailbox::recv(mailbox) {
+        match message {
+            HostThreadMessage::AddHost(host) => {
+                hosts.insert(host.mailbox.id, Box::new(Host::new(*host, shared.clone())));
             }
-            Letter::For(number, message) => {
+            HostThreadMessage::ToHost(actor, message) => {
                 if matches!(message, ToHost::HandOff(_)) {
-                    make_room(&mut hosts, number);
+                    free_connection_for(&mut hosts, actor);
                 }
-                match (hosts.get_mut(&number), message) {
+                match (hosts.get_mut(&actor), message) {
                     (Some(host), message) => {
-                        host.take(message);
-                        host.end_unused();
-                        if host.retired && host.lines.is_empty() {
-                            hosts.remove(&number);
+                        host.handle(message);
+                        host.close_unused();
+                        if host.is_removed && host.pool.is_empty() {
+                            hosts.remove(&actor);
                         }
                     }
                     (None, ToHost::HandOff(HandOff { id, .. })) => {
                         let (outcome, at) = (Outcome::ConnectFailed, clock::now());
                         let ended = FromHost::Ended { outcome, answer: None, at };
-                        let _ = common.router.send(Input::HandOff(id, ended));
+                        let _ = shared.router.send(Input::HandOff(id, ended));
                     }
                     (None, _) => {}
                 }
             }
-            Letter::Sweep(now) => {
-                common.wires.end_silent(now);
+            HostThreadMessage::Sweep(now) => {
+                shared.connections.time_out_connects(now);
                 hosts.values_mut().for_each(|host| {
                     host.sweep(now);
-                    host.end_unused();
+                    host.close_unused();
                 });
             }
         }
     }
 }
 
-/// Guards against a list longer than the connections allowed: a host that has none takes the place of the one that
-/// has been idle longest, so that they go where the visits go. Harms where visits go round more hosts than that: each then opens one.
-fn make_room(hosts: &mut BTreeMap<HostNo, Box<Host>>, number: HostNo) {
-    let Some(host) = hosts.get(&number) else { return };
-    let has_one = host.lines.values().any(|pooled| pooled.stands());
-    if has_one || host.retired || host.common.room.place().is_some() {
+/// Closes the connection that has been idle longest if the host has none and all are in use, so that
+/// connections follow the traffic when there are more hosts than connections. Visits that alternate between
+/// more hosts than that open a connection each.
+fn free_connection_for(hosts: &mut BTreeMap<HostActorId, Box<Host>>, actor: HostActorId) {
+    let Some(host) = hosts.get(&actor) else { return };
+    let has_connection = host.pool.values().any(|pooled| pooled.is_usable());
+    if has_connection || host.is_removed || host.shared.capacity.reserve_connection().is_some() {
         return;
     }
-    let idle = hosts.values_mut().flat_map(|host| host.lines.values_mut()).filter(|pooled| pooled.is_idle());
-    if let Some(longest) = idle.min_by_key(|pooled| pooled.used) {
-        longest.end(Code::RoomNeeded);
+    let idle = hosts.values_mut().flat_map(|host| host.pool.values_mut()).filter(|pooled| pooled.is_idle());
+    if let Some(longest) = idle.min_by_key(|pooled| pooled.last_used) {
+        longest.close(CloseReason::Evicted);
     }
 }
 
-enum ToLine {
+/// A message to write to a connection.
+enum Outgoing {
     HandOff(HandOff),
-    NeverMind(HandOffId, Bytes),
-    Probe(ProbeNo),
+    Cancel(HandOffId, Bytes),
+    Probe(ProbeId),
 }
 
-impl ToLine {
-    /// The hand-off that is not to go out any more.
-    fn stale(&self, now: Time) -> Option<HandOffId> {
+impl Outgoing {
+    /// Claims the message for sending. Returns the hand-off that must not be sent any more.
+    fn start(&self, now: Time) -> Option<HandOffId> {
         match self {
-            ToLine::HandOff(hand_off) if !hand_off.begin(now) => Some(hand_off.id),
+            Outgoing::HandOff(hand_off) if !hand_off.start(now) => Some(hand_off.id),
             _ => None,
         }
     }
 
     fn with_parts<T>(&self, write: impl FnOnce(&[&[u8]]) -> T) -> T {
         match self {
-            ToLine::HandOff(hand_off) => write(&[&hand_off.head(clock::now()), &hand_off.body, resp::END]),
-            ToLine::NeverMind(_, message) => write(&[message]),
-            ToLine::Probe(number) => write(&[resp::busy(*number).as_bytes()]),
+            Outgoing::HandOff(hand_off) => write(&[&hand_off.head(clock::now()), &hand_off.body, resp::CRLF]),
+            Outgoing::Cancel(_, message) => write(&[message]),
+            Outgoing::Probe(probe) => write(&[resp::probe_request(*probe).as_bytes()]),
         }
     }
 }
 
-/// A message for the thread of a connection's own.
-enum Late {
-    Whole(ToLine),
-    /// What is left of one that has begun.
-    Rest(ToLine, Vec<u8>),
+/// A message for a connection's slow writer thread.
+enum QueuedWrite {
+    Whole(Outgoing),
+    /// The rest of a message that was partly written.
+    Remainder(Outgoing, Vec<u8>),
 }
 
-struct Out {
+/// A hand-off assigned to a connection and not answered yet.
+struct PendingHandOff {
     id: HandOffId,
-    /// As what it stands on the wire.
-    wire: Bytes,
-    seen: Option<Bytes>,
-    copy: bool,
-    /// A miss is filled, from a source that gives what it lacks too.
-    fills: bool,
-    /// An earlier one of the same request was answered on this connection.
-    again: bool,
-    until: Time,
-    way: Way,
+    /// The transaction id as it appears on the wire.
+    txn: Bytes,
+    client_tag: Option<Bytes>,
+    expects_copy: bool,
+    /// See [`HandOff::fills_miss`].
+    fills_miss: bool,
+    /// An earlier hand-off of the same request was answered on this connection.
+    is_repeat: bool,
+    deadline: Time,
+    send_state: SendState,
 }
 
-struct Pooled {
-    line: Option<Arc<Line>>,
-    /// When it came up.
-    up: Option<Time>,
-    /// Once the machine has not taken a message at once, a thread of its own writes.
-    slow: Option<Sender<Late>>,
-    sent: u64,
-    /// Hand-offs that wait for the connection to come up.
-    pending: VecDeque<HandOff>,
-    out: BTreeMap<Txn, Out>,
-    /// Ids given up, and until when a late answer to them may come.
-    given_up: BTreeMap<Txn, Time>,
-    /// Ids of requests that were answered here, and may be asked again: until when, and whether with a miss.
+/// A connection of a host's pool.
+struct PooledConnection {
+    connection: Option<Arc<Connection>>,
+    /// When the connection was established.
+    up_since: Option<Time>,
+    /// The thread that writes all messages once one could not be written without blocking.
+    slow_writer: Option<Sender<QueuedWrite>>,
+    hand_off_count: u64,
+    /// Hand-offs that wait for the connection to be established.
+    waiting: VecDeque<HandOff>,
+    in_flight: BTreeMap<Txn, PendingHandOff>,
+    /// Cancelled ids, and until when a late answer to them is possible.
+    cancelled: BTreeMap<Txn, Time>,
+    /// Ids answered on this connection that may be handed off again: until when, and whether the answer was a
+    /// miss.
     answered: BTreeMap<Txn, (Time, bool)>,
-    /// Those of which the host is not told yet.
-    untold: Vec<HandOffId>,
-    used: Time,
-    /// Takes nothing more, and ends so once nothing is out on it.
-    worn: Option<Code>,
-    ending: bool,
-    _place: Option<Held>,
+    /// Cancelled hand-offs whose cancel has not been written yet.
+    unsent_cancels: Vec<HandOffId>,
+    last_used: Time,
+    /// If set, the connection takes no more hand-offs and closes with this reason once none is in flight.
+    retire_reason: Option<CloseReason>,
+    is_closing: bool,
+    _reservation: Option<Reservation>,
 }
 
-impl Pooled {
-    fn may_take(&self, txn: Txn, streams: usize) -> bool {
-        // Guards against an answer to a hand-off given up that is taken for one of the same visit's next.
-        // Nor is the second copy of an answer taken for the next one's; of a miss it can be told apart.
+impl PooledConnection {
+    /// Whether a hand-off with this id may be sent on the connection.
+    fn accepts(&self, txn: Txn, streams: usize) -> bool {
+        // A late answer to a cancelled hand-off must not be taken for one to the visit's next hand-off, nor
+        // must a duplicate of an earlier answer; duplicates of a miss can be told apart.
         let answered = self.answered.get(&txn).is_some_and(|(_, miss)| !miss);
-        let taken = self.out.contains_key(&txn) || self.given_up.contains_key(&txn) || answered;
-        self.stands() && !taken && self.out.len() < streams
+        let in_use = self.in_flight.contains_key(&txn) || self.cancelled.contains_key(&txn) || answered;
+        self.is_usable() && !in_use && self.in_flight.len() < streams
     }
 
-    /// Whether it may take something still.
-    fn stands(&self) -> bool {
-        !self.ending && self.worn.is_none()
+    /// Whether the connection may take more hand-offs.
+    fn is_usable(&self) -> bool {
+        !self.is_closing && self.retire_reason.is_none()
     }
 
     fn is_idle(&self) -> bool {
-        !self.ending && self.line.is_some() && self.out.is_empty()
+        !self.is_closing && self.connection.is_some() && self.in_flight.is_empty()
     }
 
-    /// Its place is free once its descriptor is about to be: one on its way up has it until it is up or given up.
-    fn end(&mut self, code: Code) {
-        self.ending = true;
-        if let Some(line) = &self.line {
-            self._place = None;
-            line.end(code);
+    /// Closes the connection. One that is still connecting keeps its reservation until the connect ends, as
+    /// it keeps its descriptor.
+    fn close(&mut self, reason: CloseReason) {
+        self.is_closing = true;
+        if let Some(connection) = &self.connection {
+            self._reservation = None;
+            connection.shut_down(reason);
         }
     }
 }
 
+/// A host's actor.
 struct Host {
     name: String,
     address: SocketAddr,
-    common: Common,
-    own: Mailbox,
-    lines: BTreeMap<LineId, Pooled>,
-    next: u64,
+    shared: Shared,
+    mailbox: HostMailbox,
+    pool: BTreeMap<ConnectionId, PooledConnection>,
+    next_id: u64,
     /// The last probe, until it is answered.
-    probe: Option<ProbeNo>,
-    drains: bool,
-    retired: bool,
-    /// Whether a connection to it ever came up.
+    probe: Option<ProbeId>,
+    is_draining: bool,
+    is_removed: bool,
+    /// Whether a connection to the host was ever established.
     was_up: bool,
-    _joined: Held,
+    _registration: Reservation,
 }
 
 impl Host {
-    fn new(Newcomer { name, address, own, joined }: Newcomer, common: Common) -> Host {
+    fn new(NewHost { name, address, mailbox, registration }: NewHost, shared: Shared) -> Host {
         Host {
             name,
             address,
-            common,
-            own,
-            lines: BTreeMap::new(),
-            next: 0,
+            shared,
+            mailbox,
+            pool: BTreeMap::new(),
+            next_id: 0,
             probe: None,
-            drains: false,
-            retired: false,
+            is_draining: false,
+            is_removed: false,
             was_up: false,
-            _joined: joined,
+            _registration: registration,
         }
     }
 
-    fn take(&mut self, message: ToHost) {
+    fn handle(&mut self, message: ToHost) {
         match message {
             ToHost::HandOff(hand_off) => self.hand_off(hand_off),
-            ToHost::NeverMind(id) => self.never_mind(id),
-            ToHost::Probe(number) => {
-                self.probe = Some(number);
-                let up = |p: &Pooled| p.stands() && p.line.is_some();
-                match self.lines.iter().find(|(_, pooled)| up(pooled)).map(|(line, _)| *line) {
-                    Some(line) => self.say(line, ToLine::Probe(number)),
-                    None if self.lines.values().any(Pooled::stands) => {}
-                    None => drop(self.open()),
+            ToHost::Cancel(id) => self.cancel(id),
+            ToHost::Probe(probe) => {
+                self.probe = Some(probe);
+                let is_up = |p: &PooledConnection| p.is_usable() && p.connection.is_some();
+                match self.pool.iter().find(|(_, pooled)| is_up(pooled)).map(|(id, _)| *id) {
+                    Some(id) => self.write(id, Outgoing::Probe(probe)),
+                    None if self.pool.values().any(PooledConnection::is_usable) => {}
+                    None => drop(self.open_connection()),
                 }
             }
-            ToHost::ConnectLimit(id) => {
-                self.common.wires.end_silent(clock::now());
-                let waits = |p: &Pooled| p.pending.iter().any(|hand_off| hand_off.id == id);
-                if let Some(pooled) = self.lines.values_mut().find(|p| waits(p)) {
-                    pooled.pending.retain(|hand_off| hand_off.id != id);
-                    pooled.out.retain(|_, out| out.id != id);
-                    self.ended(id, Outcome::ConnectFailed, None, clock::now());
+            ToHost::ConnectTimeout(id) => {
+                self.shared.connections.time_out_connects(clock::now());
+                let waits = |p: &PooledConnection| p.waiting.iter().any(|hand_off| hand_off.id == id);
+                if let Some(pooled) = self.pool.values_mut().find(|p| waits(p)) {
+                    pooled.waiting.retain(|hand_off| hand_off.id != id);
+                    pooled.in_flight.retain(|_, out| out.id != id);
+                    self.report_end(id, Outcome::ConnectFailed, None, clock::now());
                 }
             }
-            ToHost::Drains(drains) => {
-                self.drains = drains;
-                self.let_go();
+            ToHost::SetDraining(is_draining) => {
+                self.is_draining = is_draining;
+                self.revoke_unsent();
             }
-            ToHost::Retire => {
-                self.retired = true;
-                self.let_go();
+            ToHost::Remove => {
+                self.is_removed = true;
+                self.revoke_unsent();
             }
-            ToHost::Up(line, shared) => {
-                let Some(pooled) = self.lines.get_mut(&line) else { return };
-                if pooled.ending {
-                    shared.end(Code::HostGone);
+            ToHost::Connected(id, connection) => {
+                let Some(pooled) = self.pool.get_mut(&id) else { return };
+                if pooled.is_closing {
+                    connection.shut_down(CloseReason::HostRemoved);
                 }
-                pooled.line = Some(shared);
-                pooled.up = Some(clock::now());
+                pooled.connection = Some(connection);
+                pooled.up_since = Some(clock::now());
                 self.was_up = true;
-                for hand_off in std::mem::take(&mut pooled.pending) {
-                    self.say(line, ToLine::HandOff(hand_off));
+                for hand_off in std::mem::take(&mut pooled.waiting) {
+                    self.write(id, Outgoing::HandOff(hand_off));
                 }
-                if let Some(number) = self.probe {
-                    self.say(line, ToLine::Probe(number));
+                if let Some(probe) = self.probe {
+                    self.write(id, Outgoing::Probe(probe));
                 }
             }
-            ToHost::GivenUp(line, id, at) => self.given_up(line, id, at),
-            ToHost::Unsent(line, id) => self.unsent(line, id),
-            ToHost::Answered(line, answer, held, at) => self.answered(line, answer, held, at),
-            ToHost::Closed(line, code, at) => {
-                let Some(pooled) = self.lines.remove(&line) else { return };
-                self.lost(&pooled, code);
-                let (name, sent, code) = (&self.name, pooled.sent, code.word());
-                let line = line.0;
+            ToHost::CancelSent(connection, id, at) => self.cancel_sent(connection, id, at),
+            ToHost::NotStarted(connection, id) => self.not_started(connection, id),
+            ToHost::Answer(connection, answer, reservation, at) => {
+                self.handle_answer(connection, answer, reservation, at)
+            }
+            ToHost::Closed(id, reason, at) => {
+                let Some(pooled) = self.pool.remove(&id) else { return };
+                self.connection_lost(&pooled, reason);
+                let (name, sent, code) = (&self.name, pooled.hand_off_count, reason.code());
+                let line = id.0;
                 tracing::info!(
                     host = &name[..],
                     line,
                     code,
                     hand_offs = sent,
-                    "host {name} line {line} closed: {code} after {sent} hand-offs"
+                    "host {name} connection {line} closed: {code} after {sent} hand-offs"
                 );
-                for id in pooled.untold {
-                    let _ = self.common.router.send(Input::HandOff(id, FromHost::GivenUp { at }));
+                for id in pooled.unsent_cancels {
+                    let _ = self.shared.router.send(Input::HandOff(id, FromHost::CancelSent { at }));
                 }
-                for out in pooled.out.into_values() {
-                    // What was not wholly written can't have run.
-                    let ran = out.way.written_at().is_some();
-                    let outcome = if ran { Outcome::Reset } else { Outcome::ConnectFailed };
-                    self.ended(out.id, outcome, None, at);
+                for out in pooled.in_flight.into_values() {
+                    // A hand-off that was not completely written can't have run.
+                    let may_have_run = out.send_state.written_at().is_some();
+                    let outcome = if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed };
+                    self.report_end(out.id, outcome, None, at);
                 }
             }
         }
     }
 
-    /// A connection has ended. By the host's side, with none left that stood beside it, it may be its process that has:
-    /// what waits for a new connection was decided for the one before, and is decided anew.
-    fn lost(&mut self, ended: &Pooled, code: Code) {
-        let heard = ended.line.as_ref().map(|line| line.heard());
-        let beside = |other: &Pooled| match (other.up, heard) {
-            (Some(up), Some(heard)) => other.stands() && up <= heard,
-            (up, _) => other.stands() && up.is_some(),
+    /// Handles the loss of a connection. If the host's process may have ended and no connection that was up
+    /// at the time is left, the router is told, and hand-offs that wait for a connection are decided again,
+    /// as they were decided for the old process.
+    fn connection_lost(&mut self, lost: &PooledConnection, reason: CloseReason) {
+        let last_read_at = lost.connection.as_ref().map(|connection| connection.last_read_at());
+        let was_beside = |other: &PooledConnection| match (other.up_since, last_read_at) {
+            (Some(up_since), Some(last_read_at)) => other.is_usable() && up_since <= last_read_at,
+            (up_since, _) => other.is_usable() && up_since.is_some(),
         };
-        // Of a process that was never reached all that is known comes from the list.
-        let may_be_new = !self.retired && self.was_up && code.may_be_death();
-        if !may_be_new || self.lines.values().any(beside) {
+        // Nothing is known of a process that was never reached but what is listed.
+        let may_be_new = !self.is_removed && self.was_up && reason.may_be_process_end();
+        if !may_be_new || self.pool.values().any(was_beside) {
             return;
         }
-        let _ = self.common.router.send(Input::Cut(self.own.number));
+        let _ = self.shared.router.send(Input::HostReset(self.mailbox.id));
         let mut waiting = Vec::new();
-        for pooled in self.lines.values_mut() {
-            let ids: Vec<HandOffId> = pooled.pending.drain(..).map(|waits| waits.id).collect();
-            pooled.out.retain(|_, out| !ids.contains(&out.id));
+        for pooled in self.pool.values_mut() {
+            let ids: Vec<HandOffId> = pooled.waiting.drain(..).map(|waits| waits.id).collect();
+            pooled.in_flight.retain(|_, out| !ids.contains(&out.id));
             waiting.extend(ids);
         }
-        waiting.into_iter().for_each(|id| self.ended(id, Outcome::Unsent, None, clock::now()));
+        waiting.into_iter().for_each(|id| self.report_end(id, Outcome::Unsent, None, clock::now()));
     }
 
-    /// What is still out at a host that has gone, or on a worn connection, may end well; each has its time-out.
-    fn end_unused(&mut self) {
-        let gone = Some(Code::HostGone).filter(|_| self.retired);
-        let unused = self.lines.values_mut().filter(|pooled| !pooled.ending && pooled.out.is_empty());
+    /// Closes connections without hand-offs in flight if the host was removed or they are being retired.
+    /// Hand-offs in flight may still be answered; each has its timeout.
+    fn close_unused(&mut self) {
+        let removed = Some(CloseReason::HostRemoved).filter(|_| self.is_removed);
+        let unused =
+            self.pool.values_mut().filter(|pooled| !pooled.is_closing && pooled.in_flight.is_empty());
         for pooled in unused {
-            if let Some(code) = pooled.worn.or(gone) {
-                pooled.end(code);
+            if let Some(reason) = pooled.retire_reason.or(removed) {
+                pooled.close(reason);
             }
         }
     }
 
-    /// Guards against a hand-off that waits for its connection, or behind a slow one, past the grace after a drain was
-    /// told: what has not begun to go out never does, and is no fault of the host.
-    fn let_go(&mut self) {
-        if !self.drains && !self.retired {
+    /// Revokes the hand-offs that have not been sent to a draining or removed host, where they could wait
+    /// past the grace of the drain. They don't count as failures of the host.
+    fn revoke_unsent(&mut self) {
+        if !self.is_draining && !self.is_removed {
             return;
         }
-        let mut off = Vec::new();
-        for pooled in self.lines.values_mut() {
-            pooled.pending.clear();
-            pooled.out.retain(|_, out| {
-                let goes = !out.way.call_off();
-                off.extend((!goes).then_some(out.id));
-                goes
+        let mut revoked = Vec::new();
+        for pooled in self.pool.values_mut() {
+            pooled.waiting.clear();
+            pooled.in_flight.retain(|_, out| {
+                let is_revoked = out.send_state.revoke();
+                revoked.extend(is_revoked.then_some(out.id));
+                !is_revoked
             });
         }
-        off.into_iter().for_each(|id| self.ended(id, Outcome::Moot, None, clock::now()));
+        revoked.into_iter().for_each(|id| self.report_end(id, Outcome::Moot, None, clock::now()));
     }
 
-    fn ended(&self, id: HandOffId, outcome: Outcome, answer: Option<(Answer, Held)>, at: Time) {
-        let _ = self.common.router.send(Input::HandOff(id, FromHost::Ended { outcome, answer, at }));
+    fn report_end(&self, id: HandOffId, outcome: Outcome, answer: Option<(Answer, Reservation)>, at: Time) {
+        let _ = self.shared.router.send(Input::HandOff(id, FromHost::Ended { outcome, answer, at }));
     }
 
-    /// The connection with the least out, or a new one where that has its part and this host's share permits.
-    /// Answers on one connection don't hold each other up, and each connection costs a thread.
+    /// Assigns a hand-off to the connection with the fewest in flight, or to a new one if that is loaded and
+    /// the host's share of connections allows it.
     fn hand_off(&mut self, hand_off: HandOff) {
-        if self.drains || self.retired {
-            self.ended(hand_off.id, Outcome::Moot, None, clock::now());
+        if self.is_draining || self.is_removed {
+            self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
             return;
         }
-        let streams = self.common.reach.streams;
-        let txn = Txn::of(&hand_off.txn);
-        let free = self.lines.iter().filter(|(_, pooled)| pooled.may_take(txn, streams));
+        let streams = self.shared.reach.streams;
+        let txn = Txn::parse(&hand_off.txn);
+        let free = self.pool.iter().filter(|(_, pooled)| pooled.accepts(txn, streams));
         let best = free.min_by_key(|(_, pooled)| {
-            (pooled.out.len(), pooled.line.is_none(), std::cmp::Reverse(pooled.used))
+            (pooled.in_flight.len(), pooled.connection.is_none(), std::cmp::Reverse(pooled.last_used))
         });
-        let best = best.map(|(line, pooled)| (*line, pooled.out.len()));
-        let line = match best {
-            Some((line, load)) if load < (streams / LIGHT).max(1) => Some(line),
-            other => self.open().or(other.map(|(line, _)| line)),
+        let best = best.map(|(id, pooled)| (*id, pooled.in_flight.len()));
+        let connection = match best {
+            Some((id, load)) if load < (streams / LIGHT_LOAD_DIVISOR).max(1) => Some(id),
+            other => self.open_connection().or(other.map(|(id, _)| id)),
         };
-        let Some(pooled) = line.and_then(|line| self.lines.get_mut(&line)) else {
-            // That all places are in use is no fault of this host.
-            self.ended(hand_off.id, Outcome::Moot, None, clock::now());
+        let Some(pooled) = connection.and_then(|id| self.pool.get_mut(&id)) else {
+            // A lack of connections doesn't count as a failure of the host.
+            self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
             return;
         };
-        let HandOff { id, copy, fills, until, .. } = hand_off;
-        let (wire, seen, way) = (hand_off.txn.clone(), hand_off.seen.clone(), hand_off.way.clone());
-        let again = pooled.answered.contains_key(&txn);
-        pooled.out.insert(txn, Out { id, wire, seen, copy, fills, again, until, way });
-        match line.filter(|_| pooled.line.is_some()) {
-            Some(line) => self.say(line, ToLine::HandOff(hand_off)),
-            None => pooled.pending.push_back(hand_off),
+        let HandOff { id, expects_copy, fills_miss, deadline, .. } = hand_off;
+        let is_repeat = pooled.answered.contains_key(&txn);
+        pooled.in_flight.insert(
+            txn,
+            PendingHandOff {
+                id,
+                txn: hand_off.txn.clone(),
+                client_tag: hand_off.client_tag.clone(),
+                expects_copy,
+                fills_miss,
+                is_repeat,
+                deadline,
+                send_state: hand_off.send_state.clone(),
+            },
+        );
+        match connection.filter(|_| pooled.connection.is_some()) {
+            Some(id) => self.write(id, Outgoing::HandOff(hand_off)),
+            None => pooled.waiting.push_back(hand_off),
         }
     }
 
-    /// Writes what the machine takes at once; a thread of its own writes the rest, and from then on all.
-    fn say(&mut self, id: LineId, message: ToLine) {
-        let Some(pooled) = self.lines.get_mut(&id) else { return };
-        let Some(line) = pooled.line.clone() else { return };
-        pooled.sent += u64::from(matches!(message, ToLine::HandOff(_)));
-        if let Some(slow) = &pooled.slow {
-            let _ = slow.send(Late::Whole(message));
+    /// Writes a message without blocking. If it doesn't fit the socket buffer, a slow writer thread takes
+    /// over for the rest and all later messages.
+    fn write(&mut self, id: ConnectionId, message: Outgoing) {
+        let Some(pooled) = self.pool.get_mut(&id) else { return };
+        let Some(connection) = pooled.connection.clone() else { return };
+        pooled.hand_off_count += u64::from(matches!(message, Outgoing::HandOff(_)));
+        if let Some(slow_writer) = &pooled.slow_writer {
+            let _ = slow_writer.send(QueuedWrite::Whole(message));
             return;
         }
-        if let Some(stale) = message.stale(clock::now()) {
-            self.unsent(id, stale);
+        if let Some(hand_off) = message.start(clock::now()) {
+            self.not_started(id, hand_off);
             return;
         }
         let written = message.with_parts(|parts| {
-            let written = line.write_now(parts)?;
+            let written = connection.try_write(parts)?;
             let whole = written == parts.iter().map(|part| part.len()).sum::<usize>();
             Ok::<_, std::io::Error>(if whole { Vec::new() } else { parts.concat().split_off(written) })
         });
         match (written, &message) {
-            (Ok(rest), ToLine::HandOff(hand_off)) if rest.is_empty() => hand_off.way.written(),
-            (Ok(rest), ToLine::NeverMind(hand_off, _)) if rest.is_empty() => {
-                self.given_up(id, *hand_off, clock::now());
+            (Ok(rest), Outgoing::HandOff(hand_off)) if rest.is_empty() => hand_off.send_state.mark_written(),
+            (Ok(rest), Outgoing::Cancel(hand_off, _)) if rest.is_empty() => {
+                self.cancel_sent(id, *hand_off, clock::now());
             }
-            (Ok(rest), ToLine::Probe(_)) if rest.is_empty() => {}
+            (Ok(rest), Outgoing::Probe(_)) if rest.is_empty() => {}
             (Ok(rest), _) => {
                 let (mailbox, messages) = unbounded();
-                let _ = mailbox.send(Late::Rest(message, rest));
-                pooled.slow = Some(mailbox);
-                let (host, own) = (self.own.clone(), line.clone());
+                let _ = mailbox.send(QueuedWrite::Remainder(message, rest));
+                pooled.slow_writer = Some(mailbox);
+                let (host, own) = (self.mailbox.clone(), connection.clone());
                 if spawn("slow", move || write_slowly(id, &own, &host, messages)).is_err() {
-                    line.end(Code::NoThread);
+                    connection.shut_down(CloseReason::NoThread);
                 }
             }
-            (Err(_), _) => line.end(Code::WriteFailed),
+            (Err(_), _) => connection.shut_down(CloseReason::WriteFailed),
         }
     }
 
-    /// The host is told that no answer to this is wanted any more.
-    fn given_up(&mut self, line: LineId, id: HandOffId, at: Time) {
-        if let Some(pooled) = self.lines.get_mut(&line) {
-            pooled.untold.retain(|untold| *untold != id);
-            let _ = self.common.router.send(Input::HandOff(id, FromHost::GivenUp { at }));
+    /// A hand-off's cancel was written.
+    fn cancel_sent(&mut self, connection: ConnectionId, id: HandOffId, at: Time) {
+        if let Some(pooled) = self.pool.get_mut(&connection) {
+            pooled.unsent_cancels.retain(|cancelled| *cancelled != id);
+            let _ = self.shared.router.send(Input::HandOff(id, FromHost::CancelSent { at }));
         }
     }
 
-    /// Its turn came too late, unless it was called off before: it never ran.
-    fn unsent(&mut self, line: LineId, id: HandOffId) {
-        let Some(pooled) = self.lines.get_mut(&line) else { return };
-        let mut off = pooled.out.extract_if(.., |_, out| out.id == id && out.way.call_off());
-        if off.next().is_some() {
-            drop(off);
-            self.ended(id, Outcome::Moot, None, clock::now());
+    /// A hand-off was not sent, as it could not be started when its turn came.
+    fn not_started(&mut self, connection: ConnectionId, id: HandOffId) {
+        let Some(pooled) = self.pool.get_mut(&connection) else { return };
+        let mut revoked = pooled.in_flight.extract_if(.., |_, out| out.id == id && out.send_state.revoke());
+        if revoked.next().is_some() {
+            drop(revoked);
+            self.report_end(id, Outcome::Moot, None, clock::now());
         }
     }
 
-    fn open(&mut self) -> Option<LineId> {
-        let standing = self.lines.values().filter(|pooled| pooled.stands()).count();
-        if self.retired || standing >= self.common.room.share() {
+    fn open_connection(&mut self) -> Option<ConnectionId> {
+        let usable = self.pool.values().filter(|pooled| pooled.is_usable()).count();
+        if self.is_removed || usable >= self.shared.capacity.connections_per_host() {
             return None;
         }
-        let place = self.common.room.place()?;
-        let line = LineId(self.next);
-        self.next += 1;
-        self.common.wires.open(self.address, &self.own, line);
-        let pooled = Pooled {
-            line: None,
-            up: None,
-            slow: None,
-            sent: 0,
-            pending: VecDeque::new(),
-            out: BTreeMap::new(),
-            given_up: BTreeMap::new(),
+        let reservation = self.shared.capacity.reserve_connection()?;
+        let id = ConnectionId(self.next_id);
+        self.next_id += 1;
+        self.shared.connections.open(self.address, &self.mailbox, id);
+        let pooled = PooledConnection {
+            connection: None,
+            up_since: None,
+            slow_writer: None,
+            hand_off_count: 0,
+            waiting: VecDeque::new(),
+            in_flight: BTreeMap::new(),
+            cancelled: BTreeMap::new(),
             answered: BTreeMap::new(),
-            untold: Vec::new(),
-            used: clock::now(),
-            worn: None,
-            ending: false,
-            _place: Some(place),
+            unsent_cancels: Vec::new(),
+            last_used: clock::now(),
+            retire_reason: None,
+            is_closing: false,
+            _reservation: Some(reservation),
         };
-        self.lines.insert(line, pooled);
-        Some(line)
+        self.pool.insert(id, pooled);
+        Some(id)
     }
 
-    fn never_mind(&mut self, id: HandOffId) {
+    fn cancel(&mut self, id: HandOffId) {
         let now = clock::now();
-        let found = self.lines.iter_mut().find_map(|(line, pooled)| {
-            let txn = *pooled.out.iter().find(|(_, out)| out.id == id)?.0;
-            Some((*line, pooled.out.remove(&txn)?, txn, pooled))
+        let found = self.pool.iter_mut().find_map(|(connection, pooled)| {
+            let txn = *pooled.in_flight.iter().find(|(_, out)| out.id == id)?.0;
+            Some((*connection, pooled.in_flight.remove(&txn)?, txn, pooled))
         });
-        let Some((line, out, txn, pooled)) = found else { return };
-        pooled.used = now;
-        pooled.pending.retain(|hand_off| hand_off.id != id);
-        if out.way.is_off() {
+        let Some((connection, out, txn, pooled)) = found else { return };
+        pooled.last_used = now;
+        pooled.waiting.retain(|hand_off| hand_off.id != id);
+        if out.send_state.is_revoked() {
             return;
         }
-        pooled.untold.push(id);
-        pooled.given_up.insert(txn, out.until.max(now));
-        // Guards against a connection on which nothing comes any more: what is on it won't be answered, and it
-        // would look the least busy.
-        let mute = |line: &Arc<Line>| out.way.written_at().is_some_and(|at| line.heard() < at);
-        if now >= out.until && pooled.line.as_ref().is_some_and(mute) {
-            pooled.worn = Some(Code::Mute);
+        pooled.unsent_cancels.push(id);
+        pooled.cancelled.insert(txn, out.deadline.max(now));
+        // A silent connection would look the least loaded; it must not get new hand-offs.
+        let is_silent = |connection: &Arc<Connection>| {
+            out.send_state.written_at().is_some_and(|at| connection.last_read_at() < at)
+        };
+        if now >= out.deadline && pooled.connection.as_ref().is_some_and(is_silent) {
+            pooled.retire_reason = Some(CloseReason::Silent);
         }
-        self.say(line, ToLine::NeverMind(id, resp::never_mind(&out.wire)));
+        self.write(connection, Outgoing::Cancel(id, resp::cancel_request(&out.txn)));
     }
 
-    fn answered(&mut self, line: LineId, answer: Answer, held: Held, at: Time) {
-        let Some(pooled) = self.lines.get_mut(&line) else { return };
-        pooled.used = at;
-        if let Some(number) = self.probe.take_if(|number| resp::tag(*number).as_bytes() == &answer.id[..]) {
-            let _ = self.common.router.send(Input::Probed(number, answer.report));
+    fn handle_answer(
+        &mut self,
+        connection: ConnectionId,
+        answer: Answer,
+        reservation: Reservation,
+        at: Time,
+    ) {
+        let Some(pooled) = self.pool.get_mut(&connection) else { return };
+        pooled.last_used = at;
+        if let Some(number) =
+            self.probe.take_if(|number| resp::probe_tag(*number).as_bytes() == &answer.id[..])
+        {
+            let _ = self.shared.router.send(Input::ProbeEnded(number, answer.report));
             return;
         }
-        let txn = Txn::of(&answer.id);
-        // Guards against a second copy of the miss before, which would be taken for this one's end while it runs: who
-        // is told where to fill from has no miss of its own to tell.
-        let copied = |out: &Out| out.again && out.fills && answer.outcome == Outcome::Miss;
-        let named = pooled.out.get(&txn).is_some_and(|out| out.wire == answer.id && !copied(out));
-        let Some(out) = named.then(|| pooled.out.remove(&txn)).flatten() else {
-            // An answer to what was given up, or to nothing: dropped by its id.
-            pooled.given_up.remove(&txn);
+        let txn = Txn::parse(&answer.id);
+        // A miss on a repeated hand-off that fills is a duplicate of the earlier miss: a host with a source
+        // to fill from doesn't answer with one.
+        let is_duplicate =
+            |out: &PendingHandOff| out.is_repeat && out.fills_miss && answer.outcome == Outcome::Miss;
+        let is_expected =
+            pooled.in_flight.get(&txn).is_some_and(|out| out.txn == answer.id && !is_duplicate(out));
+        let Some(out) = is_expected.then(|| pooled.in_flight.remove(&txn)).flatten() else {
+            // An answer to a cancelled or unknown hand-off is dropped.
+            pooled.cancelled.remove(&txn);
             return;
         };
         if answer.outcome != Outcome::Settled {
-            pooled.answered.insert(txn, (out.until, answer.outcome == Outcome::Miss));
+            pooled.answered.insert(txn, (out.deadline, answer.outcome == Outcome::Miss));
         }
-        // A copy that the client holds can only be the one where the answer names the one that the client told of.
-        // Guards also against bytes of which it is not told what they are: neither reaches a client, nor does what
-        // comes behind them.
-        let settled = answer.outcome == Outcome::Settled;
-        let other = answer.keep && (out.seen.is_none() || out.seen != answer.tag);
-        if other || settled && out.copy && answer.tag.is_none() {
-            pooled.end(Code::Spoilt);
-            self.ended(out.id, Outcome::Error, None, at);
+        // An answer may confirm the client's copy only by naming the tag that the client sent, and a copy
+        // must name its tag. Other answers reach no client, nor does anything after them on this connection.
+        let is_settled = answer.outcome == Outcome::Settled;
+        let is_other_copy =
+            answer.client_copy_current && (out.client_tag.is_none() || out.client_tag != answer.tag);
+        if is_other_copy || is_settled && out.expects_copy && answer.tag.is_none() {
+            pooled.close(CloseReason::UnusableAnswer);
+            self.report_end(out.id, Outcome::Error, None, at);
         } else {
-            self.ended(out.id, answer.outcome, Some((answer, held)), at);
+            self.report_end(out.id, answer.outcome, Some((answer, reservation)), at);
         }
     }
 
-    /// Closes what was idle for most of the time after which the host would close it.
+    /// Closes stalled connections, and idle ones before the host closes them.
     fn sweep(&mut self, now: Time) {
-        let idle = self.common.reach.idle.times(0.8);
-        for pooled in self.lines.values_mut() {
-            pooled.given_up.retain(|_, until| now < *until + LATE);
+        let idle = self.shared.reach.idle.times(0.8);
+        for pooled in self.pool.values_mut() {
+            pooled.cancelled.retain(|_, until| now < *until + LATE_ANSWER_MARGIN);
             pooled.answered.retain(|_, (until, _)| now < *until);
-            let Some(line) = pooled.line.as_ref().filter(|_| !pooled.ending) else { continue };
-            // Guards against an answer that stops short or drips: nothing behind it can come through.
-            if line.half_for(now).is_some_and(|span| span > self.common.reach.connect_limit) {
-                pooled.end(Code::HalfMessage);
-            } else if pooled.out.is_empty() && now - pooled.used > idle {
-                pooled.end(Code::Idle);
+            let Some(connection) = pooled.connection.as_ref().filter(|_| !pooled.is_closing) else {
+                continue;
+            };
+            // An incomplete answer that stalls or trickles blocks all answers after it.
+            if connection.partial_for(now).is_some_and(|span| span > self.shared.reach.connect_limit) {
+                pooled.close(CloseReason::MessageTimeout);
+            } else if pooled.in_flight.is_empty() && now - pooled.last_used > idle {
+                pooled.close(CloseReason::Idle);
             }
         }
     }
 }
 
-/// Writes the rest of a message and all that come after it, as fast as the host takes them.
-fn write_slowly(id: LineId, line: &Line, host: &Mailbox, messages: Receiver<Late>) {
-    while let Some(late) = mailbox::next(&messages) {
-        let (message, written) = match late {
-            Late::Rest(message, rest) => (message, line.write(&[&rest], 0)),
-            Late::Whole(message) => {
-                if let Some(stale) = message.stale(clock::now()) {
-                    let _ = host.send(ToHost::Unsent(id, stale));
+/// Writes queued messages as fast as the host reads them.
+fn write_slowly(
+    id: ConnectionId,
+    connection: &Connection,
+    host: &HostMailbox,
+    messages: Receiver<QueuedWrite>,
+) {
+    while let Some(queued) = mailbox::recv(&messages) {
+        let (message, written) = match queued {
+            QueuedWrite::Remainder(message, rest) => (message, connection.write(&[&rest], 0)),
+            QueuedWrite::Whole(message) => {
+                if let Some(hand_off) = message.start(clock::now()) {
+                    let _ = host.send(ToHost::NotStarted(id, hand_off));
                     continue;
                 }
-                let written = message.with_parts(|parts| line.write(parts, 0));
+                let written = message.with_parts(|parts| connection.write(parts, 0));
                 (message, written)
             }
         };
         if written.is_err() {
-            line.end(Code::WriteFailed);
+            connection.shut_down(CloseReason::WriteFailed);
             return;
         }
         match message {
-            ToLine::HandOff(hand_off) => hand_off.way.written(),
-            ToLine::Probe(_) => {}
-            ToLine::NeverMind(hand_off, _) => {
-                let _ = host.send(ToHost::GivenUp(id, hand_off, clock::now()));
+            Outgoing::HandOff(hand_off) => hand_off.send_state.mark_written(),
+            Outgoing::Probe(_) => {}
+            Outgoing::Cancel(hand_off, _) => {
+                let _ = host.send(ToHost::CancelSent(id, hand_off, clock::now()));
             }
         }
     }
--- a/crates/dispatcher/src/inbox.rs
+++ b/crates/dispatcher/src/inbox.rs
@@ -1,11 +1,11 @@
-//! The router's mailbox: what clients, hosts, the change log, signals, the store and the fleet tell it. It lies below all of
-//! them and knows none, so that none of them knows the router.
-use crate::bounds::Held;
-use crate::ids::{ClientId, HandOffId, HostNo, ProbeNo};
-use crate::line::Line;
-use crate::msgpack::Asked;
+//! Messages to the router from clients, hosts, the change log, signals, the store and the fleet. Their
+//! senders depend on this module rather than on the router.
+use crate::cancellation::CancelToken;
+use crate::capacity::Reservation;
+use crate::connection::Connection;
+use crate::ids::{ClientId, HandOffId, HostActorId, ProbeId};
+use crate::msgpack::VisitRequest;
 use crate::resp::Answer;
-use crate::wanted::Wanted;
 use cherrypass::calls::{Listing, Outcome, Report};
 use cherrypass::time::{Time, UnixTime};
 use cherrypass_keep::purges::Purge;
@@ -14,72 +14,77 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// A message to the router.
 pub enum Input {
     Client(ClientId, FromClient),
     HandOff(HandOffId, FromHost),
-    Probed(ProbeNo, Report),
+    /// A host reported its load.
+    ProbeEnded(ProbeId, Report),
     Changed(Change),
-    /// All that the change log had at that time is known here.
+    /// All changes that the change log had at this time have been sent.
     LogKnown(Time),
-    /// A host reset its connections or refused one.
-    Cut(HostNo),
-    /// What the store made of a hand-off's record.
+    /// A host reset its connections or refused one, so that its process may be new.
+    HostReset(HostActorId),
+    /// The store accepted or rejected the record of a hand-off.
     Recorded(HandOffId, Taken),
     Fleet(FromFleet),
     Stop,
 }
 
-/// What clients tell the router; a visit with the time of its last byte.
+/// A message of a client connection.
 pub enum FromClient {
     Opened {
-        line: Arc<Line>,
+        connection: Arc<Connection>,
     },
     Visit {
         id: u32,
-        asked: Box<Asked>,
-        at: Time,
-        busy: Held,
-        wanted: Wanted,
+        request: Box<VisitRequest>,
+        /// When the last byte of the request was read.
+        received_at: Time,
+        /// Marks the connection as in use until the visit is answered.
+        in_use: Reservation,
+        cancel: CancelToken,
     },
-    Bad {
+    Malformed {
         id: u32,
         field: &'static str,
     },
     Status {
         id: u32,
     },
-    Withdrawn {
+    Withdraw {
         ids: Vec<u32>,
     },
-    /// The connection is about to be ended: what is open on it gets its final answer now.
-    Ending,
+    /// The connection is about to be closed: its open visits must be answered now.
+    Closing,
     Closed,
 }
 
-/// What hosts tell the router of a hand-off.
+/// A message of a host about a hand-off.
 pub enum FromHost {
-    /// The host was told that no answer is wanted any more, or its connection has ended.
-    GivenUp {
+    /// The host was sent a cancel, or its connection has closed.
+    CancelSent {
         at: Time,
     },
     Ended {
         outcome: Outcome,
-        answer: Option<(Answer, Held)>,
+        answer: Option<(Answer, Reservation)>,
         at: Time,
     },
 }
 
-/// A host of the list, with the address at which this dispatcher reaches it.
+/// A listed host with the address at which this dispatcher reaches it.
 #[derive(Clone, Debug)]
 pub struct Listed {
-    /// Its `since` follows from `started` as the entry is taken into the list.
+    /// Its `since` is derived from `started` when the entry is applied to the list.
     pub listing: Listing,
-    /// When its process started, as the change log tells it; none where that was long ago.
+    /// The host's start time in the change log's clock; none if that was long ago.
     pub started: Option<UnixTime>,
     pub name: String,
     pub address: Option<SocketAddr>,
 }
 
+/// A change told by the change log.
 #[derive(Clone, Debug)]
 pub enum Change {
     List { whole: bool, hosts: Vec<Listed> },
--- a/crates/dispatcher/src/logger.rs
+++ b/crates/dispatcher/src/logger.rs
@@ -1,6 +1,6 @@
-//! Log lines go to standard error by a thread of their own, so that a log that is not read holds up nothing; what
-//! doesn't fit in between is dropped and counted. As text a line holds its message alone, which names codes and
-//! ids; as JSON these are fields besides.
+//! Logging to standard error through a background thread, so that a blocked reader never blocks the
+//! dispatcher; lines that don't fit the queue are dropped and counted. The text format writes only the
+//! message; JSON adds codes and ids as fields.
 use crate::clock;
 use clap::ValueEnum;
 use std::fmt;
@@ -15,33 +15,33 @@
 use tracing_subscriber::fmt::{FmtContext, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How many lines may wait for whoever reads the log: a list of 1,024 hosts, a line each, and what comes meanwhile.
-const WAITING: usize = 4_096;
+/// Room for a line per host of a full list of 1,024 hosts and more.
+const MAX_QUEUED_LINES: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Seconds of Unix time, level, message
+    /// Unix time in seconds, level, message
     #[default]
     Text,
-    /// One object a line, with codes and ids as fields
+    /// One JSON object per line, with codes and ids as fields
     Json,
 }
 
-/// Unix time in seconds, to the microsecond.
-struct WallClock;
+/// Formats the wall clock time as Unix seconds with microseconds.
+struct UnixSeconds;
 
-impl FormatTime for WallClock {
+impl FormatTime for UnixSeconds {
     fn format_time(&self, to: &mut Writer) -> fmt::Result {
         let now = clock::wall().0;
         write!(to, "{}.{:06}", now / 1_000_000, now % 1_000_000)
     }
 }
 
-struct Text;
+struct TextFormat;
 
-struct Message<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
+struct MessageVisitor<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
 
-impl Visit for Message<'_, '_> {
+impl Visit for MessageVisitor<'_, '_> {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
             self.1 = write!(self.0, "{value:?}");
@@ -49,65 +49,69 @@
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Text
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<S, N>, mut to: Writer, event: &Event) -> fmt::Result {
-        WallClock.format_time(&mut to)?;
+        UnixSeconds.format_time(&mut to)?;
         write!(to, " {} ", event.metadata().level().as_str().to_ascii_lowercase())?;
-        let mut message = Message(&mut to, Ok(()));
+        let mut message = MessageVisitor(&mut to, Ok(()));
         event.record(&mut message);
         message.1?;
         writeln!(to)
     }
 }
 
-/// Writes lines, and after one how many were dropped before it.
-struct Counted<W> {
-    to: W,
+/// Writes lines, and reports after a line how many were dropped before it.
+struct DropReporter<W> {
+    writer: W,
     dropped: Arc<OnceLock<ErrorCounter>>,
-    told: usize,
+    reported: usize,
 }
 
-impl<W: Write> Write for Counted<W> {
+impl<W: Write> Write for DropReporter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.to.write_all(bytes)?;
+        self.writer.write_all(bytes)?;
         let dropped = self.dropped.get().map_or(0, ErrorCounter::dropped_lines);
-        if dropped > self.told {
-            writeln!(self.to, "log lines dropped: {}", dropped - self.told)?;
-            self.told = dropped;
+        if dropped > self.reported {
+            writeln!(self.writer, "log lines dropped: {}", dropped - self.reported)?;
+            self.reported = dropped;
         }
         Ok(bytes.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.to.flush()
+        self.writer.flush()
     }
 }
 
-/// A log that goes to some place; what waits is written before the guard's end.
-pub fn to(place: impl Write + Send + 'static, level: LevelFilter, format: Format) -> (Dispatch, WorkerGuard) {
+/// Creates a log that writes to `place`. Dropping the guard flushes queued lines.
+pub fn log_to(
+    place: impl Write + Send + 'static,
+    level: LevelFilter,
+    format: Format,
+) -> (Dispatch, WorkerGuard) {
     let dropped = Arc::new(OnceLock::new());
-    let counted = Counted { to: place, dropped: dropped.clone(), told: 0 };
-    let builder = NonBlockingBuilder::default().buffered_lines_limit(WAITING).lossy(true);
+    let counted = DropReporter { writer: place, dropped: dropped.clone(), reported: 0 };
+    let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_QUEUED_LINES).lossy(true);
     let (writer, guard) = builder.thread_name("log").finish(counted);
     let _ = dropped.set(writer.error_counter());
     let base = tracing_subscriber::fmt().with_max_level(level).with_writer(writer).with_ansi(false);
     let dispatch = match format {
-        Format::Text => Dispatch::new(base.event_format(Text).finish()),
+        Format::Text => Dispatch::new(base.event_format(TextFormat).finish()),
         Format::Json => {
-            let json = base.json().flatten_event(true).with_timer(WallClock).with_target(false);
+            let json = base.json().flatten_event(true).with_timer(UnixSeconds).with_target(false);
             Dispatch::new(json.with_current_span(false).with_span_list(false).finish())
         }
     };
     (dispatch, guard)
 }
 
-/// Starts the process's log on standard error; a second start in one process leaves the first in place.
+/// Installs the process's log on standard error; a second call leaves the first log in place.
 pub fn start(level: LevelFilter, format: Format) -> WorkerGuard {
-    let (dispatch, guard) = to(io::stderr(), level, format);
+    let (dispatch, guard) = log_to(io::stderr(), level, format);
     let _ = tracing::dispatcher::set_global_default(dispatch);
     guard
 }
@@ -119,10 +123,10 @@
     use std::time::{Duration, Instant};
     use test_case::test_case;
 
-    /// Takes nothing until it is let go on.
-    struct Stuck(Option<Receiver<()>>, Sender<String>);
+    /// Blocks the first write until released.
+    struct BlockedWriter(Option<Receiver<()>>, Sender<String>);
 
-    impl Write for Stuck {
+    impl Write for BlockedWriter {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             if let Some(wait) = self.0.take() {
                 let _ = wait.recv();
@@ -137,34 +141,37 @@
     }
 
     fn lines(format: Format, then: impl FnOnce()) -> Vec<String> {
-        let ((go, wait), (tell, told)) = (channel(), channel());
-        let (dispatch, guard) = to(Stuck(Some(wait), tell), LevelFilter::INFO, format);
+        let ((release, wait), (sender, written)) = (channel(), channel());
+        let (dispatch, guard) = log_to(BlockedWriter(Some(wait), sender), LevelFilter::INFO, format);
         tracing::dispatcher::with_default(&dispatch, then);
-        drop(go);
+        drop(release);
         drop((dispatch, guard));
-        told.iter().collect::<String>().lines().map(str::to_owned).collect()
+        written.iter().collect::<String>().lines().map(str::to_owned).collect()
     }
 
     #[test]
-    fn a_log_that_is_not_read_holds_up_nothing_and_counts_what_it_dropped() {
-        let begun = Instant::now();
+    fn a_blocked_log_never_blocks_the_caller_and_counts_dropped_lines() {
+        let start = Instant::now();
         let found = lines(Format::Text, || {
-            (0..3 * WAITING).for_each(|number| tracing::info!("line {number}"));
-            assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+            (0..3 * MAX_QUEUED_LINES).for_each(|number| tracing::info!("line {number}"));
+            assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
         });
         let counts = found.iter().filter_map(|line| line.strip_prefix("log lines dropped: "));
         let dropped: usize = counts.map(|count| count.parse::<usize>().unwrap()).sum();
         let written = found.iter().filter(|line| line.contains(" info line ")).count();
-        assert!(dropped > WAITING && written >= WAITING, "{dropped} dropped, {written} written");
-        assert_eq!(dropped + written, 3 * WAITING);
+        assert!(
+            dropped > MAX_QUEUED_LINES && written >= MAX_QUEUED_LINES,
+            "{dropped} dropped, {written} written"
+        );
+        assert_eq!(dropped + written, 3 * MAX_QUEUED_LINES);
     }
 
     #[test_case(Format::Text, " info host s-a closed"; "text")]
     #[test_case(Format::Json, r#""host":"s-a","line":3,"code":"mute""#; "json")]
-    fn codes_and_ids(format: Format, words: &str) {
+    fn codes_and_ids_are_fields_in_json_only(format: Format, words: &str) {
         let found = lines(format, || {
             tracing::info!(host = "s-a", line = 3, code = "mute", "host s-a closed");
-            tracing::debug!("nobody asked for this");
+            tracing::debug!("below the level");
         });
         assert!(found.len() == 1 && found[0].contains(words), "{found:?}");
         assert_eq!(found[0].contains("code"), format == Format::Json);
--- /dev/null
+++ b/crates/dispatcher/src/startup.rs
@@ -0,0 +1,92 @@
+//! Starts the threads of one dispatcher.
+use crate::changes::{self, Following};
+use crate::clients::{self, RouterSenders, Shutdown};
+use crate::config::Config;
+use crate::connection::spawn;
+use crate::keeping::{Keeper, Kept};
+use crate::router::Router;
+use crate::sharing::Sharing;
+use crate::signals::SignalTargets;
+use cherrypass::time::Span;
+use cherrypass_operator::Fleet;
+use cherrypass_peers::{self as peers, ChangeNumber};
+use crossbeam_channel::{bounded, unbounded};
+use std::io;
+use std::net::TcpListener;
+use std::sync::Arc;
+
+/// A dispatcher whose listener is bound; `run` serves until shutdown.
+pub struct Dispatcher {
+    router: Router,
+}
+
+/// Capacity of the router's queue of client messages. Messages of hosts, the change log and signals have a
+/// queue of their own, so that a flood of requests cannot delay answers and purges.
+const CLIENT_QUEUE_LEN: usize = 128;
+const MIN_WRITE_TIMEOUT: Span = Span::millis(1_000);
+
+impl Dispatcher {
+    /// Binds the listener and starts the threads. `fleet` holds the operators' section and the settings
+    /// derived from it.
+    pub fn start(
+        mut config: Config,
+        kept: Option<Kept>,
+        fleet: Option<(Fleet, peers::Set)>,
+    ) -> io::Result<(Dispatcher, SignalTargets)> {
+        let listener = TcpListener::bind(config.listen)?;
+        let (router_sender, mailbox) = unbounded();
+        let (client_sender, client_receiver) = bounded(CLIENT_QUEUE_LEN);
+        let (changelog, new_addresses) = unbounded();
+        let mut last = 0;
+        let events = config.known.take();
+        let (known, fault) = changes::decode(&events, &config.names, &mut last, None);
+        if let Some(fault) = fault.filter(|_| !events.is_null()) {
+            tracing::warn!("known changes: {fault}; applied up to change {last}");
+        }
+        tracing::info!("start: {} on {}, change {last}", config.name, listener.local_addr()?);
+        let shutdown = Arc::new(Shutdown::default());
+        let mut router =
+            Router::new(config.clone(), router_sender.clone(), [mailbox, client_receiver], shutdown.clone())?;
+        let store = kept.as_ref().and_then(Kept::store);
+        if let Some(kept) = kept {
+            router.set_keeper(Keeper::start(kept, &config.settings, router_sender.clone()));
+        }
+        let mut delivery = None;
+        if let Some((fleet, mut set)) = fleet {
+            set.delivery.iter_mut().for_each(|set| set.last = ChangeNumber(last));
+            let sharing = Sharing::start(&fleet, set, &config.settings, store, router_sender.clone());
+            let mut sharing = sharing.map_err(io::Error::other)?;
+            delivery = sharing.delivery();
+            router.set_sharing(sharing);
+        }
+        router.apply_known_changes(known);
+        let changes_sender = router_sender.clone();
+        let router_senders = RouterSenders { requests: client_sender, closed: router_sender.clone() };
+        let write_timeout = config.longest().max(MIN_WRITE_TIMEOUT);
+        spawn("listener", move || {
+            if let Err(error) =
+                clients::listen(listener, config.clients, write_timeout, router_senders, shutdown)
+            {
+                tracing::error!("the client listener failed, no clients are served: {error}");
+            }
+        })?;
+        spawn("changes", move || {
+            changes::follow(Following {
+                at: config.changelog,
+                moved: new_addresses,
+                names: config.names,
+                last,
+                most: config.changes,
+                seed: config.seed,
+                router: changes_sender,
+                delivery,
+            });
+        })?;
+        Ok((Dispatcher { router }, SignalTargets { router: router_sender, changelog }))
+    }
+
+    /// Serves until shutdown.
+    pub fn run(mut self) {
+        self.router.run();
+    }
+}
