--- a/crates/dispatcher/src/keeping.rs
+++ b/crates/dispatcher/src/keeping.rs
@@ -104,7 +104,7 @@
     fn submit(&self, outlasts: Outlasts, records: Vec<Record>, then: impl FnOnce(bool) + Send + 'static) {
         let Some(store) = &self.store else { return then(false) };
         let batch =
-            records.into_iter().fold(Batch::new(), |batch, record| match (record.value, record.until) {
+            records.into_iter().fold(Batch::new(), |batch, record| match (record.value, record.expires_at) {
                 (Some(value), Some(until)) => batch.put_until(record.space, record.key, value, until),
                 (Some(value), None) => batch.put(record.space, record.key, value),
                 (None, _) => batch.delete(record.space, record.key),
@@ -126,9 +126,10 @@
     /// A configuration is in force from now on.
     pub fn in_force(&self, source: &Path, text: &[u8]) {
         let Some(values) = self.values(versions::SPACE) else { return };
-        let known = versions::known(values.iter().map(|(_, value)| &value[..]));
+        let known = versions::decode_all(values.iter().map(|(_, value)| &value[..]));
         let source = source.display().to_string();
-        let records = versions::in_force(&known, &source, text, clock::unix(), self.set.configurations);
+        let records =
+            versions::activation_records(&known, &source, text, clock::unix(), self.set.configurations);
         if !records.is_empty() {
             self.submit(Outlasts::Machine, records, |_| {});
         }
@@ -137,7 +138,7 @@
     /// The last configuration that was good.
     pub fn last_good(&self) -> Option<Version> {
         let values = self.values(versions::SPACE)?;
-        versions::known(values.iter().map(|(_, value)| &value[..])).pop()
+        versions::decode_all(values.iter().map(|(_, value)| &value[..])).pop()
     }
 }
 
@@ -170,7 +171,7 @@
 impl Keeper {
     /// What is known from before, and the purges that the module is to be told.
     pub fn start(kept: Kept, settings: &Settings, own: Sender<Input>) -> (Keeper, Replayed) {
-        let (now, memory) = (clock::unix(), settings.purge_memory().max(purges::KEPT_LEAST));
+        let (now, memory) = (clock::unix(), settings.purge_memory().max(purges::MIN_RETENTION));
         let known = kept.values(purges::SPACE);
         let purges = match &known {
             Some(values) => {
@@ -187,10 +188,10 @@
         let records = kept.values(visits::SPACE).unwrap_or_default();
         let records = records.iter().map(|(key, value)| (&key[..], &value[..]));
         let go_on = kept.set.without_record == operator::WithoutRecord::GoOn;
-        let visits = Visits::start(now, records, kept.set.remember_visits, go_on);
-        let may_have_run = visits.over().count();
+        let visits = Visits::restore(now, records, kept.set.remember_visits, go_on);
+        let may_have_run = visits.unresolved().count();
         tracing::info!("store: {} purges told anew, {may_have_run} visits may have run", purges.count());
-        for (name, told) in visits.over().filter(|(_, told)| told.memory.is_none()) {
+        for (name, told) in visits.unresolved().filter(|(_, told)| told.memory.is_none()) {
             let name = String::from_utf8_lossy(name);
             tracing::warn!(
                 "store: visit {name} of {} may have run at {}, sent {}",
@@ -226,14 +227,14 @@
     }
 
     pub fn closed(&mut self, id: VisitId, settled: bool) {
-        if let Some(record) = self.visits.closed(id, settled) {
+        if let Some(record) = self.visits.close(id, settled) {
             self.kept.submit(Outlasts::Process, vec![record], |_| {});
         }
     }
 
     pub fn sweep(&mut self) {
-        self.visits.forget(clock::unix());
-        let refused = self.visits.refused();
+        self.visits.remove_expired(clock::unix());
+        let refused = self.visits.take_refused_count();
         if refused > 0 {
             tracing::warn!("store: {refused} hand-offs had no record");
         }
--- a/crates/keep/src/lib.rs
+++ b/crates/keep/src/lib.rs
@@ -1,5 +1,5 @@
-//! What must last and what is made of it after a crash: which records are written before what, which are replayed,
-//! which are too old, and what happens while the store takes none. No input, no output, no clock.
+//! Durable state of a dispatcher: which records are written ahead of which actions, which are replayed after a restart,
+//! when they expire, and what happens while the store rejects writes. Performs no I/O and reads no clock.
 #![forbid(unsafe_code)]
 
 pub mod purges;
--- a/crates/keep/src/records.rs
+++ b/crates/keep/src/records.rs
@@ -1,21 +1,22 @@
-//! Records as they stand in the store: a space, a key, a value and an end. What can't be read is none.
+//! Store records: a space, a key, a value and an expiry time. Values that can't be decoded are treated as absent.
 use cherrypass::time::UnixTime;
 use serde::{de::DeserializeOwned, Serialize};
 
-/// One change to what is kept.
+/// A write to one key of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     pub space: &'static str,
     pub key: Vec<u8>,
-    /// None: it goes.
+    /// None deletes the key.
     pub value: Option<Vec<u8>>,
-    pub until: Option<UnixTime>,
+    /// None never expires.
+    pub expires_at: Option<UnixTime>,
 }
 
-pub(crate) fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
+pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-pub(crate) fn read<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/keep/src/visits.rs
+++ b/crates/keep/src/visits.rs
@@ -1,191 +1,211 @@
-//! Visits of bands that may not run twice: on record before a hand-off's first byte, gone once it is known that they
-//! ended well or never ran, and told to the module when the same visit comes again.
-use crate::records::{bytes, read, Record};
+//! Write-ahead records of visits that must not run twice. A record is written before the first byte of a hand-off and
+//! deleted once the visit was served or is known not to have run; a remaining record identifies repeats of the visit.
+use crate::records::{decode, encode, Record};
 use cherrypass::ids::{HostId, VisitId};
 use cherrypass::settings::Effect;
 use cherrypass::time::{Span, UnixTime};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// The store space that holds records of visits.
 pub const SPACE: &str = "visits";
 
-/// What names a visit beyond its connection: the key that all its tries share, or where there is none its own id.
-pub type Name = Vec<u8>;
+/// Identifies a visit across connections: the idempotency key that all its tries share, or else its own id.
+pub type VisitKey = Vec<u8>;
 
-/// One that may have run: when its first hand-off went out, and where to.
+/// A visit that may have run: when its first hand-off was sent, and to which host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MayHaveRun {
+    /// Name of the request class.
     pub band: String,
+    /// When the first hand-off was sent, in microseconds of Unix time.
     pub at: u64,
     pub host: u64,
-    /// The host's name, for whoever looks into it.
+    /// The host's name, for operators.
     pub host_name: String,
-    /// For how long a deduplicated visit's repeat is dropped; none for an at-most-once one.
+    /// How long, in microseconds, the hosts drop repeats of a deduplicated visit; None for an at-most-once visit.
     pub memory: Option<u64>,
 }
 
 impl MayHaveRun {
+    /// Time and host of the first hand-off.
     pub fn first(&self) -> (UnixTime, HostId) {
         (UnixTime(self.at), HostId(self.host))
     }
 }
 
-/// What is to happen before a hand-off goes out.
+/// What has to be done before a hand-off is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Before {
     /// Nothing.
     Go,
-    /// This is to be on disk.
+    /// This record has to be written.
     Record(Record),
 }
 
-/// How the store took a record.
+/// Whether the store accepted a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
     Kept,
-    /// It is full, stalled or broken.
+    /// The store is full, stalled or broken.
     Refused,
 }
 
 #[derive(Debug)]
-struct Open {
-    name: Name,
-    told: MayHaveRun,
-    kept: bool,
-    out: u32,
-    ran: bool,
+struct OpenVisit {
+    key: VisitKey,
+    first_hand_off: MayHaveRun,
+    is_recorded: bool,
+    /// Hand-offs that were sent and have not ended.
+    pending_hand_offs: u32,
+    /// Whether a hand-off that has ended may have run.
+    has_run: bool,
 }
 
-impl Open {
+impl OpenVisit {
     fn may_have_run(&self) -> bool {
-        self.ran || self.out > 0
+        self.has_run || self.pending_hand_offs > 0
     }
 }
 
-/// What is known of such visits: open ones, and those that may have run and are over.
+/// The visits that may have run: open ones, and closed ones whose record remains.
 #[derive(Debug, Default)]
 pub struct Visits {
-    open: BTreeMap<VisitId, Open>,
-    over: BTreeMap<Name, MayHaveRun>,
-    remember: Span,
-    go_on: bool,
-    refused: u64,
+    open: BTreeMap<VisitId, OpenVisit>,
+    unresolved: BTreeMap<VisitKey, MayHaveRun>,
+    retention: Span,
+    /// Whether hand-offs are sent while the store refuses their records.
+    sends_unrecorded: bool,
+    refused_count: u64,
 }
 
 impl Visits {
-    /// What the store told at the start; what is over is dropped. A time still to come counts as now.
-    pub fn start<'a>(
+    /// Restores the visits from the store's records; drops expired ones. A time in the future counts as now.
+    pub fn restore<'a>(
         now: UnixTime,
         records: impl Iterator<Item = (&'a [u8], &'a [u8])>,
-        remember: Span,
-        go_on: bool,
+        retention: Span,
+        sends_unrecorded: bool,
     ) -> Visits {
-        let known = records.filter_map(|(key, value)| Some((key.to_vec(), read::<MayHaveRun>(value)?)));
-        let known = known.map(|(name, told)| (name, MayHaveRun { at: told.at.min(now.0), ..told }));
-        let over = known.filter(|(_, told)| now < end(told, remember)).collect();
-        Visits { open: BTreeMap::new(), over, remember, go_on, refused: 0 }
+        let stored = records.filter_map(|(key, value)| Some((key.to_vec(), decode::<MayHaveRun>(value)?)));
+        let stored = stored.map(|(key, visit)| (key, MayHaveRun { at: visit.at.min(now.0), ..visit }));
+        let unresolved = stored.filter(|(_, visit)| now < expires_at(visit, retention)).collect();
+        Visits { open: BTreeMap::new(), unresolved, retention, sends_unrecorded, refused_count: 0 }
     }
 
-    /// Those that may have run and are over, at-most-once ones first: operators look into these.
-    pub fn over(&self) -> impl Iterator<Item = (&Name, &MayHaveRun)> {
+    /// The closed visits that may have run. At-most-once ones come first, since operators have to look into them.
+    pub fn unresolved(&self) -> impl Iterator<Item = (&VisitKey, &MayHaveRun)> {
         let (deduplicated, at_most_once): (Vec<_>, Vec<_>) =
-            self.over.iter().partition(|(_, told)| told.memory.is_some());
+            self.unresolved.iter().partition(|(_, visit)| visit.memory.is_some());
         at_most_once.into_iter().chain(deduplicated)
     }
 
-    /// What the module is to be told as a visit comes: an earlier try of it that may have run.
-    pub fn arrived(&self, now: UnixTime, name: &[u8]) -> Option<(UnixTime, HostId)> {
-        let told = self.over.get(name).filter(|told| now < end(told, self.remember));
-        told.or_else(|| self.beside(name).map(|open| &open.told)).map(MayHaveRun::first)
+    /// Time and host of the first hand-off of an earlier try of an arriving visit, if that may have run.
+    pub fn arrived(&self, now: UnixTime, key: &[u8]) -> Option<(UnixTime, HostId)> {
+        let visit = self.unresolved.get(key).filter(|visit| now < expires_at(visit, self.retention));
+        visit.or_else(|| self.concurrent_try(key).map(|open| &open.first_hand_off)).map(MayHaveRun::first)
     }
 
-    /// Another try of the same that is open and may have run.
-    fn beside(&self, name: &[u8]) -> Option<&Open> {
-        self.open.values().find(|open| open.name == name && open.may_have_run())
+    /// Another open try of the same visit that may have run.
+    fn concurrent_try(&self, key: &[u8]) -> Option<&OpenVisit> {
+        self.open.values().find(|open| open.key == key && open.may_have_run())
     }
 
-    /// A hand-off is about to go out. Only the first that may run needs a record: where that went, repeats are dropped.
-    pub fn hand_off(&mut self, id: VisitId, name: &[u8], effect: Effect, told: MayHaveRun) -> Before {
+    /// Registers a hand-off that is about to be sent. Only the first that may run needs a record: repeats are dropped at
+    /// the host that it names.
+    pub fn hand_off(&mut self, id: VisitId, key: &[u8], effect: Effect, sent: MayHaveRun) -> Before {
         let memory = match effect {
             Effect::Idempotent => return Before::Go,
             Effect::Deduplicated { memory, .. } => Some(memory.0),
             Effect::AtMostOnce => None,
         };
-        let told = MayHaveRun { memory, ..told };
+        let sent = MayHaveRun { memory, ..sent };
         if let Some(open) = self.open.get_mut(&id) {
-            // What went out before never ran: from here on it counts.
+            // No earlier hand-off ran, so this is the first that counts.
             if !open.may_have_run() {
-                (open.told, open.kept) = (told, false);
+                (open.first_hand_off, open.is_recorded) = (sent, false);
             }
-            open.out += 1;
-            if open.kept {
+            open.pending_hand_offs += 1;
+            if open.is_recorded {
                 return Before::Go;
             }
-            return Before::Record(record(&open.name, &open.told, self.remember));
+            return Before::Record(record(&open.key, &open.first_hand_off, self.retention));
         }
-        // An earlier try's hand-off is the first, and its record stands, also while that try is open.
-        let earlier = self.over.remove(name).map(|told| (told, true));
-        let earlier = earlier.or_else(|| self.beside(name).map(|open| (open.told.clone(), open.kept)));
-        let ran = earlier.is_some();
-        let (told, kept) = earlier.unwrap_or((told, false));
-        let before = if kept { Before::Go } else { Before::Record(record(name, &told, self.remember)) };
-        let open = Open { name: name.to_vec(), told, kept, out: 1, ran };
+        // The hand-off of an earlier try is the first, and its record stands, also while that try is open.
+        let earlier = self.unresolved.remove(key).map(|visit| (visit, true));
+        let earlier = earlier
+            .or_else(|| self.concurrent_try(key).map(|open| (open.first_hand_off.clone(), open.is_recorded)));
+        let has_run = earlier.is_some();
+        let (first_hand_off, is_recorded) = earlier.unwrap_or((sent, false));
+        let before = if is_recorded {
+            Before::Go
+        } else {
+            Before::Record(record(key, &first_hand_off, self.retention))
+        };
+        let open =
+            OpenVisit { key: key.to_vec(), first_hand_off, is_recorded, pending_hand_offs: 1, has_run };
         self.open.insert(id, open);
         before
     }
 
-    /// What the store made of a hand-off's record; whether the hand-off may go out.
+    /// Handles the store's result for a hand-off's record; returns whether the hand-off may be sent.
     pub fn taken(&mut self, id: VisitId, taken: Taken) -> bool {
         if taken == Taken::Refused {
-            self.refused += 1;
-            return self.go_on;
+            self.refused_count += 1;
+            return self.sends_unrecorded;
         }
         if let Some(open) = self.open.get_mut(&id) {
-            open.kept = true;
+            open.is_recorded = true;
         }
         true
     }
 
-    /// Hand-offs that were refused a record since this was asked last.
-    pub fn refused(&mut self) -> u64 {
-        std::mem::take(&mut self.refused)
+    /// Returns and resets the number of hand-offs whose records were refused.
+    pub fn take_refused_count(&mut self) -> u64 {
+        std::mem::take(&mut self.refused_count)
     }
 
+    /// A hand-off of the visit has ended.
     pub fn ended(&mut self, id: VisitId, never_ran: bool) {
         if let Some(open) = self.open.get_mut(&id) {
-            open.out = open.out.saturating_sub(1);
-            open.ran |= !never_ran;
+            open.pending_hand_offs = open.pending_hand_offs.saturating_sub(1);
+            open.has_run |= !never_ran;
         }
     }
 
-    /// A visit has its final answer or its client has left. Its record goes where it ended well or never ran; else it
-    /// stays for as long as a repeat could do harm.
-    pub fn closed(&mut self, id: VisitId, settled: bool) -> Option<Record> {
+    /// Closes a visit that has its final answer or whose client has left. Returns the deletion of its record if it was
+    /// served or never ran; otherwise the record remains until it expires.
+    pub fn close(&mut self, id: VisitId, was_served: bool) -> Option<Record> {
         let open = self.open.remove(&id)?;
-        // While another try is open the record is that one's.
-        if let Some(other) = self.open.values_mut().find(|other| other.name == open.name) {
-            other.ran |= open.may_have_run();
+        // While another try of the visit is open, the record belongs to that one.
+        if let Some(other) = self.open.values_mut().find(|other| other.key == open.key) {
+            other.has_run |= open.may_have_run();
             return None;
         }
-        if settled || !open.may_have_run() {
-            return Some(Record { space: SPACE, key: open.name, value: None, until: None });
+        if was_served || !open.may_have_run() {
+            return Some(Record { space: SPACE, key: open.key, value: None, expires_at: None });
         }
-        self.over.insert(open.name, open.told);
+        self.unresolved.insert(open.key, open.first_hand_off);
         None
     }
 
-    /// Drops what is over for good.
-    pub fn forget(&mut self, now: UnixTime) {
-        let remember = self.remember;
-        self.over.retain(|_, told| now < end(told, remember));
+    /// Drops closed visits whose records have expired.
+    pub fn remove_expired(&mut self, now: UnixTime) {
+        let retention = self.retention;
+        self.unresolved.retain(|_, visit| now < expires_at(visit, retention));
     }
 }
 
-/// Past its group's memory a repeat would run again, so the record has to outlast that.
-fn end(told: &MayHaveRun, remember: Span) -> UnixTime {
-    UnixTime(told.at) + remember.max(told.memory.map_or(Span::ZERO, Span))
+/// Hosts drop repeats only within the deduplication window, so the record has to last at least as long.
+fn expires_at(visit: &MayHaveRun, retention: Span) -> UnixTime {
+    UnixTime(visit.at) + retention.max(visit.memory.map_or(Span::ZERO, Span))
 }
 
-fn record(name: &[u8], told: &MayHaveRun, remember: Span) -> Record {
-    Record { space: SPACE, key: name.to_vec(), value: Some(bytes(told)), until: Some(end(told, remember)) }
+fn record(key: &[u8], visit: &MayHaveRun, retention: Span) -> Record {
+    Record {
+        space: SPACE,
+        key: key.to_vec(),
+        value: Some(encode(visit)),
+        expires_at: Some(expires_at(visit, retention)),
+    }
 }
--- a/crates/keep/tests/keep.rs
+++ b/crates/keep/tests/keep.rs
@@ -1,4 +1,4 @@
-//! What is written before what, what is replayed, and what is too old.
+//! Which records are written ahead of hand-offs, which are replayed at a start, and when they expire.
 use cherrypass::ids::{GroupId, HostId, ObjectId, VisitId};
 use cherrypass::settings::{Effect, Group};
 use cherrypass::time::{Span, UnixTime};
@@ -8,167 +8,173 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-const DAY: Span = Span::millis(86_400_000);
-const NAME: &[u8] = b"k1";
+const ONE_DAY: Span = Span::millis(86_400_000);
+const KEY: &[u8] = b"k1";
 
-fn keyed() -> Effect {
+fn deduplicated() -> Effect {
     Effect::Deduplicated { group: Group::Location, memory: Span::millis(4_000) }
 }
 
-fn told(at: u64) -> MayHaveRun {
+fn sent(at: u64) -> MayHaveRun {
     MayHaveRun { band: "paid".into(), at, host: 7, host_name: "s-a".into(), memory: None }
 }
 
-/// What the store would hold.
-type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
+/// The store's contents.
+type StoreContents = BTreeMap<Vec<u8>, Vec<u8>>;
 
-fn apply(disk: &mut Disk, record: cherrypass_keep::records::Record) {
+fn apply(contents: &mut StoreContents, record: cherrypass_keep::records::Record) {
     match record.value {
-        Some(value) => drop(disk.insert(record.key, value)),
-        None => drop(disk.remove(&record.key)),
+        Some(value) => drop(contents.insert(record.key, value)),
+        None => drop(contents.remove(&record.key)),
     }
 }
 
-fn start(now: UnixTime, disk: &Disk) -> Visits {
-    Visits::start(now, disk.iter().map(|(key, value)| (&key[..], &value[..])), DAY, false)
+fn restore(now: UnixTime, contents: &StoreContents) -> Visits {
+    Visits::restore(now, contents.iter().map(|(key, value)| (&key[..], &value[..])), ONE_DAY, false)
 }
 
-fn hand_off(visits: &mut Visits, disk: &mut Disk, id: u32, at: u64) -> bool {
-    match visits.hand_off(VisitId(id), NAME, keyed(), told(at)) {
+fn hand_off(visits: &mut Visits, contents: &mut StoreContents, id: u32, at: u64) -> bool {
+    match visits.hand_off(VisitId(id), KEY, deduplicated(), sent(at)) {
         Before::Go => false,
         Before::Record(record) => {
-            apply(disk, record);
+            apply(contents, record);
             visits.taken(VisitId(id), Taken::Kept)
         }
     }
 }
 
 #[test]
-fn a_record_before_the_first_hand_off_and_none_before_the_next() {
-    let (mut visits, mut disk) = (start(UnixTime(0), &Disk::new()), Disk::new());
-    assert_eq!(visits.hand_off(VisitId(9), b"x", Effect::Idempotent, told(1)), Before::Go);
-    assert!(hand_off(&mut visits, &mut disk, 1, 10) && disk.len() == 1);
+fn only_the_first_hand_off_writes_a_record() {
+    let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
+    assert_eq!(visits.hand_off(VisitId(9), b"x", Effect::Idempotent, sent(1)), Before::Go);
+    assert!(hand_off(&mut visits, &mut contents, 1, 10) && contents.len() == 1);
     visits.ended(VisitId(1), false);
-    assert!(!hand_off(&mut visits, &mut disk, 1, 20));
+    assert!(!hand_off(&mut visits, &mut contents, 1, 20));
     visits.ended(VisitId(1), false);
-    apply(&mut disk, visits.closed(VisitId(1), true).unwrap());
-    assert!(disk.is_empty() && visits.over().count() == 0);
+    apply(&mut contents, visits.close(VisitId(1), true).unwrap());
+    assert!(contents.is_empty() && visits.unresolved().count() == 0);
 }
 
-#[test_case(true, false, true; "settled")]
+#[test_case(true, false, true; "served")]
 #[test_case(false, true, true; "never ran")]
 #[test_case(false, false, false; "may have run")]
-fn a_record_goes_only_where_no_repeat_can_do_harm(settled: bool, never_ran: bool, goes: bool) {
-    let (mut visits, mut disk) = (start(UnixTime(0), &Disk::new()), Disk::new());
-    hand_off(&mut visits, &mut disk, 1, 10);
+fn the_record_is_deleted_only_if_a_repeat_can_do_no_harm(
+    was_served: bool,
+    never_ran: bool,
+    is_deleted: bool,
+) {
+    let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
+    hand_off(&mut visits, &mut contents, 1, 10);
     visits.ended(VisitId(1), never_ran);
-    assert_eq!(visits.closed(VisitId(1), settled).is_some(), goes);
-    assert_eq!(visits.arrived(UnixTime(11), NAME).is_none(), goes);
+    assert_eq!(visits.close(VisitId(1), was_served).is_some(), is_deleted);
+    assert_eq!(visits.arrived(UnixTime(11), KEY).is_none(), is_deleted);
 }
 
 #[test]
-fn one_whose_client_left_while_it_was_out_may_have_run() {
-    let (mut visits, mut disk) = (start(UnixTime(0), &Disk::new()), Disk::new());
-    hand_off(&mut visits, &mut disk, 1, 10);
-    assert_eq!(visits.closed(VisitId(1), false), None);
-    assert_eq!(visits.arrived(UnixTime(11), NAME), Some((UnixTime(10), HostId(7))));
+fn a_visit_whose_client_left_during_a_hand_off_may_have_run() {
+    let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
+    hand_off(&mut visits, &mut contents, 1, 10);
+    assert_eq!(visits.close(VisitId(1), false), None);
+    assert_eq!(visits.arrived(UnixTime(11), KEY), Some((UnixTime(10), HostId(7))));
 }
 
 #[test]
-fn a_retry_beside_the_first_try_counts_from_the_first_and_keeps_its_record() {
-    let (mut visits, mut disk) = (start(UnixTime(0), &Disk::new()), Disk::new());
-    assert!(hand_off(&mut visits, &mut disk, 1, 10));
-    assert!(!hand_off(&mut visits, &mut disk, 2, 50), "a later time written over the first one's");
-    assert_eq!(visits.arrived(UnixTime(60), NAME), Some((UnixTime(10), HostId(7))));
-    // The first settles while the second is out: a crash now must still tell of it.
+fn a_concurrent_retry_keeps_the_first_trys_record() {
+    let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
+    assert!(hand_off(&mut visits, &mut contents, 1, 10));
+    assert!(
+        !hand_off(&mut visits, &mut contents, 2, 50),
+        "the first try's record was overwritten with a later time"
+    );
+    assert_eq!(visits.arrived(UnixTime(60), KEY), Some((UnixTime(10), HostId(7))));
+    // The first is served while the second is pending: the record must survive a crash at this point.
     visits.ended(VisitId(1), false);
-    assert_eq!(visits.closed(VisitId(1), true), None);
-    assert_eq!(start(UnixTime(70), &disk).arrived(UnixTime(70), NAME), Some((UnixTime(10), HostId(7))));
+    assert_eq!(visits.close(VisitId(1), true), None);
+    assert_eq!(restore(UnixTime(70), &contents).arrived(UnixTime(70), KEY), Some((UnixTime(10), HostId(7))));
     visits.ended(VisitId(2), false);
-    apply(&mut disk, visits.closed(VisitId(2), true).unwrap());
-    assert!(disk.is_empty());
+    apply(&mut contents, visits.close(VisitId(2), true).unwrap());
+    assert!(contents.is_empty());
 }
 
 #[test]
-fn a_record_is_of_the_first_that_may_have_run() {
-    let (mut visits, mut disk) = (start(UnixTime(0), &Disk::new()), Disk::new());
-    assert!(hand_off(&mut visits, &mut disk, 1, 10));
+fn the_record_names_the_first_hand_off_that_may_have_run() {
+    let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
+    assert!(hand_off(&mut visits, &mut contents, 1, 10));
     visits.ended(VisitId(1), true);
-    let other = MayHaveRun { host: 9, host_name: "s-b".into(), ..told(50) };
-    let Before::Record(record) = visits.hand_off(VisitId(1), NAME, keyed(), other) else {
+    let other = MayHaveRun { host: 9, host_name: "s-b".into(), ..sent(50) };
+    let Before::Record(record) = visits.hand_off(VisitId(1), KEY, deduplicated(), other) else {
         panic!("no record")
     };
-    apply(&mut disk, record);
-    assert_eq!(start(UnixTime(70), &disk).arrived(UnixTime(70), NAME), Some((UnixTime(50), HostId(9))));
+    apply(&mut contents, record);
+    assert_eq!(restore(UnixTime(70), &contents).arrived(UnixTime(70), KEY), Some((UnixTime(50), HostId(9))));
 }
 
 #[test]
-fn after_a_crash_the_first_hand_off_stands_also_past_the_groups_memory() {
-    let (mut visits, mut disk) = (start(UnixTime(0), &Disk::new()), Disk::new());
-    hand_off(&mut visits, &mut disk, 1, 10);
-    let mut visits = start(UnixTime(20), &disk);
-    assert_eq!(visits.arrived(UnixTime(20), NAME), Some((UnixTime(10), HostId(7))));
-    // A try through the new dispatcher goes out under the first one's record.
-    assert!(!hand_off(&mut visits, &mut disk, 1, 30));
+fn after_a_crash_the_first_hand_off_is_known_beyond_the_deduplication_window() {
+    let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
+    hand_off(&mut visits, &mut contents, 1, 10);
+    let mut visits = restore(UnixTime(20), &contents);
+    assert_eq!(visits.arrived(UnixTime(20), KEY), Some((UnixTime(10), HostId(7))));
+    // A try after the restart is covered by the record of the first one.
+    assert!(!hand_off(&mut visits, &mut contents, 1, 30));
     visits.ended(VisitId(1), true);
-    assert_eq!(visits.closed(VisitId(1), false), None);
-    let visits = start(UnixTime(40), &disk);
-    assert_eq!(visits.arrived(UnixTime(9_000_000), NAME), Some((UnixTime(10), HostId(7))));
-    assert!(start(UnixTime(10) + DAY, &disk).arrived(UnixTime(10) + DAY, NAME).is_none());
+    assert_eq!(visits.close(VisitId(1), false), None);
+    let visits = restore(UnixTime(40), &contents);
+    assert_eq!(visits.arrived(UnixTime(9_000_000), KEY), Some((UnixTime(10), HostId(7))));
+    assert!(restore(UnixTime(10) + ONE_DAY, &contents).arrived(UnixTime(10) + ONE_DAY, KEY).is_none());
 }
 
 #[test]
-fn a_clock_set_back_lets_no_record_last_for_ever() {
-    let (mut visits, mut disk) = (start(UnixTime(0), &Disk::new()), Disk::new());
-    hand_off(&mut visits, &mut disk, 1, 10 * DAY.0);
-    let visits = start(UnixTime(50), &disk);
-    assert_eq!(visits.arrived(UnixTime(60), NAME), Some((UnixTime(50), HostId(7))));
-    assert!(visits.arrived(UnixTime(50) + DAY, NAME).is_none());
+fn records_expire_after_the_clock_was_set_back() {
+    let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
+    hand_off(&mut visits, &mut contents, 1, 10 * ONE_DAY.0);
+    let visits = restore(UnixTime(50), &contents);
+    assert_eq!(visits.arrived(UnixTime(60), KEY), Some((UnixTime(50), HostId(7))));
+    assert!(visits.arrived(UnixTime(50) + ONE_DAY, KEY).is_none());
 }
 
 #[test_case(false, false; "held back")]
-#[test_case(true, true; "goes on")]
-fn a_record_that_is_refused(go_on: bool, goes: bool) {
-    let mut visits = Visits::start(UnixTime(0), std::iter::empty(), DAY, go_on);
-    assert!(matches!(visits.hand_off(VisitId(1), NAME, keyed(), told(1)), Before::Record(_)));
-    assert_eq!(visits.taken(VisitId(1), Taken::Refused), goes);
-    assert_eq!((visits.refused(), visits.refused()), (1, 0));
-    // The next try asks for its record again.
+#[test_case(true, true; "sent unrecorded")]
+fn a_refused_record(sends_unrecorded: bool, is_sent: bool) {
+    let mut visits = Visits::restore(UnixTime(0), std::iter::empty(), ONE_DAY, sends_unrecorded);
+    assert!(matches!(visits.hand_off(VisitId(1), KEY, deduplicated(), sent(1)), Before::Record(_)));
+    assert_eq!(visits.taken(VisitId(1), Taken::Refused), is_sent);
+    assert_eq!((visits.take_refused_count(), visits.take_refused_count()), (1, 0));
+    // The next hand-off requires its record again.
     visits.ended(VisitId(1), true);
-    assert!(matches!(visits.hand_off(VisitId(1), NAME, keyed(), told(2)), Before::Record(_)));
+    assert!(matches!(visits.hand_off(VisitId(1), KEY, deduplicated(), sent(2)), Before::Record(_)));
 }
 
 #[test]
-fn purges_hold_as_long_as_an_older_copy_can_turn_up() {
-    let memory = Span::millis(7_000);
+fn purges_are_kept_for_their_retention() {
+    let retention = Span::millis(7_000);
     let purge = |object, at| Purge { group: GroupId(3), object, at: UnixTime(at), change: 5 };
     let (one, all) = (purge(Some(ObjectId(8)), 1_000_000), purge(None, 2_000_000));
-    let records = [one, all].map(|purge| purges::record(UnixTime(2_000_000), &purge, memory).unwrap());
-    assert!(records[0].key != records[1].key && records[0].until == Some(UnixTime(8_000_000)));
+    let records = [one, all].map(|purge| purges::record(UnixTime(2_000_000), &purge, retention).unwrap());
+    assert!(records[0].key != records[1].key && records[0].expires_at == Some(UnixTime(8_000_000)));
     let values = || records.iter().map(|record| record.value.as_deref().unwrap());
-    assert_eq!(purges::replay(UnixTime(3_000_000), values(), memory), [one, all]);
-    assert_eq!(purges::replay(UnixTime(8_500_000), values(), memory), [all]);
-    assert_eq!(purges::record(UnixTime(8_000_000), &one, memory), None);
-    // The clock was set back: what is to come counts from now on, once.
-    // Of a clock that was set back since: dated as it was told.
-    assert_eq!(purges::replay(UnixTime(5), values(), memory), [one, all]);
-    assert_eq!(purges::replay(UnixTime(3_000_000), [&b"\xff\xff\xff"[..]].into_iter(), memory), []);
+    assert_eq!(purges::replay(UnixTime(3_000_000), values(), retention), [one, all]);
+    assert_eq!(purges::replay(UnixTime(8_500_000), values(), retention), [all]);
+    assert_eq!(purges::record(UnixTime(8_000_000), &one, retention), None);
+    // After this machine's clock was set back: purges keep the times of the change log.
+    assert_eq!(purges::replay(UnixTime(5), values(), retention), [one, all]);
+    assert_eq!(purges::replay(UnixTime(3_000_000), [&b"\xff\xff\xff"[..]].into_iter(), retention), []);
 }
 
 #[test]
-fn configurations_are_numbered_and_the_oldest_go() {
-    let mut disk = Disk::new();
+fn configurations_are_numbered_and_the_oldest_are_deleted() {
+    let mut contents = StoreContents::new();
     let mut put = |text: &[u8], at| {
-        let known = versions::known(disk.values().map(|value| &value[..]));
-        let records = versions::in_force(&known, "a.json", text, UnixTime(at), 2);
+        let known = versions::decode_all(contents.values().map(|value| &value[..]));
+        let records = versions::activation_records(&known, "a.json", text, UnixTime(at), 2);
         let changed = records.len();
-        records.into_iter().for_each(|record| apply(&mut disk, record));
-        (changed, versions::known(disk.values().map(|value| &value[..])))
+        records.into_iter().for_each(|record| apply(&mut contents, record));
+        (changed, versions::decode_all(contents.values().map(|value| &value[..])))
     };
     assert_eq!(put(b"one", 1).0, 1);
     assert_eq!(put(b"one", 2).0, 0);
     put(b"two", 3);
     let (_, known) = put(b"three", 4);
-    let seen: Vec<_> = known.iter().map(|v| (v.number, &v.text[..], v.since, v.until)).collect();
+    let seen: Vec<_> = known.iter().map(|v| (v.number, &v.text[..], v.since, v.in_force_until)).collect();
     assert_eq!(seen, [(2, &b"two"[..], 3, Some(4)), (3, &b"three"[..], 4, None)]);
 }
