--- a/crates/dispatcher/src/keeping.rs
+++ b/crates/dispatcher/src/keeping.rs
@@ -129,7 +129,7 @@
         let known = versions::decode_all(values.iter().map(|(_, value)| &value[..]));
         let source = source.display().to_string();
         let records =
-            versions::activation_records(&known, &source, text, clock::unix(), self.set.configurations);
+            versions::activation_records(&known, &source, text, clock::unix(), self.set.max_configurations);
         if !records.is_empty() {
             self.submit(Outlasts::Machine, records, |_| {});
         }
@@ -187,8 +187,8 @@
         };
         let records = kept.values(visits::SPACE).unwrap_or_default();
         let records = records.iter().map(|(key, value)| (&key[..], &value[..]));
-        let go_on = kept.set.without_record == operator::WithoutRecord::GoOn;
-        let visits = Visits::restore(now, records, kept.set.remember_visits, go_on);
+        let go_on = kept.set.without_record == operator::WithoutRecord::Send;
+        let visits = Visits::restore(now, records, kept.set.visit_retention, go_on);
         let may_have_run = visits.unresolved().count();
         tracing::info!("store: {} purges told anew, {may_have_run} visits may have run", purges.count());
         for (name, told) in visits.unresolved().filter(|(_, told)| told.memory.is_none()) {
--- a/crates/dispatcher/src/rollout_commands.rs
+++ b/crates/dispatcher/src/rollout_commands.rs
@@ -120,17 +120,17 @@
 fn start(path: &Path, fleet: Option<&Fleet>) -> Result<Value, Failure> {
     let name = path.display().to_string();
     let value = operator::evaluate(path).map_err(|error| match error {
-        operator::Error::Unread(file, error) => Failure::Unread(file, error.to_string()),
-        operator::Error::Unevaluated(file, what) => Failure::Unread(file, what),
+        operator::Error::Unreadable(file, error) => Failure::Unread(file, error.to_string()),
+        operator::Error::EvaluationFailed(file, what) => Failure::Unread(file, what),
         other => Failure::Operator(other),
     })?;
     let known = |error| Failure::Rules(name.clone(), error);
-    let Document { number, rules, plan } = rules::document(value, fleet).map_err(known)?;
-    let plan = plan.over(fleet.and_then(|fleet| fleet.rollout.as_ref())).map_err(known)?;
-    let first = (plan.first * 1000.0).round().max(1.0) as u16;
-    let back = plan.after_halt == operator::fleet::AfterHalt::Back;
+    let Document { number, rules, plan } = rules::decode_document(value, fleet).map_err(known)?;
+    let plan = plan.with_defaults(fleet.and_then(|fleet| fleet.rollout.as_ref())).map_err(known)?;
+    let first = (plan.first_stage_fraction * 1000.0).round().max(1.0) as u16;
+    let back = plan.after_halt == operator::fleet::AfterHalt::Revert;
     Ok(json!({ "order": "start", "number": number, "text": rules.to_string(), "plan": {
-        "order": plan.order, "first": first, "hold_s": plan.hold, "visits": plan.visits, "back_after_halt": back } }))
+        "order": plan.order, "first": first, "hold_s": plan.min_stage_seconds, "visits": plan.min_stage_visits, "back_after_halt": back } }))
 }
 
 /// The dispatcher's status, after an order where one is given.
--- a/crates/dispatcher/src/sharing.rs
+++ b/crates/dispatcher/src/sharing.rs
@@ -12,7 +12,7 @@
 use cherrypass::settings::Settings;
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_fleet::{house, limits, members, rollout, verdicts};
-use cherrypass_operator::fleet::{self as operator, Fleet, Unproven};
+use cherrypass_operator::fleet::{self as operator, Fleet, UnprovenCopies};
 use cherrypass_operator::rules::{self, Rules};
 use cherrypass_peers as peers;
 use cherrypass_peers::delivery::{self, Delivered};
@@ -63,29 +63,29 @@
         |one: &operator::Follower| peers::Follower { name: one.name.clone(), address: one.address };
     set.followers = fleet.followers.iter().map(follower).collect();
     set.locations = zones.iter().filter_map(|zone| Some((zone.clone(), place(zone)?))).collect();
-    (set.events, set.control, set.form) = (fleet.events.clone(), fleet.control, fleet.form);
-    (set.every, set.seed) = (fleet.every, config.seed);
+    (set.events, set.control, set.form) = (fleet.events.clone(), fleet.control, fleet.message_version);
+    (set.every, set.seed) = (fleet.timer_period, config.seed);
     let drain = config.longest().min(DRAIN_MOST);
     set.rooms = house::Set {
-        members: members::Set { round: fleet.round, ..members::Set::default() },
+        members: members::Set { round: fleet.probe_interval, ..members::Set::default() },
         limits: fleet.limits.as_ref().map(|told| limits::Set {
             origin: told.origin,
-            further_per_s: told.further_per_s,
-            cold: told.cold,
+            further_per_s: told.retries_per_s,
+            cold: told.shares_cold_budgets,
             lease: told.lease,
             floor: told.floor,
             drain,
             ..limits::Set::default()
         }),
         verdicts: fleet.verdicts.as_ref().map(|told| verdicts::Set {
-            hold: told.hold,
-            tellers: told.tellers as u8,
-            part: told.part,
+            hold: told.max_finding_age,
+            tellers: told.min_reporters as u8,
+            part: told.min_reporting_fraction,
         }),
         rollout: fleet
             .rollout
             .as_ref()
-            .map(|told| rollout::Set { window: told.window, ..rollout::Set::default() }),
+            .map(|told| rollout::Set { window: told.comparison_window, ..rollout::Set::default() }),
         ..house::Set::default()
     };
     set.delivery = fleet.delivery.as_ref().map(|told| delivery::Set {
@@ -93,8 +93,8 @@
         last: ChangeNumber::default(),
         room: cherrypass_fleet::delivery::Set {
             log: LogId::of(&told.log),
-            followers: told.followers as usize,
-            fallback: told.fallback,
+            followers: told.followers_per_carrier as usize,
+            fallback: told.fallback_after,
             ..cherrypass_fleet::delivery::Set::default()
         },
     });
@@ -227,7 +227,7 @@
     /// start. Guards against a start whose share an earlier run has lent, or used up, still.
     pub fn begin(&mut self, brain: &mut Brain) {
         let Some(limits) = &self.fleet.limits else { return };
-        let wholes = [(Key::Origin, limits.origin), (Key::Further, limits.further_per_s)];
+        let wholes = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
         let shared = wholes.into_iter().filter(|(_, whole)| whole.is_some());
         shared.for_each(|(key, _)| self.until_told(brain, key, 0.0));
     }
@@ -249,7 +249,7 @@
         let (Some(file), rules) = (&self.fleet.limits, &self.rules.fleet.limits) else { return 1.0 };
         let (new, old) = match key {
             Key::Origin => (rules.origin, file.origin),
-            Key::Further => (rules.further_per_s, file.further_per_s),
+            Key::Further => (rules.retries_per_s, file.retries_per_s),
             Key::Cold(_) => (None, None),
         };
         new.zip(old).map_or(1.0, |(new, old)| new / old)
@@ -261,10 +261,13 @@
         self.parts.keys().copied().collect::<Vec<_>>().into_iter().for_each(|key| self.allot(brain, key));
         if let Some(file) = &self.fleet.verdicts {
             let rules = &self.rules.fleet.verdicts;
-            let tellers = rules.tellers.unwrap_or(file.tellers) as u8;
-            (self.tell)(ToFleet::Weighed { tellers, part: rules.part.unwrap_or(file.part) });
+            let tellers = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
+            (self.tell)(ToFleet::Weighed {
+                tellers,
+                part: rules.min_reporting_fraction.unwrap_or(file.min_reporting_fraction),
+            });
         }
-        if !self.rules.fleet.verdicts.heed {
+        if !self.rules.fleet.verdicts.uses_findings {
             let hosts: Vec<HostId> = self.told.keys().copied().collect();
             hosts.into_iter().for_each(|host| self.withdraw(brain, host));
         }
@@ -296,7 +299,7 @@
                 (self.tell)(ToFleet::Taken { key, number });
             }
             FromFleet::Hearsay { kind: Kind::Slow, .. } => {}
-            FromFleet::Hearsay { .. } if !self.rules.fleet.verdicts.heed => {}
+            FromFleet::Hearsay { .. } if !self.rules.fleet.verdicts.uses_findings => {}
             FromFleet::Hearsay { host, since, kind: Kind::JustStarted, until, .. } => {
                 // Once for a start: the list's next word on it stands, whatever is told of the time before.
                 if self.new.insert(host, since) != Some(since) {
@@ -329,8 +332,8 @@
     /// Tells the module whether purges may have been told that are not known here.
     fn prove(&mut self, brain: &mut Brain) {
         let (Some(delivery), Some(known)) = (&self.fleet.delivery, self.known) else { return };
-        let is_unproven = known.elapsed() > clock::duration(delivery.proof);
-        brain.unproven(is_unproven && delivery.unproven == Unproven::Strict);
+        let is_unproven = known.elapsed() > clock::duration(delivery.max_proof_age);
+        brain.unproven(is_unproven && delivery.unproven == UnprovenCopies::Strict);
         if std::mem::replace(&mut self.unproven, is_unproven) != is_unproven {
             let age_ms = known.elapsed().as_millis();
             match is_unproven {
@@ -379,7 +382,7 @@
     /// many to tell of this one.
     fn new_cold(&mut self, brain: &mut Brain, host: HostId) {
         let key = Key::Cold(host);
-        let shares = self.fleet.limits.as_ref().is_some_and(|limits| limits.cold);
+        let shares = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
         if shares && !self.parts.contains_key(&key) {
             self.until_told(brain, key, self.floor);
         }
@@ -449,10 +452,10 @@
 
     fn tell_wanted(&mut self, brain: &mut Brain, now: Time) {
         let Some(limits) = &self.fleet.limits else { return };
-        let fixed = [(Key::Origin, limits.origin), (Key::Further, limits.further_per_s)];
+        let fixed = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
         let mut keys: BTreeSet<Key> =
             fixed.into_iter().filter(|(_, whole)| whole.is_some()).map(|(key, _)| key).collect();
-        if limits.cold {
+        if limits.shares_cold_budgets {
             let cold: Vec<HostId> = brain.cold(now).collect();
             cold.iter().for_each(|host| self.new_cold(brain, *host));
             keys.extend(cold.into_iter().map(Key::Cold));
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' own file, `deploy/operator.jsonnet`: evaluated, then decoded by types that know every key. A
-//! section that is absent is off. What can't be used is one line with the key's path and what was expected.
+//! Loads the operators' file, such as `deploy/operator.jsonnet`: evaluates the Jsonnet and decodes it, rejecting unknown
+//! keys. An absent section turns its feature off. Each error is one line with the key's path and what was expected.
 #![forbid(unsafe_code)]
 
 pub mod fleet;
@@ -19,106 +19,120 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("the operators' file {0} can't be read: {1}; name one that is there and may be read, or none")]
-    Unread(String, std::io::Error),
+    Unreadable(String, std::io::Error),
     #[error("the operators' file {0} can't be evaluated: {1}")]
-    Unevaluated(String, String),
+    EvaluationFailed(String, String),
     #[error("the operators' file {file}: {path}: {what}")]
-    Unusable { file: String, path: String, what: String },
+    Invalid { file: String, path: String, what: String },
 }
 
-/// All that operators set.
+/// The decoded operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
-    /// What must last; absent: nothing is kept on disk.
+pub struct OperatorFile {
+    /// Durable storage; absent: nothing is kept on disk.
     #[serde(default)]
     pub store: Option<Store>,
-    /// Other dispatchers that this one knows of; absent: it is alone.
+    /// Cooperation with other dispatchers; absent: this dispatcher works alone.
     #[serde(default)]
     pub fleet: Option<Fleet>,
 }
 
+/// The section `store`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// The store's folder; made where it is missing.
+    /// The store's folder, created if missing.
     pub dir: PathBuf,
-    /// What of a hand-off that may not run twice is on disk before its first byte.
+    /// How a hand-off that must not run twice is recorded before its first byte is sent.
     #[serde(default)]
     pub hand_offs: HandOffs,
-    /// What becomes of such a hand-off while the store takes no record.
+    /// Whether such a hand-off is sent while the store rejects records.
     #[serde(default)]
     pub without_record: WithoutRecord,
-    /// What a start makes of copies while the store can't tell which purges there were.
+    /// How a start treats copies when the store can't tell which purges there were.
     #[serde(default)]
     pub unknown_purges: UnknownPurges,
-    /// For how long it is remembered that a visit may have run; longer than any client asks again for it.
-    #[serde(rename = "remember_visits_s", deserialize_with = "seconds", default = "a_day")]
-    pub remember_visits: Span,
+    /// How long visits that may have run are remembered; must exceed the time in which clients retry.
+    #[serde(
+        rename = "remember_visits_s",
+        deserialize_with = "visit_retention",
+        default = "default_visit_retention"
+    )]
+    pub visit_retention: Span,
     /// How many configurations are kept.
-    #[serde(deserialize_with = "versions", default = "sixteen")]
-    pub configurations: usize,
-    #[serde(deserialize_with = "segment", default = "eight_mb")]
+    #[serde(
+        rename = "configurations",
+        deserialize_with = "max_configurations",
+        default = "default_max_configurations"
+    )]
+    pub max_configurations: usize,
+    /// Size of a log segment in kilobytes.
+    #[serde(deserialize_with = "segment_kb", default = "default_segment_kb")]
     pub segment_kb: u64,
     #[serde(default)]
     pub background: Background,
 }
 
 impl Store {
-    /// All as it is where nothing but the folder is set.
+    /// The defaults, with the given folder.
     pub fn in_folder(dir: PathBuf) -> Store {
         Store {
             dir,
             hand_offs: HandOffs::default(),
             without_record: WithoutRecord::default(),
             unknown_purges: UnknownPurges::default(),
-            remember_visits: a_day(),
-            configurations: sixteen(),
-            segment_kb: eight_mb(),
+            visit_retention: default_visit_retention(),
+            max_configurations: default_max_configurations(),
+            segment_kb: default_segment_kb(),
             background: Background::default(),
         }
     }
 }
 
+/// Durability of the records of hand-offs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HandOffs {
     /// Nothing is recorded.
     Off,
-    /// Outlasts the process.
+    /// Records survive a crash of the process.
     #[default]
     Written,
-    /// Outlasts the machine.
+    /// Records survive a crash of the machine.
     Synced,
 }
 
+/// Whether hand-offs are sent while the store rejects their records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WithoutRecord {
-    /// It doesn't go out.
+    /// They are not sent.
     #[default]
     HoldBack,
-    /// It goes out all the same.
-    GoOn,
+    /// They are sent without a record.
+    #[serde(rename = "go-on")]
+    Send,
 }
 
+/// How copies are treated at a start while the earlier purges are unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnknownPurges {
-    /// The change log will tell.
+    /// Copies are served; the change log is relied on to repeat the purges.
     #[default]
     Trust,
-    /// Everything counts as purged at the start.
+    /// Every copy counts as purged at the start.
     Distrust,
 }
 
-/// What background work may use of disk and core.
+/// Budgets of background work for the disk and the CPU.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Background {
-    #[serde(deserialize_with = "rate")]
+    #[serde(deserialize_with = "bytes_per_s")]
     pub bytes_per_s: f64,
-    #[serde(deserialize_with = "share")]
+    #[serde(deserialize_with = "core_share")]
     pub core_share: f64,
 }
 
@@ -128,82 +142,83 @@
     }
 }
 
-fn a_day() -> Span {
+fn default_visit_retention() -> Span {
     Span::seconds(86_400.0)
 }
 
-fn sixteen() -> usize {
+fn default_max_configurations() -> usize {
     16
 }
 
-fn eight_mb() -> u64 {
+fn default_segment_kb() -> u64 {
     8192
 }
 
-/// A number within bounds; else what was expected.
-fn within<'de, D: Deserializer<'de>>(from: D, least: f64, most: f64) -> Result<f64, D::Error> {
+/// Deserializes a number and checks its bounds.
+fn within<'de, D: Deserializer<'de>>(from: D, min: f64, max: f64) -> Result<f64, D::Error> {
     let found = f64::deserialize(from)?;
-    let expected = || format!("{found} is not within {least} and {most}");
-    if (least..=most).contains(&found) {
+    if (min..=max).contains(&found) {
         Ok(found)
     } else {
-        Err(serde::de::Error::custom(expected()))
+        Err(serde::de::Error::custom(format!("{found} is not within {min} and {max}")))
     }
 }
 
-fn seconds<'de, D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
+fn visit_retention<'de, D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
     within(from, 1.0, 31.0 * 86_400.0).map(Span::seconds)
 }
 
-fn versions<'de, D: Deserializer<'de>>(from: D) -> Result<usize, D::Error> {
+fn max_configurations<'de, D: Deserializer<'de>>(from: D) -> Result<usize, D::Error> {
     within(from, 1.0, 1000.0).map(|found| found as usize)
 }
 
-fn segment<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
+fn segment_kb<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
     within(from, 4.0, 1_048_576.0).map(|found| found as u64)
 }
 
-fn rate<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+fn bytes_per_s<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     within(from, 1e4, 1e10)
 }
 
-fn share<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+fn core_share<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     within(from, 0.001, 1.0)
 }
 
-/// What the file comes to once evaluated; imports are looked for beside it.
+/// Evaluates the file to a JSON value; imports are resolved relative to its folder.
 pub fn evaluate(path: &Path) -> Result<Value, Error> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|error| Error::Unread(file.clone(), error))?;
+    let text = std::fs::read_to_string(path).map_err(|error| Error::Unreadable(file.clone(), error))?;
     let mut builder = State::builder();
-    let beside = path.parent().map(Path::to_path_buf).unwrap_or_default();
-    builder.import_resolver(FileImportResolver::new(vec![beside]));
+    let folder = path.parent().map(Path::to_path_buf).unwrap_or_default();
+    builder.import_resolver(FileImportResolver::new(vec![folder]));
     builder.context_initializer(ContextInitializer::new(PathResolver::FileName));
     let state = builder.build();
     let _entered = state.enter();
-    let bad = |error: jrsonnet_evaluator::Error| {
-        let said = error.error().to_string().replace('\n', " ");
+    let failed = |error: jrsonnet_evaluator::Error| {
+        let message = error.error().to_string().replace('\n', " ");
         let place = match error.error() {
             ErrorKind::ImportSyntaxError { error, .. } => Some(error.location.clone()),
             _ => error.trace().0.iter().find_map(|place| place.location.clone()),
         };
         let place = place.map(|at| at.0.map_source_locations(&[at.1])[0]);
-        let said = place.map_or(said.clone(), |at| format!("line {}: {said}", at.line));
-        Error::Unevaluated(file.clone(), said)
+        let message = place.map_or(message.clone(), |at| format!("line {}: {message}", at.line));
+        Error::EvaluationFailed(file.clone(), message)
     };
-    let found = state.evaluate_snippet(&file[..], &text[..]).map_err(bad)?;
-    serde_json::to_value(&found)
-        .map_err(|error| Error::Unevaluated(file.clone(), error.to_string().replace('\n', " ")))
+    let value = state.evaluate_snippet(&file[..], &text[..]).map_err(failed)?;
+    serde_json::to_value(&value)
+        .map_err(|error| Error::EvaluationFailed(file.clone(), error.to_string().replace('\n', " ")))
 }
 
-pub fn decode(file: &str, value: Value) -> Result<Operator, Error> {
-    let bad = |(path, what)| Error::Unusable { file: file.to_owned(), path, what };
-    let operator: Operator = serde_path_to_error::deserialize(value)
-        .map_err(|error| bad((error.path().to_string(), error.into_inner().to_string())))?;
-    operator.fleet.as_ref().map_or(Ok(()), Fleet::check).map_err(bad)?;
+/// Decodes an evaluated file and checks it; `file` is its name for error messages.
+pub fn decode(file: &str, value: Value) -> Result<OperatorFile, Error> {
+    let invalid = |(path, what)| Error::Invalid { file: file.to_owned(), path, what };
+    let operator: OperatorFile = serde_path_to_error::deserialize(value)
+        .map_err(|error| invalid((error.path().to_string(), error.into_inner().to_string())))?;
+    operator.fleet.as_ref().map_or(Ok(()), Fleet::check).map_err(invalid)?;
     Ok(operator)
 }
 
-pub fn load(path: &Path) -> Result<Operator, Error> {
+/// Evaluates, decodes and checks the operators' file.
+pub fn load(path: &Path) -> Result<OperatorFile, Error> {
     decode(&path.display().to_string(), evaluate(path)?)
 }
