--- a/crates/dispatcher/src/change_clock.rs
+++ b/crates/dispatcher/src/change_clock.rs
@@ -1,61 +1,62 @@
-//! The clock of whoever writes the change log, as far as time stamps tell it: purges and starts of hosts are dated by it. The
-//! origin's stamps on copies (`born`) tell it too: by the protocol page they are of the same Unix clock.
+//! Estimates the clock of the change log's writer from the time stamps of its changes. Purges and starts of hosts are dated
+//! by it. The origin's stamps on copies (`born`) count too, since by the protocol they come from the same Unix clock.
 //!
-//! Guards rules 4 and 5 against a wall clock of this machine that is wrong or is stepped: an age is never told larger than it
-//! is. A stamp was in the past when it was heard, so the writer's clock showed at least that; from then on this process's
-//! monotonic clock goes on from there. What is told is the second latest such estimate, so that a single stamp of a wrong
-//! clock doesn't lead it. It lags by the shortest delay with which changes or copies came lately, and right after a start by the age of
-//! the second youngest stamp that is known: on that side it errs, towards fills and slow starts that were not needed.
+//! Guards rules 4 and 5 against a wall clock of this machine that is wrong or stepped: ages are never overestimated. When a
+//! stamp is received, the writer's clock shows at least that time; this process's monotonic clock extrapolates from there.
+//! The second latest such estimate is used, so that a single stamp from a wrong clock has no effect. The estimate lags by
+//! the shortest recent delay of changes or copies, and right after a start by the age of the second youngest known stamp.
+//! A lag errs towards needless fills and slow starts.
 use cherrypass::time::{Span, Time, UnixTime};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Heard {
+struct Observation {
     stamp: UnixTime,
-    at: Time,
+    received_at: Time,
 }
 
-impl Heard {
-    /// What the writer's clock shows at least.
+impl Observation {
+    /// Lower bound of the writer's clock.
     fn now(self, now: Time) -> UnixTime {
-        self.stamp + (now - self.at)
+        self.stamp + (now - self.received_at)
     }
 }
 
-/// The two latest estimates, by different stamps; the latest first.
+/// The two latest estimates of the writer's clock, from different stamps.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeClock {
-    latest: Option<Heard>,
-    second: Option<Heard>,
+    latest: Option<Observation>,
+    second_latest: Option<Observation>,
 }
 
 impl ChangeClock {
-    /// A stamp is heard of.
+    /// Takes a stamp into account.
     pub fn heard(&mut self, now: Time, stamp: UnixTime) {
-        let new = Heard { stamp, at: now };
-        let known = [self.latest, self.second].into_iter().flatten();
-        // A stamp that comes again is the same witness.
+        let new = Observation { stamp, received_at: now };
+        let known = [self.latest, self.second_latest].into_iter().flatten();
+        // A repeated stamp is no independent estimate.
         let is_known = known.clone().any(|known| known.stamp == stamp);
-        let later = |than: Option<Heard>| than.is_none_or(|than| new.now(now) > than.now(now));
+        let is_later = |than: Option<Observation>| than.is_none_or(|than| new.now(now) > than.now(now));
         if is_known {
             return;
         }
-        if later(self.latest) {
-            (self.latest, self.second) = (Some(new), self.latest);
-        } else if later(self.second) {
-            self.second = Some(new);
+        if is_later(self.latest) {
+            (self.latest, self.second_latest) = (Some(new), self.latest);
+        } else if is_later(self.second_latest) {
+            self.second_latest = Some(new);
         }
     }
 
-    /// How long ago a stamp was, at least; zero where nothing tells.
+    /// Lower bound of the age of a stamp; zero without an estimate.
     pub fn age(&self, now: Time, stamp: UnixTime) -> Span {
-        self.second.map_or(Span::ZERO, |second| second.now(now) - stamp)
+        self.second_latest.map_or(Span::ZERO, |second| second.now(now) - stamp)
     }
 
-    /// When a stamp was, by this process's clock: never before it was. It is to come still where it is in the future by the
-    /// other stamps and by this machine's wall clock alike: either alone may be behind.
+    /// The time of a stamp on this process's clock, never earlier than it was. It is in the future only if both the other
+    /// stamps and this machine's wall clock say so, as either alone may be behind.
     pub fn time(&self, now: Time, wall: UnixTime, stamp: UnixTime) -> Time {
         let ahead_of_wall = stamp - wall;
-        let ahead = self.second.map_or(ahead_of_wall, |second| ahead_of_wall.min(stamp - second.now(now)));
+        let ahead =
+            self.second_latest.map_or(ahead_of_wall, |second| ahead_of_wall.min(stamp - second.now(now)));
         if ahead > Span::ZERO {
             now + ahead
         } else {
--- a/crates/dispatcher/src/list.rs
+++ b/crates/dispatcher/src/list.rs
@@ -1,5 +1,5 @@
-//! The list of hosts in force. An entry that can't stand as it is told has one log line and a meaning by which no
-//! host is warmer, or is given more, than by a sound one (docs/sockets.md, "Bad entries of the list").
+//! The host list in force. A faulty entry is logged once and interpreted so that no host counts as warmer, or gets more
+//! load, than a correct entry would give it (docs/sockets.md, "Bad entries of the list").
 use crate::change_clock::ChangeClock;
 use crate::inbox::Listed;
 use cherrypass::calls::{Listing, Phase};
@@ -8,118 +8,120 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A start that turns out to be earlier by less is left as it is.
-const REDATED_LEAST: Span = Span::millis(20);
-/// What a weight that can't be used counts as, where no listed host of the kind has less.
-const WEIGHT: f64 = 1.0;
+/// Corrections of a start by less than this are ignored.
+const MIN_START_CORRECTION: Span = Span::millis(20);
+/// Substitute for an unusable weight, unless a listed host of the kind has a lower one.
+const FALLBACK_WEIGHT: f64 = 1.0;
 
-/// Why an entry does not stand as it was told, and as what it counts. Starts are Unix milliseconds.
+/// Why an entry is not taken as listed, and how it is interpreted. Starts are Unix milliseconds.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Fault {
-    #[error("its start {told} is earlier than {known}, which was told before and stays")]
-    EarlierStart { told: u64, known: u64 },
-    #[error("its start {0} is in the future: cold until then, and through its ramp from then on")]
+pub enum EntryFault {
+    #[error("its start {listed} is earlier than {known}, which was listed before and stays in effect")]
+    EarlierStart { listed: u64, known: u64 },
+    #[error("its start {0} is in the future: the host is cold until then and ramps up from there")]
     FutureStart(u64),
-    #[error("weight {told} can't be used, it counts as {taken}")]
-    Weight { told: f64, taken: f64 },
-    #[error("{address} is the address of {holder} now: as gone, until it is listed at another one")]
+    #[error("weight {listed} can't be used, it counts as {effective}")]
+    UnusableWeight { listed: f64, effective: f64 },
+    #[error("{address} is the address of {holder} now: the host counts as gone until it is listed at another address")]
     AddressTaken { address: SocketAddr, holder: String },
 }
 
-/// By what starts are dated.
+/// The clocks by which starts are dated.
 pub struct Clocks<'a> {
     pub now: Time,
     pub wall: UnixTime,
     pub change_clock: &'a ChangeClock,
 }
 
-/// What of an event is in force.
+/// The effect of an update of the list.
 pub struct Applied {
-    /// The event's entries in their order, as they count.
+    /// The update's entries in their order, as they are interpreted.
     pub hosts: Vec<Listed>,
-    /// Hosts whose address another one has: as gone.
+    /// Hosts that lost their address to another one; they count as gone.
     pub lost: Vec<Listing>,
-    /// What did not stand as it was told, each with the host's name.
-    pub faults: Vec<(String, Fault)>,
+    /// Faulty entries, each with the host's name.
+    pub faults: Vec<(String, EntryFault)>,
 }
 
-/// A host that is listed and not gone.
-struct Row {
+/// A listed host that is not gone.
+struct Entry {
     listing: Listing,
     started: Option<UnixTime>,
     name: String,
     address: SocketAddr,
-    /// Counts up with each entry.
-    told: u64,
+    /// Increases with each entry.
+    sequence: u64,
 }
 
-impl Row {
-    /// Who has an address is one process: the one that started last. Where the list tells of no difference it is
-    /// one that does not drain, then the one told last.
-    fn claim(&self) -> (Option<UnixTime>, bool, u64) {
-        (self.started, self.listing.phase == Phase::Ready, self.told)
+impl Entry {
+    /// Of several hosts at an address, the one with the greatest value holds it: the one that started last, then one that
+    /// does not drain, then the one listed last.
+    fn address_claim(&self) -> (Option<UnixTime>, bool, u64) {
+        (self.started, self.listing.phase == Phase::Ready, self.sequence)
     }
 }
 
-/// A start as it was told, and as it is dated: of the same start that only ever becomes earlier, until its host is warm.
+/// A start as listed, and its time on this process's clock. That time only ever becomes earlier.
 #[derive(Clone, Copy)]
 struct Start {
-    told: UnixTime,
+    listed: UnixTime,
     at: Time,
 }
 
+/// The listed hosts and their starts.
 pub struct List {
-    rows: BTreeMap<HostId, Row>,
-    /// The latest start told of each name; of one that has gone, until it would be warm.
+    entries: BTreeMap<HostId, Entry>,
+    /// The latest listed start of each host; for a host that is gone, until it would be warm.
     starts: BTreeMap<HostId, Start>,
-    /// Those that are not warm yet.
+    /// Hosts that are not warm yet.
     warming: BTreeSet<HostId>,
-    told: u64,
+    last_sequence: u64,
     /// The longest time from a start until a host is warm.
     ramp: Span,
-    weights_told: bool,
+    uses_weights: bool,
 }
 
 impl List {
-    pub fn new(ramp: Span, weights_told: bool) -> List {
-        let (rows, starts, warming) = Default::default();
-        List { rows, starts, warming, told: 0, ramp, weights_told }
+    pub fn new(ramp: Span, uses_weights: bool) -> List {
+        let (entries, starts, warming) = Default::default();
+        List { entries, starts, warming, last_sequence: 0, ramp, uses_weights }
     }
 
-    /// Takes an event's entries in, whose starts the clock has heard; hosts missing from a whole list are gone.
+    /// Applies an update whose stamps the change clock has observed already. With `whole`, hosts missing from it are gone.
     pub fn apply(&mut self, clocks: &Clocks, mut hosts: Vec<Listed>, whole: bool) -> Applied {
         if whole {
             let kept: BTreeSet<HostId> = hosts.iter().map(|host| host.listing.host).collect();
-            self.rows.retain(|id, _| kept.contains(id));
+            self.entries.retain(|id, _| kept.contains(id));
         }
         let mut faults = Vec::new();
         for place in 0..hosts.len() {
-            let weight = self.weight(&hosts[place].listing, &hosts);
+            let weight = self.effective_weight(&hosts[place].listing, &hosts);
             let host = &mut hosts[place];
-            faults.extend(self.weigh(&mut host.listing, weight).map(|fault| (host.name.clone(), fault)));
-            faults.extend(self.date(clocks, host).map(|fault| (host.name.clone(), fault)));
+            faults
+                .extend(self.apply_weight(&mut host.listing, weight).map(|fault| (host.name.clone(), fault)));
+            faults.extend(self.apply_start(clocks, host).map(|fault| (host.name.clone(), fault)));
         }
-        hosts.iter().for_each(|host| self.put(host));
-        let lost = self.settle(&hosts, &mut faults);
+        hosts.iter().for_each(|host| self.insert(host));
+        let lost = self.resolve_addresses(&hosts, &mut faults);
         hosts.retain(|host| lost.iter().all(|lost| lost.host != host.listing.host));
-        let (rows, ramp) = (&self.rows, self.ramp);
-        self.starts.retain(|id, start| rows.contains_key(id) || clocks.now < start.at + ramp);
+        let (entries, ramp) = (&self.entries, self.ramp);
+        self.starts.retain(|id, start| entries.contains_key(id) || clocks.now < start.at + ramp);
         Applied { hosts, lost, faults }
     }
 
-    /// Dates the starts of hosts that are not warm yet anew; those that were earlier than was known. Guards against a host
-    /// that is held cold for longer since it was told of before much was known of the change log's clock.
+    /// Dates the starts of hosts that are not warm yet again, and returns those that were earlier than known. Otherwise a host
+    /// that was listed before the change log's clock was well known would count as cold for too long.
     pub fn redate(&mut self, clocks: &Clocks) -> Vec<(HostId, Time)> {
-        let (starts, rows, ramp) = (&mut self.starts, &mut self.rows, self.ramp);
+        let (starts, entries, ramp) = (&mut self.starts, &mut self.entries, self.ramp);
         let mut found = Vec::new();
         self.warming.retain(|id| {
             let Some(start) = starts.get_mut(id).filter(|start| clocks.now < start.at + ramp) else {
                 return false;
             };
-            let at = clocks.change_clock.time(clocks.now, clocks.wall, start.told);
-            if at + REDATED_LEAST < start.at {
+            let at = clocks.change_clock.time(clocks.now, clocks.wall, start.listed);
+            if at + MIN_START_CORRECTION < start.at {
                 start.at = at;
-                rows.get_mut(id).into_iter().for_each(|row| row.listing.since = Some(at));
+                entries.get_mut(id).into_iter().for_each(|entry| entry.listing.since = Some(at));
                 found.push((*id, at));
             }
             true
@@ -127,78 +129,84 @@
         found
     }
 
-    /// What an entry's weight counts as: one that can't be used never as more than any that is listed.
-    fn weight(&self, entry: &Listing, hosts: &[Listed]) -> f64 {
+    /// The weight that an entry is given. An unusable one never counts as more than a listed weight of the same kind.
+    fn effective_weight(&self, entry: &Listing, hosts: &[Listed]) -> f64 {
         if is_usable(entry.weight) {
             return entry.weight;
         }
-        let listed = self.rows.values().map(|row| &row.listing).chain(hosts.iter().map(|host| &host.listing));
-        let alike = listed.filter(|other| other.kind == entry.kind && is_usable(other.weight));
-        alike.map(|other| other.weight).fold(WEIGHT, f64::min)
+        let listed =
+            self.entries.values().map(|entry| &entry.listing).chain(hosts.iter().map(|host| &host.listing));
+        let same_kind = listed.filter(|other| other.kind == entry.kind && is_usable(other.weight));
+        same_kind.map(|other| other.weight).fold(FALLBACK_WEIGHT, f64::min)
     }
 
-    /// Where weights are told, one that can't be used is a fault, unless the host is to get nothing anyhow.
-    fn weigh(&self, listing: &mut Listing, taken: f64) -> Option<Fault> {
-        let told = std::mem::replace(&mut listing.weight, taken);
-        let counts = self.weights_told && listing.phase == Phase::Ready;
-        (counts && !is_usable(told)).then_some(Fault::Weight { told, taken })
+    /// An unusable weight is a fault if weights are used and the host is to get load.
+    fn apply_weight(&self, listing: &mut Listing, effective: f64) -> Option<EntryFault> {
+        let listed = std::mem::replace(&mut listing.weight, effective);
+        let counts = self.uses_weights && listing.phase == Phase::Ready;
+        (counts && !is_usable(listed)).then_some(EntryFault::UnusableWeight { listed, effective })
     }
 
-    /// A start earlier than one known, or none, changes nothing of that.
-    fn date(&mut self, clocks: &Clocks, host: &mut Listed) -> Option<Fault> {
+    /// Dates the start of an entry. A missing start, or one earlier than the known one, leaves that unchanged.
+    fn apply_start(&mut self, clocks: &Clocks, host: &mut Listed) -> Option<EntryFault> {
         let id = host.listing.host;
-        let (told, known) = (host.started, self.starts.get(&id).map(|start| start.told));
-        let later = told.filter(|told| Some(*told) > known);
-        if let Some(told) = later {
-            let at = clocks.change_clock.time(clocks.now, clocks.wall, told);
-            self.starts.insert(id, Start { told, at });
+        let (listed, known) = (host.started, self.starts.get(&id).map(|start| start.listed));
+        let later = listed.filter(|listed| Some(*listed) > known);
+        if let Some(listed) = later {
+            let at = clocks.change_clock.time(clocks.now, clocks.wall, listed);
+            self.starts.insert(id, Start { listed, at });
             self.warming.insert(id);
         }
         let start = self.starts.get(&id);
-        (host.started, host.listing.since) = (start.map(|start| start.told), start.map(|start| start.at));
+        (host.started, host.listing.since) = (start.map(|start| start.listed), start.map(|start| start.at));
         let ms = |start: Option<UnixTime>| start.map_or(0, UnixTime::as_millis);
-        let fault = if told < known {
-            Fault::EarlierStart { told: ms(told), known: ms(known) }
+        let fault = if listed < known {
+            EntryFault::EarlierStart { listed: ms(listed), known: ms(known) }
         } else if later.is_some() && host.listing.since > Some(clocks.now) {
-            Fault::FutureStart(ms(told))
+            EntryFault::FutureStart(ms(listed))
         } else {
             return None;
         };
         (host.listing.phase == Phase::Ready).then_some(fault)
     }
 
-    fn put(&mut self, host: &Listed) {
-        self.told += 1;
+    fn insert(&mut self, host: &Listed) {
+        self.last_sequence += 1;
         let Listed { listing, started, name, address } = host;
         match address.filter(|_| listing.phase != Phase::Gone) {
             Some(address) => {
                 let (listing, started, name) = (*listing, *started, name.clone());
-                let row = Row { listing, started, name, address, told: self.told };
-                self.rows.insert(host.listing.host, row);
+                let entry = Entry { listing, started, name, address, sequence: self.last_sequence };
+                self.entries.insert(host.listing.host, entry);
             }
-            None => drop(self.rows.remove(&listing.host)),
+            None => drop(self.entries.remove(&listing.host)),
         }
     }
 
-    /// Of hosts at one address all but one are as gone. Guards against an old name that leads to a new process past
-    /// that one's cold budget.
-    fn settle(&mut self, hosts: &[Listed], faults: &mut Vec<(String, Fault)>) -> Vec<Listing> {
-        let told: BTreeSet<SocketAddr> = hosts.iter().filter_map(|host| host.address).collect();
-        let mut holders: BTreeMap<SocketAddr, &Row> = BTreeMap::new();
+    /// Removes all but one of the hosts at each address. Otherwise load sent to an old name would reach a new process beyond
+    /// its cold budget.
+    fn resolve_addresses(
+        &mut self,
+        hosts: &[Listed],
+        faults: &mut Vec<(String, EntryFault)>,
+    ) -> Vec<Listing> {
+        let updated: BTreeSet<SocketAddr> = hosts.iter().filter_map(|host| host.address).collect();
+        let mut holders: BTreeMap<SocketAddr, &Entry> = BTreeMap::new();
         let mut lost = Vec::new();
-        for row in self.rows.values().filter(|row| told.contains(&row.address)) {
-            let Some(other) = holders.insert(row.address, row) else { continue };
-            let (holder, loser) = if other.claim() > row.claim() { (other, row) } else { (row, other) };
-            holders.insert(row.address, holder);
+        for entry in self.entries.values().filter(|entry| updated.contains(&entry.address)) {
+            let Some(other) = holders.insert(entry.address, entry) else { continue };
+            let (holder, loser) =
+                if other.address_claim() > entry.address_claim() { (other, entry) } else { (entry, other) };
+            holders.insert(entry.address, holder);
             lost.push(loser);
         }
-        for row in &lost {
-            let (address, holder) = (row.address, holders[&row.address].name.clone());
-            faults.push((row.name.clone(), Fault::AddressTaken { address, holder }));
+        for entry in &lost {
+            let (address, holder) = (entry.address, holders[&entry.address].name.clone());
+            faults.push((entry.name.clone(), EntryFault::AddressTaken { address, holder }));
         }
         let lost: Vec<Listing> =
-            lost.into_iter().map(|row| Listing { phase: Phase::Gone, ..row.listing }).collect();
-        lost.iter().for_each(|lost| drop(self.rows.remove(&lost.host)));
+            lost.into_iter().map(|entry| Listing { phase: Phase::Gone, ..entry.listing }).collect();
+        lost.iter().for_each(|lost| drop(self.entries.remove(&lost.host)));
         lost
     }
 }
--- a/crates/dispatcher/tests/change_clock.rs
+++ b/crates/dispatcher/tests/change_clock.rs
@@ -1,4 +1,4 @@
-//! Stamps of the change log are dated without this machine's wall clock, never as older than they are.
+//! Dating of change log stamps without this machine's wall clock: ages are never overestimated.
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_dispatcher::change_clock::ChangeClock;
 use rand::{Rng, SeedableRng};
@@ -13,24 +13,24 @@
 }
 
 #[test]
-fn nothing_is_dated_before_it_was() {
+fn ages_are_never_overestimated() {
     for seed in 0..200 {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut clock = ChangeClock::default();
         let mut now = Span::ZERO;
         for _ in 0..100 {
-            now = now + ms(chance.gen_range(0..2_000));
-            let stamp = UNIX + now - ms(chance.gen_range(0..8_000));
+            now = now + ms(random.gen_range(0..2_000));
+            let stamp = UNIX + now - ms(random.gen_range(0..8_000));
             clock.heard(START + now, stamp);
-            let asked = UNIX + now - ms(chance.gen_range(0..60_000));
-            let age = clock.age(START + now, asked);
-            assert!(age <= (UNIX + now) - asked, "seed {seed}: {age:?} is more than it is");
+            let queried = UNIX + now - ms(random.gen_range(0..60_000));
+            let age = clock.age(START + now, queried);
+            assert!(age <= (UNIX + now) - queried, "seed {seed}: {age:?} is more than the true age");
         }
     }
 }
 
 #[test]
-fn ages_are_close_once_two_changes_were_heard_soon() {
+fn ages_are_accurate_after_two_prompt_changes() {
     let mut clock = ChangeClock::default();
     clock.heard(START, UNIX - ms(300));
     clock.heard(START + ms(1_000), UNIX + ms(800));
@@ -39,21 +39,17 @@
 }
 
 #[test]
-fn nothing_is_known_before_two_stamps_are() {
+fn ages_are_zero_until_two_stamps_are_known() {
     let mut clock = ChangeClock::default();
     assert_eq!(clock.time(START, UNIX, UNIX), START);
     clock.heard(START, UNIX);
     clock.heard(START + ms(50), UNIX);
-    assert_eq!(
-        clock.age(START + ms(100), UNIX - ms(4_000)),
-        Span::ZERO,
-        "one stamp that came twice is one witness"
-    );
+    assert_eq!(clock.age(START + ms(100), UNIX - ms(4_000)), Span::ZERO, "a repeated stamp counts once");
 }
 
 #[test_case(3_600_000; "an hour ahead")]
 #[test_case(1; "a millisecond ahead")]
-fn a_single_stamp_of_a_wrong_clock_leads_nobody(ahead: u64) {
+fn a_single_stamp_from_a_wrong_clock_has_no_effect(ahead: u64) {
     let mut clock = ChangeClock::default();
     (0..20).for_each(|second| clock.heard(START + ms(second * 1_000), UNIX + ms(second * 1_000)));
     let now = START + ms(20_000);
@@ -62,7 +58,7 @@
 }
 
 #[test]
-fn a_start_is_to_come_where_both_clocks_say_so() {
+fn a_stamp_is_in_the_future_only_if_both_clocks_say_so() {
     let mut clock = ChangeClock::default();
     (0..3).for_each(|second| clock.heard(START + ms(second * 1_000), UNIX + ms(second * 1_000)));
     let (now, stamp) = (START + ms(2_000), UNIX + ms(9_000));
@@ -75,7 +71,7 @@
     assert_eq!(
         clock.time(now, UNIX + ms(60_000), stamp),
         now,
-        "the stamps are old, as after a long quiet time"
+        "the stamps are old, as after a long time without changes"
     );
     assert_eq!(
         clock.time(now, UNIX - ms(3_600_000), UNIX),
@@ -85,6 +81,6 @@
     assert_eq!(
         ChangeClock::default().time(now, UNIX, stamp),
         now + ms(9_000),
-        "nothing but the wall clock tells"
+        "only the wall clock is known"
     );
 }
