--- a/crates/dispatcher/src/changes.rs
+++ b/crates/dispatcher/src/changes.rs
@@ -1,12 +1,12 @@
-//! The change log over HTTP/1.1: a long poll with the number of the last change taken. Each change of an
-//! answer is taken as soon as it is here whole. Whatever goes wrong, the last good list stays and the log is
-//! asked again.
+//! Follows the change log over HTTP/1.1, by long polls for the changes after the last known one. Each change takes effect
+//! as soon as it has arrived, before the rest of the answer. After a failure the current list stays in force and the log is
+//! polled again.
 use crate::carried::{Delivery, Source};
 use crate::clock;
 use crate::config::{Names, Nesting};
 use crate::inbox::Input;
-use crate::log_changes::Taking;
-pub use crate::log_changes::{decode, host_id, Fault, Unfit};
+use crate::log_changes::ChangeDecoder;
+pub use crate::log_changes::{decode, host_id, Fault, InvalidKey};
 use cherrypass::time::{Span, Time};
 use crossbeam_channel::{Receiver, Sender};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -21,184 +21,192 @@
 use std::os::fd::AsFd;
 use std::time::Instant;
 
-/// The wait asked for. The protocol page allows 5 s; but a watch that falls silent is found out only after it, while
-/// what the log has counts as told; and each dispatcher asks once in it, also when nothing changes.
-const POLL: Span = Span::millis(250);
-/// An answer that has not begun so long after the wait asked for makes the watch silent. It is twice as long after
-/// each time: guards against a log that is slower than that, and would never be heard out.
-const SILENT: Span = Span::millis(150);
-const PATIENCE_FADES: f64 = 0.9;
-/// The wait asked for by a watch that was silent: what it missed is known at once.
-const POLL_AGAIN: Span = Span::millis(1);
-/// What the change log has to tell counts as told so much later at the latest, whether it arrived or not (the protocol page).
+/// The wait requested of a poll. The protocol allows 5 s, but a silent connection is noticed only after the wait, while
+/// changes already count as announced. Each dispatcher polls once in this time even if nothing changes.
+const POLL_WAIT: Span = Span::millis(250);
+/// Minimum time after the requested wait until an answer has to begin. It doubles with each failure, so that a slower log is
+/// still followed, and decays with each success.
+const MIN_RESPONSE_TIMEOUT: Span = Span::millis(150);
+const RESPONSE_TIMEOUT_DECAY: f64 = 0.9;
+/// The wait requested of the poll after a failure or a stall, so that missed changes arrive at once.
+const CATCH_UP_WAIT: Span = Span::millis(1);
+/// By the protocol, a change counts as announced this long after it was made, whether it arrived or not.
 pub const TOLD_AT_LATEST: Span = Span::millis(7_000);
-/// What a broken answer would have told counts as told so much later, and what one would have told that
-/// stopped, so much after the end of the wait asked for (the page for service).
-const TOLD: Span = Span::millis(2_000);
-/// A whole answer comes after the poll's time at the latest; the rest is left for the way.
-const WHOLE: Span = Span::millis(1_100);
-/// How often a wait looks whether it is to go on.
-const LOOK: Span = Span::millis(100);
-/// A connection that is not up by then gets another one beside it. Guards against one that never comes up.
-const AGAIN: Span = Span::millis(1_000);
-/// And is given up then: connections come up to 1.5 s late (the standing test's page).
-const LATE: Span = Span::millis(2_000);
-const WAIT_FIRST: Span = Span::millis(50);
-const WAIT_MOST: Span = Span::millis(500);
-/// A poll that took longer met a slow log, or a process that stood still: what was told since is asked for at once.
-const STOOD_STILL: Span = Span::millis(600);
-const HEAD_MOST: usize = 8 * 1024;
-const HEADERS: usize = 64;
+/// Changes in a broken answer count as announced this long after the break, and those in an answer that stalls this long
+/// after the requested wait.
+const ANNOUNCED_AFTER: Span = Span::millis(2_000);
+/// Maximum time for a complete answer: the longest wait and time for the transfer.
+const RESPONSE_DEADLINE: Span = Span::millis(1_100);
+/// How often a wait checks whether the address has changed.
+const CHECK_INTERVAL: Span = Span::millis(100);
+/// A connection that is not established by then is tried again concurrently.
+const REDIAL_AFTER: Span = Span::millis(1_000);
+/// A connection that is not established by then is given up; connections may take up to 1.5 s.
+const CONNECT_TIMEOUT: Span = Span::millis(2_000);
+const MIN_RETRY_DELAY: Span = Span::millis(50);
+const MAX_RETRY_DELAY: Span = Span::millis(500);
+/// A poll that took longer met a slow log or a stall of this process; the next one requests no wait.
+const STALL_THRESHOLD: Span = Span::millis(600);
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+const MAX_HEADERS: usize = 64;
 
-// After a stop and after a break the log has been asked again, by a second connection if need be, before it
-// counts.
-const _: () = assert!(WHOLE.0 + WAIT_FIRST.0 * 2 + AGAIN.0 <= POLL.0 + TOLD.0);
-const _: () = assert!(WAIT_MOST.0 + AGAIN.0 <= TOLD.0);
+// After a stall or a break the log is polled again, if need be by a second connection, before its changes count as
+// announced.
+const _: () =
+    assert!(RESPONSE_DEADLINE.0 + MIN_RETRY_DELAY.0 * 2 + REDIAL_AFTER.0 <= POLL_WAIT.0 + ANNOUNCED_AFTER.0);
+const _: () = assert!(MAX_RETRY_DELAY.0 + REDIAL_AFTER.0 <= ANNOUNCED_AFTER.0);
 
-/// What the change log is followed with.
+/// Parameters of [`follow`].
 pub struct Following {
+    /// Address of the change log.
     pub at: SocketAddr,
-    /// Where it is from then on.
+    /// New addresses of the change log.
     pub moved: Receiver<SocketAddr>,
     pub names: Names,
-    /// The last change that is known.
+    /// Number of the last known change.
     pub last: u64,
-    /// Bytes of one change at most.
+    /// Maximum bytes of one change.
     pub most: usize,
     pub seed: u64,
     pub router: Sender<Input>,
-    /// Changes come by a carrier, or are passed on by this process.
+    /// Set if carriers deliver changes, or if this process is a carrier.
     pub delivery: Option<Delivery>,
 }
 
-/// Follows the change log until the router is gone.
+/// Follows the change log until the router has stopped.
 pub fn follow(following: Following) {
     let Following { at, moved, names, mut last, most, seed, router, delivery } = following;
     let mut source = Source::new(delivery);
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut watch = Watch { at, moved, line: None, dials: Vec::new(), most };
-    let mut wait = WAIT_FIRST;
-    let (mut failing, mut behind, mut repeating) = (false, false, false);
-    // What was told meanwhile is to be known at once.
-    let mut stood_still = false;
-    let mut unusable = None;
-    let mut patience = SILENT;
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
+    let mut connections = Connections { at, moved, idle: None, dials: Vec::new(), max_change_bytes: most };
+    let mut retry_delay = MIN_RETRY_DELAY;
+    let (mut is_failing, mut is_behind, mut is_repeating) = (false, false, false);
+    let mut has_stalled = false;
+    let mut known_invalid = None;
+    let mut response_timeout = MIN_RESPONSE_TIMEOUT;
     loop {
-        if source.take(&names, &mut last, &router).is_err() {
+        if source.apply_delivered(&names, &mut last, &router).is_err() {
             return;
         }
-        if let Some(new) = watch.moved.try_iter().last() {
-            watch = Watch { at: new, line: None, dials: Vec::new(), ..watch };
-            wait = WAIT_FIRST;
+        if let Some(new) = connections.moved.try_iter().last() {
+            connections = Connections { at: new, idle: None, dials: Vec::new(), ..connections };
+            retry_delay = MIN_RETRY_DELAY;
         }
         let (asked, asked_at) = (clock::now(), Instant::now());
         let since = last;
-        let mut taking = Taking::new(&names, &mut last, unusable);
-        let poll = if failing || stood_still { POLL_AGAIN } else { POLL };
-        let found = watch.ask(since, [poll, patience], &mut |result| {
-            let before = taking.last();
-            let change = taking.take(result)?;
-            if taking.last() > before {
-                source.was_read(taking.last(), result);
+        let mut decoder = ChangeDecoder::new(&names, &mut last, known_invalid);
+        let poll_wait = if is_failing || has_stalled { CATCH_UP_WAIT } else { POLL_WAIT };
+        let found = connections.poll(since, [poll_wait, response_timeout], &mut |result| {
+            let before = decoder.last();
+            let change = decoder.decode(result)?;
+            if decoder.last() > before {
+                source.change_read(decoder.last(), result);
             }
-            change.map_or(Ok(()), |change| router.send(Input::Changed(change)).map_err(|_| Fault::Over))
+            change.map_or(Ok(()), |change| {
+                router.send(Input::Changed(change)).map_err(|_| Fault::RouterStopped)
+            })
         });
-        stood_still = clock::now() - asked > STOOD_STILL;
-        let repeated = taking.repeated();
-        source.answered(last, found.is_ok().then_some(asked_at));
+        has_stalled = clock::now() - asked > STALL_THRESHOLD;
+        let repeated = decoder.first_repeated();
+        source.answer_ended(last, found.is_ok().then_some(asked_at));
         if found.is_ok() && router.send(Input::LogKnown(asked)).is_err() {
             return;
         }
-        if let Some(number) = repeated.filter(|_| !repeating) {
-            tracing::warn!(change = last, "changelog tells change {number} again, after {last}: passed over");
+        if let Some(number) = repeated.filter(|_| !is_repeating) {
+            tracing::warn!(change = last, "changelog tells change {number} again, after {last}: ignored");
         }
-        repeating = repeated.is_some();
+        is_repeating = repeated.is_some();
         let fault = match found {
-            Err(Fault::Moved) => continue,
-            Err(Fault::Over) => return,
+            Err(Fault::AddressChanged) => continue,
+            Err(Fault::RouterStopped) => return,
             Err(fault) => Some(fault),
             Ok(seq) => {
-                let is = seq.is_some_and(|seq| seq < since);
-                if is && !behind {
+                let was_behind = is_behind;
+                is_behind = seq.is_some_and(|seq| seq < since);
+                if is_behind && !was_behind {
                     let seq = seq.unwrap_or_default();
                     tracing::warn!(
                         change = since,
-                        "changelog is at change {seq}, behind {since}: nothing comes"
+                        "changelog is at change {seq}, behind {since}: no changes until it catches up"
                     );
                 }
-                behind = is;
                 None
             }
         };
         if fault.is_none() {
-            patience = patience.times(PATIENCE_FADES).max(SILENT);
+            response_timeout = response_timeout.times(RESPONSE_TIMEOUT_DECAY).max(MIN_RESPONSE_TIMEOUT);
         } else {
-            patience = (patience + patience).min(WHOLE);
+            response_timeout = (response_timeout + response_timeout).min(RESPONSE_DEADLINE);
         }
-        if let Some(Fault::Unusable(number, _)) = &fault {
-            unusable = Some(*number);
+        if let Some(Fault::InvalidChange(number, _)) = &fault {
+            known_invalid = Some(*number);
         }
         if let Some(fault) = &fault {
-            if !failing {
+            if !is_failing {
                 tracing::warn!(
                     change = last,
-                    "changelog fails: {fault}; the last good list stays, change {last}"
+                    "changelog fails: {fault}; the list as of change {last} stays in force"
                 );
             }
-        } else if failing {
+        } else if is_failing {
             tracing::info!(change = last, "changelog back at change {last}");
         }
-        failing = fault.is_some();
-        // Guards against asking in a tight loop, also where answers come at once and bring nothing.
-        wait = if failing { (wait + wait).min(WAIT_MOST) } else { WAIT_FIRST };
-        // One that does not come up was waited for, and the next is on its way.
-        let waited = matches!(&fault, Some(Fault::Unreachable(error)) if error.kind() == ErrorKind::TimedOut);
+        is_failing = fault.is_some();
+        // Prevents a busy loop, also if answers arrive at once and have no changes.
+        retry_delay =
+            if is_failing { (retry_delay + retry_delay).min(MAX_RETRY_DELAY) } else { MIN_RETRY_DELAY };
+        // After a connect timeout the next connection is already being established.
+        let has_waited =
+            matches!(&fault, Some(Fault::Unreachable(error)) if error.kind() == ErrorKind::TimedOut);
         let since_asked = clock::now() - asked;
-        let is_tight = failing && !waited || since_asked < Span::millis(2);
-        let rest = is_tight.then(|| wait.times(chance.gen_range(0.5..1.0)));
-        if let Some(rest) = rest.max(source.rest(since_asked)) {
-            // A move ends the wait.
+        let needs_delay = is_failing && !has_waited || since_asked < Span::millis(2);
+        let delay = needs_delay.then(|| retry_delay.times(random.gen_range(0.5..1.0)));
+        if let Some(delay) = delay.max(source.poll_delay(since_asked)) {
+            // A new address ends the wait.
             let mut select = crossbeam_channel::Select::new();
-            select.recv(&watch.moved);
-            let _ = select.ready_timeout(clock::duration(rest));
+            select.recv(&connections.moved);
+            let _ = select.ready_timeout(clock::duration(delay));
         }
     }
 }
 
-/// Waits until one of them is ready, until the end or for a while; which of them are.
-fn ready(all: &[&TcpStream], what: PollFlags, until: Time) -> io::Result<Vec<bool>> {
-    let wait = (until - clock::now()).min(LOOK).0 / 1000 + 1;
-    let mut all: Vec<PollFd> = all.iter().map(|stream| PollFd::new(stream.as_fd(), what)).collect();
-    match poll(&mut all, PollTimeout::from(wait as u16)) {
-        Ok(_) => Ok(all.iter().map(|one| one.any().unwrap_or(true)).collect()),
-        Err(nix::errno::Errno::EINTR) => Ok(vec![false; all.len()]),
+/// Waits until a stream is ready, but no longer than `until` or the check interval; returns which streams are ready.
+fn ready(streams: &[&TcpStream], events: PollFlags, until: Time) -> io::Result<Vec<bool>> {
+    let wait = (until - clock::now()).min(CHECK_INTERVAL).0 / 1000 + 1;
+    let mut polled: Vec<PollFd> = streams.iter().map(|stream| PollFd::new(stream.as_fd(), events)).collect();
+    match poll(&mut polled, PollTimeout::from(wait as u16)) {
+        Ok(_) => Ok(polled.iter().map(|one| one.any().unwrap_or(true)).collect()),
+        Err(nix::errno::Errno::EINTR) => Ok(vec![false; streams.len()]),
         Err(error) => Err(error.into()),
     }
 }
 
-/// One answer's reading. Guards against an answer that stops or drips, by one end for the whole of it, and
-/// against waiting for one that won't come, as the change log has moved. What is here already is read all the
-/// same, so that nothing is lost where the process itself stood still; so much of it that it comes to an end.
-struct Reading<'a> {
+/// Reads one answer. Ends an answer that stalls or trickles at one deadline for all of it, and stops waiting when the change
+/// log's address changes. After the deadline, bytes that are already buffered are still read up to a limit, so that a stall
+/// of this process loses no changes.
+struct AnswerStream<'a> {
     stream: &'a TcpStream,
     moved: &'a Receiver<SocketAddr>,
-    /// By when it has to begin; from then on, by when it has to be whole.
-    until: Time,
-    whole: Time,
-    left: usize,
+    /// The current deadline: first for the beginning of the answer, then for its end.
+    deadline: Time,
+    end_deadline: Time,
+    /// Bytes that may still be read after the deadline.
+    late_bytes_left: usize,
 }
 
-impl Read for Reading<'_> {
+impl Read for AnswerStream<'_> {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         loop {
             let found = (&mut self.stream).read(into);
-            let is_late = clock::now() >= self.until;
+            let is_late = clock::now() >= self.deadline;
             match found {
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-                Ok(found) if is_late && found > self.left => return Err(ErrorKind::TimedOut.into()),
+                Ok(found) if is_late && found > self.late_bytes_left => {
+                    return Err(ErrorKind::TimedOut.into())
+                }
                 Ok(found) => {
-                    self.until = self.whole;
-                    self.left -= if is_late { found } else { 0 };
+                    self.deadline = self.end_deadline;
+                    self.late_bytes_left -= if is_late { found } else { 0 };
                     return Ok(found);
                 }
                 Err(error) => return Err(error),
@@ -206,12 +214,12 @@
             if is_late || !self.moved.is_empty() {
                 return Err(ErrorKind::TimedOut.into());
             }
-            ready(&[self.stream], PollFlags::POLLIN, self.until)?;
+            ready(&[self.stream], PollFlags::POLLIN, self.deadline)?;
         }
     }
 }
 
-/// A connection on its way up, and since when.
+/// A connection that is being established, and since when.
 struct Dial(TcpStream, Time);
 
 fn dial(at: SocketAddr) -> io::Result<Dial> {
@@ -224,169 +232,175 @@
     }
 }
 
-/// What is held of the change log's connections between two answers.
-struct Watch {
+/// The connections to the change log between polls.
+struct Connections {
     at: SocketAddr,
     moved: Receiver<SocketAddr>,
-    line: Option<TcpStream>,
+    idle: Option<TcpStream>,
     dials: Vec<Dial>,
-    most: usize,
+    max_change_bytes: usize,
 }
 
-impl Watch {
-    /// The first connection to come up.
+impl Connections {
+    /// Returns the first connection to be established.
     fn connect(&mut self) -> Result<TcpStream, Fault> {
         loop {
             if !self.moved.is_empty() {
-                return Err(Fault::Moved);
+                return Err(Fault::AddressChanged);
             }
             let now = clock::now();
-            if self.dials.last().is_none_or(|Dial(_, since)| now - *since >= AGAIN) {
+            if self.dials.last().is_none_or(|Dial(_, since)| now - *since >= REDIAL_AFTER) {
                 self.dials.push(dial(self.at).map_err(Fault::Unreachable)?);
             }
             let all: Vec<&TcpStream> = self.dials.iter().map(|Dial(stream, _)| stream).collect();
-            let up = ready(&all, PollFlags::POLLOUT, now + LOOK)?;
-            if let Some(place) = up.iter().position(|is| *is) {
-                let Dial(stream, _) = self.dials.swap_remove(place);
+            let ready = ready(&all, PollFlags::POLLOUT, now + CHECK_INTERVAL)?;
+            if let Some(index) = ready.iter().position(|is_ready| *is_ready) {
+                let Dial(stream, _) = self.dials.swap_remove(index);
                 self.dials.clear();
                 return match stream.take_error().map_err(Fault::Unreachable)? {
                     Some(error) => Err(Fault::Unreachable(error)),
                     None => Ok(stream),
                 };
             }
-            if self.dials.first().is_some_and(|Dial(_, since)| clock::now() - *since >= LATE) {
+            if self.dials.first().is_some_and(|Dial(_, since)| clock::now() - *since >= CONNECT_TIMEOUT) {
                 self.dials.remove(0);
                 return Err(Fault::Unreachable(ErrorKind::TimedOut.into()));
             }
         }
     }
 
-    /// Asks for what comes after a change, and passes on each change that comes; what the last one's number
-    /// is.
-    fn ask(
+    /// Requests the changes after a given one and passes each of them on; returns the number of the log's last change.
+    fn poll(
         &mut self,
         since: u64,
-        [poll, patience]: [Span; 2],
-        each: &mut Each,
+        [poll_wait, response_timeout]: [Span; 2],
+        on_change: &mut OnChange,
     ) -> Result<Option<u64>, Fault> {
-        // One that was ended meanwhile, or brought what nobody asked for, is of no use.
-        let mut stray = [0];
-        let unused = |line: &TcpStream| {
-            { line }.read(&mut stray).is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+        // A connection that was closed in between, or has unexpected data, can't be reused.
+        let mut unexpected = [0];
+        let is_reusable = |stream: &TcpStream| {
+            { stream }.read(&mut unexpected).is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
         };
-        let stream = match self.line.take().filter(unused) {
+        let stream = match self.idle.take().filter(is_reusable) {
             Some(stream) => stream,
             None => self.connect()?,
         };
-        let (wait, at) = (poll.0 / 1000, self.at);
+        let (wait, at) = (poll_wait.0 / 1000, self.at);
         let request = format!(
             "GET /changes?since={since}&timeout={wait} HTTP/1.1\r\nHost: {at}\r\n\
              Accept: application/json\r\n\r\n"
         );
         (&stream).write_all(request.as_bytes())?;
         let now = clock::now();
-        let (begun, whole) = (now + (poll + patience).min(WHOLE), now + WHOLE);
-        let reading = Reading { stream: &stream, moved: &self.moved, until: begun, whole, left: self.most };
-        let found = answer(reading, since, self.most, each);
-        if !self.moved.is_empty() && !matches!(found, Err(Fault::Over)) {
-            return Err(Fault::Moved);
+        let answer_stream = AnswerStream {
+            stream: &stream,
+            moved: &self.moved,
+            deadline: now + (poll_wait + response_timeout).min(RESPONSE_DEADLINE),
+            end_deadline: now + RESPONSE_DEADLINE,
+            late_bytes_left: self.max_change_bytes,
+        };
+        let found = answer(answer_stream, since, self.max_change_bytes, on_change);
+        if !self.moved.is_empty() && !matches!(found, Err(Fault::RouterStopped)) {
+            return Err(Fault::AddressChanged);
         }
-        let (seq, keep) = found?;
-        self.line = Some(stream).filter(|_| keep);
+        let (seq, is_reusable) = found?;
+        self.idle = Some(stream).filter(|_| is_reusable);
         Ok(seq)
     }
 }
 
-/// What becomes of a change.
-pub type Each<'a> = dyn FnMut(&Value) -> Result<(), Fault> + 'a;
+/// Called with each change of an answer.
+pub type OnChange<'a> = dyn FnMut(&Value) -> Result<(), Fault> + 'a;
 
-/// Reads an answer and passes on each of its changes once it is here whole, none of which is longer than
-/// that. Its own number, and whether the connection stays open after it.
+/// Reads an answer and passes on each change as soon as it has arrived. Returns the number of the log's last change, and
+/// whether the connection can be reused.
 pub fn answer(
     stream: impl Read,
     since: u64,
-    most: usize,
-    each: &mut Each,
+    max_change_bytes: usize,
+    on_change: &mut OnChange,
 ) -> Result<(Option<u64>, bool), Fault> {
     let mut stream = BufReader::new(stream);
-    let mut held = Vec::new();
-    let (length, chunked, keep) = loop {
+    let mut head = Vec::new();
+    let (length, is_chunked, keeps_alive) = loop {
         let piece = stream.fill_buf()?;
         if piece.is_empty() {
             return Err(Fault::Cut(ErrorKind::UnexpectedEof.into()));
         }
-        let before = held.len();
-        held.extend_from_slice(piece);
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let before = head.len();
+        head.extend_from_slice(piece);
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed = response.parse(&held).map_err(|_| Fault::NotHttp("its head"))?;
-        let httparse::Status::Complete(head) = parsed else {
-            if held.len() > HEAD_MOST {
-                return Err(Fault::NotHttp("its head"));
+        let parsed = response.parse(&head).map_err(|_| Fault::InvalidResponse("invalid head"))?;
+        let httparse::Status::Complete(head_length) = parsed else {
+            if head.len() > MAX_HEAD_BYTES {
+                return Err(Fault::InvalidResponse("the head is too long"));
             }
-            stream.consume(held.len() - before);
+            stream.consume(head.len() - before);
             continue;
         };
-        stream.consume(head - before);
+        stream.consume(head_length - before);
         if response.code != Some(200) {
-            return Err(Fault::NotHttp("its status"));
+            return Err(Fault::InvalidResponse("the status is not 200"));
         }
-        let of = |name: &str| {
+        let header = |name: &str| {
             let found = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
             found.and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim)
         };
-        let length = of("content-length").map(|text| text.parse::<u64>());
-        let length = length.transpose().map_err(|_| Fault::NotHttp("its length"))?;
-        let chunked = of("transfer-encoding").is_some_and(|t| t.eq_ignore_ascii_case("chunked"));
-        let close = of("connection").is_some_and(|word| word.eq_ignore_ascii_case("close"));
-        break (length, chunked, !close && response.version == Some(1));
+        let length = header("content-length").map(|text| text.parse::<u64>());
+        let length = length.transpose().map_err(|_| Fault::InvalidResponse("invalid Content-Length"))?;
+        let is_chunked = header("transfer-encoding").is_some_and(|t| t.eq_ignore_ascii_case("chunked"));
+        let closes = header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        break (length, is_chunked, !closes && response.version == Some(1));
     };
     let number = Cell::new(since + 1);
     let read = Cell::new(0);
-    let must = chunked || length.is_some();
-    let mut body = Body { stream, must, read: &read, number: &number, most };
-    let each = &mut |result: &Value| {
+    let is_delimited = is_chunked || length.is_some();
+    let mut body = Body { stream, is_delimited, read: &read, number: &number, max_change_bytes };
+    let on_change = &mut |result: &Value| {
         read.set(0);
         number.set(number.get() + 1);
-        each(result)
+        on_change(result)
     };
-    let seq = match length.filter(|_| !chunked) {
-        Some(length) => changes((&mut body).take(length), each),
-        None if chunked => changes(chunked_transfer::Decoder::new(&mut body), each),
-        None => changes(&mut body, each),
+    let seq = match length.filter(|_| !is_chunked) {
+        Some(length) => read_changes((&mut body).take(length), on_change),
+        None if is_chunked => read_changes(chunked_transfer::Decoder::new(&mut body), on_change),
+        None => read_changes(&mut body, on_change),
     }?;
-    Ok((seq, keep && must && body.stream.buffer().is_empty()))
+    Ok((seq, keeps_alive && is_delimited && body.stream.buffer().is_empty()))
 }
 
-/// Guards against a change without an end, and tells an end that is none.
+/// The body of an answer. Limits the length of each change, and reports an end of the stream before that of the body.
 struct Body<'a, R> {
     stream: BufReader<R>,
-    /// Whether the stream's end is not the answer's.
-    must: bool,
-    /// Bytes since the last change, and the number of the one that comes.
+    /// Whether the body has a length or chunks; otherwise it ends with the stream.
+    is_delimited: bool,
+    /// Bytes read since the last change.
     read: &'a Cell<usize>,
+    /// Number of the next change.
     number: &'a Cell<u64>,
-    most: usize,
+    max_change_bytes: usize,
 }
 
 impl<R: Read> Read for Body<'_, R> {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         let found = self.stream.read(into)?;
-        if found == 0 && self.must && !into.is_empty() {
+        if found == 0 && self.is_delimited && !into.is_empty() {
             return Err(ErrorKind::UnexpectedEof.into());
         }
         self.read.set(self.read.get() + found);
-        if self.read.get() > self.most {
-            return Err(io::Error::other(Fault::TooLong(self.number.get(), self.most)));
+        if self.read.get() > self.max_change_bytes {
+            let fault = Fault::ChangeTooLong(self.number.get(), self.max_change_bytes);
+            return Err(io::Error::other(fault));
         }
         Ok(found)
     }
 }
 
-/// Guards against JSON that goes deeper than the stack of the thread that reads it.
-struct Shallow<R>(R, Nesting);
+/// Rejects JSON that is nested too deep for the stack of the thread that reads it.
+struct DepthLimited<R>(R, Nesting);
 
-impl<R: Read> Read for Shallow<R> {
+impl<R: Read> Read for DepthLimited<R> {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         let found = self.0.read(into)?;
         if self.1.is_too_deep(&into[..found]) {
@@ -396,10 +410,10 @@
     }
 }
 
-fn changes(body: impl Read, each: &mut Each) -> Result<Option<u64>, Fault> {
+fn read_changes(body: impl Read, on_change: &mut OnChange) -> Result<Option<u64>, Fault> {
     let mut fault = None;
-    let mut json = serde_json::Deserializer::from_reader(Shallow(body, Nesting::default()));
-    let found = Answered { each, fault: &mut fault }.deserialize(&mut json);
+    let mut json = serde_json::Deserializer::from_reader(DepthLimited(body, Nesting::default()));
+    let found = AnswerVisitor { on_change, fault: &mut fault }.deserialize(&mut json);
     match found.and_then(|seq| json.end().map(|()| seq)) {
         Ok(seq) => Ok(seq),
         Err(error) => Err(fault.unwrap_or_else(|| match error.is_io() {
@@ -409,54 +423,58 @@
     }
 }
 
-/// An answer's JSON, `{"seq":LAST,"results":[...]}`, read change by change.
-struct Answered<'a, 'b> {
-    each: &'a mut Each<'b>,
+/// Reads the JSON of an answer, `{"seq":LAST,"results":[...]}`, change by change.
+struct AnswerVisitor<'a, 'b> {
+    on_change: &'a mut OnChange<'b>,
     fault: &'a mut Option<Fault>,
 }
 
-impl<'de> DeserializeSeed<'de> for Answered<'_, '_> {
+impl<'de> DeserializeSeed<'de> for AnswerVisitor<'_, '_> {
     type Value = Option<u64>;
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<Option<u64>, D::Error> {
         from.deserialize_map(self)
     }
 }
 
-impl<'de> Visitor<'de> for Answered<'_, '_> {
+impl<'de> Visitor<'de> for AnswerVisitor<'_, '_> {
     type Value = Option<u64>;
     fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str("an answer of the change log")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Option<u64>, A::Error> {
-        let (mut seq, mut any) = (None, false);
+        let (mut seq, mut has_results) = (None, false);
         while let Some(key) = map.next_key::<String>()? {
             match &key[..] {
                 "seq" => seq = map.next_value::<Value>()?.as_u64(),
                 "results" => {
-                    any = true;
-                    map.next_value_seed(Results { each: &mut *self.each, fault: &mut *self.fault })?;
+                    has_results = true;
+                    map.next_value_seed(ResultsVisitor {
+                        on_change: &mut *self.on_change,
+                        fault: &mut *self.fault,
+                    })?;
                 }
                 _ => drop(map.next_value::<IgnoredAny>()?),
             }
         }
-        any.then_some(seq).ok_or_else(|| serde::de::Error::missing_field("results"))
+        has_results.then_some(seq).ok_or_else(|| serde::de::Error::missing_field("results"))
     }
 }
 
-struct Results<'a, 'b> {
-    each: &'a mut Each<'b>,
+/// Reads the list of changes.
+struct ResultsVisitor<'a, 'b> {
+    on_change: &'a mut OnChange<'b>,
     fault: &'a mut Option<Fault>,
 }
 
-impl<'de> DeserializeSeed<'de> for Results<'_, '_> {
+impl<'de> DeserializeSeed<'de> for ResultsVisitor<'_, '_> {
     type Value = ();
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<(), D::Error> {
         from.deserialize_seq(self)
     }
 }
 
-impl<'de> Visitor<'de> for Results<'_, '_> {
+impl<'de> Visitor<'de> for ResultsVisitor<'_, '_> {
     type Value = ();
     fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str("a list of changes")
@@ -464,9 +482,9 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
         while let Some(result) = list.next_element::<Value>()? {
-            if let Err(fault) = (self.each)(&result) {
+            if let Err(fault) = (self.on_change)(&result) {
                 *self.fault = Some(fault);
-                return Err(serde::de::Error::custom("a change that is not taken"));
+                return Err(serde::de::Error::custom("a change was rejected"));
             }
         }
         Ok(())
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told at its start: the configuration's JSON, decoded once by key.
+//! The configuration of a dispatcher, decoded from its JSON file.
 use cherrypass::settings::Settings;
 use cherrypass::time::Span;
 use cherrypass_settings as settings;
@@ -6,32 +6,32 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Each is one line with the place, a file, key or line, and what to do there.
+/// Each message is one line with the file, key or line at fault and the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("no configuration: name it with --config or in GW_CONFIG")]
     Unnamed,
     #[error("the configuration {0} can't be read: {1}; name a file that is there and may be read")]
-    Unread(String, std::io::Error),
-    #[error("the configuration isn't JSON: {0}; {}", mending(.0))]
+    Unreadable(String, std::io::Error),
+    #[error("the configuration isn't JSON: {0}; {}", json_remedy(.0))]
     NotJson(serde_json::Error),
-    #[error("the configuration goes over {0} levels deep; write it as the page of the configuration does")]
+    #[error("the configuration is nested over {0} levels deep; write it with the documented keys")]
     TooDeep(usize),
     #[error("the configuration lacks {0}: add it")]
-    Lacks(String),
+    MissingKey(String),
     #[error("the configuration's {0} can't be used: {1}; it has to be {2}")]
-    Unusable(&'static str, String, String),
+    InvalidValue(&'static str, String, String),
     #[error("{0}: add it")]
-    Missing(#[from] settings::Missing),
+    MissingSetting(#[from] settings::Missing),
     #[error("the configuration's {0}")]
-    Refused(#[from] settings::Fault),
+    InvalidSetting(#[from] settings::Fault),
     #[error("the configuration's known: {0}; look at who writes it")]
-    Known(crate::changes::Fault),
+    KnownChanges(crate::changes::Fault),
     #[error("{1} (in {0})")]
-    In(String, Box<Error>),
+    InFile(String, Box<Error>),
 }
 
-fn mending(error: &serde_json::Error) -> &'static str {
+fn json_remedy(error: &serde_json::Error) -> &'static str {
     if error.is_eof() {
         "it is empty or cut short, write it whole"
     } else {
@@ -39,7 +39,7 @@
     }
 }
 
-/// The names that messages use, each at the place of its number.
+/// The names used in messages, each at the index of its id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     pub bands: Vec<String>,
@@ -47,49 +47,56 @@
     pub kinds: Vec<String>,
 }
 
-/// What connections to hosts may do and hold.
+/// Limits of the connections to hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reach {
     pub connect_limit: Span,
+    /// How long an unused connection stays open.
     pub idle: Span,
+    /// Concurrent hand-offs per connection.
     pub streams: usize,
+    /// Connections to all hosts.
     pub connections: usize,
 }
 
+/// The decoded configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
     pub changelog: SocketAddr,
+    /// Changes that are known at the start, in the form of the change log.
     pub known: Value,
     pub settings: Settings,
     pub names: Names,
     pub reach: Reach,
-    /// The longest that a visit of each band may take.
+    /// The deadline of each request class.
     pub limits: Vec<Span>,
+    /// Maximum number of client connections.
     pub clients: usize,
-    /// Bytes of answers that may wait for clients to read them, and those of all answers on their way.
+    /// Maximum bytes of answers that wait for clients to read them.
     pub unread: usize,
+    /// Maximum bytes of all answers in progress.
     pub held: usize,
-    /// Bytes that open visits may keep.
+    /// Maximum bytes that open visits may hold.
     pub kept: usize,
-    /// A change of the change log; read, it takes several times as much.
+    /// Maximum bytes of one change of the change log; decoded, it takes several times as much memory.
     pub changes: usize,
 }
 
-/// The largest message of a host: an object of 240,000 bytes and room for its fields.
+/// Maximum bytes of a host's message: an object of 240,000 bytes and room for its fields.
 pub const HOST_MESSAGE: usize = 256 * 1024;
-/// Descriptors for all but clients and hosts: standard streams, listener, change log, signals, what is being
-/// accepted or is just closing.
-const OTHER_DESCRIPTORS: usize = 48;
-/// With fewer there is none for a client and a host beside those that a process that serves no one holds (standard
-/// streams, listener, two that wait, change log twice, signals twice).
-const SOCKETS_LEAST: f64 = 16.0;
-/// So much of what can't be used is told.
-const TOLD: usize = 60;
-
-/// How deep JSON goes, read piece by piece.
+/// File descriptors for everything but clients and hosts: standard streams, listener, change log, signals, and
+/// connections that are being accepted or closed.
+const RESERVED_DESCRIPTORS: usize = 48;
+/// Minimum of limits/sockets. An idle process holds standard streams, listener, two pollers, two for the change log and
+/// two for signals; with fewer there is none left for a client and a host.
+const MIN_SOCKETS: f64 = 16.0;
+/// Maximum length of an invalid value in a message.
+const MAX_SHOWN_CHARS: usize = 60;
+
+/// Tracks the nesting depth of JSON that is read piece by piece.
 #[derive(Default)]
 pub struct Nesting {
     depth: usize,
@@ -98,10 +105,11 @@
 }
 
 impl Nesting {
-    /// Deeper than any configuration or change, whose lists of hosts are on the fifth level and settings'
-    /// keys on the fourth. Guards the small stacks of the threads that read them: JSON is read by recursion.
-    const MOST: usize = 16;
+    /// Deeper than any valid configuration or change. The JSON parser recurses, and the threads that run it have small
+    /// stacks.
+    const MAX_DEPTH: usize = 16;
 
+    /// Adds a piece of JSON; returns whether the depth exceeds the maximum.
     pub fn is_too_deep(&mut self, piece: &[u8]) -> bool {
         piece.iter().any(|byte| {
             let escaped = std::mem::take(&mut self.escaped);
@@ -112,7 +120,7 @@
                 b']' | b'}' if !self.in_string => self.depth = self.depth.saturating_sub(1),
                 _ => {}
             }
-            self.depth > Nesting::MOST
+            self.depth > Nesting::MAX_DEPTH
         })
     }
 }
@@ -122,54 +130,54 @@
         Config::load_text(path).map(|(config, _)| config)
     }
 
-    /// With the text that it was read from.
+    /// Loads the configuration along with the text that it was decoded from.
     pub fn load_text(path: &Path) -> Result<(Config, Vec<u8>), Error> {
         let file = path.display().to_string();
-        let text = std::fs::read(path).map_err(|error| Error::Unread(file.clone(), error))?;
-        let config = Config::decode(&text).map_err(|error| Error::In(file, Box::new(error)))?;
+        let text = std::fs::read(path).map_err(|error| Error::Unreadable(file.clone(), error))?;
+        let config = Config::decode(&text).map_err(|error| Error::InFile(file, Box::new(error)))?;
         Ok((config, text))
     }
 
     pub fn decode(text: &[u8]) -> Result<Config, Error> {
         if Nesting::default().is_too_deep(text) {
-            return Err(Error::TooDeep(Nesting::MOST));
+            return Err(Error::TooDeep(Nesting::MAX_DEPTH));
         }
         let all: Value = serde_json::from_slice(text).map_err(Error::NotJson)?;
-        let own = all.get("settings").ok_or_else(|| Error::Lacks("settings".to_owned()))?;
-        settings::check(own)?;
+        let settings_json = all.get("settings").ok_or_else(|| Error::MissingKey("settings".to_owned()))?;
+        settings::check(settings_json)?;
         let memory = number(&all, "limits/memory_mb", 1.0)?;
-        let sockets = number(&all, "limits/sockets", SOCKETS_LEAST)? as usize;
+        let sockets = number(&all, "limits/sockets", MIN_SOCKETS)? as usize;
         let sixteenth = (memory * 1024.0 * 1024.0 / 16.0) as usize;
         let clients = sockets / 3;
         let seed = string(&all, "seed")?;
-        let need = |path: &str| settings::need(own, path);
-        let services = settings::list(own, "/services");
-        let limit = |(place, band): (usize, &Value)| {
-            let lacks = |key| Error::Lacks(format!("settings/services/{place}/{key}"));
-            band.get("name").and_then(Value::as_str).ok_or_else(|| lacks("name"))?;
-            let limit = settings::number(band, "/deadline").ok_or_else(|| lacks("deadline"))?;
-            Ok(Span(limit as u64))
+        let required = |path: &str| settings::need(settings_json, path);
+        let services = settings::list(settings_json, "/services");
+        let deadline = |(index, class): (usize, &Value)| {
+            let missing = |key| Error::MissingKey(format!("settings/services/{index}/{key}"));
+            class.get("name").and_then(Value::as_str).ok_or_else(|| missing("name"))?;
+            let deadline = settings::number(class, "/deadline").ok_or_else(|| missing("deadline"))?;
+            Ok(Span(deadline as u64))
         };
-        let limits = services.iter().enumerate().map(limit).collect::<Result<_, Error>>()?;
+        let limits = services.iter().enumerate().map(deadline).collect::<Result<_, Error>>()?;
         Ok(Config {
             name: string(&all, "name")?.to_owned(),
             listen: address(&all, "listen")?,
             seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| unusable("seed", &all["seed"], "a text of up to 16 hex digits"))?,
+                .map_err(|_| invalid("seed", &all["seed"], "a text of up to 16 hex digits"))?,
             changelog: address(&all, "changelog")?,
             known: all.get("known").cloned().unwrap_or(Value::Null),
-            settings: settings::read(own)?,
+            settings: settings::read(settings_json)?,
             names: Names {
-                bands: services.iter().map(|band| settings::text(band, "/name").to_owned()).collect(),
-                locations: names(own, "/zones"),
-                kinds: names(own, "/models"),
+                bands: services.iter().map(|class| settings::text(class, "/name").to_owned()).collect(),
+                locations: names(settings_json, "/zones"),
+                kinds: names(settings_json, "/models"),
             },
             reach: Reach {
-                connect_limit: Span(need("/bounds/connect_timeout")? as u64),
-                idle: Span(need("/bounds/conn_idle")? as u64),
-                streams: (need("/bounds/streams_per_conn")? as usize).max(1),
+                connect_limit: Span(required("/bounds/connect_timeout")? as u64),
+                idle: Span(required("/bounds/conn_idle")? as u64),
+                streams: (required("/bounds/streams_per_conn")? as usize).max(1),
                 connections: sockets
-                    .saturating_sub(clients + OTHER_DESCRIPTORS)
+                    .saturating_sub(clients + RESERVED_DESCRIPTORS)
                     .min(4 * sixteenth / HOST_MESSAGE)
                     .max(1),
             },
@@ -182,50 +190,50 @@
         })
     }
 
-    /// Whether the changes that are known from the start can all be used.
+    /// Checks that all changes known at the start are valid.
     pub fn check_known(&self) -> Result<(), Error> {
         let (_, fault) = crate::changes::decode(&self.known, &self.names, &mut 0, None);
-        fault.filter(|_| !self.known.is_null()).map_or(Ok(()), |fault| Err(Error::Known(fault)))
+        fault.filter(|_| !self.known.is_null()).map_or(Ok(()), |fault| Err(Error::KnownChanges(fault)))
     }
 
-    /// The longest that a visit of any band may take.
+    /// The longest deadline of any request class.
     pub fn longest(&self) -> Span {
         self.limits.iter().copied().max().unwrap_or(Span::ZERO)
     }
 
-    /// Whether another configuration differs in more than what is taken while this one is in force.
+    /// Whether another configuration differs in anything but the change log's address, the known changes and the seed.
     pub fn is_new_beyond_changelog(&self, other: &Config) -> bool {
         let same = Config { changelog: self.changelog, known: self.known.clone(), ..other.clone() };
         Config { seed: self.seed, ..same } != *self
     }
 }
 
-fn unusable(key: &'static str, found: &Value, wanted: impl Into<String>) -> Error {
-    let found: String = found.to_string().chars().take(TOLD).collect();
-    Error::Unusable(key, found, wanted.into())
+fn invalid(key: &'static str, value: &Value, expected: impl Into<String>) -> Error {
+    let shown: String = value.to_string().chars().take(MAX_SHOWN_CHARS).collect();
+    Error::InvalidValue(key, shown, expected.into())
 }
 
-fn found<'a>(all: &'a Value, key: &'static str) -> Result<&'a Value, Error> {
+fn required<'a>(all: &'a Value, key: &'static str) -> Result<&'a Value, Error> {
     let value = all.pointer(&format!("/{key}")).filter(|value| !value.is_null());
-    value.ok_or_else(|| Error::Lacks(key.to_owned()))
+    value.ok_or_else(|| Error::MissingKey(key.to_owned()))
 }
 
-fn number(all: &Value, key: &'static str, least: f64) -> Result<f64, Error> {
-    let value = found(all, key)?;
-    let number = value.as_f64().filter(|number| *number >= least);
-    number.ok_or_else(|| unusable(key, value, format!("a number, {least} at least")))
+fn number(all: &Value, key: &'static str, min: f64) -> Result<f64, Error> {
+    let value = required(all, key)?;
+    let number = value.as_f64().filter(|number| *number >= min);
+    number.ok_or_else(|| invalid(key, value, format!("a number, {min} at least")))
 }
 
 fn string<'a>(all: &'a Value, key: &'static str) -> Result<&'a str, Error> {
-    let value = found(all, key)?;
-    value.as_str().ok_or_else(|| unusable(key, value, "a text"))
+    let value = required(all, key)?;
+    value.as_str().ok_or_else(|| invalid(key, value, "a text"))
 }
 
 fn address(all: &Value, key: &'static str) -> Result<SocketAddr, Error> {
-    let wanted = "an address and a port, as in 127.0.0.1:8443";
-    string(all, key)?.parse().map_err(|_| unusable(key, &all[key], wanted))
+    let expected = "an address and a port, as in 127.0.0.1:8443";
+    string(all, key)?.parse().map_err(|_| invalid(key, &all[key], expected))
 }
 
-fn names(own: &Value, path: &str) -> Vec<String> {
-    settings::list(own, path).iter().map(|name| name.as_str().unwrap_or("").to_owned()).collect()
+fn names(settings_json: &Value, path: &str) -> Vec<String> {
+    settings::list(settings_json, path).iter().map(|name| name.as_str().unwrap_or("").to_owned()).collect()
 }
--- a/crates/dispatcher/src/log_changes.rs
+++ b/crates/dispatcher/src/log_changes.rs
@@ -1,4 +1,4 @@
-//! The change log's changes as values: their numbers, what they say, and what can't be used of them.
+//! Decoding of the change log's changes: sequence numbers, contents and errors.
 use crate::config::Names;
 use crate::inbox::{Change, Listed};
 use cherrypass::calls::{Listing, Phase};
@@ -8,101 +8,101 @@
 use serde_json::Value;
 use std::io;
 
+/// Why following the change log, or decoding a change, failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("no connection: {0}")]
     Unreachable(io::Error),
     #[error("silent or cut: {0}")]
     Cut(#[from] io::Error),
-    #[error("it has moved")]
-    Moved,
-    #[error("nobody listens any more")]
-    Over,
-    #[error("not HTTP as expected: {0}")]
-    NotHttp(&'static str),
+    #[error("its address has changed")]
+    AddressChanged,
+    #[error("the router has stopped")]
+    RouterStopped,
+    #[error("unexpected HTTP response: {0}")]
+    InvalidResponse(&'static str),
     #[error("not JSON")]
     NotJson,
-    #[error("its JSON goes too deep")]
+    #[error("its JSON is nested too deep")]
     TooDeep,
     #[error("change {0} has over {1} bytes")]
-    TooLong(u64, usize),
+    ChangeTooLong(u64, usize),
     #[error("change {0}: {} can't be used{}", .1 .0, .1.entry())]
-    Unusable(u64, Unfit),
+    InvalidChange(u64, InvalidKey),
     #[error("change {0} follows on {1}")]
     Gap(u64, u64),
 }
 
-/// The key that can't be used, and the place of its entry in a list.
+/// The key of a change that can't be used, and the index of its entry in a list of hosts.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Unfit(pub &'static str, pub Option<usize>);
+pub struct InvalidKey(pub &'static str, pub Option<usize>);
 
-impl Unfit {
+impl InvalidKey {
     fn entry(&self) -> String {
-        self.1.map(|place| format!(" (servers/{place})")).unwrap_or_default()
+        self.1.map(|index| format!(" (servers/{index})")).unwrap_or_default()
     }
 }
 
-impl From<&'static str> for Unfit {
-    fn from(key: &'static str) -> Unfit {
-        Unfit(key, None)
+impl From<&'static str> for InvalidKey {
+    fn from(key: &'static str) -> InvalidKey {
+        InvalidKey(key, None)
     }
 }
 
-/// The id of a host by its name in the list, which is the same for all dispatchers (FNV-1a).
+/// The id of a host, a hash of its name (FNV-1a) that is the same in all dispatchers.
 pub fn host_id(name: &str) -> HostId {
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     HostId(name.bytes().fold(0xcbf2_9ce4_8422_2325, mix))
 }
 
-/// Takes the changes of one answer in their order, those alone that come after the last one taken.
-pub(crate) struct Taking<'a> {
+/// Decodes the changes of one answer in order, and only those after the last decoded one.
+pub(crate) struct ChangeDecoder<'a> {
     names: &'a Names,
     last: &'a mut u64,
-    /// The number of the change before.
-    place: u64,
-    /// The one that could not be used before: of it only what can be is taken. Guards against one that holds
-    /// up all after it.
-    unusable: Option<u64>,
-    /// The first that had been taken before.
-    repeated: Option<u64>,
+    /// The number of the preceding change in the answer.
+    previous: u64,
+    /// A change that failed to decode before. Its invalid entries are skipped, so that it can't block all later changes.
+    known_invalid: Option<u64>,
+    /// The first change in the answer that had been decoded before.
+    first_repeated: Option<u64>,
 }
 
-impl<'a> Taking<'a> {
-    pub(crate) fn new(names: &'a Names, last: &'a mut u64, unusable: Option<u64>) -> Taking<'a> {
-        Taking { names, place: *last, last, unusable, repeated: None }
+impl<'a> ChangeDecoder<'a> {
+    pub(crate) fn new(names: &'a Names, last: &'a mut u64, known_invalid: Option<u64>) -> ChangeDecoder<'a> {
+        ChangeDecoder { names, previous: *last, last, known_invalid, first_repeated: None }
     }
 
-    /// The last change that was taken.
+    /// The number of the last decoded change.
     pub(crate) fn last(&self) -> u64 {
         *self.last
     }
 
-    /// The first that came though it had been taken before.
-    pub(crate) fn repeated(&self) -> Option<u64> {
-        self.repeated
+    /// The number of the first change that had been decoded before.
+    pub(crate) fn first_repeated(&self) -> Option<u64> {
+        self.first_repeated
     }
 
-    pub(crate) fn take(&mut self, result: &Value) -> Result<Option<Change>, Fault> {
-        let told = result.get("seq").and_then(Value::as_u64);
-        // Numbers go up by one, so a change without one has that of its place.
-        let number = told.unwrap_or(self.place + 1);
-        self.place = number;
-        // A repeat is no news, and nothing past a gap is taken before what is missing.
+    /// Decodes the next change; None if it is a repeat or of an unknown kind.
+    pub(crate) fn decode(&mut self, result: &Value) -> Result<Option<Change>, Fault> {
+        let seq = result.get("seq").and_then(Value::as_u64);
+        // Numbers increase by one, so a missing one follows from the preceding change.
+        let number = seq.unwrap_or(self.previous + 1);
+        self.previous = number;
         if number <= *self.last {
-            self.repeated.get_or_insert(number);
+            self.first_repeated.get_or_insert(number);
             return Ok(None);
         }
         if number > *self.last + 1 {
             return Err(Fault::Gap(number, *self.last));
         }
-        let partly = self.unusable == Some(number);
-        if partly {
+        let skips_invalid = self.known_invalid == Some(number);
+        if skips_invalid {
             tracing::warn!(change = number, "change {number} is passed over in part");
-        } else if told.is_none() {
-            return Err(Fault::Unusable(number, "its number".into()));
+        } else if seq.is_none() {
+            return Err(Fault::InvalidChange(number, "its number".into()));
         }
-        let found = match change(result, self.names, number, partly) {
-            Err(what) if !partly => return Err(Fault::Unusable(number, what)),
+        let found = match decode_change(result, self.names, number, skips_invalid) {
+            Err(what) if !skips_invalid => return Err(Fault::InvalidChange(number, what)),
             found => found.unwrap_or(None),
         };
         *self.last = number;
@@ -110,42 +110,47 @@
     }
 }
 
-/// The changes of an answer that come after the last one taken, and the fault that ended the reading.
+/// Decodes the changes of an answer after the `last` one; returns them with the error at which decoding stopped.
 pub fn decode(
     answer: &Value,
     names: &Names,
     last: &mut u64,
-    unusable: Option<u64>,
+    known_invalid: Option<u64>,
 ) -> (Vec<Change>, Option<Fault>) {
     let mut changes = Vec::new();
     let Some(results) = answer.get("results").and_then(Value::as_array) else {
         return (changes, Some(Fault::NotJson));
     };
-    let mut taking = Taking::new(names, last, unusable);
+    let mut decoder = ChangeDecoder::new(names, last, known_invalid);
     for result in results {
-        match taking.take(result) {
+        match decoder.decode(result) {
             Ok(change) => changes.extend(change),
             Err(fault) => return (changes, Some(fault)),
         }
     }
-    if let Some(number) = taking.repeated {
-        tracing::warn!("known changes: change {number} comes again, and is passed over");
+    if let Some(number) = decoder.first_repeated {
+        tracing::warn!("known changes: change {number} comes again and is ignored");
     }
     (changes, None)
 }
 
-fn change(result: &Value, names: &Names, number: u64, partly: bool) -> Result<Option<Change>, Unfit> {
+fn decode_change(
+    result: &Value,
+    names: &Names,
+    number: u64,
+    skips_invalid: bool,
+) -> Result<Option<Change>, InvalidKey> {
     if let Some(fleet) = result.get("fleet") {
         let servers = fleet.get("servers").and_then(Value::as_array).ok_or("servers")?;
         let hosts = servers
             .iter()
             .enumerate()
-            .map(|(place, entry)| listed(entry, names).map_err(|key| Unfit(key, Some(place))))
-            .filter(|host| !partly || host.is_ok());
+            .map(|(index, entry)| decode_host(entry, names).map_err(|key| InvalidKey(key, Some(index))))
+            .filter(|host| !skips_invalid || host.is_ok());
         let hosts = hosts.collect::<Result<Vec<Listed>, _>>()?;
-        // Whoever can't be read is not gone for that.
-        let all = hosts.len() == servers.len();
-        let whole = all && fleet.get("full").and_then(Value::as_bool).unwrap_or(false);
+        // A host whose entry was skipped must not count as gone.
+        let is_complete = hosts.len() == servers.len();
+        let whole = is_complete && fleet.get("full").and_then(Value::as_bool).unwrap_or(false);
         return Ok(Some(Change::List { whole, hosts }));
     }
     let Some(purge) = result.get("invalidate") else { return Ok(None) };
@@ -162,9 +167,9 @@
     Ok(Some(Change::Purge(Purge { group, object, at: UnixTime::millis(at), change: number })))
 }
 
-fn listed(entry: &Value, names: &Names) -> Result<Listed, &'static str> {
+fn decode_host(entry: &Value, names: &Names) -> Result<Listed, &'static str> {
     let text = |key| entry.get(key).and_then(Value::as_str);
-    let place = |list: &[String], name: &str| list.iter().position(|known| known == name);
+    let index = |list: &[String], name: &str| list.iter().position(|known| known == name);
     let name = text("id").ok_or("id")?;
     let phase = match text("state").ok_or("state")? {
         "in_service" => Phase::Ready,
@@ -174,8 +179,8 @@
     };
     let gone = phase == Phase::Gone;
     let address = text("addr").and_then(|addr| addr.parse().ok());
-    let location = text("zone").and_then(|zone| place(&names.locations, zone));
-    let kind = text("kind").and_then(|kind| place(&names.kinds, kind));
+    let location = text("zone").and_then(|zone| index(&names.locations, zone));
+    let kind = text("kind").and_then(|kind| index(&names.kinds, kind));
     let started = entry.get("started_ms").filter(|value| !value.is_null());
     let started = started.map_or(Some(0), whole_ms).or(gone.then_some(0)).ok_or("started_ms")?;
     Ok(Listed {
@@ -183,7 +188,7 @@
             host: host_id(name),
             location: LocationId(location.or(gone.then_some(0)).ok_or("zone")? as u16),
             kind: KindId(kind.or(gone.then_some(0)).ok_or("kind")? as u16),
-            // Guards against two cells that are taken for one: repeats would go to hosts that don't know of them.
+            // A truncated number could merge two cells, and repeats would go to hosts that can't deduplicate them.
             cell: CellId(
                 entry.get("cell").and_then(Value::as_u64).unwrap_or(0).try_into().map_err(|_| "cell")?,
             ),
@@ -197,7 +202,7 @@
     })
 }
 
-/// Also where it is written as `1764576000123.0`.
+/// Reads whole milliseconds, also when written as `1764576000123.0`.
 fn whole_ms(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| value.as_f64().filter(|ms| *ms >= 0.0).map(|ms| ms as u64))
 }
--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -546,7 +546,7 @@
     let play = Play::start();
     let deep = format!("{}{}", "[".repeat(50_000), "]".repeat(50_000));
     play.log.next_since(1).write(http(&body(&[deep])).as_bytes());
-    play.dispatcher.log("changelog fails: its JSON goes too deep");
+    play.dispatcher.log("changelog fails: its JSON is nested too deep");
     let deep = format!("{}{}", "[".repeat(120), "]".repeat(120));
     play.log.next_since(1).write(http(&body(&[deep])).as_bytes());
     play.log.next_since(1).answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
@@ -560,7 +560,7 @@
     let deep = format!("{}{}", "[".repeat(120), "]".repeat(120));
     std::fs::write(&play.dispatcher.config.0, deep).unwrap();
     play.dispatcher.signal("-HUP");
-    play.dispatcher.log("reload: the configuration goes over 16 levels deep");
+    play.dispatcher.log("reload: the configuration is nested over 16 levels deep");
     play.log.next_since(1).answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
     play.none(&["a"]);
 }
