--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! The change log as it falls silent, is cut, moves and returns: what it told is in force, and nothing of it
-//! is lost. Its stand-in holds an answer, or a byte of one, until it is told.
+//! Failures of the change log: silence, broken connections, moves and returns. Changes that arrived take effect, and none are
+//! lost. The fake log holds its answers until the test releases them.
 #[allow(dead_code)]
 #[path = "discovery/bed.rs"]
 mod bed;
@@ -13,14 +13,14 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// What a broken answer would have told counts as told so much later, and what one would have told that
-/// stopped, so much after the end of the wait asked for (the page for service).
-const TOLD: Duration = Duration::from_secs(2);
-/// After SIGHUP it is 4 s; but a move ends each wait, none of which is as short as this.
-const MOVED: Duration = WAIT;
-/// The settings' grace after a drain is told, and the 50 ms by which each limit of time is longer on sockets.
-const GRACE: Duration = Duration::from_millis(550);
-/// The wait asked for.
+/// Changes in a broken answer count as announced this long after the break, and those in an answer that stalls this long
+/// after the requested wait.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(2);
+/// Maximum time from SIGHUP to a poll at the new address. The protocol allows 4 s, but a move ends every wait.
+const MOVED_WITHIN: Duration = WAIT;
+/// The settings' drain grace, and 50 ms of tolerance for sockets.
+const DRAIN_GRACE: Duration = Duration::from_millis(550);
+/// The longest wait that a poll requests.
 const WAIT: Duration = Duration::from_secs(1);
 
 struct Play {
@@ -33,7 +33,7 @@
 }
 
 impl Play {
-    /// Two caches and an origin are listed in event 1, and the change log is asked for what follows.
+    /// Starts a dispatcher that knows two caches and an origin from change 1 and polls for later changes.
     fn start() -> Play {
         let hosts = Hosts::new();
         let a = hosts.start("a");
@@ -48,8 +48,8 @@
         Play { log, hosts, dispatcher, client, a, b }
     }
 
-    /// Eight requests for other objects come, and none goes to any of these.
-    fn none(&self, hosts: &[&str]) {
+    /// Checks that none of eight requests for other objects is sent to these hosts.
+    fn check_unused(&self, hosts: &[&str]) {
         let mut client = Client::connect(self.dispatcher.listen).unwrap();
         for object in 0..8 {
             client.ask(0xab00 + object).unwrap();
@@ -65,17 +65,17 @@
 const DRAINS: &str = "terminating";
 const GONE: &str = "terminated";
 
+/// How much of an answer is sent before a failure.
 #[derive(Clone, Copy, PartialEq)]
 enum Until {
-    /// Nothing of the answer comes.
     Nothing,
     Head,
-    /// A drain of host a, whole, and the next change but for its last byte.
+    /// A complete drain of host a, and the next change except for its end.
     Half,
 }
 
-/// Writes the answer up to there; how many changes of it are whole.
-fn begin(asked: &Asked, play: &Play, until: Until) -> u64 {
+/// Sends part of an answer; returns how many changes of it are complete.
+fn send_part(asked: &Asked, play: &Play, until: Until) -> u64 {
     let events = [list(2, false, &[("a", play.a, DRAINS)]), list(3, false, &[("b", play.b, DRAINS)])];
     let answer = http(&body(&events));
     let head = answer.len() - body(&events).len();
@@ -87,55 +87,54 @@
     u64::from(until == Until::Half)
 }
 
-/// What came whole is in force while the rest is still held; the rest is asked for before it counts as told.
+/// Complete changes take effect while the rest of the answer is missing; the rest is polled for before it counts as announced.
 #[test_case(Until::Nothing; "before the answer")]
 #[test_case(Until::Head; "after its head")]
 #[test_case(Until::Half; "after half of it")]
-fn silent(until: Until) {
+fn the_log_falls_silent(until: Until) {
     let play = Play::start();
     let asked = play.log.next_since(1);
-    let whole = begin(&asked, &play, until);
+    let whole = send_part(&asked, &play, until);
     if whole > 0 {
         play.dispatcher.log("is s-a, Draining");
-        play.none(&["a"]);
-        assert!(!play.log.is_asked(), "the answer was given up before");
+        play.check_unused(&["a"]);
+        assert!(!play.log.is_asked(), "the answer was given up too early");
     }
     let again = play.log.next();
     assert_eq!((again.since, again.line), (1 + whole, 1));
     let after = again.at - asked.at;
-    assert!(after < WAIT + TOLD, "asked again after {after:?}");
+    assert!(after < WAIT + ANNOUNCED_AFTER, "polled again after {after:?}");
     again.answer(&[list(2 + whole, false, &[("b", play.b, DRAINS)])]);
     play.dispatcher.log("is s-b, Draining");
-    play.none(if whole > 0 { &["a", "b"] } else { &["b"] });
+    play.check_unused(if whole > 0 { &["a", "b"] } else { &["b"] });
     assert_eq!(play.log.next().since, 2 + whole);
 }
 
 #[test_case(Until::Nothing; "before the answer")]
 #[test_case(Until::Head; "after its head")]
 #[test_case(Until::Half; "after half of it")]
-fn cut(until: Until) {
+fn the_connection_breaks(until: Until) {
     let play = Play::start();
     let asked = play.log.next_since(1);
-    let whole = begin(&asked, &play, until);
+    let whole = send_part(&asked, &play, until);
     let at = Instant::now();
     asked.cut();
     let again = play.log.next();
     assert_eq!((again.since, again.line), (1 + whole, 1));
-    assert!(again.at - at < TOLD, "asked again after {:?}", again.at - at);
+    assert!(again.at - at < ANNOUNCED_AFTER, "polled again after {:?}", again.at - at);
     again.answer(&[list(2 + whole, false, &[("b", play.b, DRAINS)])]);
     play.dispatcher.log("is s-b, Draining");
-    play.none(if whole > 0 { &["a", "b"] } else { &["b"] });
+    play.check_unused(if whole > 0 { &["a", "b"] } else { &["b"] });
 }
 
-/// SIGHUP while an answer is held: what came whole stays in force, and the rest is asked for at the new
-/// address.
+/// SIGHUP during an answer: complete changes stay in force, and the rest is polled for at the new address.
 #[test_case(Until::Nothing; "before the answer")]
 #[test_case(Until::Head; "after its head")]
 #[test_case(Until::Half; "after half of it")]
-fn moved(until: Until) {
+fn the_log_moves(until: Until) {
     let play = Play::start();
     let asked = play.log.next_since(1);
-    let whole = begin(&asked, &play, until);
+    let whole = send_part(&asked, &play, until);
     if whole > 0 {
         play.dispatcher.log("is s-a, Draining");
     }
@@ -145,19 +144,19 @@
     play.dispatcher.signal("-HUP");
     let again = new.next();
     assert_eq!(again.since, 1 + whole);
-    assert!(again.at - at < MOVED, "asked after {:?}", again.at - at);
+    assert!(again.at - at < MOVED_WITHIN, "asked after {:?}", again.at - at);
     again.answer(&[list(2 + whole, false, &[("b", play.b, DRAINS)])]);
     play.dispatcher.log("is s-b, Draining");
-    play.none(if whole > 0 { &["a", "b"] } else { &["b"] });
-    assert!(!play.log.is_asked(), "the old one is asked again");
+    play.check_unused(if whole > 0 { &["a", "b"] } else { &["b"] });
+    assert!(!play.log.is_asked(), "the old address is polled again");
 }
 
-/// An answer that is here whole when SIGHUP comes is taken, though the new address answers nothing yet.
+/// An answer that arrived before SIGHUP takes effect even while the new address does not answer.
 #[test]
-fn what_came_before_a_move_is_in_force() {
+fn changes_from_before_a_move_are_in_force() {
     let play = Play::start();
     let asked = play.log.next_since(1);
-    let new = Deaf::start();
+    let new = FullBacklog::start();
     std::fs::write(&play.dispatcher.config.0, config("127.0.0.1:0", new.address(), "null", 192)).unwrap();
     play.dispatcher.signal("-STOP");
     play.dispatcher.signal("-HUP");
@@ -165,20 +164,19 @@
     play.dispatcher.signal("-CONT");
     play.dispatcher.log("is s-a, Draining");
     play.dispatcher.log("reload: change log at");
-    let new = Log::over(new.hear());
+    let new = Log::over(new.drain());
     assert_eq!(new.next().since, 2);
 }
 
-/// A move ends the wait for a connection that does not come up.
 #[test]
-fn moved_while_no_connection_comes_up() {
+fn a_move_ends_the_wait_for_a_connection() {
     let hosts = Hosts::new();
-    let (a, deaf) = (hosts.start("a"), Deaf::start());
+    let (a, backlog) = (hosts.start("a"), FullBacklog::start());
     let known = body(&[list(1, true, &[("a", a, READY)])]);
-    let dispatcher = Dispatcher::start(&config("127.0.0.1:0", deaf.address(), &known, 192));
+    let dispatcher = Dispatcher::start(&config("127.0.0.1:0", backlog.address(), &known, 192));
     let end = Instant::now() + PATIENCE;
-    while deaf.coming().is_empty() {
-        assert!(Instant::now() < end, "no connection is tried");
+    while backlog.pending().is_empty() {
+        assert!(Instant::now() < end, "no connection is attempted");
     }
     let new = Log::start();
     std::fs::write(&dispatcher.config.0, config("127.0.0.1:0", new.address, "null", 192)).unwrap();
@@ -186,38 +184,38 @@
     dispatcher.signal("-HUP");
     let asked = new.next();
     assert_eq!(asked.since, 1);
-    assert!(asked.at - at < MOVED, "asked after {:?}", asked.at - at);
+    assert!(asked.at - at < MOVED_WITHIN, "asked after {:?}", asked.at - at);
 }
 
-/// A connection that comes up late is taken, with another one tried beside it after a while.
+/// A second connection is attempted concurrently, and the first is still used if it is established late.
 #[test]
-fn a_connection_that_comes_up_late_is_taken() {
+fn a_connection_that_is_established_late_is_used() {
     let hosts = Hosts::new();
-    let (a, deaf) = (hosts.start("a"), Deaf::start());
+    let (a, backlog) = (hosts.start("a"), FullBacklog::start());
     let known = body(&[list(1, true, &[("a", a, READY)])]);
-    let _dispatcher = Dispatcher::start(&config("127.0.0.1:0", deaf.address(), &known, 192));
+    let _dispatcher = Dispatcher::start(&config("127.0.0.1:0", backlog.address(), &known, 192));
     let end = Instant::now() + PATIENCE;
-    // The same two at once for a while, so that the first was not given up for the second.
+    // The same two must be pending for a while, so the first was not given up for the second.
     let mut two: Option<(Vec<u16>, Instant)> = None;
     loop {
         assert!(Instant::now() < end, "no second connection beside the first");
-        let mut coming = deaf.coming();
-        coming.sort_unstable();
+        let mut pending = backlog.pending();
+        pending.sort_unstable();
         match &two {
-            Some((known, since)) if *known == coming => {
+            Some((known, since)) if *known == pending => {
                 if since.elapsed() > WAIT / 3 {
                     break;
                 }
             }
-            _ => two = Some((coming, Instant::now())).filter(|(coming, _)| coming.len() > 1),
+            _ => two = Some((pending, Instant::now())).filter(|(pending, _)| pending.len() > 1),
         }
     }
-    let log = Log::over(deaf.hear());
+    let log = Log::over(backlog.drain());
     assert_eq!(log.next().since, 1);
 }
 
-/// Drained in the first answer after a return, of which the rest is held: nothing is sent there past the
-/// grace, and the change log is asked soon after its return.
+/// A drain in the first, incomplete answer after the log returns: no hand-offs go to the host after the grace period, and the
+/// log is polled soon after its return.
 #[test]
 fn a_drain_in_the_first_answer_after_a_return() {
     let play = Play::start();
@@ -226,7 +224,7 @@
     let down = log.stop();
     asked.cut();
     dispatcher.log("changelog fails");
-    // Requests come all the time, and hosts answer them.
+    // Continuous requests, which the hosts answer.
     let listen = dispatcher.listen;
     let came = hosts.answer_all();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
@@ -242,21 +240,25 @@
     });
     let end = Instant::now() + PATIENCE;
     while came.recv_timeout(PATIENCE).unwrap().0 != "a" {
-        assert!(Instant::now() < end, "nothing goes to host a");
+        assert!(Instant::now() < end, "no request is sent to host a");
     }
     let back = Instant::now();
     let log = down.listen();
     let asked = log.next();
-    assert!(asked.at - back < TOLD, "asked {:?} after the return", asked.at - back);
+    assert!(asked.at - back < ANNOUNCED_AFTER, "polled {:?} after the return", asked.at - back);
     let answer = http(&body(&[list(2, false, &[("a", a, DRAINS)]), purge(3)]));
     asked.write(&answer.as_bytes()[..answer.len() - 3]);
-    let told = Instant::now();
+    let announced = Instant::now();
     dispatcher.log("is s-a, Draining");
-    // Until the grace is long over, b gets some.
+    // Well after the grace period, requests go to b.
     let last = loop {
         let (host, _, at) = came.recv_timeout(PATIENCE).unwrap();
-        assert!(host != "a" || at < told + GRACE, "sent {:?} after the drain was told", at - told);
-        if at > told + 2 * GRACE {
+        assert!(
+            host != "a" || at < announced + DRAIN_GRACE,
+            "sent {:?} after the drain was announced",
+            at - announced
+        );
+        if at > announced + 2 * DRAIN_GRACE {
             break host;
         }
     };
@@ -265,22 +267,22 @@
     asks.join().unwrap();
 }
 
-/// Draining and gone in one answer, as one event or two: what waits for its connection there goes elsewhere,
-/// and never out there once it comes up.
+/// A host drains and is gone in one answer: hand-offs that wait for a connection to it go to other hosts, and are not sent
+/// once that connection is established.
 #[test_case(true; "one event")]
 #[test_case(false; "two events")]
-fn draining_and_gone_in_one_answer(one: bool) {
-    let deaf = Deaf::start();
+fn a_host_drains_and_is_gone_in_one_answer(one: bool) {
+    let backlog = FullBacklog::start();
     let hosts = Hosts::new();
-    let at = deaf.address();
+    let at = backlog.address();
     let mut play = Play::start_with(Log::start(), hosts, at, 192);
-    // Asked until one waits for its connection at a.
+    // Send requests until one waits for a connection to a.
     let mut open = 0;
-    while deaf.coming().is_empty() {
+    while backlog.pending().is_empty() {
         play.client.ask(open).unwrap();
         open += 1;
         std::thread::sleep(Duration::from_millis(20));
-        assert!(open < 50, "nothing waits at a");
+        assert!(open < 50, "no hand-off waits for a connection to a");
     }
     let asked = play.log.next_since(1);
     asked.answer(&if one {
@@ -288,27 +290,27 @@
     } else {
         vec![list(2, false, &[("a", at, DRAINS)]), list(3, false, &[("a", at, GONE)])]
     });
-    let told = Instant::now();
+    let announced = Instant::now();
     for _ in 0..open {
         let want = play.hosts.next();
-        assert!(want.at < told + WAIT, "only {:?} after it was told", want.at - told);
+        assert!(want.at < announced + WAIT, "only {:?} after the change", want.at - announced);
         assert!(want.host == "b" || want.host == "o", "{}", want.host);
         want.done();
         assert_eq!(play.client.answer().unwrap(), Answer::Served);
     }
-    play.hosts.over("a", deaf.hear());
-    play.none(&["a"]);
-    assert!(play.hosts.came.try_recv().is_err(), "sent again");
+    play.hosts.over("a", backlog.drain());
+    play.check_unused(&["a"]);
+    assert!(play.hosts.came.try_recv().is_err(), "a request was sent twice");
 }
 
-/// Gone and back under the same address in one answer: what is out there has its one answer, and what comes
-/// goes out on a new connection.
+/// A host is gone and back at the same address in one answer: a pending hand-off gets its one answer, and later ones use a new
+/// connection.
 #[test_case("a", true, 0; "the same name in one event")]
 #[test_case("a", false, 0; "the same name in two")]
 #[test_case("a", false, 1764576000123; "the same name with a new start")]
 #[test_case("n", true, 0; "another name in one event")]
 #[test_case("n", false, 0; "another name in two")]
-fn gone_and_back_in_one_answer(name: &str, one: bool, started: u64) {
+fn a_host_is_gone_and_back_in_one_answer(name: &str, one: bool, started: u64) {
     let mut play = Play::start();
     let asked = play.log.next_since(1);
     asked.answer(&[list(2, false, &[("b", play.b, GONE)])]);
@@ -325,23 +327,23 @@
     });
     let seq = if one { 3 } else { 4 };
     assert_eq!(play.log.next_since(seq).since, seq);
-    // Other requests come until one goes to the new one.
+    // Send requests until one goes to the new host.
     let Play { hosts, mut client, dispatcher, .. } = play;
     let came = hosts.answer_all();
     let mut other = Client::connect(dispatcher.listen).unwrap();
     let end = Instant::now() + PATIENCE;
     for object in 2.. {
-        assert!(Instant::now() < end, "nothing goes to the new one");
+        assert!(Instant::now() < end, "no request is sent to the new host");
         other.ask(object).unwrap();
         let answer = other.answer().unwrap();
         assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
         let to: Vec<SocketAddr> = came.try_iter().filter(|came| came.0 == "a").map(|came| came.1).collect();
-        assert!(!to.contains(&out.from), "on the connection to the one that has gone");
+        assert!(!to.contains(&out.from), "sent on the connection to the old host");
         if !to.is_empty() {
             break;
         }
     }
-    // Answered where it is, or called off there and sent on or turned back: one answer, and no second one.
+    // Either answer is possible, but only one may arrive.
     out.done();
     let answer = client.answer().unwrap();
     assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
@@ -349,10 +351,10 @@
     assert_eq!(client.answer().unwrap(), Answer::Ready(true));
 }
 
-/// A host dies, starts anew under its address and is sent requests before the list tells so: what is out at
-/// the new process then has its answer there, and what comes later goes out on a new connection.
+/// A host restarts at its address and gets requests before the list announces the restart: a pending hand-off is answered,
+/// and later ones use a new connection.
 #[test]
-fn a_list_that_comes_after_the_host_s_own_reset() {
+fn the_list_announces_a_restart_late() {
     let mut play = Play::start();
     play.log.next_since(1).answer(&[list(2, false, &[("b", play.b, GONE)])]);
     play.dispatcher.log("is s-b, Gone");
@@ -364,7 +366,7 @@
     let mut other = Client::connect(play.dispatcher.listen).unwrap();
     let mut asked = 0;
     let held = loop {
-        assert!(Instant::now() < end, "nothing goes to the new process");
+        assert!(Instant::now() < end, "no request is sent to the new process");
         other.ask(2).unwrap();
         asked += 1;
         match play.hosts.came.recv_timeout(Duration::from_millis(100)) {
@@ -382,14 +384,14 @@
         let answer = other.answer().unwrap();
         assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
     }
-    // Asked until something goes to the host as it is listed now.
+    // Send requests until one goes to the host as now listed.
     for object in 3.. {
-        assert!(Instant::now() < end, "nothing goes to the new one");
+        assert!(Instant::now() < end, "no request is sent to the new host");
         let mut client = Client::connect(play.dispatcher.listen).unwrap();
         client.ask(object).unwrap();
         client.answer().unwrap();
         let to: Vec<SocketAddr> = came.try_iter().filter(|came| came.0 == "a").map(|came| came.1).collect();
-        assert!(!to.contains(&held.from), "on a connection from before the list told");
+        assert!(!to.contains(&held.from), "sent on a connection from before the listing");
         if !to.is_empty() {
             break;
         }
@@ -397,10 +399,10 @@
     assert_eq!(play.dispatcher.count("Draining"), 0);
 }
 
-/// Many events, each byte in a packet of its own or a chunk of its own.
+/// Many changes, with each byte in a packet or a chunk of its own.
 #[test_case(http; "with a length")]
 #[test_case(chunked; "in chunks")]
-fn single_bytes(form: fn(&str) -> String) {
+fn an_answer_in_single_bytes(form: fn(&str) -> String) {
     let play = Play::start();
     let asked = play.log.next_since(1);
     let mut events: Vec<String> = (2..20).map(purge).collect();
@@ -408,13 +410,13 @@
     asked.write_singly(form(&body(&events)).as_bytes());
     let next = play.log.next();
     assert_eq!((next.since, next.line), (20, 0), "on the same connection");
-    play.none(&["a"]);
+    play.check_unused(&["a"]);
     assert_eq!(play.dispatcher.count("changelog fails"), 0);
 }
 
-/// A host that nobody listed before drains, is gone, or comes: no other is touched.
+/// Changes of hosts that were never listed affect no other host.
 #[test]
-fn hosts_unknown() {
+fn changes_of_unknown_hosts() {
     let play = Play::start();
     let c = play.hosts.start("c");
     let asked = play.log.next_since(1);
@@ -423,12 +425,12 @@
         list(3, false, &[("a", play.a, GONE)]),
     ]);
     play.log.next_since(3);
-    play.none(&["a"]);
+    play.check_unused(&["a"]);
     assert_eq!(play.dispatcher.count("changelog fails"), 0);
     assert_eq!(play.dispatcher.count("is s-z, Gone"), 1);
 }
 
-/// An answer that is longer than what may be held of one: the list is not old for good.
+/// The limit on the size of a change does not apply to a whole answer.
 #[test]
 fn an_answer_of_any_length() {
     let hosts = Hosts::new();
@@ -441,7 +443,7 @@
     assert!(text.len() > 32 * 1024 * 1024 / 64);
     asked.write(http(&text).as_bytes());
     play.log.next_since(9_000);
-    play.none(&["a"]);
+    play.check_unused(&["a"]);
     assert_eq!(play.dispatcher.count("changelog fails"), 0);
 }
 
@@ -456,11 +458,10 @@
     let _ = asked.try_write(http(&text).as_bytes());
     play.dispatcher.log("changelog fails: change 3 has over 524288 bytes");
     assert_eq!(play.log.next().since, 2);
-    play.none(&["a"]);
+    play.check_unused(&["a"]);
 }
 
-/// A change without its number holds up nothing behind it: passed over the second time, and what can be of it
-/// taken.
+/// A change without its number does not block later ones: the second time, its valid parts take effect.
 #[test]
 fn a_change_without_its_number() {
     let play = Play::start();
@@ -470,10 +471,10 @@
     play.dispatcher.log("changelog fails: change 2: its number can't be used");
     play.log.next_since(1).answer(&events);
     play.log.next_since(3);
-    play.none(&["a", "b"]);
+    play.check_unused(&["a", "b"]);
 }
 
-/// Out of order: nothing past what is missing is taken, and what was taken before is passed over, with a line each.
+/// Changes after a gap are not applied, and repeated ones are ignored; each case is logged once.
 #[test]
 fn changes_out_of_order() {
     let play = Play::start();
@@ -487,38 +488,38 @@
     play.dispatcher.log("changelog tells change 1 again, after 3");
     play.log.next_since(3).answer(&old);
     play.log.next_since(3);
-    play.none(&["a", "b"]);
-    assert_eq!(play.dispatcher.count("changelog tells"), 1, "a line each time");
+    play.check_unused(&["a", "b"]);
+    assert_eq!(play.dispatcher.count("changelog tells"), 1, "logged more than once");
 }
 
-/// A process that stood still over the whole wait takes what has come meanwhile.
+/// After a stall longer than the wait, the process applies the answer that has arrived.
 #[test]
-fn what_came_while_the_process_stood_still() {
+fn changes_that_arrive_during_a_stall() {
     let play = Play::start();
     let asked = play.log.next_since(1);
     play.dispatcher.signal("-STOP");
     asked.answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
-    std::thread::sleep(WAIT + TOLD);
+    std::thread::sleep(WAIT + ANNOUNCED_AFTER);
     play.dispatcher.signal("-CONT");
     let next = play.log.next();
-    assert_eq!((next.since, next.line), (2, 0), "asked anew");
-    play.none(&["a"]);
+    assert_eq!((next.since, next.line), (2, 0), "polled on a new connection");
+    play.check_unused(&["a"]);
 }
 
-/// A signal that comes as soon as the start is told is taken, and ends nothing.
+/// A SIGHUP right after the start is handled and does not end the process.
 #[test]
-fn a_signal_as_soon_as_it_has_started() {
+fn a_signal_right_after_the_start() {
     for _ in 0..20 {
         let dispatcher = Dispatcher::start(&config("127.0.0.1:0", Log::start().address, "null", 192));
-        // By a call, which is sooner than another program.
+        // A direct call is faster than running kill.
         kill(Pid::from_raw(dispatcher.child.id() as i32), Signal::SIGHUP).unwrap();
         dispatcher.log("reload: change log at");
     }
 }
 
-/// A connection that was closed after its answer is no failure.
+/// A connection that is closed after an answer is not logged as a failure.
 #[test]
-fn closed_between_two_answers() {
+fn the_connection_is_closed_between_two_answers() {
     let play = Play::start();
     let asked = play.log.next_since(1);
     play.dispatcher.signal("-STOP");
@@ -530,7 +531,7 @@
     assert_eq!(play.dispatcher.count("changelog fails"), 0);
 }
 
-/// A change log that has lost events says so in a line.
+/// A change log that has lost changes is logged.
 #[test]
 fn a_change_log_that_is_behind() {
     let play = Play::start();
@@ -540,9 +541,9 @@
     play.dispatcher.log("is s-a, Draining");
 }
 
-/// JSON that goes deeper than a thread's stack.
+/// JSON that is nested too deep for a thread's stack.
 #[test]
-fn deep_json() {
+fn deep_json_from_the_log() {
     let play = Play::start();
     let deep = format!("{}{}", "[".repeat(50_000), "]".repeat(50_000));
     play.log.next_since(1).write(http(&body(&[deep])).as_bytes());
@@ -553,7 +554,7 @@
     play.dispatcher.log("is s-a, Draining");
 }
 
-/// And so in a new configuration: the one in force stays.
+/// A reloaded configuration that is nested too deep is rejected; the current one stays in force.
 #[test]
 fn deep_json_on_a_reload() {
     let play = Play::start();
@@ -562,10 +563,10 @@
     play.dispatcher.signal("-HUP");
     play.dispatcher.log("reload: the configuration is nested over 16 levels deep");
     play.log.next_since(1).answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
-    play.none(&["a"]);
+    play.check_unused(&["a"]);
 }
 
-/// Comes in pieces that end after each of so many bytes.
+/// A stream that returns at most so many bytes per read.
 struct Pieces<'a>(&'a [u8], usize);
 
 impl std::io::Read for Pieces<'_> {
@@ -589,12 +590,12 @@
     (found, end)
 }
 
-/// The end of a head, a chunk, a change and the body at the end of a read, each; and the stream's end there.
-/// `at`: where a byte of the body is past the head; in chunks, where its chunk's end is.
+/// Reads, or the stream, end at every possible offset. `at` maps an offset in the body to one in the encoded body; for chunks,
+/// to the end of the chunk.
 #[test_case(http, |at| at; "with a length")]
 #[test_case(chunked, |at| 6 * at + 5; "in chunks")]
 #[test_case(|body| format!("HTTP/1.1 200 OK\r\n\r\n{body}"), |at| at; "up to the close")]
-fn each_end_at_a_read(form: fn(&str) -> String, at: fn(usize) -> usize) {
+fn reads_end_at_every_offset(form: fn(&str) -> String, at: fn(usize) -> usize) {
     let body = body(&[purge(2), purge(3)]);
     let text = form(&body);
     let head = text.find("\r\n\r\n").unwrap() + 4;
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -1,4 +1,4 @@
-//! Dispatchers as processes; a change log and hosts that answer when they are told, and clients.
+//! Test fixtures: dispatcher processes, a fake change log and fake hosts that answer when the test says so, and clients.
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -8,7 +8,7 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
-/// Longer than anything takes, also where others use the cores.
+/// Timeout for any step, generous enough for a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "zone": 0, "zones": ["edge"], "weight_source": "rough",
@@ -28,11 +28,11 @@
     )
 }
 
-/// What asks the change log, held until it is answered.
+/// A poll of the change log that waits for its answer.
 pub struct Asked {
     pub since: u64,
     pub at: Instant,
-    /// Which connection this came on, counted from 0.
+    /// Index of the connection on which it arrived.
     pub line: usize,
     stream: TcpStream,
 }
@@ -46,7 +46,7 @@
         (&self.stream).write_all(bytes)
     }
 
-    /// Each byte in a write of its own.
+    /// Writes each byte separately.
     pub fn write_singly(&self, bytes: &[u8]) {
         bytes.iter().for_each(|byte| (&self.stream).write_all(&[*byte]).unwrap());
     }
@@ -68,17 +68,17 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Each byte in a chunk of its own.
+/// An HTTP answer with each byte in a chunk of its own.
 pub fn chunked(body: &str) -> String {
     let chunks: String = body.chars().map(|one| format!("1\r\n{one}\r\n")).collect();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
 
-/// A change log that answers nothing by itself.
+/// A change log that leaves all answers to the test.
 pub struct Log {
     pub address: SocketAddr,
     asked: Receiver<Asked>,
-    shut: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl Log {
@@ -86,41 +86,41 @@
         Log::over(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// On what listens already.
+    /// Serves connections of an existing listener.
     pub fn over(listener: TcpListener) -> Log {
         let address = listener.local_addr().unwrap();
         let (tell, asked) = channel();
-        let shut = Arc::new(AtomicBool::new(false));
-        let own = shut.clone();
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let stopped = is_stopped.clone();
         spawn(move || {
             for (line, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-                if own.load(SeqCst) {
+                if stopped.load(SeqCst) {
                     return;
                 }
                 let tell = tell.clone();
-                spawn(move || asks(stream, line, &tell));
+                spawn(move || read_polls(stream, line, &tell));
             }
         });
-        Log { address, asked, shut }
+        Log { address, asked, is_stopped }
     }
 
     pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(PATIENCE).expect("the change log is not asked")
+        self.asked.recv_timeout(PATIENCE).expect("the change log is not polled")
     }
 
-    /// The next one that asks for what comes after that.
+    /// The next poll for the changes after a given one.
     pub fn next_since(&self, since: u64) -> Asked {
         let end = Instant::now() + PATIENCE;
         loop {
             let asked = self.next();
-            assert!(Instant::now() < end, "asked for what follows {} alone", asked.since);
+            assert!(Instant::now() < end, "only polled for the changes after {}", asked.since);
             if asked.since == since {
                 return asked;
             }
         }
     }
 
-    /// All that asks from here on.
+    /// All later polls.
     pub fn asked(self) -> Receiver<Asked> {
         self.asked
     }
@@ -129,9 +129,9 @@
         self.asked.try_recv().is_ok()
     }
 
-    /// Refuses from here on; what is open stays so.
+    /// Refuses new connections; open ones stay.
     pub fn stop(self) -> Refusing {
-        self.shut.store(true, SeqCst);
+        self.is_stopped.store(true, SeqCst);
         drop(TcpStream::connect(self.address));
         let end = Instant::now() + PATIENCE;
         while TcpStream::connect(self.address).is_ok() {
@@ -141,7 +141,7 @@
     }
 }
 
-fn asks(stream: TcpStream, line: usize, tell: &Sender<Asked>) {
+fn read_polls(stream: TcpStream, line: usize, tell: &Sender<Asked>) {
     stream.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     loop {
@@ -160,7 +160,7 @@
     }
 }
 
-/// An address at which nobody listens, held so that nobody else gets it meanwhile.
+/// A bound address without a listener: connections are refused, and no other process can take it.
 pub struct Refusing(socket2::Socket);
 
 impl Refusing {
@@ -185,64 +185,66 @@
     }
 }
 
-/// A listener whose connections don't come up until there is room again.
-pub struct Deaf {
+/// A listener with a full backlog: new connections are not established until it is drained.
+pub struct FullBacklog {
     pub listener: TcpListener,
-    held: Vec<TcpStream>,
+    filler: Vec<TcpStream>,
 }
 
-impl Deaf {
-    pub fn start() -> Deaf {
+impl FullBacklog {
+    pub fn start() -> FullBacklog {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let more = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
-        Deaf { held: std::iter::from_fn(more).collect(), listener }
+        let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
+        FullBacklog { filler: std::iter::from_fn(connect).collect(), listener }
     }
 
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// The local ports of connections that are on their way up here.
-    pub fn coming(&self) -> Vec<u16> {
+    /// The client ports of connections that wait to be established.
+    pub fn pending(&self) -> Vec<u16> {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let port = |word: &str| u16::from_str_radix(word.split(':').nth(1)?, 16).ok();
         let found = table.lines().skip(1).filter_map(|line| {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let is = words[3] == "02" && port(words[2]) == Some(self.address().port());
-            port(words[1]).filter(|_| is)
+            let is_pending = words[3] == "02" && port(words[2]) == Some(self.address().port());
+            port(words[1]).filter(|_| is_pending)
         });
         found.collect()
     }
 
-    pub fn hear(mut self) -> TcpListener {
-        for _ in 0..self.held.len() {
+    /// Drains the backlog so that waiting connections are established.
+    pub fn drain(mut self) -> TcpListener {
+        for _ in 0..self.filler.len() {
             drop(self.listener.accept().unwrap());
         }
-        self.held.clear();
+        self.filler.clear();
         self.listener
     }
 }
 
-/// What came to a host, held until it is answered.
+/// A message to a host that waits for its answer.
 pub struct Want {
     pub host: &'static str,
     pub at: Instant,
     pub words: Vec<String>,
-    /// The other end of the connection that it came on.
+    /// The dispatcher's address on the connection.
     pub from: SocketAddr,
     stream: TcpStream,
 }
 
 impl Want {
-    /// Ends its connection, as a process does that dies.
+    /// Closes the connection, as when the host's process dies.
     pub fn cut(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
+    /// Answers the request with an object.
     pub fn done(&self) {
         let parts = [&self.words[1][..], "DONE", "ver=4be0c192,born=1764576000123", "x"];
         let parts: Vec<String> = parts.iter().map(|part| format!("${}\r\n{part}\r\n", part.len())).collect();
@@ -250,7 +252,8 @@
     }
 }
 
-fn bulk(reader: &mut impl BufRead) -> Option<Vec<String>> {
+/// Reads a RESP array of bulk strings.
+fn read_array(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let mut number = || -> Option<usize> {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
@@ -268,7 +271,7 @@
     Some(words)
 }
 
-/// Hosts: what comes to any of them is told in one place, but for those that answer at once.
+/// Fake hosts whose incoming messages are collected in one channel.
 pub struct Hosts {
     tell: Sender<Want>,
     pub came: Receiver<Want>,
@@ -294,7 +297,7 @@
                 let Ok(from) = stream.peer_addr() else { continue };
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
-                    while let Some(words) = bulk(&mut reader) {
+                    while let Some(words) = read_array(&mut reader) {
                         let stream = stream.try_clone().unwrap();
                         let _ = tell.send(Want { host, at: Instant::now(), words, from, stream });
                     }
@@ -304,12 +307,12 @@
         address
     }
 
-    /// Answers all that comes from here on; where it came to and from, and when.
+    /// Answers all later requests at once; returns the host, the dispatcher's address and the time of each.
     pub fn answer_all(self) -> Receiver<(&'static str, SocketAddr, Instant)> {
         let (tell, told) = channel();
         spawn(move || {
             for want in self.came.iter().filter(|want| want.words[0] == "want") {
-                // Told before the answer, so that who has that finds this.
+                // Reported before the answer, so that it is there once the client has the answer.
                 let _ = tell.send((want.host, want.from, want.at));
                 want.done();
             }
@@ -317,10 +320,10 @@
         told
     }
 
-    /// The next request at any host; what only gives one up is passed over.
+    /// The next request at any host; skips cancellations.
     pub fn next(&self) -> Want {
         loop {
-            let want = self.came.recv_timeout(PATIENCE).expect("nothing came to a host");
+            let want = self.came.recv_timeout(PATIENCE).expect("no request came to a host");
             if want.words[0] == "want" {
                 return want;
             }
@@ -328,7 +331,7 @@
     }
 }
 
-/// An event of the change log that lists hosts; each with its name, address and state.
+/// A change that lists hosts, each with its name, address and state.
 pub fn list(seq: u64, whole: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
     let entries: Vec<String> = hosts.iter().map(|(name, at, state)| entry(name, *at, state, 0)).collect();
     event(seq, whole, &entries)
@@ -350,7 +353,7 @@
     format!(r#"{{"seq":{seq},"invalidate":{{"object":"{seq:016x}","time":1764576000123}}}}"#)
 }
 
-/// A file that goes when it is dropped.
+/// A temporary file, deleted when dropped.
 pub struct File(pub std::path::PathBuf);
 
 impl File {
@@ -388,7 +391,7 @@
         Dispatcher::start_by(Command::new(env!("CARGO_BIN_EXE_cherrypass")), config)
     }
 
-    /// By a program that runs it.
+    /// Starts it by a command that runs the program.
     pub fn start_by(mut command: Command, config: &str) -> Dispatcher {
         let config = File::new(config);
         command.arg("serve").arg("--config").arg(&config.0);
@@ -397,7 +400,7 @@
         let mut first = String::new();
         while !first.contains("start: n0 on ") {
             first.clear();
-            assert!(errors.read_line(&mut first).unwrap() > 0, "no start");
+            assert!(errors.read_line(&mut first).unwrap() > 0, "the dispatcher did not start");
         }
         let listen = first.split("on ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -406,11 +409,12 @@
         Dispatcher { child, config, listen, lines }
     }
 
-    /// How many lines of the log up to now hold these words.
+    /// The number of log lines so far that contain `words`.
     pub fn count(&self, words: &str) -> usize {
         self.lines.lock().unwrap().iter().filter(|line| line.contains(words)).count()
     }
 
+    /// Waits for a log line that contains `words`.
     pub fn log(&self, words: &str) {
         let end = Instant::now() + PATIENCE;
         while self.count(words) == 0 {
@@ -425,7 +429,7 @@
     }
 }
 
-/// One connection of a client; ids go up by one.
+/// A client connection; request ids increase by one.
 pub struct Client {
     stream: TcpStream,
     last: u32,
@@ -446,7 +450,7 @@
         Ok(Client { stream, last: 0 })
     }
 
-    /// Asks for an object, which makes the id as well; answers are read apart.
+    /// Sends a request for an object; answers are read with [`Client::answer`].
     pub fn ask(&mut self, object: u64) -> std::io::Result<()> {
         use rmp::encode::*;
         self.last += 1;
