--- a/crates/dispatcher/src/sharing.rs
+++ b/crates/dispatcher/src/sharing.rs
@@ -1,7 +1,7 @@
-//! Between the module and the fleet: parts of limits and what others found go into the module; what it finds,
-//! wants and uses goes out. It decides nothing. What the fleet tells holds until an `Instant`, and the module
-//! is told anew all the time how much of that is left: guards against a system clock that steps and leaves a
-//! part in force.
+//! Connects the decision module with the fleet. Shares of limits and findings of other dispatchers go into
+//! the module; its own findings, demand and usage go to the fleet. No decisions are made here. Values from
+//! the fleet are valid until an `Instant`, and the remaining time is passed to the module again and again, so
+//! that a step of the system clock can't keep an expired share in force.
 use crate::carried::Delivery;
 use crate::clock;
 use crate::config::Config;
@@ -23,17 +23,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often all is told both ways.
-const EVERY: Duration = Duration::from_millis(250);
-/// What is wanted is looked at over so many times that.
-const A_SECOND: usize = 4;
-/// The longest drain that a limit may have.
-const DRAIN_MOST: Span = Span::millis(600_000);
+/// Interval of the exchanges between module and fleet.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
+/// Demand is averaged over this many exchanges, which take a second.
+const DEMAND_WINDOW: usize = 4;
+/// Maximum drain time of a limit.
+const MAX_DRAIN: Span = Span::millis(600_000);
 
+/// Why the fleet can't be joined.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error(
-        "the operators' file: fleet.members[{0}].location: '{1}' is none of the configuration's zones {2:?}"
+        "the operators' file: fleet.members[{0}].location: '{1}' is not one of the configuration's zones {2:?}"
     )]
     Location(usize, String, Vec<String>),
     #[error(transparent)]
@@ -41,6 +42,7 @@
 }
 
 impl Error {
+    /// Stable identifier of the error for operators' tools.
     pub fn code(&self) -> &'static str {
         match self {
             Error::Location(..) => "fleet-location",
@@ -49,52 +51,53 @@
     }
 }
 
-/// The section as the fleet's crates take it.
+/// Converts the section `fleet` of the operators' file to the settings of the fleet's crates.
 pub fn set(fleet: &Fleet, config: &Config) -> Result<peers::Set, Error> {
     let zones = &config.names.locations;
-    let place = |name: &String| zones.iter().position(|zone| zone == name).map(|at| LocationId(at as u16));
+    let location_id =
+        |name: &String| zones.iter().position(|zone| zone == name).map(|index| LocationId(index as u16));
     let mut set = peers::Set::of(&fleet.name, &fleet.me, fleet.listen);
-    for (at, operator::Member { name, address, location }) in fleet.members.iter().enumerate() {
-        let known = place(location);
-        let location = known.ok_or_else(|| Error::Location(at, location.clone(), zones.clone()))?;
+    for (index, operator::Member { name, address, location }) in fleet.members.iter().enumerate() {
+        let id = location_id(location);
+        let location = id.ok_or_else(|| Error::Location(index, location.clone(), zones.clone()))?;
         set.members.push(peers::Member { name: name.clone(), address: *address, location });
     }
     let follower =
         |one: &operator::Follower| peers::Follower { name: one.name.clone(), address: one.address };
     set.followers = fleet.followers.iter().map(follower).collect();
-    set.locations = zones.iter().filter_map(|zone| Some((zone.clone(), place(zone)?))).collect();
+    set.locations = zones.iter().filter_map(|zone| Some((zone.clone(), location_id(zone)?))).collect();
     (set.events, set.control, set.form) = (fleet.events.clone(), fleet.control, fleet.message_version);
     (set.every, set.seed) = (fleet.timer_period, config.seed);
-    let drain = config.longest().min(DRAIN_MOST);
+    let drain = config.longest().min(MAX_DRAIN);
     set.rooms = house::Set {
         members: members::Set { round: fleet.probe_interval, ..members::Set::default() },
-        limits: fleet.limits.as_ref().map(|told| limits::Set {
-            origin: told.origin,
-            further_per_s: told.retries_per_s,
-            cold: told.shares_cold_budgets,
-            lease: told.lease,
-            floor: told.floor,
+        limits: fleet.limits.as_ref().map(|limits| limits::Set {
+            origin: limits.origin,
+            further_per_s: limits.retries_per_s,
+            cold: limits.shares_cold_budgets,
+            lease: limits.lease,
+            floor: limits.floor,
             drain,
             ..limits::Set::default()
         }),
-        verdicts: fleet.verdicts.as_ref().map(|told| verdicts::Set {
-            hold: told.max_finding_age,
-            tellers: told.min_reporters as u8,
-            part: told.min_reporting_fraction,
+        verdicts: fleet.verdicts.as_ref().map(|verdicts| verdicts::Set {
+            hold: verdicts.max_finding_age,
+            tellers: verdicts.min_reporters as u8,
+            part: verdicts.min_reporting_fraction,
         }),
         rollout: fleet
             .rollout
             .as_ref()
-            .map(|told| rollout::Set { window: told.comparison_window, ..rollout::Set::default() }),
+            .map(|rollout| rollout::Set { window: rollout.comparison_window, ..rollout::Set::default() }),
         ..house::Set::default()
     };
-    set.delivery = fleet.delivery.as_ref().map(|told| delivery::Set {
-        carriers: told.carriers.clone(),
+    set.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Set {
+        carriers: delivery.carriers.clone(),
         last: ChangeNumber::default(),
         room: cherrypass_fleet::delivery::Set {
-            log: LogId::of(&told.log),
-            followers: told.followers_per_carrier as usize,
-            fallback: told.fallback_after,
+            log: LogId::of(&delivery.log),
+            followers: delivery.followers_per_carrier as usize,
+            fallback: delivery.fallback_after,
             ..cherrypass_fleet::delivery::Set::default()
         },
     });
@@ -102,49 +105,56 @@
     Ok(set)
 }
 
+/// This member's share of a limit: the amount until the lease ends, and the one after that.
 #[derive(Clone, Copy)]
-struct Part {
+struct Share {
     amount: f64,
     until: Instant,
     after: f64,
 }
 
-struct Told {
-    since: Option<UnixTime>,
+/// A bad host reported by other dispatchers.
+struct ReportedHost {
+    started: Option<UnixTime>,
     until: Instant,
-    /// The fleet has heard that own hand-offs went well.
-    refuted: bool,
+    /// Whether the fleet was told that own hand-offs to it succeed.
+    is_refuted: bool,
 }
 
+/// The router's connection to the fleet.
 pub struct Sharing {
-    tell: Box<dyn Fn(ToFleet)>,
-    /// For the thread that follows the change log, until that has taken it.
+    send: Box<dyn Fn(ToFleet)>,
+    /// For the thread that follows the change log, which takes it once.
     delivery: Option<Delivery>,
-    /// All changes that the log had then are known, where the delivery is on.
-    known: Option<Instant>,
-    unproven: bool,
-    /// Leaves the fleet in order when it is dropped.
+    /// With delivery: the time up to which all changes of the log are known.
+    known_up_to: Option<Instant>,
+    is_unproven: bool,
+    /// Leaves the fleet when dropped.
     _peers: Option<Peers>,
     settings: Settings,
     fleet: Fleet,
     rules: Rules,
-    /// The part of the whole that is this member's whatever the others do.
+    /// The fraction of each limit that this member always has.
     floor: f64,
-    parts: BTreeMap<Key, Part>,
-    told: BTreeMap<HostId, Told>,
-    /// Hosts that others found to be new, and which start of theirs the list told then.
-    new: BTreeMap<HostId, Option<UnixTime>>,
-    found: BTreeMap<(HostId, bool), (Kind, u32, Option<UnixTime>)>,
-    /// The start that the list tells of a host, by which members name its process, and as the module knows it.
+    shares: BTreeMap<Key, Share>,
+    /// Hosts that others report as bad.
+    reported_hosts: BTreeMap<HostId, ReportedHost>,
+    /// Hosts that others report as restarted, with the listed start that the report refers to.
+    restarted_hosts: BTreeMap<HostId, Option<UnixTime>>,
+    /// Own findings that the fleet was told, by host and whether the finding is a restart.
+    sent_findings: BTreeMap<(HostId, bool), (Kind, u32, Option<UnixTime>)>,
+    /// The listed start of each host, which identifies its process among members, and the start in the
+    /// module's time.
     starts: BTreeMap<HostId, (Option<UnixTime>, Option<Time>)>,
-    shut: BTreeMap<HostId, bool>,
-    recent: BTreeMap<Key, VecDeque<Wanted>>,
-    next: Instant,
-    rounds: usize,
-    counted: Figures,
+    /// Hosts that the module has ejected, and whether only because of reports of others.
+    ejected: BTreeMap<HostId, bool>,
+    recent_demand: BTreeMap<Key, VecDeque<Wanted>>,
+    next_exchange: Instant,
+    exchanges: usize,
+    counters: Figures,
 }
 
-fn shared(key: Key) -> Shared {
+fn shared_limit(key: Key) -> Shared {
     match key {
         Key::Origin => Shared::Origin,
         Key::Further => Shared::Further,
@@ -152,99 +162,101 @@
     }
 }
 
-/// A point in the module's time that is as far ahead as that is.
-fn at(instant: Instant) -> Time {
+/// Converts a future instant to the module's time.
+fn module_time(instant: Instant) -> Time {
     clock::now() + Span(instant.saturating_duration_since(Instant::now()).as_micros() as u64)
 }
 
 impl Sharing {
-    /// Joins the fleet; what it tells goes to the router's mailbox.
+    /// Joins the fleet, whose messages go to the router's mailbox.
     pub fn start(
         fleet: &Fleet,
         set: peers::Set,
         settings: &Settings,
         store: Option<Arc<Store>>,
-        own: Sender<Input>,
+        router: Sender<Input>,
     ) -> Result<Sharing, Error> {
-        let (to_log, from_fleet) = unbounded();
-        let tell = move |from| {
+        let (to_log_thread, from_fleet) = unbounded();
+        let receive = move |from| {
             let _ = match from {
-                // What is known is told by that thread, after the changes that it has taken.
-                FromFleet::Delivered(delivered) => to_log.send(delivered).is_ok(),
-                from => own.send(Input::Fleet(from)).is_ok(),
+                // That thread forwards how much is known, in order with the changes that it has applied.
+                FromFleet::Delivered(delivered) => to_log_thread.send(delivered).is_ok(),
+                from => router.send(Input::Fleet(from)).is_ok(),
             };
         };
-        let peers = Peers::start(set, store, tell, |line| tracing::info!("{line}"))?;
-        let to = peers.sender();
+        let peers = Peers::start(set, store, receive, |line| tracing::info!("{line}"))?;
+        let sender = peers.sender();
         let delivery = fleet.delivery.as_ref().map(|delivery| Delivery {
             from_fleet,
             to_fleet: Box::new({
-                let to = to.clone();
-                move |what| to.send(what)
+                let sender = sender.clone();
+                move |message| sender.send(message)
             }),
             is_carrier: delivery.carriers.contains(&fleet.me),
         });
-        let tell = Box::new(move |what| to.send(what));
-        Ok(Sharing { _peers: Some(peers), delivery, ..Sharing::with(fleet, settings, tell) })
+        let send = Box::new(move |message| sender.send(message));
+        Ok(Sharing { _peers: Some(peers), delivery, ..Sharing::with(fleet, settings, send) })
     }
 
-    /// The change log's part of it, once.
+    /// Takes the channels for the thread that follows the change log.
     pub fn delivery(&mut self) -> Option<Delivery> {
         self.delivery.take()
     }
 
-    fn with(fleet: &Fleet, settings: &Settings, tell: Box<dyn Fn(ToFleet)>) -> Sharing {
+    fn with(fleet: &Fleet, settings: &Settings, send: Box<dyn Fn(ToFleet)>) -> Sharing {
         let floor = fleet.limits.as_ref().map_or(0.0, |limits| limits.floor);
         Sharing {
-            tell,
+            send,
             delivery: None,
-            known: fleet.delivery.is_some().then(Instant::now),
-            unproven: false,
+            known_up_to: fleet.delivery.is_some().then(Instant::now),
+            is_unproven: false,
             _peers: None,
             settings: settings.clone(),
             fleet: fleet.clone(),
             rules: Rules::default(),
             floor: floor / fleet.members.len().max(1) as f64,
-            parts: BTreeMap::new(),
-            told: BTreeMap::new(),
-            new: BTreeMap::new(),
-            found: BTreeMap::new(),
+            shares: BTreeMap::new(),
+            reported_hosts: BTreeMap::new(),
+            restarted_hosts: BTreeMap::new(),
+            sent_findings: BTreeMap::new(),
             starts: BTreeMap::new(),
-            shut: BTreeMap::new(),
-            recent: BTreeMap::new(),
-            next: Instant::now(),
-            rounds: 0,
-            counted: Figures::default(),
+            ejected: BTreeMap::new(),
+            recent_demand: BTreeMap::new(),
+            next_exchange: Instant::now(),
+            exchanges: 0,
+            counters: Figures::default(),
         }
     }
 
-    /// How long until `round` is due.
+    /// How long until the next exchange ([`Sharing::round`]) is due.
     pub fn wait(&self) -> Duration {
-        self.next.saturating_duration_since(Instant::now())
+        self.next_exchange.saturating_duration_since(Instant::now())
     }
 
-    /// Before anything is served: nothing of a limit until the fleet has told more, which it does at its
-    /// start. Guards against a start whose share an earlier run has lent, or used up, still.
+    /// Before anything is served: sets the shares of all limits to zero until the fleet allots more. An
+    /// earlier run of this process may have lent its share to others, or its hand-offs may still be using it.
     pub fn begin(&mut self, brain: &mut Brain) {
         let Some(limits) = &self.fleet.limits else { return };
-        let wholes = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
-        let shared = wholes.into_iter().filter(|(_, whole)| whole.is_some());
-        shared.for_each(|(key, _)| self.until_told(brain, key, 0.0));
+        let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
+        let limited = totals.into_iter().filter(|(_, total)| total.is_some());
+        limited.for_each(|(key, _)| self.set_initial_share(brain, key, 0.0));
     }
 
-    fn until_told(&mut self, brain: &mut Brain, key: Key, amount: f64) {
-        self.parts.entry(key).or_insert(Part { amount, until: Instant::now(), after: amount });
-        self.allot(brain, key);
+    /// Sets the share that applies until the fleet allots one.
+    fn set_initial_share(&mut self, brain: &mut Brain, key: Key, amount: f64) {
+        self.shares.entry(key).or_insert(Share { amount, until: Instant::now(), after: amount });
+        self.apply_share(brain, key);
     }
 
-    fn allot(&self, brain: &mut Brain, key: Key) {
-        if let Some(Part { amount, until, after }) = self.parts.get(&key) {
+    /// Passes a share to the module.
+    fn apply_share(&self, brain: &mut Brain, key: Key) {
+        if let Some(Share { amount, until, after }) = self.shares.get(&key) {
             let scale = self.scale(key);
-            brain.allotted(shared(key), scale * amount, at(*until), scale * after);
+            brain.allotted(shared_limit(key), scale * amount, module_time(*until), scale * after);
         }
     }
 
-    /// A whole by the rules in force over that by the file, which the fleet shares out.
+    /// The ratio of a limit by the rules in force to that of the file, by which the fleet allots shares.
     fn scale(&self, key: Key) -> f64 {
         let (Some(file), rules) = (&self.fleet.limits, &self.rules.fleet.limits) else { return 1.0 };
         let (new, old) = match key {
@@ -255,248 +267,272 @@
         new.zip(old).map_or(1.0, |(new, old)| new / old)
     }
 
-    /// Other rules are in force from now on.
-    fn rule(&mut self, brain: &mut Brain, rules: Rules) {
+    /// Puts rules in force.
+    fn apply_rules(&mut self, brain: &mut Brain, rules: Rules) {
         self.rules = rules;
-        self.parts.keys().copied().collect::<Vec<_>>().into_iter().for_each(|key| self.allot(brain, key));
+        self.shares
+            .keys()
+            .copied()
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|key| self.apply_share(brain, key));
         if let Some(file) = &self.fleet.verdicts {
             let rules = &self.rules.fleet.verdicts;
             let tellers = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
-            (self.tell)(ToFleet::Weighed {
+            (self.send)(ToFleet::Weighed {
                 tellers,
                 part: rules.min_reporting_fraction.unwrap_or(file.min_reporting_fraction),
             });
         }
         if !self.rules.fleet.verdicts.uses_findings {
-            let hosts: Vec<HostId> = self.told.keys().copied().collect();
-            hosts.into_iter().for_each(|host| self.withdraw(brain, host));
+            let hosts: Vec<HostId> = self.reported_hosts.keys().copied().collect();
+            hosts.into_iter().for_each(|host| self.withdraw_report(brain, host));
         }
     }
 
-    /// The module's name of the process that members name by this start; of one that the list does not tell here, a start
-    /// that no host has.
-    fn start_of(&self, host: HostId, since: Option<UnixTime>) -> Option<Time> {
-        let known = self.starts.get(&host).filter(|known| known.0 == since);
+    /// The start in the module's time of the process that members identify by its listed start. If that is
+    /// not the start listed here, a value that matches no host.
+    fn start_of(&self, host: HostId, started: Option<UnixTime>) -> Option<Time> {
+        let known = self.starts.get(&host).filter(|known| known.0 == started);
         known.map_or(Some(Time::default()), |known| known.1)
     }
 
-    fn withdraw(&mut self, brain: &mut Brain, host: HostId) {
-        if let Some(told) = self.told.remove(&host) {
+    /// Withdraws other dispatchers' report on a host from the module.
+    fn withdraw_report(&mut self, brain: &mut Brain, host: HostId) {
+        if let Some(report) = self.reported_hosts.remove(&host) {
             let now = clock::now();
-            brain.hearsay(now, host, self.start_of(host, told.since), Word::Bad, now);
+            brain.hearsay(now, host, self.start_of(host, report.started), Word::Bad, now);
         }
     }
 
-    pub fn take(&mut self, brain: &mut Brain, what: FromFleet) {
-        match what {
+    /// Handles a message of the fleet.
+    pub fn take(&mut self, brain: &mut Brain, message: FromFleet) {
+        match message {
             FromFleet::Part { key, number, amount, until, after } => {
-                // Of a host that is gone nothing is kept.
+                // Nothing is kept for hosts that are gone.
                 if matches!(key, Key::Cold(host) if !brain.is_listed(host)) {
                     return;
                 }
-                self.parts.insert(key, Part { amount, until, after });
-                self.allot(brain, key);
-                (self.tell)(ToFleet::Taken { key, number });
+                self.shares.insert(key, Share { amount, until, after });
+                self.apply_share(brain, key);
+                (self.send)(ToFleet::Taken { key, number });
             }
             FromFleet::Hearsay { kind: Kind::Slow, .. } => {}
             FromFleet::Hearsay { .. } if !self.rules.fleet.verdicts.uses_findings => {}
             FromFleet::Hearsay { host, since, kind: Kind::JustStarted, until, .. } => {
-                // Once for a start: the list's next word on it stands, whatever is told of the time before.
-                if self.new.insert(host, since) != Some(since) {
+                // Only once per start: a later start in the list takes precedence over repeated reports.
+                if self.restarted_hosts.insert(host, since) != Some(since) {
                     let start = self.start_of(host, since);
-                    brain.hearsay(clock::now(), host, start, Word::Anew, at(until));
+                    brain.hearsay(clock::now(), host, start, Word::Anew, module_time(until));
                 }
             }
             FromFleet::Hearsay { host, since, until, .. } => {
-                let refuted = self.told.get(&host).is_some_and(|told| told.refuted && told.since == since);
-                self.told.insert(host, Told { since, until, refuted });
-                brain.hearsay(clock::now(), host, self.start_of(host, since), Word::Bad, at(until));
+                let is_refuted = self
+                    .reported_hosts
+                    .get(&host)
+                    .is_some_and(|report| report.is_refuted && report.started == since);
+                self.reported_hosts.insert(host, ReportedHost { started: since, until, is_refuted });
+                brain.hearsay(clock::now(), host, self.start_of(host, since), Word::Bad, module_time(until));
             }
-            FromFleet::Withdraw { host } => self.withdraw(brain, host),
+            FromFleet::Withdraw { host } => self.withdraw_report(brain, host),
             FromFleet::Delivered(Delivered::KnownUpTo(at)) => {
-                self.known = self.known.max(Some(at));
-                self.prove(brain);
+                self.known_up_to = self.known_up_to.max(Some(at));
+                self.update_proof(brain);
             }
             FromFleet::Delivered(Delivered::Changes { .. } | Delivered::ReadLog(_)) => {}
-            FromFleet::Rules { number: 0, .. } => self.rule(brain, Rules::default()),
+            FromFleet::Rules { number: 0, .. } => self.apply_rules(brain, Rules::default()),
             FromFleet::Rules { number, text } => match rules::decode(&text, &self.fleet) {
-                Ok(rules) => self.rule(brain, rules),
+                Ok(rules) => self.apply_rules(brain, rules),
                 Err(error) => {
-                    tracing::warn!("rules {number} can't be taken ({}): {error}", error.code());
-                    (self.tell)(ToFleet::NotTaken { number, why: error.to_string() });
+                    tracing::warn!("rules {number} are rejected ({}): {error}", error.code());
+                    (self.send)(ToFleet::NotTaken { number, why: error.to_string() });
                 }
             },
         }
     }
 
-    /// Tells the module whether purges may have been told that are not known here.
-    fn prove(&mut self, brain: &mut Brain) {
-        let (Some(delivery), Some(known)) = (&self.fleet.delivery, self.known) else { return };
+    /// Tells the module whether there may be purges that are not known here.
+    fn update_proof(&mut self, brain: &mut Brain) {
+        let (Some(delivery), Some(known)) = (&self.fleet.delivery, self.known_up_to) else { return };
         let is_unproven = known.elapsed() > clock::duration(delivery.max_proof_age);
         brain.unproven(is_unproven && delivery.unproven == UnprovenCopies::Strict);
-        if std::mem::replace(&mut self.unproven, is_unproven) != is_unproven {
+        if std::mem::replace(&mut self.is_unproven, is_unproven) != is_unproven {
             let age_ms = known.elapsed().as_millis();
             match is_unproven {
-                true => tracing::warn!("delivery: purges of the last {age_ms} ms may be unknown here"),
+                true => tracing::warn!("delivery: purges of the last {age_ms} ms may be unknown"),
                 false => tracing::info!("delivery: all purges are known up to {age_ms} ms ago"),
             }
         }
     }
 
-    /// Whether changes come by carriers, which prove what is known.
+    /// Whether carriers deliver changes and so prove which purges are known.
     pub fn has_carriers(&self) -> bool {
         self.fleet.delivery.is_some()
     }
 
-    /// The list's word on a host.
+    /// An entry of the host list was applied.
     pub fn listed(&mut self, brain: &mut Brain, entry: &Listing, started: Option<UnixTime>) {
         self.starts.insert(entry.host, (started, entry.since));
         if entry.phase != Phase::Ready {
             return self.unlisted(entry.host, entry.phase == Phase::Gone);
         }
         let kind = Some(entry.kind);
-        let for_all = kind == self.settings.parent_kind || kind == self.settings.origin_kind;
-        let used_by = if for_all { UsedBy::All } else { UsedBy::Location(entry.location) };
-        (self.tell)(ToFleet::Listed { host: entry.host, since: started, used_by });
+        let is_used_by_all = kind == self.settings.parent_kind || kind == self.settings.origin_kind;
+        let used_by = if is_used_by_all { UsedBy::All } else { UsedBy::Location(entry.location) };
+        (self.send)(ToFleet::Listed { host: entry.host, since: started, used_by });
         if entry.since.is_some() {
-            self.new_cold(brain, entry.host);
+            self.init_cold_share(brain, entry.host);
         }
     }
 
-    /// A host's listed start was earlier than it was dated at first.
+    /// A host's start was dated earlier than before.
     pub fn redated(&mut self, host: HostId, since: Time) {
         self.starts.get_mut(&host).into_iter().for_each(|known| known.1 = Some(since));
     }
 
-    pub fn unlisted(&mut self, host: HostId, gone: bool) {
-        (self.tell)(ToFleet::Unlisted(host));
-        self.told.remove(&host);
-        if gone {
+    /// A host left the list, or drains.
+    pub fn unlisted(&mut self, host: HostId, is_gone: bool) {
+        (self.send)(ToFleet::Unlisted(host));
+        self.reported_hosts.remove(&host);
+        if is_gone {
             self.starts.remove(&host);
-            self.parts.remove(&Key::Cold(host));
-            self.new.remove(&host);
+            self.shares.remove(&Key::Cold(host));
+            self.restarted_hosts.remove(&host);
         }
     }
 
-    /// A cold host of which the fleet has not told a part yet: what nobody else can have, for it may know too
-    /// many to tell of this one.
-    fn new_cold(&mut self, brain: &mut Brain, host: HostId) {
+    /// Sets the share of a cold host for which the fleet has not allotted one to the floor, which no other
+    /// member can have. The fleet may know too many hosts to allot shares for this one.
+    fn init_cold_share(&mut self, brain: &mut Brain, host: HostId) {
         let key = Key::Cold(host);
-        let shares = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
-        if shares && !self.parts.contains_key(&key) {
-            self.until_told(brain, key, self.floor);
+        let shares_cold_budgets = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
+        if shares_cold_budgets && !self.shares.contains_key(&key) {
+            self.set_initial_share(brain, key, self.floor);
         }
     }
 
-    /// Both ways, all that holds now.
+    /// Exchanges the current state between module and fleet, in both directions.
     pub fn round(&mut self, brain: &mut Brain) {
         let (now, instant) = (clock::now(), Instant::now());
-        self.next = instant + EVERY;
-        self.rounds += 1;
-        self.prove(brain);
-        self.parts.keys().copied().collect::<Vec<_>>().into_iter().for_each(|key| self.allot(brain, key));
-        self.told.retain(|_, told| instant < told.until);
-        for (host, told) in &self.told {
-            brain.hearsay(now, *host, self.start_of(*host, told.since), Word::Bad, at(told.until));
+        self.next_exchange = instant + EXCHANGE_INTERVAL;
+        self.exchanges += 1;
+        self.update_proof(brain);
+        self.shares
+            .keys()
+            .copied()
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|key| self.apply_share(brain, key));
+        self.reported_hosts.retain(|_, report| instant < report.until);
+        for (host, report) in &self.reported_hosts {
+            let start = self.start_of(*host, report.started);
+            brain.hearsay(now, *host, start, Word::Bad, module_time(report.until));
         }
         if self.fleet.verdicts.is_some() {
-            self.tell_found(brain, now);
+            self.send_findings(brain, now);
         }
-        self.tell_shut(brain);
-        self.tell_wanted(brain, now);
-        if self.rounds.is_multiple_of(A_SECOND) {
-            (self.tell)(ToFleet::Counted(std::mem::take(&mut self.counted)));
+        self.send_ejections(brain);
+        self.send_demand(brain, now);
+        if self.exchanges.is_multiple_of(DEMAND_WINDOW) {
+            (self.send)(ToFleet::Counted(std::mem::take(&mut self.counters)));
         }
     }
 
-    fn tell_found(&mut self, brain: &Brain, now: Time) {
-        let mut found = BTreeMap::new();
-        for one in brain.findings(now) {
-            let kind = match one.what {
+    /// Sends findings about hosts that are new or have changed.
+    fn send_findings(&mut self, brain: &Brain, now: Time) {
+        let mut current = BTreeMap::new();
+        for finding in brain.findings(now) {
+            let kind = match finding.what {
                 Found::Anew => Kind::JustStarted,
                 Found::Shut { why: Bad::Silent, .. } | Found::Shut { unreached: true, .. } => Kind::CutOff,
                 Found::Shut { .. } => Kind::ShutOut,
             };
-            let place = (one.host, kind == Kind::JustStarted);
-            let since = self.starts.get(&one.host).and_then(|known| known.0);
-            let holds = (kind, one.evidence, since);
-            if self.found.get(&place) != Some(&holds) {
-                let (host, evidence, age) = (one.host, one.evidence, now - one.at);
-                (self.tell)(ToFleet::Found(Finding { host, since, kind, evidence, age }));
+            let key = (finding.host, kind == Kind::JustStarted);
+            let since = self.starts.get(&finding.host).and_then(|known| known.0);
+            let content = (kind, finding.evidence, since);
+            if self.sent_findings.get(&key) != Some(&content) {
+                let (host, evidence, age) = (finding.host, finding.evidence, now - finding.at);
+                (self.send)(ToFleet::Found(Finding { host, since, kind, evidence, age }));
             }
-            found.insert(place, holds);
+            current.insert(key, content);
         }
-        let over = self.found.keys().filter(|place| !place.1 && !found.contains_key(place));
-        over.for_each(|place| (self.tell)(ToFleet::Cleared(place.0)));
-        self.found = found;
+        let cleared = self.sent_findings.keys().filter(|key| !key.1 && !current.contains_key(key));
+        cleared.for_each(|key| (self.send)(ToFleet::Cleared(key.0)));
+        self.sent_findings = current;
         for host in brain.refuted(now) {
-            if let Some(told) = self.told.get_mut(&host).filter(|told| !told.refuted) {
-                told.refuted = true;
-                (self.tell)(ToFleet::Refuted(host));
+            if let Some(report) = self.reported_hosts.get_mut(&host).filter(|report| !report.is_refuted) {
+                report.is_refuted = true;
+                (self.send)(ToFleet::Refuted(host));
             }
         }
     }
 
-    fn tell_shut(&mut self, brain: &Brain) {
-        let shut: BTreeMap<HostId, bool> =
+    /// Sends which hosts were ejected or returned.
+    fn send_ejections(&mut self, brain: &Brain) {
+        let ejected: BTreeMap<HostId, bool> =
             brain.shut_out_now().map(|(host, why)| (host, why == Bad::Told)).collect();
-        for (host, told) in shut.iter().filter(|(host, told)| self.shut.get(host) != Some(told)) {
-            self.counted.shut_out += u64::from(!self.shut.contains_key(host));
-            (self.tell)(ToFleet::Shut { host: *host, told: *told });
+        for (host, told) in ejected.iter().filter(|(host, told)| self.ejected.get(host) != Some(told)) {
+            self.counters.shut_out += u64::from(!self.ejected.contains_key(host));
+            (self.send)(ToFleet::Shut { host: *host, told: *told });
         }
-        for host in self.shut.keys().filter(|host| !shut.contains_key(host)) {
-            (self.tell)(ToFleet::Back { host: *host });
+        for host in self.ejected.keys().filter(|host| !ejected.contains_key(host)) {
+            (self.send)(ToFleet::Back { host: *host });
         }
-        self.shut = shut;
+        self.ejected = ejected;
     }
 
-    fn tell_wanted(&mut self, brain: &mut Brain, now: Time) {
+    /// Sends the demand for each limit, and once a second its usage.
+    fn send_demand(&mut self, brain: &mut Brain, now: Time) {
         let Some(limits) = &self.fleet.limits else { return };
-        let fixed = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
+        let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
         let mut keys: BTreeSet<Key> =
-            fixed.into_iter().filter(|(_, whole)| whole.is_some()).map(|(key, _)| key).collect();
+            totals.into_iter().filter(|(_, total)| total.is_some()).map(|(key, _)| key).collect();
         if limits.shares_cold_budgets {
             let cold: Vec<HostId> = brain.cold(now).collect();
-            cold.iter().for_each(|host| self.new_cold(brain, *host));
+            cold.iter().for_each(|host| self.init_cold_share(brain, *host));
             keys.extend(cold.into_iter().map(Key::Cold));
         }
-        self.recent.retain(|key, _| keys.contains(key));
-        let told = self.rounds.is_multiple_of(A_SECOND);
+        self.recent_demand.retain(|key, _| keys.contains(key));
+        let sends_usage = self.exchanges.is_multiple_of(DEMAND_WINDOW);
         for key in keys {
-            let recent = self.recent.entry(key).or_default();
-            recent.push_back(brain.wanted(now, shared(key)));
-            if recent.len() > A_SECOND {
+            let recent = self.recent_demand.entry(key).or_default();
+            recent.push_back(brain.wanted(now, shared_limit(key)));
+            if recent.len() > DEMAND_WINDOW {
                 recent.pop_front();
             }
-            let over = |of: fn(&Wanted) -> f64| match key {
+            let aggregate = |of: fn(&Wanted) -> f64| match key {
                 Key::Origin => recent.iter().map(of).fold(0.0, f64::max),
                 _ => recent.iter().map(of).sum::<f64>() / recent.len() as f64,
             };
-            let most = if matches!(key, Key::Cold(_)) { 1.0 } else { f64::MAX };
-            (self.tell)(ToFleet::Wants { key, amount: over(|one| one.wanted).min(most) });
-            if told {
-                (self.tell)(ToFleet::Used { key, amount: over(|one| one.used) });
+            let max = if matches!(key, Key::Cold(_)) { 1.0 } else { f64::MAX };
+            (self.send)(ToFleet::Wants { key, amount: aggregate(|one| one.wanted).min(max) });
+            if sends_usage {
+                (self.send)(ToFleet::Used { key, amount: aggregate(|one| one.used) });
             }
         }
     }
 
+    /// Counts a hand-off.
     pub fn handed_off(&mut self) {
-        self.counted.hand_offs += 1;
+        self.counters.hand_offs += 1;
     }
 
+    /// Counts a visit that was served.
     pub fn settled(&mut self, brain: &Brain, band: BandId, took: Span) {
-        self.counted.visits += 1;
-        self.counted.in_time += u64::from(took.as_seconds() <= brain.quoted(band));
+        self.counters.visits += 1;
+        self.counters.in_time += u64::from(took.as_seconds() <= brain.quoted(band));
     }
 
+    /// Counts a visit that was refused.
     pub fn turned_back(&mut self) {
-        self.counted.visits += 1;
-        self.counted.turned_back += 1;
+        self.counters.visits += 1;
+        self.counters.turned_back += 1;
     }
 
+    /// Counts a visit that failed.
     pub fn written_off(&mut self) {
-        self.counted.visits += 1;
-        self.counted.written_off += 1;
+        self.counters.visits += 1;
+        self.counters.written_off += 1;
     }
 }
 
@@ -508,15 +544,16 @@
     use cherrypass::settings::{Band, ColdStart, Effect};
     use crossbeam_channel::{unbounded, Receiver};
 
-    const CACHES: u64 = 4;
+    const CACHE_COUNT: u64 = 4;
     const ORIGIN: HostId = HostId(9);
 
-    fn band(writes: bool) -> Band {
+    fn class(writes: bool) -> Band {
         let (quoted, zero) = (Span::millis(500), Span::ZERO);
         Band { effect: Effect::Idempotent, quoted, stretch: 2.0, fresh: zero, grace: zero, writes }
     }
 
-    /// A module with four caches, the first of them cold, and an origin; and its part of a fleet of two.
+    /// A decision module with four caches, the first of them cold, and an origin; and its connection to a
+    /// fleet of two. Messages to the fleet arrive at the receiver.
     fn start() -> (Brain, Sharing, Receiver<ToFleet>) {
         let text = r#"{"fleet": {"name": "shop", "me": "d1", "listen": "127.0.0.1:0", "verdicts": {},
             "limits": {"origin": 40, "further_per_s": 20, "cold": true, "floor": 0.1},
@@ -527,7 +564,7 @@
         let settings = Settings {
             dispatchers: 2,
             location_dispatchers: 2,
-            bands: vec![band(false), band(true)],
+            bands: vec![class(false), class(true)],
             origin_kind: Some(KindId(2)),
             weights_told: true,
             weights_steady: true,
@@ -538,14 +575,17 @@
             ..Settings::default()
         };
         let mut brain = Brain::start(settings.clone(), 7, clock::now());
-        let (to, told) = unbounded();
-        let mut sharing =
-            Sharing::with(&fleet.fleet.unwrap(), &settings, Box::new(move |what| drop(to.send(what))));
+        let (sender, sent) = unbounded();
+        let mut sharing = Sharing::with(
+            &fleet.fleet.unwrap(),
+            &settings,
+            Box::new(move |message| drop(sender.send(message))),
+        );
         sharing.begin(&mut brain);
-        let entries: Vec<Listing> = (1..=CACHES).map(HostId).chain([ORIGIN]).map(entry).collect();
+        let entries: Vec<Listing> = (1..=CACHE_COUNT).map(HostId).chain([ORIGIN]).map(entry).collect();
         brain.listed(clock::now(), &entries, true);
         entries.iter().for_each(|entry| sharing.listed(&mut brain, entry, entry.since.map(clock::unix_at)));
-        (brain, sharing, told)
+        (brain, sharing, sent)
     }
 
     fn entry(host: HostId) -> Listing {
@@ -555,24 +595,24 @@
         Listing { host, location, kind, cell, weight: 20.0, since, phase: Phase::Ready }
     }
 
-    /// Where visits of a band go; those without an entry were turned back.
-    fn visits(brain: &mut Brain, first: u32, count: u32, band: u16) -> BTreeMap<u32, HostId> {
-        let (now, mut out) = (clock::now(), BTreeMap::new());
+    /// Starts visits of a request class; returns the host of each, with no entry for refused ones.
+    fn visits(brain: &mut Brain, first: u32, count: u32, class: u16) -> BTreeMap<u32, HostId> {
+        let (now, mut sent_to) = (clock::now(), BTreeMap::new());
         for id in first..first + count {
             let (object, deadline) = (ObjectId(u64::from(id)), now + Span::seconds(6.0));
-            let (band, group, visit) = (BandId(band), GroupId(0), VisitId(id));
+            let (band, group, visit) = (BandId(class), GroupId(0), VisitId(id));
             brain.arrived(now, Visit { id: visit, band, object, group, part: 0, kilobytes: None, deadline });
             while let Some(decision) = brain.next(now) {
                 if let Decision::HandOff { visit, host, .. } = decision {
-                    out.insert(visit.0, host);
+                    sent_to.insert(visit.0, host);
                 }
             }
         }
-        out
+        sent_to
     }
 
-    fn end(brain: &mut Brain, out: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
-        for (id, host) in out {
+    fn end(brain: &mut Brain, sent_to: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
+        for (id, host) in sent_to {
             let outcome = if fails(*host) { Outcome::TimedOut } else { Outcome::Settled };
             let (visit, number, note) = (VisitId(*id), HandOffNo(0), Note::Untold);
             let (took, report) = (Span::millis(100), Report::default());
@@ -582,38 +622,38 @@
     }
 
     #[test]
-    fn parts_hold_by_instants_and_needs_are_told() {
-        let (mut brain, mut sharing, told) = start();
-        assert_eq!(visits(&mut brain, 0, 5, 1).len(), 0, "nothing is told yet");
+    fn shares_expire_by_themselves_and_demand_is_sent() {
+        let (mut brain, mut sharing, sent) = start();
+        assert_eq!(visits(&mut brain, 0, 5, 1).len(), 0, "no share is allotted yet");
         let until = Instant::now() + Duration::from_millis(60);
-        let part = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
-        sharing.take(&mut brain, part(Key::Origin, 3, 6.0, 0.0));
-        sharing.take(&mut brain, part(Key::Cold(HostId(77)), 4, 1.0, 1.0));
+        let share = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
+        sharing.take(&mut brain, share(Key::Origin, 3, 6.0, 0.0));
+        sharing.take(&mut brain, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
         assert_eq!(visits(&mut brain, 10, 9, 1).len(), 6);
         sharing.round(&mut brain);
-        let all: Vec<ToFleet> = told.try_iter().collect();
+        let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Taken { key: Key::Origin, number: 3 }));
         assert!(
-            !all.iter().any(|what| matches!(what, ToFleet::Taken { key: Key::Cold(_), .. })),
-            "not listed"
+            !all.iter().any(|message| matches!(message, ToFleet::Taken { key: Key::Cold(_), .. })),
+            "the host is not listed"
         );
-        let wants = |wanted: Key| {
-            let find = |what: &ToFleet| match what {
+        let demand = |wanted: Key| {
+            let find = |message: &ToFleet| match message {
                 ToFleet::Wants { key, amount } if *key == wanted => Some(*amount),
                 _ => None,
             };
             all.iter().find_map(find)
         };
-        assert!(wants(Key::Origin).unwrap() > 6.0, "more was wanted than the part gives");
-        assert!(wants(Key::Cold(HostId(1))).is_some() && wants(Key::Cold(HostId(2))).is_none());
+        assert!(demand(Key::Origin).unwrap() > 6.0, "demand exceeds the share");
+        assert!(demand(Key::Cold(HostId(1))).is_some() && demand(Key::Cold(HostId(2))).is_none());
         std::thread::sleep(Duration::from_millis(80));
         end(&mut brain, &(0..30).map(|id| (id, ORIGIN)).collect(), |_| false);
-        assert_eq!(visits(&mut brain, 30, 4, 1).len(), 0, "the part is over without a further call");
+        assert_eq!(visits(&mut brain, 30, 4, 1).len(), 0, "the share has expired without a further call");
     }
 
     #[test]
-    fn rules_change_wholes_and_bad_ones_change_nothing() {
-        let (mut brain, mut sharing, told) = start();
+    fn rules_change_limits_and_invalid_rules_change_nothing() {
+        let (mut brain, mut sharing, sent) = start();
         let until = Instant::now() + Duration::from_secs(9);
         let key = Key::Origin;
         sharing.take(&mut brain, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
@@ -624,37 +664,41 @@
         };
         assert_eq!(rules(1, r#"{"fleet": {"limits": {"origin": 20}}}"#), 4);
         assert_eq!(rules(2, r#"{"fleet": {"limits": {"origin": 0}}}"#), 4);
-        assert!(told.try_iter().any(|what| matches!(what, ToFleet::NotTaken { number: 2, .. })));
+        assert!(sent.try_iter().any(|message| matches!(message, ToFleet::NotTaken { number: 2, .. })));
         assert_eq!(rules(0, ""), 8);
     }
 
     #[test]
-    fn own_findings_are_told_and_never_what_was_only_told() {
-        let (mut brain, mut sharing, told) = start();
+    fn own_findings_are_sent_and_those_of_others_are_not_repeated() {
+        let (mut brain, mut sharing, sent) = start();
         let bad = HostId(3);
         for first in [100, 200, 300, 400] {
-            let out = visits(&mut brain, first, 60, 0);
-            end(&mut brain, &out, |host| host == bad);
+            let sent_to = visits(&mut brain, first, 60, 0);
+            end(&mut brain, &sent_to, |host| host == bad);
         }
         sharing.round(&mut brain);
         sharing.round(&mut brain);
-        let all: Vec<ToFleet> = told.try_iter().collect();
+        let all: Vec<ToFleet> = sent.try_iter().collect();
         let found =
-            |what: &&ToFleet| matches!(what, ToFleet::Found(one) if one.host == bad && one.evidence > 0);
-        assert_eq!(all.iter().filter(found).count(), 1, "told anew without anything new");
+            |message: &&ToFleet| matches!(message, ToFleet::Found(f) if f.host == bad && f.evidence > 0);
+        assert_eq!(all.iter().filter(found).count(), 1, "an unchanged finding was sent again");
         assert!(all.contains(&ToFleet::Shut { host: bad, told: false }));
-        // The second one stands on others' word alone, and goes with it. Own good answers come first for 2 s.
+        // Host 2 is ejected only because of others' reports, and returns when they are withdrawn. Own
+        // successes take precedence for 2 s.
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
         let (kind, weight, age, tellers) = (Kind::ShutOut, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
         sharing.take(&mut brain, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
         sharing.round(&mut brain);
-        let all: Vec<ToFleet> = told.try_iter().collect();
+        let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Shut { host, told: true }));
-        assert!(!all.iter().any(|what| matches!(what, ToFleet::Found(one) if one.host == host)), "an echo");
+        assert!(
+            !all.iter().any(|message| matches!(message, ToFleet::Found(f) if f.host == host)),
+            "a report of others was repeated"
+        );
         sharing.take(&mut brain, FromFleet::Withdraw { host });
         brain.woken(clock::now());
         sharing.round(&mut brain);
-        assert!(told.try_iter().any(|what| what == ToFleet::Back { host }));
+        assert!(sent.try_iter().any(|message| message == ToFleet::Back { host }));
     }
 }
