--- a/crates/dispatcher/src/keeping.rs
+++ b/crates/dispatcher/src/keeping.rs
@@ -1,5 +1,5 @@
-//! What must last, between the router and the store: records go out as the decisions of `cherrypass_keep` say, and
-//! what the store makes of them comes back as messages. It never waits for the disk.
+//! Durable state: writes the records that `cherrypass_keep` decides on to the store, and reports the results
+//! to the router as messages. Never waits for the disk.
 use crate::clock;
 use crate::inbox::Input;
 use cherrypass::ids::VisitId;
@@ -20,20 +20,20 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// Groups of objects, by the protocol.
-const GROUPS: u32 = 256;
-const ALL: usize = usize::MAX;
+/// Number of object groups in the protocol.
+const GROUP_COUNT: u32 = 256;
+const NO_LIMIT: usize = usize::MAX;
 
-/// The store as the dispatcher's threads share it; a store that can't be opened is none.
+/// The store, shared by the dispatcher's threads. Without effect if the store could not be opened.
 #[derive(Clone)]
 pub struct Kept {
     store: Option<Arc<Store>>,
-    pub set: operator::Store,
-    /// Whether the log has told that the store takes nothing.
-    failing: Arc<AtomicBool>,
+    settings: operator::Store,
+    /// Whether writes fail, which is logged once.
+    is_failing: Arc<AtomicBool>,
 }
 
-/// A store that is written to, its salts not those of any run before.
+/// Options for a store that is written to, with a seed that differs between runs.
 pub fn options(segment_kb: u64) -> Options {
     let seed = clock::unix().0 ^ u64::from(std::process::id()) << 40;
     Options { segment_bytes: segment_kb * 1024, seed, ..Options::default() }
@@ -44,7 +44,7 @@
     Store::open(dir, options, Arc::new(clock::unix), Some(budget))
 }
 
-/// Over a disk that lies where the environment orders it.
+/// Opens the store on a disk with the faults that the environment orders.
 #[cfg(feature = "faults")]
 fn open(dir: &Path, options: Options, budget: Whole) -> Result<Store, Error> {
     let disk = cherrypass_peers::disk::over(cherrypass_store::disk::Folder::lock(dir)?);
@@ -52,39 +52,43 @@
 }
 
 impl Kept {
-    /// Opens the store; where that fails a line says why, and what goes without it is for the settings to say.
-    pub fn open(set: operator::Store) -> Kept {
-        let (bytes_a_second, time_share) = (set.background.bytes_per_s, set.background.core_share);
+    /// Opens the store. A failure is logged, and the settings say what works without a store.
+    pub fn open(settings: operator::Store) -> Kept {
+        let (bytes_a_second, time_share) = (settings.background.bytes_per_s, settings.background.core_share);
         let budget = Whole { bytes_a_second, time_share, ..BUDGET };
-        let store = match open(&set.dir, options(set.segment_kb), budget) {
+        let store = match open(&settings.dir, options(settings.segment_kb), budget) {
             Ok(store) => {
                 let stats = store.stats();
                 let (records, bytes) = (stats.records, stats.log_bytes / 1024);
-                tracing::info!("store: {} with {records} records, {bytes} kB of log", set.dir.display());
+                tracing::info!("store: {} with {records} records, {bytes} kB of log", settings.dir.display());
                 stats.notes.iter().for_each(|note| tracing::info!("store: {note}"));
                 store.verify_soon();
                 Some(Arc::new(store))
             }
             Err(error) => {
-                tracing::error!("store: {} can't be used: {error}; serving without it", set.dir.display());
+                tracing::error!(
+                    "store: {} can't be used: {error}; serving without it",
+                    settings.dir.display()
+                );
                 None
             }
         };
-        Kept::with(store, set)
+        Kept::with(store, settings)
     }
 
-    pub fn with(store: Option<Arc<Store>>, set: operator::Store) -> Kept {
-        Kept { store, set, failing: Arc::default() }
+    /// Uses a store that is already open; None for none.
+    pub fn with(store: Option<Arc<Store>>, settings: operator::Store) -> Kept {
+        Kept { store, settings, is_failing: Arc::default() }
     }
 
     pub fn store(&self) -> Option<Arc<Store>> {
         self.store.clone()
     }
 
-    /// A planned end.
+    /// Marks the store as cleanly closed at the end of the process.
     pub fn end(&self) {
         match self.store.as_ref().map(|store| store.mark()) {
-            Some(Err(error)) => tracing::warn!("store: its end can't be marked: {error}"),
+            Some(Err(error)) => tracing::warn!("store: it can't be marked as cleanly closed: {error}"),
             Some(Ok(())) => tracing::info!("store: closed"),
             None => {}
         }
@@ -92,7 +96,7 @@
 
     fn values(&self, space: &str) -> Option<Vec<(Vec<u8>, Vec<u8>)>> {
         let store = self.store.as_ref()?;
-        match store.scan(space, Bound::Unbounded, ALL) {
+        match store.scan(space, Bound::Unbounded, NO_LIMIT) {
             Ok(values) => Some(values),
             Err(error) => {
                 tracing::error!("store: {space} can't be read: {error}");
@@ -101,51 +105,57 @@
         }
     }
 
-    fn submit(&self, outlasts: Outlasts, records: Vec<Record>, then: impl FnOnce(bool) + Send + 'static) {
-        let Some(store) = &self.store else { return then(false) };
+    /// Writes records in the background; calls `on_done` with whether they were written.
+    fn submit(&self, outlasts: Outlasts, records: Vec<Record>, on_done: impl FnOnce(bool) + Send + 'static) {
+        let Some(store) = &self.store else { return on_done(false) };
         let batch =
             records.into_iter().fold(Batch::new(), |batch, record| match (record.value, record.expires_at) {
                 (Some(value), Some(until)) => batch.put_until(record.space, record.key, value, until),
                 (Some(value), None) => batch.put(record.space, record.key, value),
                 (None, _) => batch.delete(record.space, record.key),
             });
-        let failing = self.failing.clone();
+        let is_failing = self.is_failing.clone();
         let done = move |result: Result<_, Error>| {
             match &result {
-                Ok(_) if failing.swap(false, Relaxed) => tracing::info!("store: takes records again"),
-                Err(error) if !failing.swap(true, Relaxed) => {
-                    tracing::warn!("store: takes no records: {error}")
+                Ok(_) if is_failing.swap(false, Relaxed) => tracing::info!("store: writes succeed again"),
+                Err(error) if !is_failing.swap(true, Relaxed) => {
+                    tracing::warn!("store: writes fail: {error}")
                 }
                 _ => {}
             }
-            then(result.is_ok());
+            on_done(result.is_ok());
         };
         store.submit_for(outlasts, batch, Box::new(done));
     }
 
-    /// A configuration is in force from now on.
+    /// Records a configuration that has come into force.
     pub fn in_force(&self, source: &Path, text: &[u8]) {
         let Some(values) = self.values(versions::SPACE) else { return };
-        let known = versions::decode_all(values.iter().map(|(_, value)| &value[..]));
+        let stored = versions::decode_all(values.iter().map(|(_, value)| &value[..]));
         let source = source.display().to_string();
-        let records =
-            versions::activation_records(&known, &source, text, clock::unix(), self.set.max_configurations);
+        let records = versions::activation_records(
+            &stored,
+            &source,
+            text,
+            clock::unix(),
+            self.settings.max_configurations,
+        );
         if !records.is_empty() {
             self.submit(Outlasts::Machine, records, |_| {});
         }
     }
 
-    /// The last configuration that was good.
+    /// The last valid configuration.
     pub fn last_good(&self) -> Option<Version> {
         let values = self.values(versions::SPACE)?;
         versions::decode_all(values.iter().map(|(_, value)| &value[..])).pop()
     }
 }
 
-/// What a start knows of the purges before it.
+/// The purges from before a start.
 pub enum Replayed {
     Purges(Vec<Purge>),
-    /// There may have been any; each of so many groups counts as purged now.
+    /// They can't be read; each group counts as purged now.
     Unknown {
         groups: u32,
     },
@@ -160,83 +170,89 @@
     }
 }
 
-/// The router's part of it.
+/// The router's access to durable state.
 pub struct Keeper {
     kept: Kept,
     pub visits: Visits,
-    memory: Span,
-    own: Sender<Input>,
+    purge_retention: Span,
+    router: Sender<Input>,
 }
 
 impl Keeper {
-    /// What is known from before, and the purges that the module is to be told.
-    pub fn start(kept: Kept, settings: &Settings, own: Sender<Input>) -> (Keeper, Replayed) {
-        let (now, memory) = (clock::unix(), settings.purge_memory().max(purges::MIN_RETENTION));
-        let known = kept.values(purges::SPACE);
-        let purges = match &known {
-            Some(values) => {
-                Replayed::Purges(purges::replay(now, values.iter().map(|(_, value)| &value[..]), memory))
-            }
-            None if kept.set.unknown_purges == operator::UnknownPurges::Distrust => {
+    /// Restores the visits that may have run, and the purges to pass to the decision module.
+    pub fn start(kept: Kept, settings: &Settings, router: Sender<Input>) -> (Keeper, Replayed) {
+        let (now, purge_retention) = (clock::unix(), settings.purge_memory().max(purges::MIN_RETENTION));
+        let stored_purges = kept.values(purges::SPACE);
+        let purges = match &stored_purges {
+            Some(values) => Replayed::Purges(purges::replay(
+                now,
+                values.iter().map(|(_, value)| &value[..]),
+                purge_retention,
+            )),
+            None if kept.settings.unknown_purges == operator::UnknownPurges::Distrust => {
                 tracing::warn!(
                     "store: the purges before this start are unknown; every copy counts as purged"
                 );
-                Replayed::Unknown { groups: GROUPS }
+                Replayed::Unknown { groups: GROUP_COUNT }
             }
             None => Replayed::Purges(Vec::new()),
         };
         let records = kept.values(visits::SPACE).unwrap_or_default();
         let records = records.iter().map(|(key, value)| (&key[..], &value[..]));
-        let go_on = kept.set.without_record == operator::WithoutRecord::Send;
-        let visits = Visits::restore(now, records, kept.set.visit_retention, go_on);
+        let sends_unrecorded = kept.settings.without_record == operator::WithoutRecord::Send;
+        let visits = Visits::restore(now, records, kept.settings.visit_retention, sends_unrecorded);
         let may_have_run = visits.unresolved().count();
         tracing::info!("store: {} purges told anew, {may_have_run} visits may have run", purges.count());
-        for (name, told) in visits.unresolved().filter(|(_, told)| told.memory.is_none()) {
-            let name = String::from_utf8_lossy(name);
+        for (key, visit) in visits.unresolved().filter(|(_, visit)| visit.memory.is_none()) {
+            let key = String::from_utf8_lossy(key);
             tracing::warn!(
-                "store: visit {name} of {} may have run at {}, sent {}",
-                told.band,
-                told.host_name,
-                told.at
+                "store: visit {key} of {} may have run at {}, sent {}",
+                visit.band,
+                visit.host_name,
+                visit.at
             );
         }
-        (Keeper { kept, visits, memory, own }, purges)
+        (Keeper { kept, visits, purge_retention, router }, purges)
     }
 
+    /// Whether hand-offs that must not run twice need a record.
     pub fn records_hand_offs(&self) -> bool {
-        self.kept.set.hand_offs != operator::HandOffs::Off
+        self.kept.settings.hand_offs != operator::HandOffs::Off
     }
 
+    /// Records a purge.
     pub fn purged(&self, purge: &Purge) {
-        if let Some(record) = purges::record(clock::unix(), purge, self.memory) {
+        if let Some(record) = purges::record(clock::unix(), purge, self.purge_retention) {
             self.kept.submit(Outlasts::Machine, vec![record], |_| {});
         }
     }
 
-    /// Has a hand-off's record written; the router hears what came of it.
+    /// Writes a hand-off's record and sends the result to the router.
     pub fn record(&self, id: crate::ids::HandOffId, record: Record) {
-        let outlasts = match self.kept.set.hand_offs {
+        let outlasts = match self.kept.settings.hand_offs {
             operator::HandOffs::Synced => Outlasts::Machine,
             _ => Outlasts::Process,
         };
-        let own = self.own.clone();
-        self.kept.submit(outlasts, vec![record], move |kept| {
-            let taken = if kept { Taken::Kept } else { Taken::Refused };
-            let _ = own.send(Input::Recorded(id, taken));
+        let router = self.router.clone();
+        self.kept.submit(outlasts, vec![record], move |was_written| {
+            let taken = if was_written { Taken::Kept } else { Taken::Refused };
+            let _ = router.send(Input::Recorded(id, taken));
         });
     }
 
-    pub fn closed(&mut self, id: VisitId, settled: bool) {
-        if let Some(record) = self.visits.close(id, settled) {
+    /// Closes a visit and deletes its record if that is no longer needed.
+    pub fn closed(&mut self, id: VisitId, was_served: bool) {
+        if let Some(record) = self.visits.close(id, was_served) {
             self.kept.submit(Outlasts::Process, vec![record], |_| {});
         }
     }
 
+    /// Drops expired visits and logs hand-offs without a record; called periodically.
     pub fn sweep(&mut self) {
         self.visits.remove_expired(clock::unix());
         let refused = self.visits.take_refused_count();
         if refused > 0 {
-            tracing::warn!("store: {refused} hand-offs had no record");
+            tracing::warn!("store: records of {refused} hand-offs were refused");
         }
     }
 }
