--- a/crates/dispatcher/src/rollout_commands.rs
+++ b/crates/dispatcher/src/rollout_commands.rs
@@ -1,4 +1,5 @@
-//! `cherrypass rollout …`: orders to one dispatcher's control listener, and what it says of where the rollout stands.
+//! The commands `cherrypass rollout …`: send orders to a dispatcher's control listener and print the
+//! rollout's status.
 use cherrypass_operator::rules::{self, Document};
 use cherrypass_operator::{self as operator, Fleet};
 use clap::{Args, Subcommand};
@@ -7,16 +8,16 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Seconds that an answer may take.
-const PATIENCE: u64 = 5;
-const PLAIN: &str = "is this the address of fleet.control?";
+const REQUEST_TIMEOUT_S: u64 = 5;
+const ADDRESS_HINT: &str = "is this the address of fleet.control?";
 
+/// Arguments of `cherrypass rollout`.
 #[derive(Args)]
 pub struct Rollout {
     /// The dispatcher's control address, fleet.control in its operators' file
     #[arg(long, env = "CHERRYPASS_CONTROL", global = true)]
     control: Option<SocketAddr>,
-    /// Its operators' file: tells that address, the usual plan, and what the rules are held against
+    /// The dispatcher's operators' file, for the control address, the default plan and the check of the rules
     #[arg(long, env = "CHERRYPASS_OPERATOR", global = true)]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -25,19 +26,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Start new rules on their way: a Jsonnet document { number, rules, plan }
+    /// Start the rollout of a Jsonnet document { number, rules, plan }
     Start { file: PathBuf },
-    /// Say where the rollout stands; ends with 3 where it is halted
+    /// Print the status of the rollout; exits with 3 if it is halted
     Status {
-        /// All that the dispatcher tells, as JSON
+        /// Print the dispatcher's full status as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Halt it
+    /// Halt the rollout
     Halt,
-    /// Go on after a halt
+    /// Resume the rollout after a halt
     Resume,
-    /// Put the rules before it in force everywhere
+    /// Put the previous rules in force everywhere
     Back,
 }
 
@@ -45,148 +46,150 @@
 enum Failure {
     #[error("{0}")]
     Operator(operator::Error),
-    #[error("no address: give --control, or --operator with a file that sets fleet.control")]
-    Unnamed,
+    #[error("no control address: give --control, or --operator with a file that sets fleet.control")]
+    NoAddress,
     #[error("{0}: {1}; correct the document")]
-    Unread(String, String),
+    Document(String, String),
     #[error("{0}: {1}")]
     Rules(String, rules::Error),
-    #[error("{0} does not answer: {1}; is the dispatcher up, and {PLAIN}")]
-    Unreached(SocketAddr, minreq::Error),
+    #[error("{0} does not answer: {1}; is the dispatcher running, and {ADDRESS_HINT}")]
+    Unreachable(SocketAddr, minreq::Error),
     #[error("{0}: {1}")]
     Refused(SocketAddr, String),
-    #[error("{0} does not answer as a dispatcher does; {PLAIN}")]
-    Strange(SocketAddr),
+    #[error("{0} does not answer as a dispatcher does; {ADDRESS_HINT}")]
+    UnexpectedAnswer(SocketAddr),
     #[error("rules {0} are halted: {1}; see `rollout resume` and `rollout back`")]
     Halted(u64, String),
 }
 
 impl Failure {
-    /// 1 failed or not reached, 2 bad input, 3 halted.
-    fn code(&self) -> u8 {
+    /// Exit code: 1 for a failure, 2 for bad input, 3 for a halted rollout.
+    fn exit_code(&self) -> u8 {
         match self {
-            Failure::Operator(_) | Failure::Unnamed | Failure::Unread(..) | Failure::Rules(..) => 2,
-            Failure::Refused(_, why) if is_input(why) => 2,
-            Failure::Refused(..) | Failure::Unreached(..) | Failure::Strange(_) => 1,
+            Failure::Operator(_) | Failure::NoAddress | Failure::Document(..) | Failure::Rules(..) => 2,
+            Failure::Refused(_, reason) if is_bad_input(reason) => 2,
+            Failure::Refused(..) | Failure::Unreachable(..) | Failure::UnexpectedAnswer(_) => 1,
             Failure::Halted(..) => 3,
         }
     }
 }
 
-/// Whether the order itself can't be taken, now or later.
-fn is_input(why: &str) -> bool {
+/// Whether an order was refused because it is invalid in itself.
+fn is_bad_input(reason: &str) -> bool {
     let codes = ["number", "older", "long", "first", "hold", "location", "twice", "missing"];
-    let code = why.strip_prefix("rollout-").and_then(|rest| rest.split(':').next());
+    let code = reason.strip_prefix("rollout-").and_then(|rest| rest.split(':').next());
     code.is_some_and(|code| codes.contains(&code))
-        || ["the order ", "plan."].iter().any(|begins| why.starts_with(begins))
+        || ["the order ", "plan."].iter().any(|prefix| reason.starts_with(prefix))
 }
 
 pub fn run(rollout: Rollout) -> ExitCode {
-    match carry_out(&rollout) {
+    match execute(&rollout) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("cherrypass rollout: {failure}");
-            ExitCode::from(failure.code())
+            ExitCode::from(failure.exit_code())
         }
     }
 }
 
-fn carry_out(rollout: &Rollout) -> Result<(), Failure> {
+fn execute(rollout: &Rollout) -> Result<(), Failure> {
     let file = rollout.operator.as_deref().map(operator::load).transpose().map_err(Failure::Operator)?;
     let fleet = file.and_then(|file| file.fleet);
-    let own = fleet.as_ref().and_then(|fleet| fleet.control);
-    let control = rollout.control.or(own).ok_or(Failure::Unnamed)?;
+    let configured = fleet.as_ref().and_then(|fleet| fleet.control);
+    let control = rollout.control.or(configured).ok_or(Failure::NoAddress)?;
     let order = match &rollout.command {
-        Command::Start { file } => start(file, fleet.as_ref())?,
+        Command::Start { file } => start_order(file, fleet.as_ref())?,
         Command::Status { json } => {
-            let status = ask(control, None)?;
+            let status = request(control, None)?;
             if *json {
                 println!("{status:#}");
             } else {
-                println!("{}", told(&status["rollout"]));
+                println!("{}", summary(&status["rollout"]));
             }
-            return halted(&status["rollout"]);
+            return check_halted(&status["rollout"]);
         }
         Command::Halt => json!({ "order": "halt" }),
         Command::Resume => json!({ "order": "resume" }),
         Command::Back => json!({ "order": "back" }),
     };
-    let status = ask(control, Some(order.to_string()))?;
-    println!("the order is taken; {}", told(&status["rollout"]));
+    let status = request(control, Some(order.to_string()))?;
+    println!("order accepted; {}", summary(&status["rollout"]));
     Ok(())
 }
 
-/// The document as the control listener takes it.
-fn start(path: &Path, fleet: Option<&Fleet>) -> Result<Value, Failure> {
+/// Builds the order that starts the rollout of a document.
+fn start_order(path: &Path, fleet: Option<&Fleet>) -> Result<Value, Failure> {
     let name = path.display().to_string();
     let value = operator::evaluate(path).map_err(|error| match error {
-        operator::Error::Unreadable(file, error) => Failure::Unread(file, error.to_string()),
-        operator::Error::EvaluationFailed(file, what) => Failure::Unread(file, what),
+        operator::Error::Unreadable(file, error) => Failure::Document(file, error.to_string()),
+        operator::Error::EvaluationFailed(file, what) => Failure::Document(file, what),
         other => Failure::Operator(other),
     })?;
-    let known = |error| Failure::Rules(name.clone(), error);
-    let Document { number, rules, plan } = rules::decode_document(value, fleet).map_err(known)?;
-    let plan = plan.with_defaults(fleet.and_then(|fleet| fleet.rollout.as_ref())).map_err(known)?;
-    let first = (plan.first_stage_fraction * 1000.0).round().max(1.0) as u16;
-    let back = plan.after_halt == operator::fleet::AfterHalt::Revert;
+    let invalid = |error| Failure::Rules(name.clone(), error);
+    let Document { number, rules, plan } = rules::decode_document(value, fleet).map_err(invalid)?;
+    let plan = plan.with_defaults(fleet.and_then(|fleet| fleet.rollout.as_ref())).map_err(invalid)?;
+    let first_stage_permille = (plan.first_stage_fraction * 1000.0).round().max(1.0) as u16;
+    let reverts = plan.after_halt == operator::fleet::AfterHalt::Revert;
     Ok(json!({ "order": "start", "number": number, "text": rules.to_string(), "plan": {
-        "order": plan.order, "first": first, "hold_s": plan.min_stage_seconds, "visits": plan.min_stage_visits, "back_after_halt": back } }))
+        "order": plan.order, "first": first_stage_permille, "hold_s": plan.min_stage_seconds, "visits": plan.min_stage_visits, "back_after_halt": reverts } }))
 }
 
-/// The dispatcher's status, after an order where one is given.
-fn ask(control: SocketAddr, order: Option<String>) -> Result<Value, Failure> {
+/// Sends an order, if any, and returns the dispatcher's status.
+fn request(control: SocketAddr, order: Option<String>) -> Result<Value, Failure> {
     let request = match order {
         Some(order) => minreq::post(format!("http://{control}/rollout")).with_body(order),
         None => minreq::get(format!("http://{control}/status")),
     };
-    let request = request.with_timeout(PATIENCE).with_max_headers_size(64 << 10);
-    let answer = request.send().map_err(|error| Failure::Unreached(control, error))?;
-    let text = answer.as_str().map_err(|_| Failure::Strange(control))?;
+    let request = request.with_timeout(REQUEST_TIMEOUT_S).with_max_headers_size(64 << 10);
+    let answer = request.send().map_err(|error| Failure::Unreachable(control, error))?;
+    let text = answer.as_str().map_err(|_| Failure::UnexpectedAnswer(control))?;
     if answer.status_code != 200 {
         let line: String = text.trim().chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
         return Err(Failure::Refused(control, line));
     }
-    let status: Value = serde_json::from_str(text).map_err(|_| Failure::Strange(control))?;
+    let status: Value = serde_json::from_str(text).map_err(|_| Failure::UnexpectedAnswer(control))?;
     if status.get("rollout").is_none() {
-        return Err(Failure::Strange(control));
+        return Err(Failure::UnexpectedAnswer(control));
     }
     Ok(status)
 }
 
-/// One line for people.
-fn told(rollout: &Value) -> String {
-    let Some(number) = rollout["number"].as_u64() else { return "the rollout is off there".to_owned() };
+/// A one-line summary of the rollout's status.
+fn summary(rollout: &Value) -> String {
+    let Some(number) = rollout["number"].as_u64() else {
+        return "this dispatcher takes no part in rollouts".to_owned();
+    };
     let phase = rollout["phase"].as_str().unwrap_or_default();
     let (stage, stages) = (rollout["stage"].as_u64().unwrap_or(0), rollout["stages"].as_u64().unwrap_or(0));
     let in_force = rollout["in_force"].as_u64().unwrap_or(0);
     let mut line = match (number, phase) {
-        (0, _) => "no rules were rolled out yet".to_owned(),
+        (0, _) => "no rules have been rolled out yet".to_owned(),
         (_, "rolling") => {
             format!("rules {number}: rolling, stage {stage}, the last is {}", stages.max(1) - 1)
         }
         _ => format!("rules {number}: {phase}"),
     };
     line += &format!("; in force there: {in_force}");
-    for (key, word) in [("runner", "run by"), ("waits", "waits:")] {
+    for (key, label) in [("runner", "run by"), ("waits", "waits:")] {
         if let Some(value) = rollout[key].as_str() {
-            line += &format!("; {word} {value}");
+            line += &format!("; {label} {value}");
         }
     }
     if let Some(number) = rollout["may_come"].as_u64() {
-        line += &format!("; a step of rules {number} may come still");
+        line += &format!("; a step of rules {number} may still follow");
     }
     if rollout["able"] == false {
-        line += "; that dispatcher takes no part now, its log says why";
+        line += "; that dispatcher currently takes no part, see its log";
     }
     line
 }
 
-fn halted(rollout: &Value) -> Result<(), Failure> {
+fn check_halted(rollout: &Value) -> Result<(), Failure> {
     let number = rollout["number"].as_u64().unwrap_or(0);
     match rollout["halt"]["why"].as_str() {
-        Some(why) => {
-            let by = rollout["halt"]["by"].as_str().unwrap_or("one that is not known");
-            Err(Failure::Halted(number, format!("{by} found: {why}")))
+        Some(reason) => {
+            let by = rollout["halt"]["by"].as_str().unwrap_or("an unknown dispatcher");
+            Err(Failure::Halted(number, format!("{by} found: {reason}")))
         }
         None if rollout["phase"] == "halted" => Err(Failure::Halted(number, "by an order".to_owned())),
         None => Ok(()),
--- a/crates/dispatcher/src/store_commands.rs
+++ b/crates/dispatcher/src/store_commands.rs
@@ -1,4 +1,4 @@
-//! `cherrypass store …`: a store's folder from the command line. Keys and values go in and out as they are.
+//! The commands `cherrypass store …` for a store's folder. Keys and values are read and printed as raw bytes.
 use crate::clock;
 use crate::keeping::options;
 use cherrypass_store::disk::{Disk, Folder};
@@ -14,48 +14,50 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
+/// Subcommands of `cherrypass store`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Write one value, or with --lines many; each is durable before it is told
+    /// Write one value, or many with --lines; each is durable before it is confirmed
     Put(Put),
     /// Print the value of a key
     Get { dir: PathBuf, space: String, key: String },
     /// Print a space's keys and values in order
     List { dir: PathBuf, space: String },
-    /// Say what a store holds
+    /// Print a store's statistics
     Stats {
         dir: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Check every byte that counts
+    /// Verify the checksums of all live data
     Verify {
         dir: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Write what counts anew and drop the rest
+    /// Rewrite the live records and drop the rest
     Compact { dir: PathBuf },
-    /// Write all that counts into one new file
+    /// Write all live records to a new file
     Export { dir: PathBuf, file: PathBuf },
-    /// Take an export's records in; what has the same key is replaced
+    /// Write the records of an export; values of existing keys are replaced
     Import { dir: PathBuf, file: PathBuf },
-    /// Write what is whole of a damaged store into a new folder; the old one stays as it is
+    /// Write the undamaged part of a store to a new folder; the old one stays unchanged
     Repair { dir: PathBuf, into: PathBuf },
 }
 
+/// Arguments of `cherrypass store put`.
 #[derive(Args)]
 pub struct Put {
     dir: PathBuf,
     /// Space, key and value
     #[arg(num_args = 3, value_names = ["SPACE", "KEY", "VALUE"], required_unless_present = "lines")]
-    what: Vec<String>,
+    space_key_value: Vec<String>,
     /// Read SPACE<TAB>KEY<TAB>VALUE lines, and print each line's number once it is durable
-    #[arg(long, conflicts_with = "what")]
+    #[arg(long, conflicts_with = "space_key_value")]
     lines: bool,
-    /// Kilobytes after which a segment is followed by a new one
+    /// Size in kilobytes at which a new segment is started
     #[arg(long, default_value_t = 8192, value_parser = clap::value_parser!(u64).range(4..=1_048_576))]
     segment_kb: u64,
 }
@@ -65,39 +67,39 @@
     #[error(transparent)]
     Store(#[from] Error),
     #[error("line {0}: {1}")]
-    Line(u64, String),
+    InvalidLine(u64, String),
     #[error("{0}: {1}")]
     File(String, io::Error),
     #[error("no such key")]
-    Missing,
-    /// Nobody reads what is printed.
+    NoSuchKey,
+    /// The output can't be written.
     #[error("output: {0}")]
     Output(#[from] io::Error),
-    #[error("{0} places can't be read; all else is in {1}")]
-    Partly(usize, String),
+    #[error("{0} damaged places were skipped; all other records are in {1}")]
+    PartlyRepaired(usize, String),
 }
 
 impl Failure {
-    /// 2: bad input; 3: damage; 4: no such key; 1: all else.
-    fn code(&self) -> u8 {
+    /// Exit code: 2 for bad input, 3 for damage, 4 for a missing key, 1 for anything else.
+    fn exit_code(&self) -> u8 {
         match self {
-            Failure::Line(..) | Failure::Store(Error::TooLarge { .. }) => 2,
-            Failure::Store(Error::Damaged(_)) | Failure::Partly(..) => 3,
-            Failure::Missing => 4,
+            Failure::InvalidLine(..) | Failure::Store(Error::TooLarge { .. }) => 2,
+            Failure::Store(Error::Damaged(_)) | Failure::PartlyRepaired(..) => 3,
+            Failure::NoSuchKey => 4,
             _ => 1,
         }
     }
 }
 
-/// In-flight lines at most.
-const AHEAD: usize = 4096;
+/// Maximum number of lines that wait for confirmation.
+const MAX_IN_FLIGHT: usize = 4096;
 
 pub fn run(command: Command) -> ExitCode {
-    match carry_out(command) {
+    match execute(command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("cherrypass store: {failure}");
-            ExitCode::from(failure.code())
+            ExitCode::from(failure.exit_code())
         }
     }
 }
@@ -106,20 +108,20 @@
     Store::open(dir, options(segment_kb), Arc::new(clock::unix), Some(BUDGET))
 }
 
-fn look(dir: &Path) -> Result<Store, Error> {
+fn open_read_only(dir: &Path) -> Result<Store, Error> {
     Store::open(dir, Options { read_only: true, ..Options::default() }, Arc::new(clock::unix), None)
 }
 
-fn carry_out(command: Command) -> Result<(), Failure> {
+fn execute(command: Command) -> Result<(), Failure> {
     let mut out = io::stdout().lock();
     match command {
         Command::Put(put) => {
             let store = open(&put.dir, put.segment_kb)?;
-            let done = match &put.what[..] {
+            let done = match &put.space_key_value[..] {
                 [space, key, value] => store.write(Batch::new().put(space, &key[..], &value[..])).map(drop),
                 _ => {
                     drop(out);
-                    lines(&store)?;
+                    put_lines(&store)?;
                     Ok(())
                 }
             };
@@ -127,27 +129,27 @@
             store.close()?;
         }
         Command::Get { dir, space, key } => {
-            let value = look(&dir)?.get(&space, key.as_bytes())?.ok_or(Failure::Missing)?;
+            let value = open_read_only(&dir)?.get(&space, key.as_bytes())?.ok_or(Failure::NoSuchKey)?;
             out.write_all(&value)?;
             out.write_all(b"\n")?;
         }
         Command::List { dir, space } => {
-            let store = look(&dir)?;
+            let store = open_read_only(&dir)?;
             let mut from: Option<Vec<u8>> = None;
             loop {
                 let bound = from.as_deref().map_or(Bound::Unbounded, Bound::Excluded);
-                let part = store.scan(&space, bound, 1000)?;
-                for (key, value) in &part {
+                let page = store.scan(&space, bound, 1000)?;
+                for (key, value) in &page {
                     out.write_all(&[key, &b"\t"[..], value, b"\n"].concat())?;
                 }
-                match part.into_iter().last() {
+                match page.into_iter().last() {
                     Some((key, _)) => from = Some(key),
                     None => break,
                 }
             }
         }
         Command::Stats { dir, json } => {
-            let stats = look(&dir)?.stats();
+            let stats = open_read_only(&dir)?.stats();
             if json {
                 writeln!(out, "{}", serde_json::to_string(&stats).map_err(io::Error::from)?)?;
             } else {
@@ -168,7 +170,7 @@
             }
         }
         Command::Verify { dir, json } => {
-            let found = look(&dir).and_then(|store| store.verify());
+            let found = open_read_only(&dir).and_then(|store| store.verify());
             if json {
                 let value = match &found {
                     Ok(checked) => serde_json::json!({"whole": true, "checked": checked}),
@@ -182,7 +184,11 @@
             let checked = found?;
             if !json {
                 let (batches, records) = (checked.batches, checked.records);
-                writeln!(out, "whole: {} kB, {batches} batches, {records} records", checked.bytes / 1024)?;
+                writeln!(
+                    out,
+                    "undamaged: {} kB, {batches} batches, {records} records",
+                    checked.bytes / 1024
+                )?;
             }
         }
         Command::Compact { dir } => {
@@ -196,7 +202,7 @@
         Command::Export { dir, file } => {
             let name = file.display().to_string();
             let failed = |error| Failure::File(name.clone(), error);
-            let snapshot = look(&dir)?.snapshot();
+            let snapshot = open_read_only(&dir)?.snapshot();
             let to = std::fs::File::create_new(&file).map_err(failed)?;
             let mut to = io::BufWriter::new(to);
             let records = snapshot.export(&mut to)?;
@@ -216,29 +222,29 @@
         Command::Repair { dir, into } => {
             let old = Folder::look(&dir)?;
             if into.exists() {
-                let taken = io::ErrorKind::AlreadyExists.into();
-                return Err(Failure::File(into.display().to_string(), taken));
+                let exists = io::ErrorKind::AlreadyExists.into();
+                return Err(Failure::File(into.display().to_string(), exists));
             }
             let new = open(&into, 8192)?;
             let found = repair::salvage(&old as &dyn Disk, |batch| new.write(batch).map(drop))?;
             new.close()?;
             found.lost.iter().try_for_each(|damage| writeln!(out, "lost: {damage}"))?;
-            writeln!(out, "{} batches with {} records are whole", found.batches, found.records)?;
+            writeln!(out, "{} batches with {} records recovered", found.batches, found.records)?;
             if !found.lost.is_empty() {
-                return Err(Failure::Partly(found.lost.len(), into.display().to_string()));
+                return Err(Failure::PartlyRepaired(found.lost.len(), into.display().to_string()));
             }
         }
     }
     Ok(())
 }
 
-/// Writes lines as they come, many at once; what was told is durable whatever comes after.
-fn lines(store: &Store) -> Result<(), Failure> {
-    let (tell, told) = bounded::<(u64, Result<_, Error>)>(AHEAD);
+/// Writes lines as they arrive, many concurrently, and prints the number of each once it is durable.
+fn put_lines(store: &Store) -> Result<(), Failure> {
+    let (sender, results) = bounded::<(u64, Result<_, Error>)>(MAX_IN_FLIGHT);
     std::thread::scope(|scope| {
         let printer = scope.spawn(move || {
             let mut out = io::stdout().lock();
-            for (number, result) in told {
+            for (number, result) in results {
                 result?;
                 writeln!(out, "{number}")?;
                 out.flush()?;
@@ -246,27 +252,27 @@
             Ok::<(), Failure>(())
         });
         let read = io::stdin().lock().split(b'\n').zip(1..).try_for_each(|(line, number)| {
-            let line = line.map_err(|error| Failure::Line(number, error.to_string()))?;
-            let batch = parse(&line).and_then(|batch| {
+            let line = line.map_err(|error| Failure::InvalidLine(number, error.to_string()))?;
+            let batch = parse_line(&line).and_then(|batch| {
                 batch.check().map_err(|error| error.to_string())?;
                 Ok(batch)
             });
-            let batch = batch.map_err(|what| Failure::Line(number, what))?;
-            let tell = tell.clone();
-            // Its writer waits while nobody takes what is told, and so this does.
-            store.submit(batch, Box::new(move |result| tell.send((number, result)).unwrap_or_default()));
+            let batch = batch.map_err(|what| Failure::InvalidLine(number, what))?;
+            let sender = sender.clone();
+            // Blocks the store's writer, and thereby this loop, while the printer is behind.
+            store.submit(batch, Box::new(move |result| sender.send((number, result)).unwrap_or_default()));
             Ok::<(), Failure>(())
         });
-        drop(tell);
+        drop(sender);
         let printed = printer.join().unwrap_or(Ok(()));
         printed.and(read)
     })
 }
 
-fn parse(line: &[u8]) -> Result<Batch, String> {
+fn parse_line(line: &[u8]) -> Result<Batch, String> {
     let mut parts = line.splitn(3, |byte| *byte == b'\t');
     let (Some(space), Some(key), Some(value)) = (parts.next(), parts.next(), parts.next()) else {
-        return Err("SPACE<TAB>KEY<TAB>VALUE was expected".into());
+        return Err("expected SPACE<TAB>KEY<TAB>VALUE".into());
     };
     let space = std::str::from_utf8(space).map_err(|_| "the space's name is not UTF-8".to_owned())?;
     if space.is_empty() {
--- a/crates/dispatcher/tests/store_command.rs
+++ b/crates/dispatcher/tests/store_command.rs
@@ -1,4 +1,4 @@
-//! `cherrypass store` as a real process: killed at any point, and told bad things.
+//! `cherrypass store` as a process: killed at any point, and with invalid input.
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const KEYS: u64 = 40;
+const KEY_COUNT: u64 = 40;
 
 fn store(words: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cherrypass"));
@@ -16,19 +16,20 @@
     command
 }
 
-fn told(words: &[&str], input: &str) -> Output {
+fn run(words: &[&str], input: &str) -> Output {
     let mut child = store(words).spawn().unwrap();
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
 
-/// Writes numbered lines until it is killed; the last number of each key that was told, and the next line.
+/// Writes numbered lines until the process is killed; returns the last confirmed number of each key, and the
+/// next line.
 fn put_and_kill(dir: &Path, from: u64, after: Duration) -> (BTreeMap<u64, u64>, u64) {
     let mut child = store(&["put", dir.to_str().unwrap(), "--lines", "--segment-kb", "8"]).spawn().unwrap();
     let mut input = child.stdin.take().unwrap();
     let writer = std::thread::spawn(move || {
         let mut next = from;
-        while writeln!(input, "s\t{:03}\t{next:09}{}", next % KEYS, "x".repeat(100)).is_ok() {
+        while writeln!(input, "s\t{:03}\t{next:09}{}", next % KEY_COUNT, "x".repeat(100)).is_ok() {
             next += 1;
         }
         next
@@ -36,9 +37,9 @@
     let output = BufReader::new(child.stdout.take().unwrap());
     let reader = std::thread::spawn(move || {
         let lines = output.lines().map_while(Result::ok);
-        // A line that the kill cut short is no number that was told.
-        let told = lines.filter_map(|line| line.parse::<u64>().ok()).map(|line| from + line - 1);
-        told.map(|number| (number % KEYS, number)).collect::<BTreeMap<u64, u64>>()
+        // A line cut short by the kill confirms nothing.
+        let confirmed = lines.filter_map(|line| line.parse::<u64>().ok()).map(|line| from + line - 1);
+        confirmed.map(|number| (number % KEY_COUNT, number)).collect::<BTreeMap<u64, u64>>()
     });
     std::thread::sleep(after);
     child.kill().unwrap();
@@ -47,31 +48,31 @@
 }
 
 #[test]
-fn killed_at_any_point_every_number_told_is_there() {
+fn confirmed_numbers_survive_a_kill_at_any_point() {
     let folder = tempfile::tempdir().unwrap();
     let dir = folder.path().join("store");
-    let mut chance = Pcg64Mcg::seed_from_u64(3);
-    let (mut kept, mut next, mut trimmed) = (BTreeMap::new(), 0, false);
+    let mut random = Pcg64Mcg::seed_from_u64(3);
+    let (mut confirmed, mut next, mut has_compacted) = (BTreeMap::new(), 0, false);
     for round in 0..36 {
-        let wait = Duration::from_millis(chance.gen_range(5..130));
-        let (told, end) = put_and_kill(&dir, next, wait);
+        let wait = Duration::from_millis(random.gen_range(5..130));
+        let (new, end) = put_and_kill(&dir, next, wait);
         next = end;
-        kept.extend(told);
+        confirmed.extend(new);
         if !dir.join("lock").exists() {
             continue;
         }
-        let list = told_list(&dir);
-        for (key, number) in &kept {
-            let found = list.get(key).unwrap_or_else(|| panic!("round {round}: key {key} is gone"));
-            assert!(found >= number, "round {round}: key {key} is at {found}, {number} was told");
+        let list = list(&dir);
+        for (key, number) in &confirmed {
+            let found = list.get(key).unwrap_or_else(|| panic!("round {round}: key {key} is missing"));
+            assert!(found >= number, "round {round}: key {key} has {found}, {number} was confirmed");
         }
-        trimmed |= !dir.join("0000000001.log").exists();
+        has_compacted |= !dir.join("0000000001.log").exists();
     }
-    assert!(kept.len() as u64 == KEYS && trimmed, "compaction never ran: {kept:?}");
+    assert!(confirmed.len() as u64 == KEY_COUNT && has_compacted, "compaction never ran: {confirmed:?}");
 }
 
-fn told_list(dir: &Path) -> BTreeMap<u64, u64> {
-    let output = told(&["list", dir.to_str().unwrap(), "s"], "");
+fn list(dir: &Path) -> BTreeMap<u64, u64> {
+    let output = run(&["list", dir.to_str().unwrap(), "s"], "");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).unwrap();
     let number = |text: &str| text.parse::<u64>().unwrap();
@@ -81,49 +82,49 @@
         .collect()
 }
 
-#[test_case("s\ta\t1\nno tabs\ns\tb\t2\n", 2, "line 2: SPACE<TAB>KEY<TAB>VALUE"; "a line without tabs")]
+#[test_case("s\ta\t1\nno tabs\ns\tb\t2\n", 2, "line 2: expected SPACE<TAB>KEY<TAB>VALUE"; "a line without tabs")]
 #[test_case("s\ta\t1\n\tb\t2\n", 2, "line 2: the space has no name"; "a space without a name")]
-fn bad_lines_are_named_and_those_before_kept(input: &str, code: i32, words: &str) {
+fn an_invalid_line_is_reported_and_earlier_ones_are_kept(input: &str, code: i32, words: &str) {
     let folder = tempfile::tempdir().unwrap();
     let dir = folder.path().to_str().unwrap();
-    let output = told(&["put", dir, "--lines"], input);
+    let output = run(&["put", dir, "--lines"], input);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(output.status.code() == Some(code) && errors.contains(words), "{errors}");
     assert_eq!(output.stdout, b"1\n");
-    assert_eq!(told(&["get", dir, "s", "a"], "").stdout, b"1\n");
-    assert_eq!(told(&["get", dir, "s", "b"], "").status.code(), Some(4));
+    assert_eq!(run(&["get", dir, "s", "a"], "").stdout, b"1\n");
+    assert_eq!(run(&["get", dir, "s", "b"], "").status.code(), Some(4));
 }
 
 #[test]
-fn there_and_back_and_what_damage_says() {
+fn export_import_and_repair_of_damage() {
     let folder = tempfile::tempdir().unwrap();
     let path = |name: &str| folder.path().join(name).to_str().unwrap().to_owned();
-    let (dir, file, copy, mended) = (path("a"), path("all"), path("b"), path("c"));
-    // Long enough that what a batch takes beside its record is under a third of it: else compaction is due, also where
-    // all records live, and whether the first segment is still there depends on how fast the lines were taken.
+    let (dir, file, copy, repaired_dir) = (path("a"), path("all"), path("b"), path("c"));
+    // Keeps the overhead of a batch under a third of its size. Otherwise compaction could start although all
+    // records are live, and the first segment might be gone.
     let filling = "x".repeat(250);
     let lines: String = (0..300).map(|n| format!("s\t{n:03}\tvalue {n} {filling}\n")).collect();
-    assert_eq!(told(&["put", &dir, "--lines", "--segment-kb", "4"], &lines).stdout.len(), 300 * 4 - 108);
-    assert!(told(&["export", &dir, &file], "").status.success());
-    assert_eq!(told(&["export", &dir, &file], "").status.code(), Some(1), "an export is never written over");
-    assert!(told(&["import", &copy, &file], "").status.success());
-    let list = told(&["list", &dir, "s"], "").stdout;
-    assert!(list.starts_with(b"000\tvalue 0 x") && list == told(&["list", &copy, "s"], "").stdout);
-    let verified = String::from_utf8(told(&["verify", &dir, "--json"], "").stdout).unwrap();
+    assert_eq!(run(&["put", &dir, "--lines", "--segment-kb", "4"], &lines).stdout.len(), 300 * 4 - 108);
+    assert!(run(&["export", &dir, &file], "").status.success());
+    assert_eq!(run(&["export", &dir, &file], "").status.code(), Some(1), "an export must not be overwritten");
+    assert!(run(&["import", &copy, &file], "").status.success());
+    let list = run(&["list", &dir, "s"], "").stdout;
+    assert!(list.starts_with(b"000\tvalue 0 x") && list == run(&["list", &copy, "s"], "").stdout);
+    let verified = String::from_utf8(run(&["verify", &dir, "--json"], "").stdout).unwrap();
     assert!(verified.contains(r#""whole":true"#), "{verified}");
     // One bit of a sealed segment.
     let segment = format!("{dir}/0000000001.log");
     let mut bytes = std::fs::read(&segment).unwrap();
     bytes[130] ^= 8;
     std::fs::write(&segment, bytes).unwrap();
-    let spoilt = told(&["verify", &dir], "");
-    let errors = String::from_utf8_lossy(&spoilt.stderr).into_owned();
-    assert!(spoilt.status.code() == Some(3) && errors.contains("0000000001.log at byte"), "{errors}");
-    assert_eq!(told(&["put", &dir, "s", "k", "v"], "").status.code(), Some(3));
-    let repaired = told(&["repair", &dir, &mended], "");
+    let damaged = run(&["verify", &dir], "");
+    let errors = String::from_utf8_lossy(&damaged.stderr).into_owned();
+    assert!(damaged.status.code() == Some(3) && errors.contains("0000000001.log at byte"), "{errors}");
+    assert_eq!(run(&["put", &dir, "s", "k", "v"], "").status.code(), Some(3));
+    let repaired = run(&["repair", &dir, &repaired_dir], "");
     assert_eq!(repaired.status.code(), Some(3));
     assert!(String::from_utf8_lossy(&repaired.stdout).contains("lost: 0000000001.log at byte"));
-    assert!(told(&["verify", &mended], "").status.success());
-    let left = told(&["list", &mended, "s"], "").stdout.iter().filter(|byte| **byte == b'\n').count();
+    assert!(run(&["verify", &repaired_dir], "").status.success());
+    let left = run(&["list", &repaired_dir, "s"], "").stdout.iter().filter(|byte| **byte == b'\n').count();
     assert_eq!(left, 299, "one batch with one record is lost");
 }
