--- a/crates/dispatcher/src/carried.rs
+++ b/crates/dispatcher/src/carried.rs
@@ -1,5 +1,5 @@
-//! Change log entries delivered by carriers of the fleet instead of by polling (docs/fleet-delivery.md): their encoding,
-//! and the source of changes for the thread that follows the log.
+//! Change log entries delivered by carriers of the fleet instead of by polling (docs/fleet-delivery.md):
+//! their encoding, and the source of changes for the thread that follows the log.
 use crate::config::Names;
 use crate::inbox::{Change, Input};
 use crate::log_changes::{ChangeDecoder, Fault};
@@ -11,8 +11,8 @@
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// The encoding of a change. Purges, the bulk of all changes, have a short form; everything else, known to this build or
-/// not, is forwarded as JSON.
+/// The encoding of a change. Purges, the bulk of all changes, have a short form; everything else, known to
+/// this build or not, is forwarded as JSON.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum CarriedChange<'a> {
     /// A purge of an object, with its time in Unix milliseconds.
@@ -23,7 +23,8 @@
     Json(&'a [u8]),
 }
 
-/// The short form of a change, if it is a purge with nothing but a time and either a group or an object of 16 hex digits.
+/// The short form of a change, if it is a purge with nothing but a time and either a group or an object of 16
+/// hex digits.
 fn short_form(change: &Value) -> Option<CarriedChange<'static>> {
     let all = change.as_object()?;
     let purge = all.get("invalidate")?.as_object()?;
@@ -56,8 +57,8 @@
     Some(change)
 }
 
-/// Minimum interval between polls of a dispatcher that has lost its carriers. Without it, thousands that lose all carriers
-/// at once would poll the log after each change.
+/// Minimum interval between polls of a dispatcher that has lost its carriers. Without it, thousands that lose
+/// all carriers at once would poll the log after each change.
 const FALLBACK_POLL_INTERVAL: Span = Span::millis(200);
 
 /// The channels between the thread that follows the change log and the fleet.
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Forwards the changes of an answer that has ended, complete or not. `asked` is when a complete one was requested.
+    /// Forwards the changes of an answer that has ended, complete or not. `asked` is when a complete one was
+    /// requested.
     pub(crate) fn answer_ended(&mut self, last: u64, asked: Option<Instant>) {
         let changes = std::mem::take(&mut self.unsent);
         if let Some(delivery) = &self.delivery {
--- a/crates/dispatcher/src/change_clock.rs
+++ b/crates/dispatcher/src/change_clock.rs
@@ -1,11 +1,13 @@
-//! Estimates the clock of the change log's writer from the time stamps of its changes. Purges and starts of hosts are dated
-//! by it. The origin's stamps on copies (`born`) count too, since by the protocol they come from the same Unix clock.
+//! Estimates the clock of the change log's writer from the time stamps of its changes. Purges and starts of
+//! hosts are dated by it. The origin's stamps on copies (`born`) count too, since by the protocol they come
+//! from the same Unix clock.
 //!
-//! Guards rules 4 and 5 against a wall clock of this machine that is wrong or stepped: ages are never overestimated. When a
-//! stamp is received, the writer's clock shows at least that time; this process's monotonic clock extrapolates from there.
-//! The second latest such estimate is used, so that a single stamp from a wrong clock has no effect. The estimate lags by
-//! the shortest recent delay of changes or copies, and right after a start by the age of the second youngest known stamp.
-//! A lag errs towards needless fills and slow starts.
+//! Guards rules 4 and 5 against a wall clock of this machine that is wrong or stepped: ages are never
+//! overestimated. When a stamp is received, the writer's clock shows at least that time; this process's
+//! monotonic clock extrapolates from there. The second latest such estimate is used, so that a single stamp
+//! from a wrong clock has no effect. The estimate lags by the shortest recent delay of changes or copies, and
+//! right after a start by the age of the second youngest known stamp. A lag errs towards needless fills and
+//! slow starts.
 use cherrypass::time::{Span, Time, UnixTime};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,8 +53,8 @@
         self.second_latest.map_or(Span::ZERO, |second| second.now(now) - stamp)
     }
 
-    /// The time of a stamp on this process's clock, never earlier than it was. It is in the future only if both the other
-    /// stamps and this machine's wall clock say so, as either alone may be behind.
+    /// The time of a stamp on this process's clock, never earlier than it was. It is in the future only if
+    /// both the other stamps and this machine's wall clock say so, as either alone may be behind.
     pub fn time(&self, now: Time, wall: UnixTime, stamp: UnixTime) -> Time {
         let ahead_of_wall = stamp - wall;
         let ahead =
--- a/crates/dispatcher/src/changes.rs
+++ b/crates/dispatcher/src/changes.rs
@@ -1,6 +1,6 @@
-//! Follows the change log over HTTP/1.1, by long polls for the changes after the last known one. Each change takes effect
-//! as soon as it has arrived, before the rest of the answer. After a failure the current list stays in force and the log is
-//! polled again.
+//! Follows the change log over HTTP/1.1, by long polls for the changes after the last known one. Each change
+//! takes effect as soon as it has arrived, before the rest of the answer. After a failure the current list
+//! stays in force and the log is polled again.
 use crate::carried::{Delivery, Source};
 use crate::clock;
 use crate::config::{Names, Nesting};
@@ -21,19 +21,20 @@
 use std::os::fd::AsFd;
 use std::time::Instant;
 
-/// The wait requested of a poll. The protocol allows 5 s, but a silent connection is noticed only after the wait, while
-/// changes already count as announced. Each dispatcher polls once in this time even if nothing changes.
+/// The wait requested of a poll. The protocol allows 5 s, but a silent connection is noticed only after the
+/// wait, while changes already count as announced. Each dispatcher polls once in this time even if nothing
+/// changes.
 const POLL_WAIT: Span = Span::millis(250);
-/// Minimum time after the requested wait until an answer has to begin. It doubles with each failure, so that a slower log is
-/// still followed, and decays with each success.
+/// Minimum time after the requested wait until an answer has to begin. It doubles with each failure, so that
+/// a slower log is still followed, and decays with each success.
 const MIN_RESPONSE_TIMEOUT: Span = Span::millis(150);
 const RESPONSE_TIMEOUT_DECAY: f64 = 0.9;
 /// The wait requested of the poll after a failure or a stall, so that missed changes arrive at once.
 const CATCH_UP_WAIT: Span = Span::millis(1);
 /// By the protocol, a change counts as announced this long after it was made, whether it arrived or not.
 pub const TOLD_AT_LATEST: Span = Span::millis(7_000);
-/// Changes in a broken answer count as announced this long after the break, and those in an answer that stalls this long
-/// after the requested wait.
+/// Changes in a broken answer count as announced this long after the break, and those in an answer that
+/// stalls this long after the requested wait.
 const ANNOUNCED_AFTER: Span = Span::millis(2_000);
 /// Maximum time for a complete answer: the longest wait and time for the transfer.
 const RESPONSE_DEADLINE: Span = Span::millis(1_100);
@@ -50,8 +51,8 @@
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 const MAX_HEADERS: usize = 64;
 
-// After a stall or a break the log is polled again, if need be by a second connection, before its changes count as
-// announced.
+// After a stall or a break the log is polled again, if need be by a second connection, before its changes
+// count as announced.
 const _: () =
     assert!(RESPONSE_DEADLINE.0 + MIN_RETRY_DELAY.0 * 2 + REDIAL_AFTER.0 <= POLL_WAIT.0 + ANNOUNCED_AFTER.0);
 const _: () = assert!(MAX_RETRY_DELAY.0 + REDIAL_AFTER.0 <= ANNOUNCED_AFTER.0);
@@ -170,7 +171,8 @@
     }
 }
 
-/// Waits until a stream is ready, but no longer than `until` or the check interval; returns which streams are ready.
+/// Waits until a stream is ready, but no longer than `until` or the check interval; returns which streams are
+/// ready.
 fn ready(streams: &[&TcpStream], events: PollFlags, until: Time) -> io::Result<Vec<bool>> {
     let wait = (until - clock::now()).min(CHECK_INTERVAL).0 / 1000 + 1;
     let mut polled: Vec<PollFd> = streams.iter().map(|stream| PollFd::new(stream.as_fd(), events)).collect();
@@ -181,9 +183,9 @@
     }
 }
 
-/// Reads one answer. Ends an answer that stalls or trickles at one deadline for all of it, and stops waiting when the change
-/// log's address changes. After the deadline, bytes that are already buffered are still read up to a limit, so that a stall
-/// of this process loses no changes.
+/// Reads one answer. Ends an answer that stalls or trickles at one deadline for all of it, and stops waiting
+/// when the change log's address changes. After the deadline, bytes that are already buffered are still read
+/// up to a limit, so that a stall of this process loses no changes.
 struct AnswerStream<'a> {
     stream: &'a TcpStream,
     moved: &'a Receiver<SocketAddr>,
@@ -269,7 +271,8 @@
         }
     }
 
-    /// Requests the changes after a given one and passes each of them on; returns the number of the log's last change.
+    /// Requests the changes after a given one and passes each of them on; returns the number of the log's
+    /// last change.
     fn poll(
         &mut self,
         since: u64,
@@ -312,8 +315,8 @@
 /// Called with each change of an answer.
 pub type OnChange<'a> = dyn FnMut(&Value) -> Result<(), Fault> + 'a;
 
-/// Reads an answer and passes on each change as soon as it has arrived. Returns the number of the log's last change, and
-/// whether the connection can be reused.
+/// Reads an answer and passes on each change as soon as it has arrived. Returns the number of the log's last
+/// change, and whether the connection can be reused.
 pub fn answer(
     stream: impl Read,
     since: u64,
@@ -370,7 +373,8 @@
     Ok((seq, keeps_alive && is_delimited && body.stream.buffer().is_empty()))
 }
 
-/// The body of an answer. Limits the length of each change, and reports an end of the stream before that of the body.
+/// The body of an answer. Limits the length of each change, and reports an end of the stream before that of
+/// the body.
 struct Body<'a, R> {
     stream: BufReader<R>,
     /// Whether the body has a length or chunks; otherwise it ends with the stream.
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -87,11 +87,11 @@
 
 /// Maximum bytes of a host's message: an object of 240,000 bytes and room for its fields.
 pub const HOST_MESSAGE: usize = 256 * 1024;
-/// File descriptors for everything but clients and hosts: standard streams, listener, change log, signals, and
-/// connections that are being accepted or closed.
+/// File descriptors for everything but clients and hosts: standard streams, listener, change log, signals,
+/// and connections that are being accepted or closed.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// Minimum of limits/sockets. An idle process holds standard streams, listener, two pollers, two for the change log and
-/// two for signals; with fewer there is none left for a client and a host.
+/// Minimum of limits/sockets. An idle process holds standard streams, listener, two pollers, two for the
+/// change log and two for signals; with fewer there is none left for a client and a host.
 const MIN_SOCKETS: f64 = 16.0;
 /// Maximum length of an invalid value in a message.
 const MAX_SHOWN_CHARS: usize = 60;
@@ -105,8 +105,8 @@
 }
 
 impl Nesting {
-    /// Deeper than any valid configuration or change. The JSON parser recurses, and the threads that run it have small
-    /// stacks.
+    /// Deeper than any valid configuration or change. The JSON parser recurses, and the threads that run it
+    /// have small stacks.
     const MAX_DEPTH: usize = 16;
 
     /// Adds a piece of JSON; returns whether the depth exceeds the maximum.
@@ -201,7 +201,8 @@
         self.limits.iter().copied().max().unwrap_or(Span::ZERO)
     }
 
-    /// Whether another configuration differs in anything but the change log's address, the known changes and the seed.
+    /// Whether another configuration differs in anything but the change log's address, the known changes and
+    /// the seed.
     pub fn is_new_beyond_changelog(&self, other: &Config) -> bool {
         let same = Config { changelog: self.changelog, known: self.known.clone(), ..other.clone() };
         Config { seed: self.seed, ..same } != *self
--- a/crates/dispatcher/src/list.rs
+++ b/crates/dispatcher/src/list.rs
@@ -1,5 +1,5 @@
-//! The host list in force. A faulty entry is logged once and interpreted so that no host counts as warmer, or gets more
-//! load, than a correct entry would give it (docs/sockets.md, "Bad entries of the list").
+//! The host list in force. A faulty entry is logged once and interpreted so that no host counts as warmer, or
+//! gets more load, than a correct entry would give it (docs/sockets.md, "Bad entries of the list").
 use crate::change_clock::ChangeClock;
 use crate::inbox::Listed;
 use cherrypass::calls::{Listing, Phase};
@@ -54,8 +54,8 @@
 }
 
 impl Entry {
-    /// Of several hosts at an address, the one with the greatest value holds it: the one that started last, then one that
-    /// does not drain, then the one listed last.
+    /// Of several hosts at an address, the one with the greatest value holds it: the one that started last,
+    /// then one that does not drain, then the one listed last.
     fn address_claim(&self) -> (Option<UnixTime>, bool, u64) {
         (self.started, self.listing.phase == Phase::Ready, self.sequence)
     }
@@ -87,7 +87,8 @@
         List { entries, starts, warming, last_sequence: 0, ramp, uses_weights }
     }
 
-    /// Applies an update whose stamps the change clock has observed already. With `whole`, hosts missing from it are gone.
+    /// Applies an update whose stamps the change clock has observed already. With `whole`, hosts missing from
+    /// it are gone.
     pub fn apply(&mut self, clocks: &Clocks, mut hosts: Vec<Listed>, whole: bool) -> Applied {
         if whole {
             let kept: BTreeSet<HostId> = hosts.iter().map(|host| host.listing.host).collect();
@@ -109,8 +110,9 @@
         Applied { hosts, lost, faults }
     }
 
-    /// Dates the starts of hosts that are not warm yet again, and returns those that were earlier than known. Otherwise a host
-    /// that was listed before the change log's clock was well known would count as cold for too long.
+    /// Dates the starts of hosts that are not warm yet again, and returns those that were earlier than known.
+    /// Otherwise a host that was listed before the change log's clock was well known would count as cold for
+    /// too long.
     pub fn redate(&mut self, clocks: &Clocks) -> Vec<(HostId, Time)> {
         let (starts, entries, ramp) = (&mut self.starts, &mut self.entries, self.ramp);
         let mut found = Vec::new();
@@ -129,7 +131,8 @@
         found
     }
 
-    /// The weight that an entry is given. An unusable one never counts as more than a listed weight of the same kind.
+    /// The weight that an entry is given. An unusable one never counts as more than a listed weight of the
+    /// same kind.
     fn effective_weight(&self, entry: &Listing, hosts: &[Listed]) -> f64 {
         if is_usable(entry.weight) {
             return entry.weight;
@@ -147,7 +150,8 @@
         (counts && !is_usable(listed)).then_some(EntryFault::UnusableWeight { listed, effective })
     }
 
-    /// Dates the start of an entry. A missing start, or one earlier than the known one, leaves that unchanged.
+    /// Dates the start of an entry. A missing start, or one earlier than the known one, leaves that
+    /// unchanged.
     fn apply_start(&mut self, clocks: &Clocks, host: &mut Listed) -> Option<EntryFault> {
         let id = host.listing.host;
         let (listed, known) = (host.started, self.starts.get(&id).map(|start| start.listed));
@@ -183,8 +187,8 @@
         }
     }
 
-    /// Removes all but one of the hosts at each address. Otherwise load sent to an old name would reach a new process beyond
-    /// its cold budget.
+    /// Removes all but one of the hosts at each address. Otherwise load sent to an old name would reach a new
+    /// process beyond its cold budget.
     fn resolve_addresses(
         &mut self,
         hosts: &[Listed],
--- a/crates/dispatcher/src/log_changes.rs
+++ b/crates/dispatcher/src/log_changes.rs
@@ -61,7 +61,8 @@
     last: &'a mut u64,
     /// The number of the preceding change in the answer.
     previous: u64,
-    /// A change that failed to decode before. Its invalid entries are skipped, so that it can't block all later changes.
+    /// A change that failed to decode before. Its invalid entries are skipped, so that it can't block all
+    /// later changes.
     known_invalid: Option<u64>,
     /// The first change in the answer that had been decoded before.
     first_repeated: Option<u64>,
@@ -110,7 +111,8 @@
     }
 }
 
-/// Decodes the changes of an answer after the `last` one; returns them with the error at which decoding stopped.
+/// Decodes the changes of an answer after the `last` one; returns them with the error at which decoding
+/// stopped.
 pub fn decode(
     answer: &Value,
     names: &Names,
@@ -188,7 +190,8 @@
             host: host_id(name),
             location: LocationId(location.or(gone.then_some(0)).ok_or("zone")? as u16),
             kind: KindId(kind.or(gone.then_some(0)).ok_or("kind")? as u16),
-            // A truncated number could merge two cells, and repeats would go to hosts that can't deduplicate them.
+            // A truncated number could merge two cells, and repeats would go to hosts that can't deduplicate
+            // them.
             cell: CellId(
                 entry.get("cell").and_then(Value::as_u64).unwrap_or(0).try_into().map_err(|_| "cell")?,
             ),
--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Failures of the change log: silence, broken connections, moves and returns. Changes that arrived take effect, and none are
-//! lost. The fake log holds its answers until the test releases them.
+//! Failures of the change log: silence, broken connections, moves and returns. Changes that arrived take
+//! effect, and none are lost. The fake log holds its answers until the test releases them.
 #[allow(dead_code)]
 #[path = "discovery/bed.rs"]
 mod bed;
@@ -13,10 +13,11 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Changes in a broken answer count as announced this long after the break, and those in an answer that stalls this long
-/// after the requested wait.
+/// Changes in a broken answer count as announced this long after the break, and those in an answer that
+/// stalls this long after the requested wait.
 const ANNOUNCED_AFTER: Duration = Duration::from_secs(2);
-/// Maximum time from SIGHUP to a poll at the new address. The protocol allows 4 s, but a move ends every wait.
+/// Maximum time from SIGHUP to a poll at the new address. The protocol allows 4 s, but a move ends every
+/// wait.
 const MOVED_WITHIN: Duration = WAIT;
 /// The settings' drain grace, and 50 ms of tolerance for sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
@@ -87,7 +88,8 @@
     u64::from(until == Until::Half)
 }
 
-/// Complete changes take effect while the rest of the answer is missing; the rest is polled for before it counts as announced.
+/// Complete changes take effect while the rest of the answer is missing; the rest is polled for before it
+/// counts as announced.
 #[test_case(Until::Nothing; "before the answer")]
 #[test_case(Until::Head; "after its head")]
 #[test_case(Until::Half; "after half of it")]
@@ -214,8 +216,8 @@
     assert_eq!(log.next().since, 1);
 }
 
-/// A drain in the first, incomplete answer after the log returns: no hand-offs go to the host after the grace period, and the
-/// log is polled soon after its return.
+/// A drain in the first, incomplete answer after the log returns: no hand-offs go to the host after the grace
+/// period, and the log is polled soon after its return.
 #[test]
 fn a_drain_in_the_first_answer_after_a_return() {
     let play = Play::start();
@@ -267,8 +269,8 @@
     asks.join().unwrap();
 }
 
-/// A host drains and is gone in one answer: hand-offs that wait for a connection to it go to other hosts, and are not sent
-/// once that connection is established.
+/// A host drains and is gone in one answer: hand-offs that wait for a connection to it go to other hosts, and
+/// are not sent once that connection is established.
 #[test_case(true; "one event")]
 #[test_case(false; "two events")]
 fn a_host_drains_and_is_gone_in_one_answer(one: bool) {
@@ -303,8 +305,8 @@
     assert!(play.hosts.came.try_recv().is_err(), "a request was sent twice");
 }
 
-/// A host is gone and back at the same address in one answer: a pending hand-off gets its one answer, and later ones use a new
-/// connection.
+/// A host is gone and back at the same address in one answer: a pending hand-off gets its one answer, and
+/// later ones use a new connection.
 #[test_case("a", true, 0; "the same name in one event")]
 #[test_case("a", false, 0; "the same name in two")]
 #[test_case("a", false, 1764576000123; "the same name with a new start")]
@@ -351,8 +353,8 @@
     assert_eq!(client.answer().unwrap(), Answer::Ready(true));
 }
 
-/// A host restarts at its address and gets requests before the list announces the restart: a pending hand-off is answered,
-/// and later ones use a new connection.
+/// A host restarts at its address and gets requests before the list announces the restart: a pending hand-off
+/// is answered, and later ones use a new connection.
 #[test]
 fn the_list_announces_a_restart_late() {
     let mut play = Play::start();
@@ -590,8 +592,8 @@
     (found, end)
 }
 
-/// Reads, or the stream, end at every possible offset. `at` maps an offset in the body to one in the encoded body; for chunks,
-/// to the end of the chunk.
+/// Reads, or the stream, end at every possible offset. `at` maps an offset in the body to one in the encoded
+/// body; for chunks, to the end of the chunk.
 #[test_case(http, |at| at; "with a length")]
 #[test_case(chunked, |at| 6 * at + 5; "in chunks")]
 #[test_case(|body| format!("HTTP/1.1 200 OK\r\n\r\n{body}"), |at| at; "up to the close")]
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -1,4 +1,5 @@
-//! Test fixtures: dispatcher processes, a fake change log and fake hosts that answer when the test says so, and clients.
+//! Test fixtures: dispatcher processes, a fake change log and fake hosts that answer when the test says so,
+//! and clients.
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
--- a/crates/dispatcher/tests/following.rs
+++ b/crates/dispatcher/tests/following.rs
@@ -1,5 +1,5 @@
-//! How often the change log is polled if each answer has a change: without carriers, by a carrier, and by a dispatcher
-//! that has lost its carriers.
+//! How often the change log is polled if each answer has a change: without carriers, by a carrier, and by a
+//! dispatcher that has lost its carriers.
 use cherrypass_dispatcher::carried::Delivery;
 use cherrypass_dispatcher::changes::{follow, Following};
 use cherrypass_dispatcher::config::Names;
--- a/crates/keep/src/lib.rs
+++ b/crates/keep/src/lib.rs
@@ -1,5 +1,6 @@
-//! Durable state of a dispatcher: which records are written ahead of which actions, which are replayed after a restart,
-//! when they expire, and what happens while the store rejects writes. Performs no I/O and reads no clock.
+//! Durable state of a dispatcher: which records are written ahead of which actions, which are replayed after
+//! a restart, when they expire, and what happens while the store rejects writes. Performs no I/O and reads no
+//! clock.
 #![forbid(unsafe_code)]
 
 pub mod purges;
--- a/crates/keep/src/purges.rs
+++ b/crates/keep/src/purges.rs
@@ -7,8 +7,8 @@
 /// The store space that holds purge records.
 pub const SPACE: &str = "purges";
 
-/// Lower bound of the retention of purge records. It covers hosts that were suspended and still hold copies which they
-/// should have dropped, and a wall clock that is ahead at the next start.
+/// Lower bound of the retention of purge records. It covers hosts that were suspended and still hold copies
+/// which they should have dropped, and a wall clock that is ahead at the next start.
 pub const MIN_RETENTION: Span = Span::millis(3_600_000);
 
 /// A purge of one object, or of its whole group.
@@ -48,8 +48,8 @@
     })
 }
 
-/// The purges to replay at a start, with the times of the change log. A time in the future, as after this machine's clock
-/// was set back, is kept: the age of a purge is measured by the change log's clock.
+/// The purges to replay at a start, with the times of the change log. A time in the future, as after this
+/// machine's clock was set back, is kept: the age of a purge is measured by the change log's clock.
 pub fn replay<'a>(now: UnixTime, values: impl Iterator<Item = &'a [u8]>, retention: Span) -> Vec<Purge> {
     let purges = values.filter_map(decode::<StoredPurge>).map(|stored| Purge {
         group: GroupId(stored.group),
--- a/crates/keep/src/records.rs
+++ b/crates/keep/src/records.rs
@@ -1,4 +1,5 @@
-//! Store records: a space, a key, a value and an expiry time. Values that can't be decoded are treated as absent.
+//! Store records: a space, a key, a value and an expiry time. Values that can't be decoded are treated as
+//! absent.
 use cherrypass::time::UnixTime;
 use serde::{de::DeserializeOwned, Serialize};
 
--- a/crates/keep/src/versions.rs
+++ b/crates/keep/src/versions.rs
@@ -24,8 +24,9 @@
     values.filter_map(decode::<Version>).collect()
 }
 
-/// The records to write when a configuration comes into force: ends the previous version, adds the new one and deletes
-/// the oldest beyond `max_versions`. Empty if the newest stored version has the same text and source.
+/// The records to write when a configuration comes into force: ends the previous version, adds the new one
+/// and deletes the oldest beyond `max_versions`. Empty if the newest stored version has the same text and
+/// source.
 pub fn activation_records(
     versions: &[Version],
     source: &str,
--- a/crates/keep/src/visits.rs
+++ b/crates/keep/src/visits.rs
@@ -1,5 +1,6 @@
-//! Write-ahead records of visits that must not run twice. A record is written before the first byte of a hand-off and
-//! deleted once the visit was served or is known not to have run; a remaining record identifies repeats of the visit.
+//! Write-ahead records of visits that must not run twice. A record is written before the first byte of a
+//! hand-off and deleted once the visit was served or is known not to have run; a remaining record identifies
+//! repeats of the visit.
 use crate::records::{decode, encode, Record};
 use cherrypass::ids::{HostId, VisitId};
 use cherrypass::settings::Effect;
@@ -23,7 +24,8 @@
     pub host: u64,
     /// The host's name, for operators.
     pub host_name: String,
-    /// How long, in microseconds, the hosts drop repeats of a deduplicated visit; None for an at-most-once visit.
+    /// How long, in microseconds, the hosts drop repeats of a deduplicated visit; None for an at-most-once
+    /// visit.
     pub memory: Option<u64>,
 }
 
@@ -93,7 +95,8 @@
         Visits { open: BTreeMap::new(), unresolved, retention, sends_unrecorded, refused_count: 0 }
     }
 
-    /// The closed visits that may have run. At-most-once ones come first, since operators have to look into them.
+    /// The closed visits that may have run. At-most-once ones come first, since operators have to look into
+    /// them.
     pub fn unresolved(&self) -> impl Iterator<Item = (&VisitKey, &MayHaveRun)> {
         let (deduplicated, at_most_once): (Vec<_>, Vec<_>) =
             self.unresolved.iter().partition(|(_, visit)| visit.memory.is_some());
@@ -111,8 +114,8 @@
         self.open.values().find(|open| open.key == key && open.may_have_run())
     }
 
-    /// Registers a hand-off that is about to be sent. Only the first that may run needs a record: repeats are dropped at
-    /// the host that it names.
+    /// Registers a hand-off that is about to be sent. Only the first that may run needs a record: repeats are
+    /// dropped at the host that it names.
     pub fn hand_off(&mut self, id: VisitId, key: &[u8], effect: Effect, sent: MayHaveRun) -> Before {
         let memory = match effect {
             Effect::Idempotent => return Before::Go,
@@ -173,8 +176,8 @@
         }
     }
 
-    /// Closes a visit that has its final answer or whose client has left. Returns the deletion of its record if it was
-    /// served or never ran; otherwise the record remains until it expires.
+    /// Closes a visit that has its final answer or whose client has left. Returns the deletion of its record
+    /// if it was served or never ran; otherwise the record remains until it expires.
     pub fn close(&mut self, id: VisitId, was_served: bool) -> Option<Record> {
         let open = self.open.remove(&id)?;
         // While another try of the visit is open, the record belongs to that one.
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -156,8 +156,8 @@
     pub comparison_window: Span,
 }
 
-/// Delivery of change log entries by carriers. All members that use the same log name must read a log with the same
-/// sequence numbers.
+/// Delivery of change log entries by carriers. All members that use the same log name must read a log with
+/// the same sequence numbers.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delivery {
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,6 @@
-//! Loads the operators' file, such as `deploy/operator.jsonnet`: evaluates the Jsonnet and decodes it, rejecting unknown
-//! keys. An absent section turns its feature off. Each error is one line with the key's path and what was expected.
+//! Loads the operators' file, such as `deploy/operator.jsonnet`: evaluates the Jsonnet and decodes it,
+//! rejecting unknown keys. An absent section turns its feature off. Each error is one line with the key's
+//! path and what was expected.
 #![forbid(unsafe_code)]
 
 pub mod fleet;
--- a/crates/operator/src/rules.rs
+++ b/crates/operator/src/rules.rs
@@ -1,5 +1,5 @@
-//! Rules: the part of the section `fleet` that can change at run time, rolled out in stages. A rules document has the
-//! structure of the operators' file; what it leaves out is taken from that file.
+//! Rules: the part of the section `fleet` that can change at run time, rolled out in stages. A rules document
+//! has the structure of the operators' file; what it leaves out is taken from that file.
 use crate::fleet::{count, limit, AfterHalt, Fleet, Rollout};
 use crate::within;
 use serde::{Deserialize, Deserializer};
@@ -35,8 +35,8 @@
     pub verdicts: VerdictRules,
 }
 
-/// Fleet-wide limits that replace those of the file. Each dispatcher's share scales in proportion, so while only some
-/// dispatchers have the new rules the sum stays within the greater of the old and new limits.
+/// Fleet-wide limits that replace those of the file. Each dispatcher's share scales in proportion, so while
+/// only some dispatchers have the new rules the sum stays within the greater of the old and new limits.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitRules {
@@ -53,7 +53,8 @@
     /// Whether findings of other dispatchers are passed to the decision module.
     #[serde(rename = "heed")]
     pub uses_findings: bool,
-    /// How many dispatchers must report the same finding. With 1 here and 0 in `part` a single report suffices.
+    /// How many dispatchers must report the same finding. With 1 here and 0 in `part` a single report
+    /// suffices.
     #[serde(rename = "tellers", deserialize_with = "min_reporters")]
     pub min_reporters: Option<u32>,
     /// Which fraction of the own location's dispatchers must report it.
@@ -75,7 +76,8 @@
     }
 }
 
-/// The document that `cherrypass rollout start` reads: rules with a new number, and the plan of their rollout.
+/// The document that `cherrypass rollout start` reads: rules with a new number, and the plan of their
+/// rollout.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
