--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -54,9 +54,9 @@
         let mut client = Client::connect(self.dispatcher.listen).unwrap();
         for object in 0..8 {
             client.ask(0xab00 + object).unwrap();
-            let want = self.hosts.next();
-            assert!(!hosts.contains(&want.host), "sent to {}", want.host);
-            want.done();
+            let message = self.hosts.next();
+            assert!(!hosts.contains(&message.host), "sent to {}", message.host);
+            message.answer();
             assert_eq!(client.answer().unwrap(), Answer::Served);
         }
     }
@@ -294,10 +294,10 @@
     });
     let announced = Instant::now();
     for _ in 0..open {
-        let want = play.hosts.next();
-        assert!(want.at < announced + WAIT, "only {:?} after the change", want.at - announced);
-        assert!(want.host == "b" || want.host == "o", "{}", want.host);
-        want.done();
+        let message = play.hosts.next();
+        assert!(message.at < announced + WAIT, "only {:?} after the change", message.at - announced);
+        assert!(message.host == "b" || message.host == "o", "{}", message.host);
+        message.answer();
         assert_eq!(play.client.answer().unwrap(), Answer::Served);
     }
     play.hosts.over("a", backlog.drain());
@@ -346,7 +346,7 @@
         }
     }
     // Either answer is possible, but only one may arrive.
-    out.done();
+    out.answer();
     let answer = client.answer().unwrap();
     assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
     client.ask_status().unwrap();
@@ -372,8 +372,8 @@
         other.ask(2).unwrap();
         asked += 1;
         match play.hosts.came.recv_timeout(Duration::from_millis(100)) {
-            Ok(want) if want.host == "a" => break want,
-            Ok(want) => want.done(),
+            Ok(message) if message.host == "a" => break message,
+            Ok(message) => message.answer(),
             Err(_) => {}
         }
     };
@@ -381,7 +381,7 @@
     play.log.next_since(2).answer(&[event(3, false, &[entry("a", play.a, READY, 1764576000123)])]);
     play.log.next_since(3);
     let came = play.hosts.answer_all();
-    held.done();
+    held.answer();
     for _ in 0..asked {
         let answer = other.answer().unwrap();
         assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -230,7 +230,7 @@
 }
 
 /// A message to a host that waits for its answer.
-pub struct Want {
+pub struct HostMessage {
     pub host: &'static str,
     pub at: Instant,
     pub words: Vec<String>,
@@ -239,14 +239,14 @@
     stream: TcpStream,
 }
 
-impl Want {
+impl HostMessage {
     /// Closes the connection, as when the host's process dies.
     pub fn cut(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
     /// Answers the request with an object.
-    pub fn done(&self) {
+    pub fn answer(&self) {
         let parts = [&self.words[1][..], "DONE", "ver=4be0c192,born=1764576000123", "x"];
         let parts: Vec<String> = parts.iter().map(|part| format!("${}\r\n{part}\r\n", part.len())).collect();
         let _ = (&self.stream).write_all(format!("*4\r\n{}", parts.concat()).as_bytes());
@@ -274,8 +274,8 @@
 
 /// Fake hosts whose incoming messages are collected in one channel.
 pub struct Hosts {
-    tell: Sender<Want>,
-    pub came: Receiver<Want>,
+    tell: Sender<HostMessage>,
+    pub came: Receiver<HostMessage>,
 }
 
 impl Hosts {
@@ -300,7 +300,7 @@
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(words) = read_array(&mut reader) {
                         let stream = stream.try_clone().unwrap();
-                        let _ = tell.send(Want { host, at: Instant::now(), words, from, stream });
+                        let _ = tell.send(HostMessage { host, at: Instant::now(), words, from, stream });
                     }
                 });
             }
@@ -312,21 +312,21 @@
     pub fn answer_all(self) -> Receiver<(&'static str, SocketAddr, Instant)> {
         let (tell, told) = channel();
         spawn(move || {
-            for want in self.came.iter().filter(|want| want.words[0] == "want") {
+            for message in self.came.iter().filter(|message| message.words[0] == "want") {
                 // Reported before the answer, so that it is there once the client has the answer.
-                let _ = tell.send((want.host, want.from, want.at));
-                want.done();
+                let _ = tell.send((message.host, message.from, message.at));
+                message.answer();
             }
         });
         told
     }
 
     /// The next request at any host; skips cancellations.
-    pub fn next(&self) -> Want {
+    pub fn next(&self) -> HostMessage {
         loop {
-            let want = self.came.recv_timeout(PATIENCE).expect("no request came to a host");
-            if want.words[0] == "want" {
-                return want;
+            let message = self.came.recv_timeout(PATIENCE).expect("no request came to a host");
+            if message.words[0] == "want" {
+                return message;
             }
         }
     }
