--- a/crates/dispatcher/src/carried.rs
+++ b/crates/dispatcher/src/carried.rs
@@ -142,12 +142,12 @@
         }
     }
 
-    /// Forwards the changes of an answer that has ended, complete or not. `asked` is when a complete one was
-    /// requested.
-    pub(crate) fn answer_ended(&mut self, last: u64, asked: Option<Instant>) {
+    /// Forwards the changes of an answer that has ended, complete or not. `requested_at` is when a complete
+    /// one was requested.
+    pub(crate) fn answer_ended(&mut self, last: u64, requested_at: Option<Instant>) {
         let changes = std::mem::take(&mut self.unsent);
         if let Some(delivery) = &self.delivery {
-            let read = LogRead { changes, last: ChangeNumber(last), asked };
+            let read = LogRead { changes, last: ChangeNumber(last), asked: requested_at };
             (delivery.to_fleet)(ToFleet::LogRead(read));
         }
     }
--- a/crates/dispatcher/src/changes.rs
+++ b/crates/dispatcher/src/changes.rs
@@ -93,7 +93,7 @@
             connections = Connections { at: new, idle: None, dials: Vec::new(), ..connections };
             retry_delay = MIN_RETRY_DELAY;
         }
-        let (asked, asked_at) = (clock::now(), Instant::now());
+        let (polled_at, polled_instant) = (clock::now(), Instant::now());
         let since = last;
         let mut decoder = ChangeDecoder::new(&names, &mut last, known_invalid);
         let poll_wait = if is_failing || has_stalled { CATCH_UP_WAIT } else { POLL_WAIT };
@@ -107,10 +107,10 @@
                 router.send(Input::Changed(change)).map_err(|_| Fault::RouterStopped)
             })
         });
-        has_stalled = clock::now() - asked > STALL_THRESHOLD;
+        has_stalled = clock::now() - polled_at > STALL_THRESHOLD;
         let repeated = decoder.first_repeated();
-        source.answer_ended(last, found.is_ok().then_some(asked_at));
-        if found.is_ok() && router.send(Input::LogKnown(asked)).is_err() {
+        source.answer_ended(last, found.is_ok().then_some(polled_instant));
+        if found.is_ok() && router.send(Input::LogKnown(polled_at)).is_err() {
             return;
         }
         if let Some(number) = repeated.filter(|_| !is_repeating) {
@@ -159,10 +159,10 @@
         // After a connect timeout the next connection is already being established.
         let has_waited =
             matches!(&fault, Some(Fault::Unreachable(error)) if error.kind() == ErrorKind::TimedOut);
-        let since_asked = clock::now() - asked;
-        let needs_delay = is_failing && !has_waited || since_asked < Span::millis(2);
+        let since_poll = clock::now() - polled_at;
+        let needs_delay = is_failing && !has_waited || since_poll < Span::millis(2);
         let delay = needs_delay.then(|| retry_delay.times(random.gen_range(0.5..1.0)));
-        if let Some(delay) = delay.max(source.poll_delay(since_asked)) {
+        if let Some(delay) = delay.max(source.poll_delay(since_poll)) {
             // A new address ends the wait.
             let mut select = crossbeam_channel::Select::new();
             select.recv(&connections.moved);
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Each message is one line with the file, key or line at fault and the remedy.
+/// Why a configuration can't be used. Each message is one line with the file, key or line at fault and the
+/// remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("no configuration: name it with --config or in GW_CONFIG")]
--- a/crates/dispatcher/src/keeping.rs
+++ b/crates/dispatcher/src/keeping.rs
@@ -235,8 +235,8 @@
         };
         let router = self.router.clone();
         self.kept.submit(outlasts, vec![record], move |was_written| {
-            let taken = if was_written { Taken::Kept } else { Taken::Refused };
-            let _ = router.send(Input::Recorded(id, taken));
+            let result = if was_written { Taken::Kept } else { Taken::Refused };
+            let _ = router.send(Input::Recorded(id, result));
         });
     }
 
--- a/crates/dispatcher/src/list.rs
+++ b/crates/dispatcher/src/list.rs
@@ -22,7 +22,9 @@
     FutureStart(u64),
     #[error("weight {listed} can't be used, it counts as {effective}")]
     UnusableWeight { listed: f64, effective: f64 },
-    #[error("{address} is the address of {holder} now: the host counts as gone until it is listed at another address")]
+    #[error(
+        "{address} is the address of {holder} now: the host counts as gone until it is listed elsewhere"
+    )]
     AddressTaken { address: SocketAddr, holder: String },
 }
 
@@ -87,12 +89,12 @@
         List { entries, starts, warming, last_sequence: 0, ramp, uses_weights }
     }
 
-    /// Applies an update whose stamps the change clock has observed already. With `whole`, hosts missing from
-    /// it are gone.
-    pub fn apply(&mut self, clocks: &Clocks, mut hosts: Vec<Listed>, whole: bool) -> Applied {
-        if whole {
-            let kept: BTreeSet<HostId> = hosts.iter().map(|host| host.listing.host).collect();
-            self.entries.retain(|id, _| kept.contains(id));
+    /// Applies an update whose stamps the change clock has observed already. With `is_full`, hosts missing
+    /// from it are gone.
+    pub fn apply(&mut self, clocks: &Clocks, mut hosts: Vec<Listed>, is_full: bool) -> Applied {
+        if is_full {
+            let listed: BTreeSet<HostId> = hosts.iter().map(|host| host.listing.host).collect();
+            self.entries.retain(|id, _| listed.contains(id));
         }
         let mut faults = Vec::new();
         for place in 0..hosts.len() {
--- a/crates/dispatcher/src/log_changes.rs
+++ b/crates/dispatcher/src/log_changes.rs
@@ -179,17 +179,17 @@
         "terminated" => Phase::Gone,
         _ => return Err("state"),
     };
-    let gone = phase == Phase::Gone;
+    let is_gone = phase == Phase::Gone;
     let address = text("addr").and_then(|addr| addr.parse().ok());
     let location = text("zone").and_then(|zone| index(&names.locations, zone));
     let kind = text("kind").and_then(|kind| index(&names.kinds, kind));
     let started = entry.get("started_ms").filter(|value| !value.is_null());
-    let started = started.map_or(Some(0), whole_ms).or(gone.then_some(0)).ok_or("started_ms")?;
+    let started = started.map_or(Some(0), whole_ms).or(is_gone.then_some(0)).ok_or("started_ms")?;
     Ok(Listed {
         listing: Listing {
             host: host_id(name),
-            location: LocationId(location.or(gone.then_some(0)).ok_or("zone")? as u16),
-            kind: KindId(kind.or(gone.then_some(0)).ok_or("kind")? as u16),
+            location: LocationId(location.or(is_gone.then_some(0)).ok_or("zone")? as u16),
+            kind: KindId(kind.or(is_gone.then_some(0)).ok_or("kind")? as u16),
             // A truncated number could merge two cells, and repeats would go to hosts that can't deduplicate
             // them.
             cell: CellId(
@@ -201,7 +201,7 @@
         },
         started: Some(started).filter(|ms| *ms > 0).map(UnixTime::millis),
         name: name.to_owned(),
-        address: Some(address).filter(|address| address.is_some() || gone).ok_or("addr")?,
+        address: Some(address).filter(|address| address.is_some() || is_gone).ok_or("addr")?,
     })
 }
 
--- a/crates/dispatcher/src/sharing.rs
+++ b/crates/dispatcher/src/sharing.rs
@@ -471,9 +471,11 @@
     fn send_ejections(&mut self, brain: &Brain) {
         let ejected: BTreeMap<HostId, bool> =
             brain.shut_out_now().map(|(host, why)| (host, why == Bad::Told)).collect();
-        for (host, told) in ejected.iter().filter(|(host, told)| self.ejected.get(host) != Some(told)) {
+        for (host, by_report) in
+            ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
+        {
             self.counters.shut_out += u64::from(!self.ejected.contains_key(host));
-            (self.send)(ToFleet::Shut { host: *host, told: *told });
+            (self.send)(ToFleet::Shut { host: *host, told: *by_report });
         }
         for host in self.ejected.keys().filter(|host| !ejected.contains_key(host)) {
             (self.send)(ToFleet::Back { host: *host });
--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -24,7 +24,7 @@
 /// The longest wait that a poll requests.
 const WAIT: Duration = Duration::from_secs(1);
 
-struct Play {
+struct Fixture {
     log: Log,
     hosts: Hosts,
     dispatcher: Dispatcher,
@@ -33,20 +33,20 @@
     b: SocketAddr,
 }
 
-impl Play {
+impl Fixture {
     /// Starts a dispatcher that knows two caches and an origin from change 1 and polls for later changes.
-    fn start() -> Play {
+    fn start() -> Fixture {
         let hosts = Hosts::new();
         let a = hosts.start("a");
-        Play::start_with(Log::start(), hosts, a, 192)
+        Fixture::start_with(Log::start(), hosts, a, 192)
     }
 
-    fn start_with(log: Log, hosts: Hosts, a: SocketAddr, memory: u32) -> Play {
+    fn start_with(log: Log, hosts: Hosts, a: SocketAddr, memory: u32) -> Fixture {
         let (b, origin) = (hosts.start("b"), hosts.start("o"));
         let known = body(&[list(1, true, &[("a", a, READY), ("b", b, READY), ("o", origin, READY)])]);
         let dispatcher = Dispatcher::start(&config("127.0.0.1:0", log.address, &known, memory));
         let client = Client::connect(dispatcher.listen).unwrap();
-        Play { log, hosts, dispatcher, client, a, b }
+        Fixture { log, hosts, dispatcher, client, a, b }
     }
 
     /// Checks that none of eight requests for other objects is sent to these hosts.
@@ -63,7 +63,7 @@
 }
 
 const READY: &str = "in_service";
-const DRAINS: &str = "terminating";
+const DRAINING: &str = "terminating";
 const GONE: &str = "terminated";
 
 /// How much of an answer is sent before a failure.
@@ -76,14 +76,15 @@
 }
 
 /// Sends part of an answer; returns how many changes of it are complete.
-fn send_part(asked: &Asked, play: &Play, until: Until) -> u64 {
-    let events = [list(2, false, &[("a", play.a, DRAINS)]), list(3, false, &[("b", play.b, DRAINS)])];
+fn send_part(poll: &Asked, fixture: &Fixture, until: Until) -> u64 {
+    let events =
+        [list(2, false, &[("a", fixture.a, DRAINING)]), list(3, false, &[("b", fixture.b, DRAINING)])];
     let answer = http(&body(&events));
     let head = answer.len() - body(&events).len();
     match until {
         Until::Nothing => return 0,
-        Until::Head => asked.write(&answer.as_bytes()[..head]),
-        Until::Half => asked.write(&answer.as_bytes()[..answer.len() - "}]}".len()]),
+        Until::Head => poll.write(&answer.as_bytes()[..head]),
+        Until::Half => poll.write(&answer.as_bytes()[..answer.len() - "}]}".len()]),
     }
     u64::from(until == Until::Half)
 }
@@ -94,39 +95,39 @@
 #[test_case(Until::Head; "after its head")]
 #[test_case(Until::Half; "after half of it")]
 fn the_log_falls_silent(until: Until) {
-    let play = Play::start();
-    let asked = play.log.next_since(1);
-    let whole = send_part(&asked, &play, until);
-    if whole > 0 {
-        play.dispatcher.log("is s-a, Draining");
-        play.check_unused(&["a"]);
-        assert!(!play.log.is_asked(), "the answer was given up too early");
+    let fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
+    let complete = send_part(&poll, &fixture, until);
+    if complete > 0 {
+        fixture.dispatcher.log("is s-a, Draining");
+        fixture.check_unused(&["a"]);
+        assert!(!fixture.log.is_asked(), "the answer was given up too early");
     }
-    let again = play.log.next();
-    assert_eq!((again.since, again.line), (1 + whole, 1));
-    let after = again.at - asked.at;
+    let next = fixture.log.next();
+    assert_eq!((next.since, next.line), (1 + complete, 1));
+    let after = next.at - poll.at;
     assert!(after < WAIT + ANNOUNCED_AFTER, "polled again after {after:?}");
-    again.answer(&[list(2 + whole, false, &[("b", play.b, DRAINS)])]);
-    play.dispatcher.log("is s-b, Draining");
-    play.check_unused(if whole > 0 { &["a", "b"] } else { &["b"] });
-    assert_eq!(play.log.next().since, 2 + whole);
+    next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
+    fixture.dispatcher.log("is s-b, Draining");
+    fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
+    assert_eq!(fixture.log.next().since, 2 + complete);
 }
 
 #[test_case(Until::Nothing; "before the answer")]
 #[test_case(Until::Head; "after its head")]
 #[test_case(Until::Half; "after half of it")]
 fn the_connection_breaks(until: Until) {
-    let play = Play::start();
-    let asked = play.log.next_since(1);
-    let whole = send_part(&asked, &play, until);
+    let fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
+    let complete = send_part(&poll, &fixture, until);
     let at = Instant::now();
-    asked.cut();
-    let again = play.log.next();
-    assert_eq!((again.since, again.line), (1 + whole, 1));
-    assert!(again.at - at < ANNOUNCED_AFTER, "polled again after {:?}", again.at - at);
-    again.answer(&[list(2 + whole, false, &[("b", play.b, DRAINS)])]);
-    play.dispatcher.log("is s-b, Draining");
-    play.check_unused(if whole > 0 { &["a", "b"] } else { &["b"] });
+    poll.cut();
+    let next = fixture.log.next();
+    assert_eq!((next.since, next.line), (1 + complete, 1));
+    assert!(next.at - at < ANNOUNCED_AFTER, "polled again after {:?}", next.at - at);
+    next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
+    fixture.dispatcher.log("is s-b, Draining");
+    fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
 }
 
 /// SIGHUP during an answer: complete changes stay in force, and the rest is polled for at the new address.
@@ -134,38 +135,38 @@
 #[test_case(Until::Head; "after its head")]
 #[test_case(Until::Half; "after half of it")]
 fn the_log_moves(until: Until) {
-    let play = Play::start();
-    let asked = play.log.next_since(1);
-    let whole = send_part(&asked, &play, until);
-    if whole > 0 {
-        play.dispatcher.log("is s-a, Draining");
+    let fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
+    let complete = send_part(&poll, &fixture, until);
+    if complete > 0 {
+        fixture.dispatcher.log("is s-a, Draining");
     }
     let new = Log::start();
-    std::fs::write(&play.dispatcher.config.0, config("127.0.0.1:0", new.address, "null", 192)).unwrap();
+    std::fs::write(&fixture.dispatcher.config.0, config("127.0.0.1:0", new.address, "null", 192)).unwrap();
     let at = Instant::now();
-    play.dispatcher.signal("-HUP");
-    let again = new.next();
-    assert_eq!(again.since, 1 + whole);
-    assert!(again.at - at < MOVED_WITHIN, "asked after {:?}", again.at - at);
-    again.answer(&[list(2 + whole, false, &[("b", play.b, DRAINS)])]);
-    play.dispatcher.log("is s-b, Draining");
-    play.check_unused(if whole > 0 { &["a", "b"] } else { &["b"] });
-    assert!(!play.log.is_asked(), "the old address is polled again");
+    fixture.dispatcher.signal("-HUP");
+    let next = new.next();
+    assert_eq!(next.since, 1 + complete);
+    assert!(next.at - at < MOVED_WITHIN, "polled after {:?}", next.at - at);
+    next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
+    fixture.dispatcher.log("is s-b, Draining");
+    fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
+    assert!(!fixture.log.is_asked(), "the old address is polled again");
 }
 
 /// An answer that arrived before SIGHUP takes effect even while the new address does not answer.
 #[test]
 fn changes_from_before_a_move_are_in_force() {
-    let play = Play::start();
-    let asked = play.log.next_since(1);
+    let fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
     let new = FullBacklog::start();
-    std::fs::write(&play.dispatcher.config.0, config("127.0.0.1:0", new.address(), "null", 192)).unwrap();
-    play.dispatcher.signal("-STOP");
-    play.dispatcher.signal("-HUP");
-    asked.answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
-    play.dispatcher.signal("-CONT");
-    play.dispatcher.log("is s-a, Draining");
-    play.dispatcher.log("reload: change log at");
+    std::fs::write(&fixture.dispatcher.config.0, config("127.0.0.1:0", new.address(), "null", 192)).unwrap();
+    fixture.dispatcher.signal("-STOP");
+    fixture.dispatcher.signal("-HUP");
+    poll.answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
+    fixture.dispatcher.signal("-CONT");
+    fixture.dispatcher.log("is s-a, Draining");
+    fixture.dispatcher.log("reload: change log at");
     let new = Log::over(new.drain());
     assert_eq!(new.next().since, 2);
 }
@@ -184,9 +185,9 @@
     std::fs::write(&dispatcher.config.0, config("127.0.0.1:0", new.address, "null", 192)).unwrap();
     let at = Instant::now();
     dispatcher.signal("-HUP");
-    let asked = new.next();
-    assert_eq!(asked.since, 1);
-    assert!(asked.at - at < MOVED_WITHIN, "asked after {:?}", asked.at - at);
+    let poll = new.next();
+    assert_eq!(poll.since, 1);
+    assert!(poll.at - at < MOVED_WITHIN, "polled after {:?}", poll.at - at);
 }
 
 /// A second connection is attempted concurrently, and the first is still used if it is established late.
@@ -220,17 +221,17 @@
 /// period, and the log is polled soon after its return.
 #[test]
 fn a_drain_in_the_first_answer_after_a_return() {
-    let play = Play::start();
-    let Play { log, hosts, dispatcher, a, .. } = play;
-    let asked = log.next_since(1);
+    let fixture = Fixture::start();
+    let Fixture { log, hosts, dispatcher, a, .. } = fixture;
+    let poll = log.next_since(1);
     let down = log.stop();
-    asked.cut();
+    poll.cut();
     dispatcher.log("changelog fails");
     // Continuous requests, which the hosts answer.
     let listen = dispatcher.listen;
-    let came = hosts.answer_all();
+    let requests = hosts.answer_all();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
-    let asks = std::thread::spawn(move || {
+    let client_thread = std::thread::spawn(move || {
         let mut client = Client::connect(listen).unwrap();
         for object in 0.. {
             client.ask(object).unwrap();
@@ -241,20 +242,20 @@
         }
     });
     let end = Instant::now() + PATIENCE;
-    while came.recv_timeout(PATIENCE).unwrap().0 != "a" {
+    while requests.recv_timeout(PATIENCE).unwrap().0 != "a" {
         assert!(Instant::now() < end, "no request is sent to host a");
     }
     let back = Instant::now();
     let log = down.listen();
-    let asked = log.next();
-    assert!(asked.at - back < ANNOUNCED_AFTER, "polled {:?} after the return", asked.at - back);
-    let answer = http(&body(&[list(2, false, &[("a", a, DRAINS)]), purge(3)]));
-    asked.write(&answer.as_bytes()[..answer.len() - 3]);
+    let poll = log.next();
+    assert!(poll.at - back < ANNOUNCED_AFTER, "polled {:?} after the return", poll.at - back);
+    let answer = http(&body(&[list(2, false, &[("a", a, DRAINING)]), purge(3)]));
+    poll.write(&answer.as_bytes()[..answer.len() - 3]);
     let announced = Instant::now();
     dispatcher.log("is s-a, Draining");
     // Well after the grace period, requests go to b.
     let last = loop {
-        let (host, _, at) = came.recv_timeout(PATIENCE).unwrap();
+        let (host, _, at) = requests.recv_timeout(PATIENCE).unwrap();
         assert!(
             host != "a" || at < announced + DRAIN_GRACE,
             "sent {:?} after the drain was announced",
@@ -266,7 +267,7 @@
     };
     assert_eq!(last, "b");
     stop.send(()).unwrap();
-    asks.join().unwrap();
+    client_thread.join().unwrap();
 }
 
 /// A host drains and is gone in one answer: hand-offs that wait for a connection to it go to other hosts, and
@@ -277,32 +278,32 @@
     let backlog = FullBacklog::start();
     let hosts = Hosts::new();
     let at = backlog.address();
-    let mut play = Play::start_with(Log::start(), hosts, at, 192);
+    let mut fixture = Fixture::start_with(Log::start(), hosts, at, 192);
     // Send requests until one waits for a connection to a.
     let mut open = 0;
     while backlog.pending().is_empty() {
-        play.client.ask(open).unwrap();
+        fixture.client.ask(open).unwrap();
         open += 1;
         std::thread::sleep(Duration::from_millis(20));
         assert!(open < 50, "no hand-off waits for a connection to a");
     }
-    let asked = play.log.next_since(1);
-    asked.answer(&if one {
-        vec![event(2, false, &[entry("a", at, DRAINS, 0), entry("a", at, GONE, 0)])]
+    let poll = fixture.log.next_since(1);
+    poll.answer(&if one {
+        vec![event(2, false, &[entry("a", at, DRAINING, 0), entry("a", at, GONE, 0)])]
     } else {
-        vec![list(2, false, &[("a", at, DRAINS)]), list(3, false, &[("a", at, GONE)])]
+        vec![list(2, false, &[("a", at, DRAINING)]), list(3, false, &[("a", at, GONE)])]
     });
     let announced = Instant::now();
     for _ in 0..open {
-        let message = play.hosts.next();
+        let message = fixture.hosts.next();
         assert!(message.at < announced + WAIT, "only {:?} after the change", message.at - announced);
         assert!(message.host == "b" || message.host == "o", "{}", message.host);
         message.answer();
-        assert_eq!(play.client.answer().unwrap(), Answer::Served);
+        assert_eq!(fixture.client.answer().unwrap(), Answer::Served);
     }
-    play.hosts.over("a", backlog.drain());
-    play.check_unused(&["a"]);
-    assert!(play.hosts.came.try_recv().is_err(), "a request was sent twice");
+    fixture.hosts.over("a", backlog.drain());
+    fixture.check_unused(&["a"]);
+    assert!(fixture.hosts.came.try_recv().is_err(), "a request was sent twice");
 }
 
 /// A host is gone and back at the same address in one answer: a pending hand-off gets its one answer, and
@@ -313,25 +314,25 @@
 #[test_case("n", true, 0; "another name in one event")]
 #[test_case("n", false, 0; "another name in two")]
 fn a_host_is_gone_and_back_in_one_answer(name: &str, one: bool, started: u64) {
-    let mut play = Play::start();
-    let asked = play.log.next_since(1);
-    asked.answer(&[list(2, false, &[("b", play.b, GONE)])]);
-    play.dispatcher.log("is s-b, Gone");
-    play.client.ask(1).unwrap();
-    let out = play.hosts.next();
-    assert_eq!(out.host, "a");
-    let asked = play.log.next_since(2);
-    let entries = [entry("a", play.a, GONE, 0), entry(name, play.a, READY, started)];
-    asked.answer(&if one {
+    let mut fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
+    poll.answer(&[list(2, false, &[("b", fixture.b, GONE)])]);
+    fixture.dispatcher.log("is s-b, Gone");
+    fixture.client.ask(1).unwrap();
+    let pending = fixture.hosts.next();
+    assert_eq!(pending.host, "a");
+    let poll = fixture.log.next_since(2);
+    let entries = [entry("a", fixture.a, GONE, 0), entry(name, fixture.a, READY, started)];
+    poll.answer(&if one {
         vec![event(3, false, &entries)]
     } else {
         vec![event(3, false, &entries[..1]), event(4, false, &entries[1..])]
     });
     let seq = if one { 3 } else { 4 };
-    assert_eq!(play.log.next_since(seq).since, seq);
+    assert_eq!(fixture.log.next_since(seq).since, seq);
     // Send requests until one goes to the new host.
-    let Play { hosts, mut client, dispatcher, .. } = play;
-    let came = hosts.answer_all();
+    let Fixture { hosts, mut client, dispatcher, .. } = fixture;
+    let requests = hosts.answer_all();
     let mut other = Client::connect(dispatcher.listen).unwrap();
     let end = Instant::now() + PATIENCE;
     for object in 2.. {
@@ -339,14 +340,15 @@
         other.ask(object).unwrap();
         let answer = other.answer().unwrap();
         assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
-        let to: Vec<SocketAddr> = came.try_iter().filter(|came| came.0 == "a").map(|came| came.1).collect();
-        assert!(!to.contains(&out.from), "sent on the connection to the old host");
+        let to: Vec<SocketAddr> =
+            requests.try_iter().filter(|request| request.0 == "a").map(|request| request.1).collect();
+        assert!(!to.contains(&pending.from), "sent on the connection to the old host");
         if !to.is_empty() {
             break;
         }
     }
     // Either answer is possible, but only one may arrive.
-    out.answer();
+    pending.answer();
     let answer = client.answer().unwrap();
     assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
     client.ask_status().unwrap();
@@ -357,79 +359,80 @@
 /// is answered, and later ones use a new connection.
 #[test]
 fn the_list_announces_a_restart_late() {
-    let mut play = Play::start();
-    play.log.next_since(1).answer(&[list(2, false, &[("b", play.b, GONE)])]);
-    play.dispatcher.log("is s-b, Gone");
-    play.client.ask(1).unwrap();
-    let out = play.hosts.next();
-    assert_eq!(out.host, "a");
-    out.cut();
+    let mut fixture = Fixture::start();
+    fixture.log.next_since(1).answer(&[list(2, false, &[("b", fixture.b, GONE)])]);
+    fixture.dispatcher.log("is s-b, Gone");
+    fixture.client.ask(1).unwrap();
+    let pending = fixture.hosts.next();
+    assert_eq!(pending.host, "a");
+    pending.cut();
     let end = Instant::now() + PATIENCE;
-    let mut other = Client::connect(play.dispatcher.listen).unwrap();
-    let mut asked = 0;
+    let mut other = Client::connect(fixture.dispatcher.listen).unwrap();
+    let mut sent = 0;
     let held = loop {
         assert!(Instant::now() < end, "no request is sent to the new process");
         other.ask(2).unwrap();
-        asked += 1;
-        match play.hosts.came.recv_timeout(Duration::from_millis(100)) {
+        sent += 1;
+        match fixture.hosts.came.recv_timeout(Duration::from_millis(100)) {
             Ok(message) if message.host == "a" => break message,
             Ok(message) => message.answer(),
             Err(_) => {}
         }
     };
-    assert_ne!(held.from, out.from);
-    play.log.next_since(2).answer(&[event(3, false, &[entry("a", play.a, READY, 1764576000123)])]);
-    play.log.next_since(3);
-    let came = play.hosts.answer_all();
+    assert_ne!(held.from, pending.from);
+    fixture.log.next_since(2).answer(&[event(3, false, &[entry("a", fixture.a, READY, 1764576000123)])]);
+    fixture.log.next_since(3);
+    let requests = fixture.hosts.answer_all();
     held.answer();
-    for _ in 0..asked {
+    for _ in 0..sent {
         let answer = other.answer().unwrap();
         assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
     }
     // Send requests until one goes to the host as now listed.
     for object in 3.. {
         assert!(Instant::now() < end, "no request is sent to the new host");
-        let mut client = Client::connect(play.dispatcher.listen).unwrap();
+        let mut client = Client::connect(fixture.dispatcher.listen).unwrap();
         client.ask(object).unwrap();
         client.answer().unwrap();
-        let to: Vec<SocketAddr> = came.try_iter().filter(|came| came.0 == "a").map(|came| came.1).collect();
+        let to: Vec<SocketAddr> =
+            requests.try_iter().filter(|request| request.0 == "a").map(|request| request.1).collect();
         assert!(!to.contains(&held.from), "sent on a connection from before the listing");
         if !to.is_empty() {
             break;
         }
     }
-    assert_eq!(play.dispatcher.count("Draining"), 0);
+    assert_eq!(fixture.dispatcher.count("Draining"), 0);
 }
 
 /// Many changes, with each byte in a packet or a chunk of its own.
 #[test_case(http; "with a length")]
 #[test_case(chunked; "in chunks")]
 fn an_answer_in_single_bytes(form: fn(&str) -> String) {
-    let play = Play::start();
-    let asked = play.log.next_since(1);
+    let fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
     let mut events: Vec<String> = (2..20).map(purge).collect();
-    events.push(list(20, false, &[("a", play.a, DRAINS)]));
-    asked.write_singly(form(&body(&events)).as_bytes());
-    let next = play.log.next();
+    events.push(list(20, false, &[("a", fixture.a, DRAINING)]));
+    poll.write_singly(form(&body(&events)).as_bytes());
+    let next = fixture.log.next();
     assert_eq!((next.since, next.line), (20, 0), "on the same connection");
-    play.check_unused(&["a"]);
-    assert_eq!(play.dispatcher.count("changelog fails"), 0);
+    fixture.check_unused(&["a"]);
+    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
 }
 
 /// Changes of hosts that were never listed affect no other host.
 #[test]
 fn changes_of_unknown_hosts() {
-    let play = Play::start();
-    let c = play.hosts.start("c");
-    let asked = play.log.next_since(1);
-    asked.answer(&[
-        list(2, false, &[("y", c, DRAINS), ("z", c, GONE)]),
-        list(3, false, &[("a", play.a, GONE)]),
+    let fixture = Fixture::start();
+    let c = fixture.hosts.start("c");
+    let poll = fixture.log.next_since(1);
+    poll.answer(&[
+        list(2, false, &[("y", c, DRAINING), ("z", c, GONE)]),
+        list(3, false, &[("a", fixture.a, GONE)]),
     ]);
-    play.log.next_since(3);
-    play.check_unused(&["a"]);
-    assert_eq!(play.dispatcher.count("changelog fails"), 0);
-    assert_eq!(play.dispatcher.count("is s-z, Gone"), 1);
+    fixture.log.next_since(3);
+    fixture.check_unused(&["a"]);
+    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
+    assert_eq!(fixture.dispatcher.count("is s-z, Gone"), 1);
 }
 
 /// The limit on the size of a change does not apply to a whole answer.
@@ -437,75 +440,75 @@
 fn an_answer_of_any_length() {
     let hosts = Hosts::new();
     let a = hosts.start("a");
-    let play = Play::start_with(Log::start(), hosts, a, 32);
-    let asked = play.log.next_since(1);
+    let fixture = Fixture::start_with(Log::start(), hosts, a, 32);
+    let poll = fixture.log.next_since(1);
     let mut events: Vec<String> = (2..9_000).map(purge).collect();
-    events.push(list(9_000, false, &[("a", play.a, DRAINS)]));
+    events.push(list(9_000, false, &[("a", fixture.a, DRAINING)]));
     let text = body(&events);
     assert!(text.len() > 32 * 1024 * 1024 / 64);
-    asked.write(http(&text).as_bytes());
-    play.log.next_since(9_000);
-    play.check_unused(&["a"]);
-    assert_eq!(play.dispatcher.count("changelog fails"), 0);
+    poll.write(http(&text).as_bytes());
+    fixture.log.next_since(9_000);
+    fixture.check_unused(&["a"]);
+    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
 }
 
 #[test]
 fn a_change_without_an_end() {
     let hosts = Hosts::new();
     let a = hosts.start("a");
-    let play = Play::start_with(Log::start(), hosts, a, 32);
-    let asked = play.log.next_since(1);
-    let whole = list(2, false, &[("a", play.a, DRAINS)]);
-    let text = body(&[whole, format!(r#"{{"seq":3,"more":"{}"}}"#, "x".repeat(600 * 1024))]);
-    let _ = asked.try_write(http(&text).as_bytes());
-    play.dispatcher.log("changelog fails: change 3 has over 524288 bytes");
-    assert_eq!(play.log.next().since, 2);
-    play.check_unused(&["a"]);
+    let fixture = Fixture::start_with(Log::start(), hosts, a, 32);
+    let poll = fixture.log.next_since(1);
+    let complete = list(2, false, &[("a", fixture.a, DRAINING)]);
+    let text = body(&[complete, format!(r#"{{"seq":3,"more":"{}"}}"#, "x".repeat(600 * 1024))]);
+    let _ = poll.try_write(http(&text).as_bytes());
+    fixture.dispatcher.log("changelog fails: change 3 has over 524288 bytes");
+    assert_eq!(fixture.log.next().since, 2);
+    fixture.check_unused(&["a"]);
 }
 
 /// A change without its number does not block later ones: the second time, its valid parts take effect.
 #[test]
 fn a_change_without_its_number() {
-    let play = Play::start();
-    let odd = list(2, false, &[("a", play.a, DRAINS)]).replace(r#""seq":2,"#, "");
-    let events = [odd, list(3, false, &[("b", play.b, DRAINS)])];
-    play.log.next_since(1).answer(&events);
-    play.dispatcher.log("changelog fails: change 2: its number can't be used");
-    play.log.next_since(1).answer(&events);
-    play.log.next_since(3);
-    play.check_unused(&["a", "b"]);
+    let fixture = Fixture::start();
+    let odd = list(2, false, &[("a", fixture.a, DRAINING)]).replace(r#""seq":2,"#, "");
+    let events = [odd, list(3, false, &[("b", fixture.b, DRAINING)])];
+    fixture.log.next_since(1).answer(&events);
+    fixture.dispatcher.log("changelog fails: change 2: its number can't be used");
+    fixture.log.next_since(1).answer(&events);
+    fixture.log.next_since(3);
+    fixture.check_unused(&["a", "b"]);
 }
 
 /// Changes after a gap are not applied, and repeated ones are ignored; each case is logged once.
 #[test]
 fn changes_out_of_order() {
-    let play = Play::start();
-    let second = list(2, false, &[("a", play.a, DRAINS)]);
-    let third = list(3, false, &[("b", play.b, DRAINS)]);
-    let asked = play.log.next_since(1);
-    asked.answer(&[third.clone(), second.clone()]);
-    play.dispatcher.log("changelog fails: change 3 follows on 1");
-    let old = [list(1, false, &[("b", play.b, READY)]), list(2, false, &[("a", play.a, READY)])];
-    play.log.next_since(1).answer(&[vec![second, third], old.to_vec()].concat());
-    play.dispatcher.log("changelog tells change 1 again, after 3");
-    play.log.next_since(3).answer(&old);
-    play.log.next_since(3);
-    play.check_unused(&["a", "b"]);
-    assert_eq!(play.dispatcher.count("changelog tells"), 1, "logged more than once");
+    let fixture = Fixture::start();
+    let second = list(2, false, &[("a", fixture.a, DRAINING)]);
+    let third = list(3, false, &[("b", fixture.b, DRAINING)]);
+    let poll = fixture.log.next_since(1);
+    poll.answer(&[third.clone(), second.clone()]);
+    fixture.dispatcher.log("changelog fails: change 3 follows on 1");
+    let old = [list(1, false, &[("b", fixture.b, READY)]), list(2, false, &[("a", fixture.a, READY)])];
+    fixture.log.next_since(1).answer(&[vec![second, third], old.to_vec()].concat());
+    fixture.dispatcher.log("changelog tells change 1 again, after 3");
+    fixture.log.next_since(3).answer(&old);
+    fixture.log.next_since(3);
+    fixture.check_unused(&["a", "b"]);
+    assert_eq!(fixture.dispatcher.count("changelog tells"), 1, "logged more than once");
 }
 
 /// After a stall longer than the wait, the process applies the answer that has arrived.
 #[test]
 fn changes_that_arrive_during_a_stall() {
-    let play = Play::start();
-    let asked = play.log.next_since(1);
-    play.dispatcher.signal("-STOP");
-    asked.answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
+    let fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
+    fixture.dispatcher.signal("-STOP");
+    poll.answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
     std::thread::sleep(WAIT + ANNOUNCED_AFTER);
-    play.dispatcher.signal("-CONT");
-    let next = play.log.next();
+    fixture.dispatcher.signal("-CONT");
+    let next = fixture.log.next();
     assert_eq!((next.since, next.line), (2, 0), "polled on a new connection");
-    play.check_unused(&["a"]);
+    fixture.check_unused(&["a"]);
 }
 
 /// A SIGHUP right after the start is handled and does not end the process.
@@ -522,50 +525,50 @@
 /// A connection that is closed after an answer is not logged as a failure.
 #[test]
 fn the_connection_is_closed_between_two_answers() {
-    let play = Play::start();
-    let asked = play.log.next_since(1);
-    play.dispatcher.signal("-STOP");
-    asked.answer(&[purge(2)]);
-    asked.cut();
-    play.dispatcher.signal("-CONT");
-    let next = play.log.next();
+    let fixture = Fixture::start();
+    let poll = fixture.log.next_since(1);
+    fixture.dispatcher.signal("-STOP");
+    poll.answer(&[purge(2)]);
+    poll.cut();
+    fixture.dispatcher.signal("-CONT");
+    let next = fixture.log.next();
     assert_eq!((next.since, next.line), (2, 1));
-    assert_eq!(play.dispatcher.count("changelog fails"), 0);
+    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
 }
 
 /// A change log that has lost changes is logged.
 #[test]
 fn a_change_log_that_is_behind() {
-    let play = Play::start();
-    play.log.next_since(1).write(http(r#"{"seq":0,"results":[]}"#).as_bytes());
-    play.dispatcher.log("changelog is at change 0, behind 1");
-    play.log.next_since(1).answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
-    play.dispatcher.log("is s-a, Draining");
+    let fixture = Fixture::start();
+    fixture.log.next_since(1).write(http(r#"{"seq":0,"results":[]}"#).as_bytes());
+    fixture.dispatcher.log("changelog is at change 0, behind 1");
+    fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
+    fixture.dispatcher.log("is s-a, Draining");
 }
 
 /// JSON that is nested too deep for a thread's stack.
 #[test]
 fn deep_json_from_the_log() {
-    let play = Play::start();
+    let fixture = Fixture::start();
     let deep = format!("{}{}", "[".repeat(50_000), "]".repeat(50_000));
-    play.log.next_since(1).write(http(&body(&[deep])).as_bytes());
-    play.dispatcher.log("changelog fails: its JSON is nested too deep");
+    fixture.log.next_since(1).write(http(&body(&[deep])).as_bytes());
+    fixture.dispatcher.log("changelog fails: its JSON is nested too deep");
     let deep = format!("{}{}", "[".repeat(120), "]".repeat(120));
-    play.log.next_since(1).write(http(&body(&[deep])).as_bytes());
-    play.log.next_since(1).answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
-    play.dispatcher.log("is s-a, Draining");
+    fixture.log.next_since(1).write(http(&body(&[deep])).as_bytes());
+    fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
+    fixture.dispatcher.log("is s-a, Draining");
 }
 
 /// A reloaded configuration that is nested too deep is rejected; the current one stays in force.
 #[test]
 fn deep_json_on_a_reload() {
-    let play = Play::start();
+    let fixture = Fixture::start();
     let deep = format!("{}{}", "[".repeat(120), "]".repeat(120));
-    std::fs::write(&play.dispatcher.config.0, deep).unwrap();
-    play.dispatcher.signal("-HUP");
-    play.dispatcher.log("reload: the configuration is nested over 16 levels deep");
-    play.log.next_since(1).answer(&[list(2, false, &[("a", play.a, DRAINS)])]);
-    play.check_unused(&["a"]);
+    std::fs::write(&fixture.dispatcher.config.0, deep).unwrap();
+    fixture.dispatcher.signal("-HUP");
+    fixture.dispatcher.log("reload: the configuration is nested over 16 levels deep");
+    fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
+    fixture.check_unused(&["a"]);
 }
 
 /// A stream that returns at most so many bytes per read.
@@ -607,8 +610,8 @@
         let (found, end) = seqs(text.as_bytes(), size);
         assert_eq!((found, end.unwrap()), (vec![2, 3], (Some(99_999), !closes)), "in pieces of {size}");
         let (found, end) = seqs(&text.as_bytes()[..size], 8192);
-        let whole = lasts.iter().filter(|last| **last < size).count();
-        assert_eq!((found.len(), end.is_ok()), (whole, size == text.len()), "cut after {size}");
+        let complete = lasts.iter().filter(|last| **last < size).count();
+        assert_eq!((found.len(), end.is_ok()), (complete, size == text.len()), "cut after {size}");
         let is_cut = matches!(end, Err(Fault::Cut(_)));
         assert!(closes || is_cut == (size < text.len()), "cut after {size}: {end:?}");
     }
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -90,7 +90,7 @@
     /// Serves connections of an existing listener.
     pub fn over(listener: TcpListener) -> Log {
         let address = listener.local_addr().unwrap();
-        let (tell, asked) = channel();
+        let (sender, asked) = channel();
         let is_stopped = Arc::new(AtomicBool::new(false));
         let stopped = is_stopped.clone();
         spawn(move || {
@@ -98,8 +98,8 @@
                 if stopped.load(SeqCst) {
                     return;
                 }
-                let tell = tell.clone();
-                spawn(move || read_polls(stream, line, &tell));
+                let sender = sender.clone();
+                spawn(move || read_polls(stream, line, &sender));
             }
         });
         Log { address, asked, is_stopped }
@@ -142,7 +142,7 @@
     }
 }
 
-fn read_polls(stream: TcpStream, line: usize, tell: &Sender<Asked>) {
+fn read_polls(stream: TcpStream, line: usize, sender: &Sender<Asked>) {
     stream.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     loop {
@@ -157,7 +157,7 @@
         }
         let since = first.split("since=").nth(1).and_then(|rest| rest.split('&').next()?.parse().ok());
         let (since, stream) = (since.unwrap(), stream.try_clone().unwrap());
-        let _ = tell.send(Asked { since, at, line, stream });
+        let _ = sender.send(Asked { since, at, line, stream });
     }
 }
 
@@ -274,14 +274,14 @@
 
 /// Fake hosts whose incoming messages are collected in one channel.
 pub struct Hosts {
-    tell: Sender<HostMessage>,
+    sender: Sender<HostMessage>,
     pub came: Receiver<HostMessage>,
 }
 
 impl Hosts {
     pub fn new() -> Hosts {
-        let (tell, came) = channel();
-        Hosts { tell, came }
+        let (sender, came) = channel();
+        Hosts { sender, came }
     }
 
     pub fn start(&self, host: &'static str) -> SocketAddr {
@@ -290,17 +290,17 @@
 
     pub fn over(&self, host: &'static str, listener: TcpListener) -> SocketAddr {
         let address = listener.local_addr().unwrap();
-        let tell = self.tell.clone();
+        let sender = self.sender.clone();
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let tell = tell.clone();
+                let sender = sender.clone();
                 stream.set_nodelay(true).unwrap();
                 let Ok(from) = stream.peer_addr() else { continue };
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(words) = read_array(&mut reader) {
                         let stream = stream.try_clone().unwrap();
-                        let _ = tell.send(HostMessage { host, at: Instant::now(), words, from, stream });
+                        let _ = sender.send(HostMessage { host, at: Instant::now(), words, from, stream });
                     }
                 });
             }
@@ -310,15 +310,15 @@
 
     /// Answers all later requests at once; returns the host, the dispatcher's address and the time of each.
     pub fn answer_all(self) -> Receiver<(&'static str, SocketAddr, Instant)> {
-        let (tell, told) = channel();
+        let (sender, answered) = channel();
         spawn(move || {
             for message in self.came.iter().filter(|message| message.words[0] == "want") {
                 // Reported before the answer, so that it is there once the client has the answer.
-                let _ = tell.send((message.host, message.from, message.at));
+                let _ = sender.send((message.host, message.from, message.at));
                 message.answer();
             }
         });
-        told
+        answered
     }
 
     /// The next request at any host; skips cancellations.
@@ -333,13 +333,13 @@
 }
 
 /// A change that lists hosts, each with its name, address and state.
-pub fn list(seq: u64, whole: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
+pub fn list(seq: u64, is_full: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
     let entries: Vec<String> = hosts.iter().map(|(name, at, state)| entry(name, *at, state, 0)).collect();
-    event(seq, whole, &entries)
+    event(seq, is_full, &entries)
 }
 
-pub fn event(seq: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"fleet":{{"version":1,"full":{whole},"servers":[{}]}}}}"#, entries.join(","))
+pub fn event(seq: u64, is_full: bool, entries: &[String]) -> String {
+    format!(r#"{{"seq":{seq},"fleet":{{"version":1,"full":{is_full},"servers":[{}]}}}}"#, entries.join(","))
 }
 
 pub fn entry(name: &str, at: SocketAddr, state: &str, started: u64) -> String {
