--- a/crates/dispatcher/src/rollout_commands.rs
+++ b/crates/dispatcher/src/rollout_commands.rs
@@ -131,7 +131,8 @@
     let first_stage_permille = (plan.first_stage_fraction * 1000.0).round().max(1.0) as u16;
     let reverts = plan.after_halt == operator::fleet::AfterHalt::Revert;
     Ok(json!({ "order": "start", "number": number, "text": rules.to_string(), "plan": {
-        "order": plan.order, "first": first_stage_permille, "hold_s": plan.min_stage_seconds, "visits": plan.min_stage_visits, "back_after_halt": reverts } }))
+        "order": plan.order, "first": first_stage_permille, "hold_s": plan.min_stage_seconds,
+        "visits": plan.min_stage_visits, "back_after_halt": reverts } }))
 }
 
 /// Sends an order, if any, and returns the dispatcher's status.
