--- a/crates/fleet/examples/members.rs
+++ b/crates/fleet/examples/members.rs
@@ -1,4 +1,4 @@
-//! Prints what docs/fleet-members.md states of the room of who is there: virtual time, a made network.
+//! Prints the measurements of docs/fleet-members.md from a simulation in virtual time:
 //! `cargo run --release -p cherrypass-fleet --example members [deaths|rates|cuts|masses|loss] [size]`
 #[allow(dead_code)]
 #[path = "../tests/members/node.rs"]
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 const SIZES: [usize; 6] = [3, 9, 30, 100, 300, 1000];
-/// Members, minutes and seeds of the plays with loss.
+/// Members, minutes and seeds of the runs with loss.
 const LOSSES: [(usize, u64, u64); 6] =
     [(3, 10, 100), (9, 10, 50), (30, 10, 20), (100, 10, 8), (300, 10, 4), (1000, 2, 2)];
 const SETTLE: Span = Span::millis(20_000);
@@ -40,8 +40,8 @@
     }
 }
 
-/// The second argument takes one size alone.
-fn of_size(n: usize) -> bool {
+/// Whether the second argument, if any, selects this size.
+fn is_selected_size(n: usize) -> bool {
     std::env::args().nth(2).is_none_or(|size| size == n.to_string())
 }
 
@@ -49,7 +49,7 @@
     (work / n).clamp(4, 200) as u64
 }
 
-fn line(spans: &mut [Span]) -> String {
+fn percentiles(spans: &mut [Span]) -> String {
     spans.sort();
     let at = |part: f64| spans[((spans.len() - 1) as f64 * part).round() as usize].as_seconds();
     match spans.len() {
@@ -58,49 +58,54 @@
     }
 }
 
-fn any(fleet: &mut Fleet) -> MemberId {
-    let ids = fleet.net.ids();
-    *ids.choose(&mut fleet.net.chance).expect("members run")
+fn random_member(fleet: &mut Fleet) -> MemberId {
+    let ids = fleet.network.ids();
+    *ids.choose(&mut fleet.network.chance).expect("members run")
 }
 
 fn deaths(lost: f64) {
     println!(
-        "\nA death, {:.0}% lost: seconds p50 / p99 / worst (deaths) until one and until all hold it dead",
+        "\nA death, {:.0}% lost: seconds p50 / p99 / worst (deaths) until the first and until all members declare it dead",
         lost * 100.0
     );
-    for n in SIZES.into_iter().filter(|n| of_size(*n)) {
+    for n in SIZES.into_iter().filter(|n| is_selected_size(*n)) {
         let (mut first, mut all, mut unknown) = (Vec::new(), Vec::new(), 0);
         for seed in 0..seeds(n, 6000) {
             let mut fleet = Fleet::new(seed, n);
-            fleet.net.link.lost = lost;
+            fleet.network.link.lost = lost;
             fleet.run(SETTLE);
             for _ in 0..if n < 9 { 1 } else { 3 } {
-                let who = any(&mut fleet);
-                fleet.net.kill(who);
-                let one = fleet.until(LONG, |fleet| fleet.holding(who, Standing::Dead) > 0);
-                let rest =
-                    fleet.until(LONG, |fleet| fleet.holding(who, Standing::Dead) == fleet.net.ids().len());
+                let who = random_member(&mut fleet);
+                fleet.network.kill(who);
+                let one = fleet.until(LONG, |fleet| fleet.count_holding(who, Standing::Dead) > 0);
+                let rest = fleet.until(LONG, |fleet| {
+                    fleet.count_holding(who, Standing::Dead) == fleet.network.ids().len()
+                });
                 match (one, rest) {
                     (Some(one), Some(rest)) => (first.push(one), all.push(one + rest)).1,
                     _ => unknown += 1,
                 }
             }
         }
-        println!("{n:5}  one {}  all {}  not within 60 s: {unknown}", line(&mut first), line(&mut all));
+        println!(
+            "{n:5}  first {}  all {}  not within 60 s: {unknown}",
+            percentiles(&mut first),
+            percentiles(&mut all)
+        );
     }
 }
 
 fn rates() {
-    println!("\nMessages a second a member: mean, most");
-    for n in SIZES.into_iter().filter(|n| of_size(*n)) {
+    println!("\nMessages per second and member: mean, most");
+    for n in SIZES.into_iter().filter(|n| is_selected_size(*n)) {
         let mut said = String::new();
         for lost in [0.0, 0.2] {
             let mut fleet = Fleet::new(1, n);
-            fleet.net.link.lost = lost;
+            fleet.network.link.lost = lost;
             fleet.run(SETTLE);
-            fleet.net.sent.clear();
+            fleet.network.sent.clear();
             fleet.run(Span::millis(30_000));
-            let sent: Vec<u64> = fleet.net.sent.values().copied().collect();
+            let sent: Vec<u64> = fleet.network.sent.values().copied().collect();
             let mean = sent.iter().sum::<u64>() as f64 / n as f64 / 30.0;
             let most = sent.iter().max().copied().unwrap_or(0) as f64 / 30.0;
             said += &format!("  {:.0}% lost: {mean:.1}, {most:.1}", lost * 100.0);
@@ -109,68 +114,69 @@
     }
 }
 
-/// One member cut off in one or both ways, and one that stands still.
+/// One member cut off in one or both directions, and one that is paused.
 fn cuts() {
-    println!("\nOne member cut off for 20 s, and one that stands still for 3 s, 10 s after the start");
-    for n in [3, 9, 30, 100, 300].into_iter().filter(|n| of_size(*n)) {
-        for (name, out, back) in [("both ways", true, true), ("unheard", true, false), ("deaf", false, true)]
+    println!("\nOne member cut off for 20 s, and one paused for 3 s, 10 s after the start");
+    for n in [3, 9, 30, 100, 300].into_iter().filter(|n| is_selected_size(*n)) {
+        for (name, out, back) in
+            [("both directions", true, true), ("outgoing", true, false), ("incoming", false, true)]
         {
-            let (mut itself, mut held, mut healed) = (Vec::new(), Vec::new(), Vec::new());
+            let (mut noticed, mut declared_dead, mut healed) = (Vec::new(), Vec::new(), Vec::new());
             let (mut never, mut declared, mut before, mut others) = (0, 0, 0, 0);
             for seed in 0..seeds(n, 2000) {
                 let mut fleet = Fleet::new(seed, n);
                 fleet.run(Span::millis(10_000));
-                let who = any(&mut fleet);
+                let who = random_member(&mut fleet);
                 for id in fleet.ids().into_iter().filter(|id| *id != who) {
-                    fleet.net.cut.extend(out.then_some((who, id)));
-                    fleet.net.cut.extend(back.then_some((id, who)));
+                    fleet.network.cut.extend(out.then_some((who, id)));
+                    fleet.network.cut.extend(back.then_some((id, who)));
                 }
-                let start = fleet.net.now;
-                let is =
-                    |fleet: &Fleet| fleet.net.node(who).is_some_and(|node| node.members.is_own_trouble());
+                let start = fleet.network.now;
+                let is_degraded =
+                    |fleet: &Fleet| fleet.network.node(who).is_some_and(|node| node.members.is_own_trouble());
                 let (mut own, mut dead) = (None, None);
-                while fleet.net.now - start < SETTLE {
+                while fleet.network.now - start < SETTLE {
                     fleet.run(Span::millis(25));
-                    own = own.or_else(|| is(&fleet).then_some(fleet.net.now - start));
-                    let all = fleet.holding(who, Standing::Dead) == n - 1;
-                    dead = dead.or_else(|| all.then_some(fleet.net.now - start));
-                    let node = fleet.net.node(who).expect("runs");
-                    before += usize::from(own.is_none() && node.held(Standing::Suspect) > 0);
+                    own = own.or_else(|| is_degraded(&fleet).then_some(fleet.network.now - start));
+                    let all = fleet.count_holding(who, Standing::Dead) == n - 1;
+                    dead = dead.or_else(|| all.then_some(fleet.network.now - start));
+                    let node = fleet.network.node(who).expect("runs");
+                    before += usize::from(own.is_none() && node.changes_to(Standing::Suspect) > 0);
                 }
-                itself.extend(own);
+                noticed.extend(own);
                 never += usize::from(own.is_none());
-                held.extend(dead);
-                declared += fleet.net.node(who).map_or(0, |node| node.held(Standing::Dead));
-                fleet.net.cut.clear();
-                healed.extend(fleet.until(LONG, |fleet| fleet.errors(&BTreeSet::new()).is_empty()));
+                declared_dead.extend(dead);
+                declared += fleet.network.node(who).map_or(0, |node| node.changes_to(Standing::Dead));
+                fleet.network.cut.clear();
+                healed.extend(fleet.until(LONG, |fleet| fleet.disagreements(&BTreeSet::new()).is_empty()));
                 others += fleet
-                    .net
+                    .network
                     .ids()
                     .iter()
                     .filter(|id| **id != who)
                     .filter(|id| {
-                        let node = fleet.net.node(**id).expect("runs");
+                        let node = fleet.network.node(**id).expect("runs");
                         node.changes.iter().any(|&(_, of, standing)| of != who && standing == Standing::Dead)
                     })
                     .count();
             }
             println!(
-                "{n:5} {name}: itself {} never {never}, suspected another before in {before} looks, declared \
-                 {declared}; all hold it dead {}; all agree again {}; others declared another {others}",
-                line(&mut itself), line(&mut held), line(&mut healed)
+                "{n:5} {name}: noticed by itself {} never {never}, suspected another before in {before} samples, declared \
+                 dead {declared}; declared dead by all {}; all agree again {}; others declared another dead {others}",
+                percentiles(&mut noticed), percentiles(&mut declared_dead), percentiles(&mut healed)
             );
         }
         let (mut healed, mut dead, mut declared) = (Vec::new(), 0, 0);
         for seed in 0..seeds(n, 2000) {
             let mut fleet = Fleet::new(seed, n);
             fleet.run(Span::millis(10_000));
-            let who = any(&mut fleet);
-            fleet.net.stop(who, Span::millis(3_000));
+            let who = random_member(&mut fleet);
+            fleet.network.stop(who, Span::millis(3_000));
             fleet.run(Span::millis(3_000));
-            healed.extend(fleet.until(LONG, |fleet| fleet.errors(&BTreeSet::new()).is_empty()));
+            healed.extend(fleet.until(LONG, |fleet| fleet.disagreements(&BTreeSet::new()).is_empty()));
             fleet.run(Span::millis(10_000));
-            for id in fleet.net.ids() {
-                let node = fleet.net.node(id).expect("runs");
+            for id in fleet.network.ids() {
+                let node = fleet.network.node(id).expect("runs");
                 let said = node.changes.iter().filter(|c| c.2 == Standing::Dead).count();
                 if id == who {
                     declared += said
@@ -180,58 +186,58 @@
             }
         }
         println!(
-            "{n:5} stands still: held dead by {dead} in sum, declared {declared}; all agree after {}",
-            line(&mut healed)
+            "{n:5} paused: declared dead by {dead} in sum, declared others dead {declared}; all agree after {}",
+            percentiles(&mut healed)
         );
     }
-    println!("\nOne direction between two of the fleet cut for 60 s: suspicions, held dead");
+    println!("\nOne direction between two members cut for 60 s: suspicions, declared dead");
     for n in [3, 9, 300] {
         let (mut suspected, mut dead) = (0, 0);
         for seed in 0..seeds(n, 1500) {
             let mut fleet = Fleet::new(seed, n);
             fleet.run(Span::millis(10_000));
             let ids = fleet.ids();
-            fleet.net.cut.insert((ids[0], ids[1]));
+            fleet.network.cut.insert((ids[0], ids[1]));
             fleet.run(LONG);
             for id in &ids {
-                let node = fleet.net.node(*id).expect("runs");
+                let node = fleet.network.node(*id).expect("runs");
                 (suspected, dead) =
-                    (suspected + node.held(Standing::Suspect), dead + node.held(Standing::Dead));
+                    (suspected + node.changes_to(Standing::Suspect), dead + node.changes_to(Standing::Dead));
             }
         }
         println!("{n:5} over {} seeds: suspected {suspected}, dead {dead}", seeds(n, 1500));
     }
 }
 
-/// Many at once: a part dies, the fleet is split and heals, all start, one has slow links.
+/// Many members at once: all start, some die, a partition heals; and one member with slow links.
 fn masses() {
     let none = BTreeSet::new();
-    println!("\nMany at once: seconds p50 / p99 / worst until all agree with the truth");
-    for n in [9, 30, 300].into_iter().filter(|n| of_size(*n)) {
+    println!("\nMany at once: seconds p50 / p99 / worst until all agree on the true state");
+    for n in [9, 30, 300].into_iter().filter(|n| is_selected_size(*n)) {
         let (mut starts, mut slow, mut late) = (Vec::new(), [0, 0, 0], Vec::new());
         for seed in 0..seeds(n, 1500) {
             let mut fleet = Fleet::new(seed, n);
-            starts.extend(fleet.until(LONG, |fleet| fleet.errors(&none).is_empty()));
+            starts.extend(fleet.until(LONG, |fleet| fleet.disagreements(&none).is_empty()));
             let ids = fleet.ids();
             let who = ids[0];
             let link = Link { delay: [Span::millis(900), Span::millis(1_100)], ..Link::default() };
             for id in &ids[1..] {
-                fleet.net.links.extend([((who, *id), link), ((*id, who), link)]);
+                fleet.network.links.extend([((who, *id), link), ((*id, who), link)]);
             }
             fleet.run(LONG);
             for id in &ids {
-                let node = fleet.net.node(*id).expect("runs");
-                slow[0] += node.held(Standing::Suspect);
-                slow[1] += node.held(Standing::Dead);
-                slow[2] += node.trouble.len();
+                let node = fleet.network.node(*id).expect("runs");
+                slow[0] += node.changes_to(Standing::Suspect);
+                slow[1] += node.changes_to(Standing::Dead);
+                slow[2] += node.links_degraded.len();
             }
-            fleet.net.links.clear();
-            late.extend(fleet.until(LONG, |fleet| fleet.errors(&none).is_empty()));
+            fleet.network.links.clear();
+            late.extend(fleet.until(LONG, |fleet| fleet.disagreements(&none).is_empty()));
         }
-        println!("{n:5} all start: {}", line(&mut starts));
+        println!("{n:5} all start: {}", percentiles(&mut starts));
         println!(
-            "{n:5} one whose links take 1 s more each way, for 60 s: suspected {}, dead {}, own trouble told {}; agree {}",
-            slow[0], slow[1], slow[2], line(&mut late)
+            "{n:5} one with 1 s more latency each way, for 60 s: suspected {}, dead {}, links degraded {}; agree {}",
+            slow[0], slow[1], slow[2], percentiles(&mut late)
         );
         for part in [3, 2, 1] {
             let (mut gone, mut wrong) = (Vec::new(), 0);
@@ -239,12 +245,16 @@
                 let mut fleet = Fleet::new(seed, n);
                 fleet.run(Span::millis(10_000));
                 let ids = fleet.ids();
-                ids[..n * (4 - part) / 4].iter().for_each(|id| fleet.net.kill(*id));
-                let agree = fleet.until(LONG, |fleet| fleet.errors(&none).is_empty());
+                ids[..n * (4 - part) / 4].iter().for_each(|id| fleet.network.kill(*id));
+                let agree = fleet.until(LONG, |fleet| fleet.disagreements(&none).is_empty());
                 wrong += usize::from(agree.is_none());
                 gone.extend(agree);
             }
-            println!("{n:5} {} of 4 die at once: {}; not within 60 s: {wrong}", 4 - part, line(&mut gone));
+            println!(
+                "{n:5} {} of 4 die at once: {}; not within 60 s: {wrong}",
+                4 - part,
+                percentiles(&mut gone)
+            );
         }
         let (mut split, mut healed, mut wrong) = (Vec::new(), Vec::new(), 0);
         for seed in 0..seeds(n, 1500) {
@@ -253,42 +263,42 @@
             let ids = fleet.ids();
             let (one, other) = ids.split_at(n / 2);
             let pairs = one.iter().flat_map(|a| other.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
-            fleet.net.cut.extend(pairs);
+            fleet.network.cut.extend(pairs);
             let dead = |fleet: &Fleet| {
-                one.iter().all(|id| fleet.holding(*id, Standing::Dead) == other.len())
-                    && other.iter().all(|id| fleet.holding(*id, Standing::Dead) == one.len())
+                one.iter().all(|id| fleet.count_holding(*id, Standing::Dead) == other.len())
+                    && other.iter().all(|id| fleet.count_holding(*id, Standing::Dead) == one.len())
             };
             split.extend(fleet.until(LONG, dead));
-            fleet.net.cut.clear();
-            let agree = fleet.until(LONG, |fleet| fleet.errors(&none).is_empty());
+            fleet.network.cut.clear();
+            let agree = fleet.until(LONG, |fleet| fleet.disagreements(&none).is_empty());
             wrong += usize::from(agree.is_none());
             healed.extend(agree);
         }
         println!(
-            "{n:5} split in half: each holds the other dead {}; healed {}; not within 60 s: {wrong}",
-            line(&mut split),
-            line(&mut healed)
+            "{n:5} partition in halves: each declares the other dead {}; healed {}; not within 60 s: {wrong}",
+            percentiles(&mut split),
+            percentiles(&mut healed)
         );
     }
 }
 
-/// Ten minutes at 20% loss, nobody dies.
+/// Twenty percent loss, and nobody dies.
 fn loss() {
-    println!("\n20% lost, all running: suspicions held, held dead, own troubles, in sum over all members");
-    for (n, minutes, seeds) in LOSSES.into_iter().filter(|play| of_size(play.0)) {
-        let (mut suspected, mut dead, mut troubles) = (0, 0, 0);
+    println!("\n20% lost, all running: suspicions, declared dead, links degraded, in sum over all members");
+    for (n, minutes, seeds) in LOSSES.into_iter().filter(|play| is_selected_size(play.0)) {
+        let (mut suspected, mut dead, mut degraded) = (0, 0, 0);
         for seed in 0..seeds {
             let mut fleet = Fleet::new(seed, n);
-            fleet.net.link.lost = 0.2;
+            fleet.network.link.lost = 0.2;
             fleet.run(Span::millis(minutes * 60_000));
             for id in fleet.ids() {
-                let node = fleet.net.node(id).expect("runs");
+                let node = fleet.network.node(id).expect("runs");
                 (suspected, dead) =
-                    (suspected + node.held(Standing::Suspect), dead + node.held(Standing::Dead));
-                troubles += node.trouble.iter().filter(|(_, is)| *is).count();
+                    (suspected + node.changes_to(Standing::Suspect), dead + node.changes_to(Standing::Dead));
+                degraded += node.links_degraded.iter().filter(|(_, is)| *is).count();
             }
         }
         let of = format!("{n:5} for {minutes} min, {seeds} seeds");
-        println!("{of}: suspected {suspected}, dead {dead}, own trouble {troubles}");
+        println!("{of}: suspected {suspected}, dead {dead}, links degraded {degraded}");
     }
 }
--- a/crates/fleet/src/house.rs
+++ b/crates/fleet/src/house.rs
@@ -194,10 +194,10 @@
                 _ => Err(Void::Unlisted),
             };
         }
-        let current = self.members.came(now, from, incarnation);
+        let current = self.members.accept(now, from, incarnation);
         if let Message::Members(said) = message {
             // Also of an older run: it learns so of the newer one.
-            self.members.heard(now, from, said);
+            self.members.receive(now, from, said);
             return if current { Ok(()) } else { Err(Void::Run) };
         }
         if !current {
@@ -223,7 +223,7 @@
         if self.stepped_down {
             return;
         }
-        self.members.woken(now);
+        self.members.tick(now);
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.woken(now);
         }
@@ -334,12 +334,12 @@
 
     fn next_of_members(&mut self, now: Time) -> Option<Effect> {
         Some(match self.members.next()? {
-            members::Effect::Tell { to, said } => Effect::Tell { to, message: Message::Members(said) },
+            members::Effect::Send { to, message } => Effect::Tell { to, message: Message::Members(message) },
             members::Effect::Changed { who, standing, incarnation } => {
                 self.stands(now, who, !matches!(standing, Standing::Dead | Standing::Left));
                 Effect::Changed { who, standing, incarnation }
             }
-            members::Effect::OwnTrouble(trouble) => {
+            members::Effect::LinksDegraded(trouble) => {
                 if let Some(verdicts) = &mut self.verdicts {
                     verdicts.own_trouble(now, trouble);
                 }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,9 +1,9 @@
-//! Who is there. The operators' file lists the members; this room tells how each stands, by asking some of
-//! them in turn, by what others say, and by suspicions that the suspect may refute before they become a
-//! verdict.
+//! Membership and failure detection. The operators' file lists the members; each member probes the others in
+//! turn, gossips what it learns, and suspects a silent member, which may refute that before it is declared
+//! dead.
 //!
-//! After SWIM (Das, Gupta, Motivala 2002) with the waits of phi accrual (Hayashibara et al. 2004) and the
-//! local health of Lifeguard (Dadgar, Phillips, Currey 2018). Options, bounds and figures:
+//! Follows SWIM (Das, Gupta, Motivala 2002) with timeouts from phi accrual (Hayashibara et al. 2004) and the
+//! local health of Lifeguard (Dadgar, Phillips, Currey 2018). Design, bounds and measurements:
 //! docs/fleet-members.md.
 mod links;
 mod table;
@@ -20,49 +20,51 @@
 use table::Table;
 pub use table::{Claim, Standing};
 
-/// More listed members than these are passed over.
-pub const MOST_LISTED: usize = 4096;
-/// Words in a piece of the table, and words of a message that are read.
-const PIECE: usize = 256;
-const MOST_READ: usize = 512;
-/// Words a message carries beside what it is for.
-const NEWS: usize = 24;
-/// Asks for others that are out at once, asks whose answer may still come late, messages and lines that wait.
-const FOR_OTHERS: usize = 256;
-const LATE: usize = 64;
-const MOST_READY: usize = 8192;
-const MOST_LINES: usize = 64;
-/// Compares of whole tables soon after a start and what else may have left many words unheard.
-const COMPARE_SOON: u32 = 8;
-/// A count above it is void: guards against a word that its subject could not refute any more.
-const MOST_COUNT: u32 = 1 << 30;
-/// Checks of suspects at one waking; the others' turn comes with the next.
-const CHECKS: usize = 16;
-
+/// Listed members beyond this number are ignored.
+pub const MAX_MEMBERS: usize = 4096;
+/// Claims in a chunk of the table, and claims read from one message.
+const CHUNK_CLAIMS: usize = 256;
+const MAX_CLAIMS_READ: usize = 512;
+/// Gossiped claims that a message carries.
+const MAX_GOSSIPED_CLAIMS: usize = 24;
+/// Bounds on relayed probes, timed-out probes whose late answer still counts, queued messages and log lines.
+const MAX_RELAYED_PROBES: usize = 256;
+const MAX_LATE_PROBES: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 8192;
+const MAX_QUEUED_LOG_LINES: usize = 64;
+/// Extra synchronizations after a start, and after other events that may have lost many claims.
+const EXTRA_SYNCS: u32 = 8;
+/// Claims with a greater count are rejected, as their subject could not refute them any more.
+const MAX_REFUTATIONS: u32 = 1 << 30;
+/// Suspects checked in one tick; the rest follow in the next.
+const MAX_SUSPECT_CHECKS: usize = 16;
+
+/// Settings of the failure detector.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Set {
-    /// A member asks one other each round.
+    /// Interval in which a member probes one other.
     pub round: Span,
-    /// Between two asks for the same answer.
-    pub again: Span,
-    /// The least and the most mean time of an answer that waits are made from.
-    pub gap: [Span; 2],
-    /// The phi of silence at which others are asked to ask, one that was asked to says it heard nothing, a
-    /// member is suspected, and an ask is given up.
-    pub phi: [f64; 4],
-    /// How many others are asked to ask.
-    pub through: usize,
-    /// A suspicion's wait in rounds: so many, and so many for each doubling of the members.
-    pub wait: [f64; 2],
-    /// A word is told so many times for each doubling of the members.
-    pub tellings: u32,
-    /// A member not known to be there is asked once in so many rounds.
-    pub lost_every: u64,
-    /// Whole tables are compared with one other once in so many rounds.
-    pub compare_every: u64,
-    /// This process stood still where it was not woken for longer: silence counts anew.
-    pub still: Span,
-    /// How far another's incarnation may be ahead of this one's clock.
+    /// Time between two sends of the same probe.
+    pub retry_interval: Span,
+    /// Lower and upper bound of the mean response time from which timeouts are computed.
+    pub mean_response_bounds: [Span; 2],
+    /// The phi of silence at which others are asked to probe, a helper reports silence, a member is
+    /// suspected, and a probe is abandoned.
+    pub phi_thresholds: [f64; 4],
+    /// How many others are asked to probe a silent member.
+    pub indirect_probes: usize,
+    /// Time to refute a suspicion, in rounds: a base, and an addition for each doubling of the members.
+    pub suspicion_rounds: [f64; 2],
+    /// How often a claim is sent on, for each doubling of the members.
+    pub gossip_factor: u32,
+    /// A member that is not alive is probed once in this many rounds.
+    pub dead_probe_rounds: u64,
+    /// Whole tables are compared with one other member once in this many rounds.
+    pub sync_rounds: u64,
+    /// A longer gap between two ticks counts as a pause of this process, after which silence is measured
+    /// anew.
+    pub max_pause: Span,
+    /// How far another member's incarnation may be ahead of this one's clock.
     pub ahead: Span,
 }
 
@@ -70,192 +72,207 @@
     fn default() -> Set {
         Set {
             round: Span::millis(250),
-            again: Span::millis(100),
-            gap: [Span::millis(20), Span::millis(500)],
-            phi: [2.0, 4.0, 8.0, 12.0],
-            through: 3,
-            wait: [4.0, 1.5],
-            tellings: 4,
-            lost_every: 4,
-            compare_every: 40,
-            still: Span::millis(500),
+            retry_interval: Span::millis(100),
+            mean_response_bounds: [Span::millis(20), Span::millis(500)],
+            phi_thresholds: [2.0, 4.0, 8.0, 12.0],
+            indirect_probes: 3,
+            suspicion_rounds: [4.0, 1.5],
+            gossip_factor: 4,
+            dead_probe_rounds: 4,
+            sync_rounds: 40,
+            max_pause: Span::millis(500),
             ahead: Span(24 * 3_600_000_000),
         }
     }
 }
 
-/// Why settings can't be taken.
+/// Why settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SetError {
-    #[error("a round and the time between two asks must be 10 ms to 60 s: set them within it")]
-    Times,
-    #[error("the least mean time of an answer must be above 0 and not above the most, that at most 10 s")]
-    Gap,
-    #[error("the four phis must rise from above 0 to at most 50: set them in this order")]
+pub enum SettingsError {
+    #[error("the probe interval and the time between two probes must be 10 ms to 60 s")]
+    Intervals,
+    #[error("the bounds of the mean response time must be in ascending order, above 0 and at most 10 s")]
+    ResponseBounds,
+    #[error("the four phi thresholds must be in ascending order, above 0 and at most 50")]
     Phi,
-    #[error("a suspicion's wait must be 1 to 1,000 rounds, and 0 to 1,000 for each doubling: set it within")]
-    Wait,
-    #[error("a stand-still must be at least two of the timer's 50 ms: a lower one takes each wake for one")]
-    Still,
+    #[error("the time to refute a suspicion must be 1 to 1,000 rounds, and 0 to 1,000 for each doubling")]
+    SuspicionRounds,
+    #[error(
+        "a pause must be at least 100 ms, two ticks of the timer: with less, every tick counts as a pause"
+    )]
+    Pause,
 }
 
-impl SetError {
+impl SettingsError {
     pub fn code(&self) -> &'static str {
         match self {
-            SetError::Times => "members-times",
-            SetError::Gap => "members-gap",
-            SetError::Phi => "members-phi",
-            SetError::Wait => "members-wait",
-            SetError::Still => "members-still",
+            SettingsError::Intervals => "members-times",
+            SettingsError::ResponseBounds => "members-gap",
+            SettingsError::Phi => "members-phi",
+            SettingsError::SuspicionRounds => "members-wait",
+            SettingsError::Pause => "members-still",
         }
     }
 }
 
 impl Set {
-    /// Settings of an operators' file pass it before they are taken.
-    pub fn check(&self) -> Result<(), SetError> {
-        let timely = |span: Span| (Span::millis(10)..=Span::millis(60_000)).contains(&span);
-        let [base, doubling] = self.wait;
-        let [first, .., last] = self.phi;
+    /// Validates settings, before `Members::new`.
+    pub fn check(&self) -> Result<(), SettingsError> {
+        let is_valid_interval = |span: Span| (Span::millis(10)..=Span::millis(60_000)).contains(&span);
+        let [base, doubling] = self.suspicion_rounds;
+        let [first, .., last] = self.phi_thresholds;
         let rules = [
-            (timely(self.round) && timely(self.again), SetError::Times),
-            (Span::ZERO < self.gap[0] && self.gap[0] <= self.gap[1], SetError::Gap),
-            (self.gap[1] <= Span::millis(10_000), SetError::Gap),
-            (first > 0.0 && last <= 50.0 && self.phi.windows(2).all(|two| two[0] < two[1]), SetError::Phi),
-            ((1.0..=1e3).contains(&base) && (0.0..=1e3).contains(&doubling), SetError::Wait),
-            (self.still >= Span::millis(100), SetError::Still),
+            (
+                is_valid_interval(self.round) && is_valid_interval(self.retry_interval),
+                SettingsError::Intervals,
+            ),
+            (
+                Span::ZERO < self.mean_response_bounds[0]
+                    && self.mean_response_bounds[0] <= self.mean_response_bounds[1],
+                SettingsError::ResponseBounds,
+            ),
+            (self.mean_response_bounds[1] <= Span::millis(10_000), SettingsError::ResponseBounds),
+            (
+                first > 0.0 && last <= 50.0 && self.phi_thresholds.windows(2).all(|two| two[0] < two[1]),
+                SettingsError::Phi,
+            ),
+            ((1.0..=1e3).contains(&base) && (0.0..=1e3).contains(&doubling), SettingsError::SuspicionRounds),
+            (self.max_pause >= Span::millis(100), SettingsError::Pause),
         ];
-        rules.into_iter().find(|(kept, _)| !kept).map_or(Ok(()), |(_, error)| Err(error))
+        rules.into_iter().find(|(holds, _)| !holds).map_or(Ok(()), |(_, error)| Err(error))
     }
 }
 
-/// What goes between members.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Said {
-    /// The sender's word on itself.
+    /// The sender's claim about itself.
     pub own: Claim,
     pub body: Body,
     pub words: Vec<(MemberId, Claim)>,
 }
 
+/// Content of a message, beside the gossiped claims.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    Ask {
-        number: u32,
+    Ping {
+        sequence: u32,
     },
-    Answer {
-        number: u32,
+    Ack {
+        sequence: u32,
     },
-    /// Ask this member for me.
-    Through {
-        number: u32,
-        whom: MemberId,
+    /// Asks the receiver to probe `target`.
+    PingRequest {
+        sequence: u32,
+        target: MemberId,
     },
-    /// I did; it was heard or not.
-    Word {
-        number: u32,
-        whom: MemberId,
-        heard: bool,
+    /// Result of a `PingRequest`.
+    PingResult {
+        sequence: u32,
+        target: MemberId,
+        is_reachable: bool,
     },
-    /// What all words known to me sum up to.
-    Compare {
+    /// Checksum of the sender's table.
+    Digest {
         digest: u64,
     },
-    /// Mine sum up to the same.
-    Same,
-    /// Mine differ: all words known to me from one id to another.
-    Piece {
-        low: MemberId,
-        high: MemberId,
+    /// The answer where the tables are equal.
+    DigestMatches,
+    /// The answer where they differ: the sender's claims about all members from one id to another.
+    Chunk {
+        first: MemberId,
+        last: MemberId,
     },
+    /// Only the gossiped claims.
     News,
 }
 
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Tell {
+    Send {
         to: MemberId,
-        said: Said,
+        message: Said,
     },
     Changed {
         who: MemberId,
         standing: Standing,
         incarnation: Incarnation,
     },
-    /// This member's own links are the trouble (or no more): it misses answers from most of those it asks.
-    OwnTrouble(bool),
-    /// A newer process runs under this one's name; this one says no more.
+    /// Whether this member's own links are degraded: most of its probes have no answer.
+    LinksDegraded(bool),
+    /// A newer process runs under the same name; this one sends nothing more.
     SteppedDown,
     Log(String),
 }
 
-/// An ask whose answer is waited for.
-struct Ask {
-    who: usize,
-    number: u32,
-    /// When it was sent first, and when it goes out next.
-    at: Time,
-    again: Time,
-    /// Others were asked to ask; one of them answered, and one heard nothing.
-    through: bool,
-    helped: bool,
-    silent: bool,
+/// A probe that has not been answered yet.
+struct Probe {
+    target: usize,
+    sequence: u32,
+    /// When it was first sent, and when it is sent again.
+    sent: Time,
+    resend_at: Time,
+    /// Whether others were asked to probe, one of them answered, and one reported silence.
+    is_indirect: bool,
+    has_helper_answer: bool,
+    is_reported_silent: bool,
 }
 
-/// An ask for another member.
-struct ForOther {
-    to: MemberId,
-    /// Its number there, and here.
-    theirs: u32,
-    number: u32,
-    whom: usize,
-    at: Time,
-    again: Time,
+/// A probe on behalf of another member.
+struct RelayedProbe {
+    requester: MemberId,
+    /// Its sequence number at the requester, and here.
+    requester_sequence: u32,
+    sequence: u32,
+    target: usize,
+    sent: Time,
+    resend_at: Time,
 }
 
 struct Suspicion {
     since: Time,
-    /// This member began it.
-    mine: bool,
-    check: Time,
+    /// Raised by this member itself.
+    is_own: bool,
+    next_check: Time,
 }
 
-/// One member's view of all.
+/// One member's view of the membership.
 pub struct Members {
     set: Set,
     own: usize,
     started: Time,
-    woken: Time,
-    /// The last message of anyone.
-    heard: Time,
-    chance: Pcg64Mcg,
+    last_tick: Time,
+    /// When the last message of any member came.
+    last_heard: Time,
+    rng: Pcg64Mcg,
     table: Table,
     links: Links,
-    asks: Vec<Ask>,
-    /// Asks given up.
-    late: VecDeque<(u32, usize, Time)>,
-    for_others: Vec<ForOther>,
+    probes: Vec<Probe>,
+    /// Abandoned probes: sequence number, target and time of the first send.
+    late_probes: VecDeque<(u32, usize, Time)>,
+    relayed_probes: Vec<RelayedProbe>,
     suspicions: BTreeMap<usize, Suspicion>,
-    /// Those still to be asked in this turn.
-    turn: Vec<usize>,
+    /// Members still to be probed in this cycle.
+    probe_queue: Vec<usize>,
     next_round: Time,
     rounds: u64,
-    number: u32,
-    /// It has compared its table with another's since its start.
-    joined: bool,
-    /// So many compares follow soon.
-    compare_soon: u32,
-    trouble: bool,
-    trouble_told: bool,
+    sequence: u32,
+    /// Whether the table was compared with another member's since the start.
+    is_synced: bool,
+    /// Extra synchronizations still to do.
+    extra_syncs: u32,
+    links_degraded: bool,
+    links_degraded_reported: bool,
     stepped_down: bool,
-    stepped_down_told: bool,
-    void_line: Option<Time>,
-    ready: VecDeque<(MemberId, Said)>,
-    lines: VecDeque<String>,
+    stepped_down_reported: bool,
+    last_rejection_logged: Option<Time>,
+    messages: VecDeque<(MemberId, Said)>,
+    log_lines: VecDeque<String>,
 }
 
 impl Members {
-    /// `own` should be listed; where it isn't, it counts as listed in the first location.
+    /// `own` should be listed; otherwise it counts as listed in location 0.
     pub fn new(
         set: Set,
         own: MemberId,
@@ -265,556 +282,621 @@
         now: Time,
     ) -> Members {
         let mut all: Vec<_> = listed.iter().copied().filter(|(id, _)| *id != own).collect();
-        all.truncate(MOST_LISTED - 1);
+        all.truncate(MAX_MEMBERS - 1);
         let location = listed.iter().find(|(id, _)| *id == own).map_or(LocationId(0), |(_, at)| *at);
         all.push((own, location));
         let mut table = Table::new(&all, now);
         let own = table.find(own).unwrap_or_default();
-        table.take(own, Claim { incarnation, count: 0, standing: Standing::Alive }, true);
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let next_round = now + set.round.times(chance.gen_range(0.0..1.0));
-        let rounds = chance.gen_range(0..set.compare_every.max(1));
+        table.merge(own, Claim { incarnation, count: 0, standing: Standing::Alive }, true);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let next_round = now + set.round.times(rng.gen_range(0.0..1.0));
+        let rounds = rng.gen_range(0..set.sync_rounds.max(1));
         Members {
             set,
             own,
             started: now,
-            woken: now,
-            heard: now,
-            chance,
+            last_tick: now,
+            last_heard: now,
+            rng,
             table,
             links: Links::default(),
-            asks: Vec::new(),
-            late: VecDeque::new(),
-            for_others: Vec::new(),
+            probes: Vec::new(),
+            late_probes: VecDeque::new(),
+            relayed_probes: Vec::new(),
             suspicions: BTreeMap::new(),
-            turn: Vec::new(),
+            probe_queue: Vec::new(),
             next_round,
             rounds,
-            number: 0,
-            joined: false,
-            compare_soon: COMPARE_SOON,
-            trouble: false,
-            trouble_told: false,
+            sequence: 0,
+            is_synced: false,
+            extra_syncs: EXTRA_SYNCS,
+            links_degraded: false,
+            links_degraded_reported: false,
             stepped_down: false,
-            stepped_down_told: false,
-            void_line: None,
-            ready: VecDeque::new(),
-            lines: VecDeque::new(),
+            stepped_down_reported: false,
+            last_rejection_logged: None,
+            messages: VecDeque::new(),
+            log_lines: VecDeque::new(),
         }
     }
 
+    /// All listed members, including this one.
     pub fn listed(&self) -> impl Iterator<Item = (MemberId, LocationId)> + '_ {
         self.table.entries.iter().map(|entry| (entry.id, entry.location))
     }
 
-    /// None where it isn't listed.
+    /// State of a member; `None` if it is not listed.
     pub fn standing(&self, id: MemberId) -> Option<Standing> {
         self.table.find(id).map(|i| self.table.claim(i).standing)
     }
 
-    /// The newest that was heard of; none where nothing was.
+    /// The newest known incarnation of a member, if any.
     pub fn incarnation(&self, id: MemberId) -> Option<Incarnation> {
         let claim = self.table.claim(self.table.find(id)?);
         (claim != Claim::NONE).then_some(claim.incarnation)
     }
 
+    /// Whether this member's own links are degraded.
     pub fn is_own_trouble(&self) -> bool {
-        self.trouble
+        self.links_degraded
     }
 
-    /// A message of any room came. False where it is void: of one that isn't listed, of an older incarnation,
-    /// of one too far ahead, or this process has stepped down.
-    pub fn came(&mut self, now: Time, from: MemberId, incarnation: Incarnation) -> bool {
+    /// Notes a message of any kind. False if it has to be ignored: its sender is not listed, its incarnation
+    /// is outdated or too far in the future, or this process has stepped down.
+    pub fn accept(&mut self, now: Time, from: MemberId, incarnation: Incarnation) -> bool {
         let Some(i) = self.table.find(from).filter(|_| !self.stepped_down) else { return false };
         let claim = Claim { incarnation, count: 0, standing: Standing::Alive };
-        if !self.is_sound(now, i, claim) || incarnation < self.table.claim(i).incarnation {
+        if !self.is_plausible(now, i, claim) || incarnation < self.table.claim(i).incarnation {
             return false;
         }
         if i == self.own {
-            self.of_own(now, claim);
+            self.handle_own_claim(now, claim);
             return false;
         }
-        self.learn(now, i, claim, true);
-        self.table.entries[i].heard = now;
-        self.heard = now;
+        self.merge(now, i, claim, true);
+        self.table.entries[i].last_heard = now;
+        self.last_heard = now;
         true
     }
 
-    pub fn heard(&mut self, now: Time, from: MemberId, said: Said) {
+    /// Handles a membership message.
+    pub fn receive(&mut self, now: Time, from: MemberId, message: Said) {
         let Some(i) = self.table.find(from).filter(|_| !self.stepped_down) else { return };
-        if !self.came(now, from, said.own.incarnation) {
-            // An older process under a listed name learns so of the newer one.
-            if i != self.own && said.own.incarnation < self.table.claim(i).incarnation {
-                self.tell(from, Body::News, Some(i));
+        if !self.accept(now, from, message.own.incarnation) {
+            // Tells an older process under the same name about the newer one.
+            if i != self.own && message.own.incarnation < self.table.claim(i).incarnation {
+                self.send(from, Body::News, Some(i));
             }
             return;
         }
-        self.learn_if_sound(now, i, said.own, true);
-        let news = !matches!(said.body, Body::Piece { .. });
-        for &(who, claim) in said.words.iter().take(MOST_READ) {
+        self.merge_if_plausible(now, i, message.own, true);
+        let gossip = !matches!(message.body, Body::Chunk { .. });
+        for &(who, claim) in message.words.iter().take(MAX_CLAIMS_READ) {
             if let Some(j) = self.table.find(who) {
-                self.learn_if_sound(now, j, claim, news);
+                self.merge_if_plausible(now, j, claim, gossip);
             }
         }
         if self.stepped_down {
             return;
         }
-        // Guards against two that answer each other without end, as where both find their own links in trouble.
-        let mut told = said.body == Body::News;
-        match said.body {
-            Body::Ask { number } => {
-                self.tell(from, Body::Answer { number }, None);
-                told = true;
+        // Prevents two members from answering each other forever, as when both find their links degraded.
+        let mut has_answered = message.body == Body::News;
+        match message.body {
+            Body::Ping { sequence } => {
+                self.send(from, Body::Ack { sequence }, None);
+                has_answered = true;
+            }
+            Body::PingRequest { sequence, target } => self.handle_ping_request(now, from, sequence, target),
+            Body::Ack { sequence } => self.handle_ack(now, i, sequence),
+            Body::PingResult { sequence, target, is_reachable } => {
+                self.handle_ping_result(now, sequence, target, is_reachable);
             }
-            Body::Through { number, whom } => self.asked_for(now, from, number, whom),
-            Body::Answer { number } => self.answered(now, i, number),
-            Body::Word { number, whom, heard } => self.word(now, number, whom, heard),
-            Body::Compare { digest } => self.compare(from, digest),
-            Body::Same => self.joined = true,
-            Body::Piece { low, high } => {
-                self.joined = true;
-                self.give_back(from, low, high, &said.words);
+            Body::Digest { digest } => self.handle_digest(from, digest),
+            Body::DigestMatches => self.is_synced = true,
+            Body::Chunk { first, last } => {
+                self.is_synced = true;
+                self.send_newer(from, first, last, &message.words);
             }
             Body::News => {}
         }
-        // One that speaks and isn't held alive may refute.
-        if !told && !matches!(self.table.claim(i).standing, Standing::Alive | Standing::Left) {
-            self.tell(from, Body::News, None);
+        // The sender is not considered alive here: lets it refute that.
+        if !has_answered && !matches!(self.table.claim(i).standing, Standing::Alive | Standing::Left) {
+            self.send(from, Body::News, None);
         }
     }
 
-    /// The periodic timer.
-    pub fn woken(&mut self, now: Time) {
-        if now - self.woken > self.set.still {
-            self.stood_still(now);
+    /// Periodic work: probes, timeouts and suspicions.
+    pub fn tick(&mut self, now: Time) {
+        if now - self.last_tick > self.set.max_pause {
+            self.handle_pause(now);
         }
-        self.woken = now;
-        if self.is_silent() {
+        self.last_tick = now;
+        if self.is_inactive() {
             return;
         }
         if now >= self.next_round {
             self.next_round = now.max(self.next_round + self.set.round);
-            self.round(now);
+            self.start_round(now);
         }
-        self.wait_for_answers(now);
-        self.wait_for_others(now);
-        self.wait_for_verdicts(now);
+        self.check_probes(now);
+        self.check_relayed_probes(now);
+        self.check_suspicions(now);
     }
 
-    /// This process leaves in order: it tells some members, asks no more, and answers until it is gone.
+    /// Begins an orderly shutdown: tells some members, stops probing, and keeps answering.
     pub fn leave(&mut self, now: Time) {
-        if self.is_silent() {
+        if self.is_inactive() {
             return;
         }
         let own = self.table.claim(self.own);
-        self.table.take(self.own, Claim { count: own.count + 1, standing: Standing::Left, ..own }, true);
-        (self.asks, self.for_others) = (Vec::new(), Vec::new());
+        self.table.merge(self.own, Claim { count: own.count + 1, standing: Standing::Left, ..own }, true);
+        (self.probes, self.relayed_probes) = (Vec::new(), Vec::new());
         self.suspicions.clear();
-        self.woken = now;
-        for i in self.pick(8, &[], |standing| standing == Standing::Alive) {
-            self.tell(self.table.entries[i].id, Body::News, Some(self.own));
+        self.last_tick = now;
+        for i in self.pick_random(8, &[], |standing| standing == Standing::Alive) {
+            self.send(self.table.entries[i].id, Body::News, Some(self.own));
         }
     }
 
-    #[allow(clippy::should_implement_trait)] // Effects come as calls go on; it never ends for good.
+    /// The next effect to carry out; further ones follow after later calls.
+    #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Option<Effect> {
         if self.stepped_down {
-            self.ready.clear();
-            let first = !std::mem::replace(&mut self.stepped_down_told, true);
-            return first.then_some(Effect::SteppedDown);
+            self.messages.clear();
+            let is_first = !std::mem::replace(&mut self.stepped_down_reported, true);
+            return is_first.then_some(Effect::SteppedDown);
         }
-        if self.trouble != self.trouble_told {
-            self.trouble_told = self.trouble;
-            return Some(Effect::OwnTrouble(self.trouble));
+        if self.links_degraded != self.links_degraded_reported {
+            self.links_degraded_reported = self.links_degraded;
+            return Some(Effect::LinksDegraded(self.links_degraded));
         }
-        if let Some((who, standing, incarnation)) = self.table.changed(self.own) {
+        if let Some((who, standing, incarnation)) = self.table.next_change(self.own) {
             return Some(Effect::Changed { who, standing, incarnation });
         }
-        if let Some((to, said)) = self.ready.pop_front() {
-            return Some(Effect::Tell { to, said });
+        if let Some((to, message)) = self.messages.pop_front() {
+            return Some(Effect::Send { to, message });
         }
-        self.lines.pop_front().map(Effect::Log)
+        self.log_lines.pop_front().map(Effect::Log)
     }
 
-    fn is_silent(&self) -> bool {
+    fn is_inactive(&self) -> bool {
         self.stepped_down || self.table.claim(self.own).standing == Standing::Left
     }
 
     fn log(&mut self, line: String) {
-        if self.lines.len() < MOST_LINES {
-            self.lines.push_back(line);
+        if self.log_lines.len() < MAX_QUEUED_LOG_LINES {
+            self.log_lines.push_back(line);
         }
     }
 
-    fn number(&mut self) -> u32 {
-        self.number = self.number.wrapping_add(1);
-        self.number
+    fn next_sequence(&mut self) -> u32 {
+        self.sequence = self.sequence.wrapping_add(1);
+        self.sequence
     }
 
-    fn doublings(&self) -> f64 {
+    fn log2_members(&self) -> f64 {
         (self.table.entries.len() as f64 + 1.0).log2()
     }
 
-    /// So many others, by chance.
-    fn pick(&mut self, most: usize, not: &[usize], fits: impl Fn(Standing) -> bool) -> Vec<usize> {
+    /// Up to `max` random other members that fit.
+    fn pick_random(&mut self, max: usize, excluded: &[usize], fits: impl Fn(Standing) -> bool) -> Vec<usize> {
         let entries = self.table.entries.iter().enumerate();
-        let fit = entries.filter(|(i, e)| *i != self.own && !not.contains(i) && fits(e.claim.standing));
-        let mut found: Vec<usize> = fit.map(|(i, _)| i).collect();
-        let (picked, _) = found.partial_shuffle(&mut self.chance, most);
+        let fit = entries.filter(|(i, e)| *i != self.own && !excluded.contains(i) && fits(e.claim.standing));
+        let mut indices: Vec<usize> = fit.map(|(i, _)| i).collect();
+        let (picked, _) = indices.partial_shuffle(&mut self.rng, max);
         picked.to_vec()
     }
 
-    /// Sends a message; it carries what is held of its receiver where that isn't alive, of one more, and
-    /// news.
-    fn tell(&mut self, to: MemberId, body: Body, about: Option<usize>) {
-        let times = (f64::from(self.set.tellings) * self.doublings()).ceil() as u32;
-        let trouble = self.trouble;
-        let fits = |standing| !trouble || !matches!(standing, Standing::Suspect | Standing::Dead);
-        let mut words = self.table.tell(NEWS, times, fits);
+    /// Sends a message with gossiped claims, the claim about the receiver where that is not alive, and the
+    /// claim about one more member.
+    fn send(&mut self, to: MemberId, body: Body, about: Option<usize>) {
+        let times = (f64::from(self.set.gossip_factor) * self.log2_members()).ceil() as u32;
+        let links_degraded = self.links_degraded;
+        let fits = |standing| !links_degraded || !matches!(standing, Standing::Suspect | Standing::Dead);
+        let mut claims = self.table.next_updates(MAX_GOSSIPED_CLAIMS, times, fits);
         let receiver = self.table.find(to).filter(|i| self.table.claim(*i).standing != Standing::Alive);
         for i in receiver.into_iter().chain(about) {
-            let word = (self.table.entries[i].id, self.table.claim(i));
-            if word.1 != Claim::NONE && fits(word.1.standing) && !words.contains(&word) {
-                words.push(word);
+            let claim = (self.table.entries[i].id, self.table.claim(i));
+            if claim.1 != Claim::NONE && fits(claim.1.standing) && !claims.contains(&claim) {
+                claims.push(claim);
             }
         }
-        self.send(to, body, words);
+        self.enqueue(to, body, claims);
     }
 
-    fn send(&mut self, to: MemberId, body: Body, words: Vec<(MemberId, Claim)>) {
-        if self.ready.len() < MOST_READY {
+    fn enqueue(&mut self, to: MemberId, body: Body, claims: Vec<(MemberId, Claim)>) {
+        if self.messages.len() < MAX_QUEUED_MESSAGES {
             let own = self.table.claim(self.own);
-            self.ready.push_back((to, Said { own, body, words }));
+            self.messages.push_back((to, Said { own, body, words: claims }));
         }
     }
 
-    /// Guards against a word that nothing newer could ever replace, as a peer that lies or whose clock is
-    /// wrong tells it.
-    fn is_sound(&mut self, now: Time, i: usize, claim: Claim) -> bool {
+    /// Rejects claims that no newer one could ever replace, as sent by a faulty peer or one with a wrong
+    /// clock.
+    fn is_plausible(&mut self, now: Time, i: usize, claim: Claim) -> bool {
         let clock = self.table.claim(self.own).incarnation.0.saturating_add((now - self.started).0);
         let newest = clock.saturating_add(self.set.ahead.0);
-        if claim.incarnation.0 <= newest && claim.count <= MOST_COUNT && claim.standing != Standing::Unheard {
+        if claim.incarnation.0 <= newest
+            && claim.count <= MAX_REFUTATIONS
+            && claim.standing != Standing::Unheard
+        {
             return true;
         }
-        if self.void_line.is_none_or(|at| now - at > Span::millis(10_000)) {
-            self.void_line = Some(now);
+        if self.last_rejection_logged.is_none_or(|at| now - at > Span::millis(10_000)) {
+            self.last_rejection_logged = Some(now);
             let (id, ahead) = (self.table.entries[i].id.0, self.set.ahead.as_seconds());
             self.log(format!(
-                "members: a word on {id:x} is passed over: incarnation {} (at most {ahead} s ahead of this \
-                 clock), count {}; compare the clocks of the machines",
+                "members: ignored a claim about {id:x} with incarnation {} (at most {ahead} s ahead of this clock is \
+                 allowed) and count {}; compare the clocks of the machines",
                 claim.incarnation.0, claim.count
             ));
         }
         false
     }
 
-    fn learn_if_sound(&mut self, now: Time, i: usize, claim: Claim, news: bool) {
-        if self.is_sound(now, i, claim) {
-            self.learn(now, i, claim, news);
+    fn merge_if_plausible(&mut self, now: Time, i: usize, claim: Claim, gossip: bool) {
+        if self.is_plausible(now, i, claim) {
+            self.merge(now, i, claim, gossip);
         }
     }
 
-    fn learn(&mut self, now: Time, i: usize, claim: Claim, news: bool) {
+    fn merge(&mut self, now: Time, i: usize, claim: Claim, gossip: bool) {
         if i == self.own {
-            return self.of_own(now, claim);
+            return self.handle_own_claim(now, claim);
         }
         let before = self.table.claim(i).standing;
-        if !self.table.take(i, claim, news) {
+        if !self.table.merge(i, claim, gossip) {
             return;
         }
         if before == Standing::Dead && claim.standing == Standing::Alive {
-            // It may be one of many, as where a split heals.
-            self.compare_soon = COMPARE_SOON;
+            // Possibly one of many, as after a network partition.
+            self.extra_syncs = EXTRA_SYNCS;
         }
         if claim.standing == Standing::Suspect {
-            let check = now + self.suspicion_wait().times(0.5);
-            self.suspicions.insert(i, Suspicion { since: now, mine: false, check });
+            let next_check = now + self.refutation_time().times(0.5);
+            self.suspicions.insert(i, Suspicion { since: now, is_own: false, next_check });
             return;
         }
         self.suspicions.remove(&i);
         if claim.standing >= Standing::Dead {
-            self.asks.retain(|ask| ask.who != i);
-            self.for_others.retain(|ask| ask.whom != i);
+            self.probes.retain(|probe| probe.target != i);
+            self.relayed_probes.retain(|probe| probe.target != i);
         }
     }
 
-    /// A word on this process: a newer one under its name, or one to refute.
-    fn of_own(&mut self, now: Time, claim: Claim) {
+    /// Handles a claim about this process: of a newer process under the same name, or one to refute.
+    fn handle_own_claim(&mut self, now: Time, claim: Claim) {
         let own = self.table.claim(self.own);
         if claim.incarnation > own.incarnation {
             self.stepped_down = true;
         } else if claim.incarnation == own.incarnation && claim > own && claim.standing != Standing::Alive {
-            self.table.take(self.own, Claim { count: claim.count + 1, ..own }, true);
-            // Soon, and to some at once: others may wait for it with a verdict.
-            for i in self.pick(self.set.through, &[], |standing| standing == Standing::Alive) {
-                self.tell(self.table.entries[i].id, Body::News, None);
+            self.table.merge(self.own, Claim { count: claim.count + 1, ..own }, true);
+            // Sent to some members at once, as the time to refute is limited.
+            for i in self.pick_random(self.set.indirect_probes, &[], |standing| standing == Standing::Alive) {
+                self.send(self.table.entries[i].id, Body::News, None);
             }
-            self.heard = now;
+            self.last_heard = now;
         }
     }
 
-    fn round(&mut self, now: Time) {
+    fn start_round(&mut self, now: Time) {
         self.rounds += 1;
-        if !self.joined {
-            for i in self.pick(self.set.through, &[], |_| true) {
-                self.ask_to_compare(i);
+        if !self.is_synced {
+            for i in self.pick_random(self.set.indirect_probes, &[], |_| true) {
+                self.send_digest(i);
             }
-        } else if self.is_to_compare() {
-            for i in self.pick(1, &[], |standing| standing == Standing::Alive) {
-                self.ask_to_compare(i);
+        } else if self.is_sync_due() {
+            for i in self.pick_random(1, &[], |standing| standing == Standing::Alive) {
+                self.send_digest(i);
             }
         }
-        if self.rounds.is_multiple_of(self.set.lost_every.max(1)) {
-            for i in self.pick(1, &[], |standing| !matches!(standing, Standing::Alive | Standing::Suspect)) {
-                let number = self.number();
-                self.tell(self.table.entries[i].id, Body::Ask { number }, None);
+        if self.rounds.is_multiple_of(self.set.dead_probe_rounds.max(1)) {
+            for i in
+                self.pick_random(1, &[], |standing| !matches!(standing, Standing::Alive | Standing::Suspect))
+            {
+                let sequence = self.next_sequence();
+                self.send(self.table.entries[i].id, Body::Ping { sequence }, None);
             }
         }
-        let Some(who) = self.next_in_turn() else { return };
-        let (number, again) = (self.number(), now + self.set.again);
-        let (through, helped, silent) = (false, false, false);
-        self.asks.push(Ask { who, number, at: now, again, through, helped, silent });
-        self.tell(self.table.entries[who].id, Body::Ask { number }, None);
+        let Some(target) = self.next_probe_target() else { return };
+        let (sequence, resend_at) = (self.next_sequence(), now + self.set.retry_interval);
+        let (is_indirect, has_helper_answer, is_reported_silent) = (false, false, false);
+        self.probes.push(Probe {
+            target,
+            sequence,
+            sent: now,
+            resend_at,
+            is_indirect,
+            has_helper_answer,
+            is_reported_silent,
+        });
+        self.send(self.table.entries[target].id, Body::Ping { sequence }, None);
     }
 
-    /// Often after a start, a stand-still, own trouble and one held dead that is back, else seldom.
-    fn is_to_compare(&mut self) -> bool {
-        let quick = self.compare_soon > 0 && self.rounds.is_multiple_of(2);
-        self.compare_soon -= u32::from(quick);
-        quick || self.rounds.is_multiple_of(self.set.compare_every.max(1))
+    /// Frequently after a start, a pause, degraded links or the return of a dead member, otherwise rarely.
+    fn is_sync_due(&mut self) -> bool {
+        let is_extra = self.extra_syncs > 0 && self.rounds.is_multiple_of(2);
+        self.extra_syncs -= u32::from(is_extra);
+        is_extra || self.rounds.is_multiple_of(self.set.sync_rounds.max(1))
     }
 
-    fn ask_to_compare(&mut self, i: usize) {
+    fn send_digest(&mut self, i: usize) {
         let digest = self.table.digest();
-        self.tell(self.table.entries[i].id, Body::Compare { digest }, None);
+        self.send(self.table.entries[i].id, Body::Digest { digest }, None);
     }
 
-    /// Each member alive once in a turn, in an order by chance.
-    fn next_in_turn(&mut self) -> Option<usize> {
+    /// Cycles through the members alive, in a new random order each time.
+    fn next_probe_target(&mut self) -> Option<usize> {
         for _ in 0..2 {
-            while let Some(i) = self.turn.pop() {
-                let is_out = self.asks.iter().any(|ask| ask.who == i);
-                if self.table.claim(i).standing == Standing::Alive && !is_out {
+            while let Some(i) = self.probe_queue.pop() {
+                let is_probed = self.probes.iter().any(|probe| probe.target == i);
+                if self.table.claim(i).standing == Standing::Alive && !is_probed {
                     return Some(i);
                 }
             }
-            self.turn = self.pick(usize::MAX, &[], |standing| standing == Standing::Alive);
+            self.probe_queue = self.pick_random(usize::MAX, &[], |standing| standing == Standing::Alive);
         }
         None
     }
 
-    fn wait_for_answers(&mut self, now: Time) {
-        let mut asks = std::mem::take(&mut self.asks);
-        asks.retain_mut(|ask| self.goes_on(now, ask));
-        asks.append(&mut self.asks);
-        self.asks = asks;
-    }
-
-    /// Asks again, asks through others, suspects, or gives the ask up.
-    fn goes_on(&mut self, now: Time, ask: &mut Ask) -> bool {
-        let entry = &self.table.entries[ask.who];
-        let (id, silence) = (entry.id, now - ask.at.max(entry.heard));
-        let [through, _, suspect, end] =
-            self.set.phi.map(|phi| self.links.wait(phi, Some(&entry.answers), &self.set));
-        if silence > suspect && ask.silent {
-            self.links.ended(true);
-            self.judge_links();
-            let claim = self.table.claim(ask.who);
-            if !self.trouble && claim.standing == Standing::Alive {
-                self.learn(now, ask.who, claim.with(Standing::Suspect), true);
-                let own = |s: &mut Suspicion| (s.mine, s.check) = (true, now);
-                self.suspicions.get_mut(&ask.who).map(own);
+    fn check_probes(&mut self, now: Time) {
+        let mut probes = std::mem::take(&mut self.probes);
+        probes.retain_mut(|probe| self.check_probe(now, probe));
+        probes.append(&mut self.probes);
+        self.probes = probes;
+    }
+
+    /// Sends a probe again, asks others to probe, suspects the target or abandons the probe. False when it
+    /// has ended.
+    fn check_probe(&mut self, now: Time, probe: &mut Probe) -> bool {
+        let entry = &self.table.entries[probe.target];
+        let (id, silence) = (entry.id, now - probe.sent.max(entry.last_heard));
+        let [indirect_after, _, suspect_after, abandon_after] = self
+            .set
+            .phi_thresholds
+            .map(|phi| self.links.timeout(phi, Some(&entry.response_times), &self.set));
+        if silence > suspect_after && probe.is_reported_silent {
+            self.links.record_outcome(true);
+            self.update_links_degraded();
+            let claim = self.table.claim(probe.target);
+            if !self.links_degraded && claim.standing == Standing::Alive {
+                self.merge(now, probe.target, claim.with(Standing::Suspect), true);
+                let mark_own = |s: &mut Suspicion| (s.is_own, s.next_check) = (true, now);
+                self.suspicions.get_mut(&probe.target).map(mark_own);
             }
-            self.give_up(ask);
+            self.abandon(probe);
             return false;
         }
-        if now - ask.at > end {
-            self.links.ended(ask.helped);
-            self.judge_links();
-            self.give_up(ask);
+        if now - probe.sent > abandon_after {
+            self.links.record_outcome(probe.has_helper_answer);
+            self.update_links_degraded();
+            self.abandon(probe);
             return false;
         }
-        if now >= ask.again {
-            ask.again = now + self.set.again;
-            self.tell(id, Body::Ask { number: ask.number }, None);
-            if now - ask.at > through {
-                let most = if ask.through { 1 } else { self.set.through };
-                ask.through = true;
-                self.ask_through(ask.number, ask.who, most);
+        if now >= probe.resend_at {
+            probe.resend_at = now + self.set.retry_interval;
+            self.send(id, Body::Ping { sequence: probe.sequence }, None);
+            if now - probe.sent > indirect_after {
+                let max = if probe.is_indirect { 1 } else { self.set.indirect_probes };
+                probe.is_indirect = true;
+                self.probe_through_others(probe.sequence, probe.target, max);
             }
         }
         true
     }
 
-    fn give_up(&mut self, ask: &Ask) {
-        self.late.push_back((ask.number, ask.who, ask.at));
-        if self.late.len() > LATE {
-            self.late.pop_front();
-        }
-    }
-
-    fn ask_through(&mut self, number: u32, who: usize, most: usize) {
-        let whom = self.table.entries[who].id;
-        for i in self.pick(most, &[who], |standing| standing == Standing::Alive) {
-            self.tell(self.table.entries[i].id, Body::Through { number, whom }, Some(who));
+    fn abandon(&mut self, probe: &Probe) {
+        self.late_probes.push_back((probe.sequence, probe.target, probe.sent));
+        if self.late_probes.len() > MAX_LATE_PROBES {
+            self.late_probes.pop_front();
         }
     }
 
-    fn judge_links(&mut self) {
-        let Some(bad) = self.links.are_bad().filter(|bad| *bad != self.trouble) else { return };
-        self.trouble = bad;
-        if !bad {
-            // What refutes a suspicion may have been lost meanwhile.
-            self.wait_anew(self.woken);
-            self.compare_soon = COMPARE_SOON;
-        }
-    }
-
-    fn answered(&mut self, now: Time, i: usize, number: u32) {
-        if let Some(at) = self.asks.iter().position(|ask| ask.who == i && ask.number == number) {
-            let ask = self.asks.swap_remove(at);
-            self.links.answered(now - ask.at, &mut self.table.entries[i].answers, &self.set);
-            self.links.ended(true);
-            self.judge_links();
-        } else if let Some(at) = self.late.iter().position(|&(n, who, _)| who == i && n == number) {
-            let late = self.late.remove(at).map_or(now, |late| late.2);
-            self.links.answered(now - late, &mut self.table.entries[i].answers, &self.set);
-        }
-        if let Some(at) = self.for_others.iter().position(|ask| ask.whom == i && ask.number == number) {
-            let ask = self.for_others.swap_remove(at);
-            let whom = self.table.entries[i].id;
-            self.tell(ask.to, Body::Word { number: ask.theirs, whom, heard: true }, Some(i));
+    fn probe_through_others(&mut self, sequence: u32, target_index: usize, max: usize) {
+        let target = self.table.entries[target_index].id;
+        for i in self.pick_random(max, &[target_index], |standing| standing == Standing::Alive) {
+            self.send(self.table.entries[i].id, Body::PingRequest { sequence, target }, Some(target_index));
         }
     }
 
-    /// Another asks this one to ask a third.
-    fn asked_for(&mut self, now: Time, to: MemberId, theirs: u32, whom: MemberId) {
-        let Some(i) = self.table.find(whom).filter(|_| !self.is_silent()) else { return };
+    fn update_links_degraded(&mut self) {
+        let Some(degraded) = self.links.are_degraded().filter(|degraded| *degraded != self.links_degraded)
+        else {
+            return;
+        };
+        self.links_degraded = degraded;
+        if !degraded {
+            // Refutations may have been lost meanwhile.
+            self.restart_suspicions(self.last_tick);
+            self.extra_syncs = EXTRA_SYNCS;
+        }
+    }
+
+    fn handle_ack(&mut self, now: Time, i: usize, sequence: u32) {
+        if let Some(at) = self.probes.iter().position(|probe| probe.target == i && probe.sequence == sequence)
+        {
+            let probe = self.probes.swap_remove(at);
+            self.links.record_response(
+                now - probe.sent,
+                &mut self.table.entries[i].response_times,
+                &self.set,
+            );
+            self.links.record_outcome(true);
+            self.update_links_degraded();
+        } else if let Some(at) =
+            self.late_probes.iter().position(|&(late, target, _)| target == i && late == sequence)
+        {
+            let sent = self.late_probes.remove(at).map_or(now, |late| late.2);
+            self.links.record_response(now - sent, &mut self.table.entries[i].response_times, &self.set);
+        }
+        if let Some(at) =
+            self.relayed_probes.iter().position(|probe| probe.target == i && probe.sequence == sequence)
+        {
+            let probe = self.relayed_probes.swap_remove(at);
+            let target = self.table.entries[i].id;
+            let body = Body::PingResult { sequence: probe.requester_sequence, target, is_reachable: true };
+            self.send(probe.requester, body, Some(i));
+        }
+    }
+
+    /// Probes a third member on behalf of another.
+    fn handle_ping_request(
+        &mut self,
+        now: Time,
+        requester: MemberId,
+        requester_sequence: u32,
+        target: MemberId,
+    ) {
+        let Some(i) = self.table.find(target).filter(|_| !self.is_inactive()) else { return };
         if i == self.own {
-            return self.tell(to, Body::Answer { number: theirs }, None);
+            return self.send(requester, Body::Ack { sequence: requester_sequence }, None);
         }
-        let known = |ask: &ForOther| ask.to == to && ask.theirs == theirs && ask.whom == i;
-        if self.for_others.len() >= FOR_OTHERS || self.for_others.iter().any(known) {
+        let is_same = |probe: &RelayedProbe| {
+            probe.requester == requester
+                && probe.requester_sequence == requester_sequence
+                && probe.target == i
+        };
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || self.relayed_probes.iter().any(is_same) {
             return;
         }
-        let (number, again) = (self.number(), now + self.set.again);
-        self.for_others.push(ForOther { to, theirs, number, whom: i, at: now, again });
-        self.tell(whom, Body::Ask { number }, None);
-    }
-
-    fn wait_for_others(&mut self, now: Time) {
-        let mut asks = std::mem::take(&mut self.for_others);
-        asks.retain_mut(|ask| {
-            let entry = &self.table.entries[ask.whom];
-            let (whom, heard) = (entry.id, entry.heard > ask.at);
-            let end = self.links.wait(self.set.phi[1], Some(&entry.answers), &self.set);
-            if heard || now - ask.at > end {
-                // Its word is worth nothing where its own links are the trouble.
-                if heard || !self.trouble {
-                    self.tell(ask.to, Body::Word { number: ask.theirs, whom, heard }, Some(ask.whom));
+        let (sequence, resend_at) = (self.next_sequence(), now + self.set.retry_interval);
+        self.relayed_probes.push(RelayedProbe {
+            requester,
+            requester_sequence,
+            sequence,
+            target: i,
+            sent: now,
+            resend_at,
+        });
+        self.send(target, Body::Ping { sequence }, None);
+    }
+
+    fn check_relayed_probes(&mut self, now: Time) {
+        let mut probes = std::mem::take(&mut self.relayed_probes);
+        probes.retain_mut(|probe| {
+            let entry = &self.table.entries[probe.target];
+            let (target, is_reachable) = (entry.id, entry.last_heard > probe.sent);
+            let timeout =
+                self.links.timeout(self.set.phi_thresholds[1], Some(&entry.response_times), &self.set);
+            if is_reachable || now - probe.sent > timeout {
+                // With degraded links this member's own view of silence is worthless.
+                if is_reachable || !self.links_degraded {
+                    let body = Body::PingResult { sequence: probe.requester_sequence, target, is_reachable };
+                    self.send(probe.requester, body, Some(probe.target));
                 }
                 return false;
             }
-            if now >= ask.again {
-                ask.again = now + self.set.again;
-                self.tell(whom, Body::Ask { number: ask.number }, None);
+            if now >= probe.resend_at {
+                probe.resend_at = now + self.set.retry_interval;
+                self.send(target, Body::Ping { sequence: probe.sequence }, None);
             }
             true
         });
-        self.for_others = asks;
+        self.relayed_probes = probes;
     }
 
-    /// What one that was asked to ask says.
-    fn word(&mut self, now: Time, number: u32, whom: MemberId, heard: bool) {
-        let found = |ask: &Ask| ask.number == number && self.table.entries[ask.who].id == whom;
-        let Some(at) = self.asks.iter().position(found) else { return };
-        if !heard {
-            (self.asks[at].helped, self.asks[at].silent) = (true, true);
+    /// Handles the result of a probe through another member.
+    fn handle_ping_result(&mut self, now: Time, sequence: u32, target: MemberId, is_reachable: bool) {
+        let found =
+            |probe: &Probe| probe.sequence == sequence && self.table.entries[probe.target].id == target;
+        let Some(at) = self.probes.iter().position(found) else { return };
+        if !is_reachable {
+            (self.probes[at].has_helper_answer, self.probes[at].is_reported_silent) = (true, true);
             return;
         }
-        let ask = self.asks.swap_remove(at);
-        self.links.answered(now - ask.at, &mut self.table.entries[ask.who].answers, &self.set);
-        self.links.ended(true);
-        self.judge_links();
-    }
-
-    /// How long a suspicion can be refuted: what news and answer take to go round, and twice the wait for an
-    /// answer.
-    fn suspicion_wait(&self) -> Span {
-        let [base, doubling] = self.set.wait;
-        let round = self.set.round.times(base + doubling * self.doublings());
-        round.max(self.links.wait(2.0 * self.set.phi[2], None, &self.set))
-    }
-
-    /// Checks suspects, and tells the verdict on one that has not refuted in time.
-    fn wait_for_verdicts(&mut self, now: Time) {
-        let wait = self.suspicion_wait();
-        // Guards against verdicts while nothing can be heard that would refute them.
-        let in_touch = !self.trouble && now - self.heard <= self.set.round.times(2.0);
+        let probe = self.probes.swap_remove(at);
+        self.links.record_response(
+            now - probe.sent,
+            &mut self.table.entries[probe.target].response_times,
+            &self.set,
+        );
+        self.links.record_outcome(true);
+        self.update_links_degraded();
+    }
+
+    /// Time to refute a suspicion: enough for the gossip and the refutation to spread, and at least twice the
+    /// timeout of a probe.
+    fn refutation_time(&self) -> Span {
+        let [base, doubling] = self.set.suspicion_rounds;
+        let in_rounds = self.set.round.times(base + doubling * self.log2_members());
+        in_rounds.max(self.links.timeout(2.0 * self.set.phi_thresholds[2], None, &self.set))
+    }
+
+    /// Probes suspects, and declares those dead that have not refuted in time.
+    fn check_suspicions(&mut self, now: Time) {
+        let refutation_time = self.refutation_time();
+        // Nobody is declared dead while refutations could not arrive.
+        let is_connected = !self.links_degraded && now - self.last_heard <= self.set.round.times(2.0);
         let suspicions = self.suspicions.iter();
-        let over = suspicions.filter(|(_, s)| in_touch && now - s.since > wait).map(|(i, _)| *i);
-        for i in over.collect::<Vec<_>>() {
-            self.learn(now, i, self.table.claim(i).with(Standing::Dead), true);
+        let expired =
+            suspicions.filter(|(_, s)| is_connected && now - s.since > refutation_time).map(|(i, _)| *i);
+        for i in expired.collect::<Vec<_>>() {
+            self.merge(now, i, self.table.claim(i).with(Standing::Dead), true);
         }
         let checks: Vec<(usize, bool)> = {
-            let due = self.suspicions.iter().filter(|(_, s)| now >= s.check && (s.mine || !self.trouble));
-            due.map(|(i, s)| (*i, s.mine)).take(CHECKS).collect()
+            let due = self
+                .suspicions
+                .iter()
+                .filter(|(_, s)| now >= s.next_check && (s.is_own || !self.links_degraded));
+            due.map(|(i, s)| (*i, s.is_own)).take(MAX_SUSPECT_CHECKS).collect()
         };
-        for (i, mine) in checks {
-            let next = if mine { self.set.again.times(2.0) } else { wait.times(0.25) };
-            self.suspicions.entry(i).and_modify(|s| s.check = now + next);
-            let number = self.number();
-            self.tell(self.table.entries[i].id, Body::Ask { number }, None);
-            if mine {
-                self.ask_through(number, i, 1);
+        for (i, is_own) in checks {
+            let next = if is_own { self.set.retry_interval.times(2.0) } else { refutation_time.times(0.25) };
+            self.suspicions.entry(i).and_modify(|s| s.next_check = now + next);
+            let sequence = self.next_sequence();
+            self.send(self.table.entries[i].id, Body::Ping { sequence }, None);
+            if is_own {
+                self.probe_through_others(sequence, i, 1);
             }
         }
     }
 
-    fn wait_anew(&mut self, now: Time) {
-        let check = now + self.suspicion_wait().times(0.5);
+    fn restart_suspicions(&mut self, now: Time) {
+        let next_check = now + self.refutation_time().times(0.5);
         for suspicion in self.suspicions.values_mut() {
-            (suspicion.since, suspicion.check) = (now, check.min(suspicion.check.max(now)));
+            (suspicion.since, suspicion.next_check) = (now, next_check.min(suspicion.next_check.max(now)));
         }
     }
 
-    /// This process was not woken for long: what it heard nothing of meanwhile says nothing.
-    fn stood_still(&mut self, now: Time) {
-        let span = (now - self.woken).as_seconds();
-        self.log(format!("members: not woken for {span:.1} s; silence counts anew"));
-        self.asks.clear();
-        self.late.clear();
-        self.for_others.clear();
-        self.links.forget();
-        self.wait_anew(now);
-        self.heard = now;
-        self.compare_soon = COMPARE_SOON;
+    /// This process was paused: silence during the pause says nothing about other members.
+    fn handle_pause(&mut self, now: Time) {
+        let span = (now - self.last_tick).as_seconds();
+        self.log(format!(
+            "members: this process was paused for {span:.1} s; silence of other members is measured anew"
+        ));
+        self.probes.clear();
+        self.late_probes.clear();
+        self.relayed_probes.clear();
+        self.links.clear_outcomes();
+        self.restart_suspicions(now);
+        self.last_heard = now;
+        self.extra_syncs = EXTRA_SYNCS;
     }
 
-    fn compare(&mut self, from: MemberId, digest: u64) {
+    fn handle_digest(&mut self, from: MemberId, digest: u64) {
         if digest == self.table.digest() {
-            return self.tell(from, Body::Same, None);
-        }
-        let known: Vec<_> = self.table.known(MemberId(0), MemberId(u64::MAX)).collect();
-        let pieces = known.chunks(PIECE);
-        let last = pieces.len().saturating_sub(1);
-        let mut low = MemberId(0);
-        for (k, piece) in pieces.enumerate() {
-            let end = piece.last().map_or(low, |(id, _)| *id);
-            let high = if k == last { MemberId(u64::MAX) } else { end };
-            self.send(from, Body::Piece { low, high }, piece.to_vec());
-            low = MemberId(high.0.saturating_add(1));
-        }
-    }
-
-    /// What is newer here than in another's piece.
-    fn give_back(&mut self, to: MemberId, low: MemberId, high: MemberId, theirs: &[(MemberId, Claim)]) {
-        let theirs: BTreeMap<MemberId, Claim> = theirs.iter().take(MOST_READ).copied().collect();
-        let known = self.table.known(low, high);
-        let newer = known.filter(|(id, claim)| theirs.get(id).is_none_or(|their| their < claim));
-        let newer: Vec<_> = newer.take(PIECE).collect();
+            return self.send(from, Body::DigestMatches, None);
+        }
+        let known: Vec<_> = self.table.claims_between(MemberId(0), MemberId(u64::MAX)).collect();
+        let chunks = known.chunks(CHUNK_CLAIMS);
+        let last_chunk = chunks.len().saturating_sub(1);
+        let mut first = MemberId(0);
+        for (k, chunk) in chunks.enumerate() {
+            let end = chunk.last().map_or(first, |(id, _)| *id);
+            let last = if k == last_chunk { MemberId(u64::MAX) } else { end };
+            self.enqueue(from, Body::Chunk { first, last }, chunk.to_vec());
+            first = MemberId(last.0.saturating_add(1));
+        }
+    }
+
+    /// Sends the claims that are newer here than in another member's chunk.
+    fn send_newer(&mut self, to: MemberId, first: MemberId, last: MemberId, theirs: &[(MemberId, Claim)]) {
+        let theirs: BTreeMap<MemberId, Claim> = theirs.iter().take(MAX_CLAIMS_READ).copied().collect();
+        let known = self.table.claims_between(first, last);
+        let newer = known.filter(|(id, claim)| theirs.get(id).is_none_or(|theirs| theirs < claim));
+        let newer: Vec<_> = newer.take(CHUNK_CLAIMS).collect();
         if !newer.is_empty() {
-            self.send(to, Body::News, newer);
+            self.enqueue(to, Body::News, newer);
         }
     }
 }
--- a/crates/fleet/src/members/links.rs
+++ b/crates/fleet/src/members/links.rs
@@ -1,55 +1,62 @@
-//! How well this member's own links do: how long answers take, and how many asks had none.
+//! Quality of this member's own links: response times, and the fraction of probes without an answer.
 use super::Set;
 use cherrypass::containers::Mean;
 use cherrypass::time::Span;
 use std::collections::VecDeque;
 
-/// Outcomes of asks that are looked at, and how many it takes to tell.
-const OUTCOMES: usize = 5;
-const TELLING: usize = 3;
+/// Latest probe outcomes considered, and how many are needed for a decision.
+const OUTCOME_WINDOW: usize = 5;
+const MIN_OUTCOMES: usize = 3;
 
-/// Weight of a new answer's time among those of all members, and among one member's.
-const WEIGHT: [f64; 2] = [0.05, 0.2];
+/// Weight of a new response time in the mean of all members, and in the mean of one member.
+const MEAN_WEIGHTS: [f64; 2] = [0.05, 0.2];
 
 #[derive(Default)]
 pub(super) struct Links {
-    answers: Mean,
+    response_times: Mean,
     outcomes: VecDeque<bool>,
 }
 
 impl Links {
-    /// An answer, so long after the first ask.
-    pub fn answered(&mut self, span: Span, own: &mut Mean, set: &Set) {
-        let took = span.as_seconds().min(set.gap[1].as_seconds());
-        self.answers.push(took, WEIGHT[0]);
-        own.push(took, WEIGHT[1]);
+    /// Records a response, `span` after the first probe.
+    pub fn record_response(&mut self, span: Span, of_member: &mut Mean, set: &Set) {
+        let took = span.as_seconds().min(set.mean_response_bounds[1].as_seconds());
+        self.response_times.push(took, MEAN_WEIGHTS[0]);
+        of_member.push(took, MEAN_WEIGHTS[1]);
     }
 
-    /// The wait after which silence has this phi, as if waits were exponential: the longer of the means, of
-    /// all members and of this one, as the gap. It starts from a long one, while answers are few.
-    pub fn wait(&self, phi: f64, of: Option<&Mean>, set: &Set) -> Span {
-        let least = set.gap[0].as_seconds();
-        let start = set.gap[1].as_seconds() / f64::from(self.answers.seen.max(1));
-        let of = of.filter(|mean| mean.seen >= 3).map_or(0.0, |mean| mean.value);
-        let gap = self.answers.value.max(of).max(least).max(start).min(set.gap[1].as_seconds());
-        Span::seconds(phi * gap * std::f64::consts::LN_10)
+    /// The time without an answer that corresponds to this phi, for exponentially distributed response times.
+    /// Uses the larger of the means of all members and of this one, and a long one while there are few
+    /// responses.
+    pub fn timeout(&self, phi: f64, of_member: Option<&Mean>, set: &Set) -> Span {
+        let least = set.mean_response_bounds[0].as_seconds();
+        let start = set.mean_response_bounds[1].as_seconds() / f64::from(self.response_times.seen.max(1));
+        let of_member = of_member.filter(|mean| mean.seen >= 3).map_or(0.0, |mean| mean.value);
+        let mean = self
+            .response_times
+            .value
+            .max(of_member)
+            .max(least)
+            .max(start)
+            .min(set.mean_response_bounds[1].as_seconds());
+        Span::seconds(phi * mean * std::f64::consts::LN_10)
     }
 
-    /// An ask ended: well where the one asked answered, or one of those who were asked to ask it.
-    pub fn ended(&mut self, well: bool) {
-        self.outcomes.push_back(well);
-        if self.outcomes.len() > OUTCOMES {
+    /// Records the end of a probe; it succeeded where the target or a helper answered.
+    pub fn record_outcome(&mut self, succeeded: bool) {
+        self.outcomes.push_back(succeeded);
+        if self.outcomes.len() > OUTCOME_WINDOW {
             self.outcomes.pop_front();
         }
     }
 
-    pub fn forget(&mut self) {
+    pub fn clear_outcomes(&mut self) {
         self.outcomes.clear();
     }
 
-    /// Most asks had no answer; none while too few have ended to tell.
-    pub fn are_bad(&self) -> Option<bool> {
-        let bad = self.outcomes.iter().filter(|well| !**well).count();
-        (self.outcomes.len() >= TELLING).then_some(bad * 2 > self.outcomes.len())
+    /// Whether most probes had no answer; `None` while too few have ended.
+    pub fn are_degraded(&self) -> Option<bool> {
+        let failed = self.outcomes.iter().filter(|succeeded| !**succeeded).count();
+        (self.outcomes.len() >= MIN_OUTCOMES).then_some(failed * 2 > self.outcomes.len())
     }
 }
--- a/crates/fleet/tests/members/node.rs
+++ b/crates/fleet/tests/members/node.rs
@@ -1,4 +1,4 @@
-//! Members on the made network, and what is true of them.
+//! A fleet of members on a simulated network, with checks of their views against the true state.
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
@@ -7,35 +7,37 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub struct One {
+/// One member, and the effects it reported.
+pub struct Member {
     pub members: Members,
-    /// Changes of others' standing as they came, with the clock's time.
+    /// Reported state changes of other members, by its own clock.
     pub changes: Vec<(Time, MemberId, Standing)>,
-    /// When it found itself the trouble, and when no more.
-    pub trouble: Vec<(Time, bool)>,
+    /// When it found its own links degraded, and when working again.
+    pub links_degraded: Vec<(Time, bool)>,
     pub stepped_down: bool,
 }
 
-impl One {
-    pub fn held(&self, standing: Standing) -> usize {
+impl Member {
+    /// How often it reported a change to this state.
+    pub fn changes_to(&self, standing: Standing) -> usize {
         self.changes.iter().filter(|change| change.2 == standing).count()
     }
 }
 
-impl Node for One {
+impl Node for Member {
     type Said = Said;
-    fn heard(&mut self, now: Time, from: MemberId, said: Said) {
-        self.members.heard(now, from, said);
+    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+        self.members.receive(now, from, message);
     }
     fn woken(&mut self, now: Time) {
-        self.members.woken(now);
+        self.members.tick(now);
     }
     fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
         loop {
             match self.members.next()? {
-                Effect::Tell { to, said } => return Some((to, said)),
+                Effect::Send { to, message } => return Some((to, message)),
                 Effect::Changed { who, standing, .. } => self.changes.push((now, who, standing)),
-                Effect::OwnTrouble(is) => self.trouble.push((now, is)),
+                Effect::LinksDegraded(degraded) => self.links_degraded.push((now, degraded)),
                 Effect::SteppedDown => self.stepped_down = true,
                 Effect::Log(_) => {}
             }
@@ -43,15 +45,16 @@
     }
 }
 
+/// All listed members on one network.
 pub struct Fleet {
-    pub net: Network<One>,
+    pub network: Network<Member>,
     pub listed: Vec<(MemberId, LocationId)>,
 }
 
 impl Fleet {
     pub fn new(seed: u64, n: usize) -> Fleet {
         let listed = (0..n).map(|i| (MemberId::of(&format!("d{i}")), LocationId((i % 20) as u16))).collect();
-        let mut fleet = Fleet { net: Network::new(seed, Span::millis(50)), listed };
+        let mut fleet = Fleet { network: Network::new(seed, Span::millis(50)), listed };
         fleet.ids().into_iter().for_each(|id| fleet.start(id));
         fleet
     }
@@ -61,41 +64,41 @@
     }
 
     pub fn start(&mut self, id: MemberId) {
-        let (seed, rate) = (self.net.chance.gen(), self.net.chance.gen_range(0.99..1.01));
-        let (incarnation, listed) = (Incarnation(self.net.now.0), self.listed.clone());
-        self.net.start(id, rate, |now| {
+        let (seed, rate) = (self.network.chance.gen(), self.network.chance.gen_range(0.99..1.01));
+        let (incarnation, listed) = (Incarnation(self.network.now.0), self.listed.clone());
+        self.network.start(id, rate, |now| {
             let members = Members::new(Set::default(), id, incarnation, &listed, seed, now);
-            One { members, changes: Vec::new(), trouble: Vec::new(), stepped_down: false }
+            Member { members, changes: Vec::new(), links_degraded: Vec::new(), stepped_down: false }
         });
     }
 
     pub fn run(&mut self, span: Span) {
-        self.net.play(span, |_| {});
+        self.network.play(span, |_| {});
     }
 
-    /// Runs until so, and how long that took; none where it is not so within `most`.
-    pub fn until(&mut self, most: Span, mut so: impl FnMut(&Fleet) -> bool) -> Option<Span> {
-        let start = self.net.now;
-        while !so(self) {
-            if self.net.now - start > most {
+    /// Runs until the condition holds, and returns how long that took; `None` if it does not within `limit`.
+    pub fn until(&mut self, limit: Span, mut holds: impl FnMut(&Fleet) -> bool) -> Option<Span> {
+        let start = self.network.now;
+        while !holds(self) {
+            if self.network.now - start > limit {
                 return None;
             }
             self.run(Span::millis(25));
         }
-        Some(self.net.now - start)
+        Some(self.network.now - start)
     }
 
-    /// How many of those that run hold another for so.
-    pub fn holding(&self, who: MemberId, standing: Standing) -> usize {
-        let others = self.net.ids().into_iter().filter(|id| *id != who);
-        let nodes = others.filter_map(|id| self.net.node(id));
+    /// How many running members consider `who` to be in this state.
+    pub fn count_holding(&self, who: MemberId, standing: Standing) -> usize {
+        let others = self.network.ids().into_iter().filter(|id| *id != who);
+        let nodes = others.filter_map(|id| self.network.node(id));
         nodes.filter(|node| node.members.standing(who) == Some(standing)).count()
     }
 
-    /// Who holds whom otherwise than it is: those that run are alive, of the others `left` have left in
-    /// order, the rest are dead.
-    pub fn errors(&self, left: &BTreeSet<MemberId>) -> Vec<(MemberId, MemberId, Standing)> {
-        let running: BTreeSet<MemberId> = self.net.ids().into_iter().collect();
+    /// Views of running members that differ from the truth: running members are alive, those in `left` have
+    /// shut down, the rest are dead.
+    pub fn disagreements(&self, left: &BTreeSet<MemberId>) -> Vec<(MemberId, MemberId, Standing)> {
+        let running: BTreeSet<MemberId> = self.network.ids().into_iter().collect();
         let mut truth = BTreeMap::new();
         for id in self.ids() {
             let gone = if left.contains(&id) { Standing::Left } else { Standing::Dead };
@@ -103,7 +106,7 @@
         }
         let mut found = Vec::new();
         for &by in &running {
-            let Some(node) = self.net.node(by) else { continue };
+            let Some(node) = self.network.node(by) else { continue };
             for (&of, &is) in &truth {
                 let held = node.members.standing(of).unwrap_or(Standing::Unheard);
                 if held != is && by != of {
