--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -1,5 +1,6 @@
-//! Dispatchers of one location, each with its own module and thin traffic, in virtual time: a cache goes bad, and what
-//! each finds out is shared or not (paired: the same visits, answers and fault).
+//! Prints the tables of docs/fleet-verdicts.md from a simulation in virtual time: the dispatchers of one
+//! location have little traffic each, and a cache fails. Each case runs with and without shared verdicts, on
+//! the same visits and faults.
 //! `cargo run --release -p cherrypass-fleet --example verdicts [seeds [tellers [part]]]`
 use cherrypass::brain::Brain;
 use cherrypass::calls::*;
@@ -7,7 +8,7 @@
 use cherrypass::settings::{Band, ColdStart, Effect as Repeats, Settings};
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::verdicts::{Effect, Finding, Kind, Said, Set, UsedBy, Verdicts};
+use cherrypass_fleet::verdicts::{Effect, Finding, Kind, Message, Set, UsedBy, Verdicts};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,31 +18,31 @@
 const PARENTS: u64 = 2;
 const ORIGIN: HostId = HostId(100);
 const FAULTY: HostId = HostId(3);
-const FAULT: Span = Span::millis(20_000);
-const OVER: Span = Span::millis(40_300);
-const BACK: Span = Span::millis(26_000);
-const LIST_LATE: Span = Span::millis(3_000);
+const FAULT_START: Span = Span::millis(20_000);
+const FAULT_END: Span = Span::millis(40_300);
+const RESTARTED: Span = Span::millis(26_000);
+const LIST_DELAY: Span = Span::millis(3_000);
 const END: Span = Span::millis(60_000);
-const QUOTED: Span = Span::millis(1_000);
-const SENDING: f64 = 0.03;
+const QUOTED_TIME: Span = Span::millis(1_000);
+const SENDING_SECONDS: f64 = 0.03;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Each answer is an error, at once.
+    /// Every answer is an error, without delay.
     Errors,
-    /// Half of the answers are.
+    /// Half of the answers are errors.
     HalfErrors,
-    /// Nothing comes for 20.3 s, then it is well.
-    HangsOver,
-    /// The same with errors.
-    ErrorsOver,
-    /// Nothing comes.
+    /// No answers for 20.3 s, and then it works.
+    HangsForAWhile,
+    /// The same, with errors.
+    ErrorsForAWhile,
+    /// No answers.
     Hangs,
-    /// Connections are refused, and it does not come back.
+    /// Connections are refused, for good.
     Refuses,
-    /// The same, and it comes back cold; the list tells late.
+    /// Connections are refused, and it returns cold; the list reports that late.
     Restarts,
-    /// No host: so many dispatchers lose most of what goes to and fro.
+    /// No host fails; this many dispatchers lose most of their traffic.
     Links(u32),
 }
 
@@ -57,10 +58,10 @@
 
 enum Event {
     Round(usize),
-    Woken(usize),
+    Tick(usize),
     Arrives(usize),
     Ends { of: usize, visit: VisitId, number: u8, outcome: Outcome, note: Note },
-    Comes { to: usize, from: usize, said: Said, at: Time },
+    Delivered { to: usize, from: usize, message: Message, at: Time },
     Listed,
 }
 
@@ -70,31 +71,33 @@
     arrivals: Pcg64Mcg,
     bad_link: bool,
     next: u32,
-    /// When it arrived, hand-offs so far, and whether one went to the faulty host.
+    /// Time of arrival, hand-offs so far, and whether one went to the faulty host.
     visits: BTreeMap<VisitId, (Time, u8, bool)>,
-    /// When a hand-off went out.
+    /// When each running hand-off began.
     out: BTreeMap<(VisitId, u8), Time>,
-    /// What was found of hosts when that was last asked.
+    /// Hosts with own findings at the last look.
     shut: BTreeSet<HostId>,
     told: BTreeMap<HostId, (Option<Time>, Time)>,
 }
 
+/// Measurements of one run.
 #[derive(Default)]
-struct Seen {
-    /// By dispatcher, when the faulty host was first out for it.
+struct Measured {
+    /// By dispatcher, the time from the fault until it first stopped using the host.
     out: BTreeMap<usize, Span>,
-    /// By dispatcher, how long after the fault's end it had the host back; to the end of the play where it hadn't.
+    /// By dispatcher, the time from the end of the fault until it used the host again, or to the end of the
+    /// run.
     back: BTreeMap<usize, Span>,
     lost: u64,
     wasted: u64,
-    /// Hand-offs and visits in all, to compare with.
+    /// All visits, for comparison.
     visits: u64,
     wrong_own: u64,
     wrong_told: u64,
-    /// Times of the hand-offs to the host that came back.
+    /// Times of hand-offs to the host after its restart.
     to_cold: Vec<Time>,
     oldest: Span,
-    said: u64,
+    messages: u64,
 }
 
 struct Play {
@@ -106,7 +109,7 @@
     held: BTreeSet<(HostId, ObjectId)>,
     link: Pcg64Mcg,
     weight: f64,
-    seen: Seen,
+    measured: Measured,
 }
 
 fn settings(dispatchers: u32) -> Settings {
@@ -122,7 +125,7 @@
         location_dispatchers: dispatchers,
         bands: vec![Band {
             effect: Repeats::Idempotent,
-            quoted: QUOTED,
+            quoted: QUOTED_TIME,
             stretch: 0.0,
             fresh: Span::ZERO,
             grace: Span::ZERO,
@@ -152,7 +155,7 @@
 
 impl Play {
     fn new(case: Case) -> Play {
-        let load = f64::from(case.dispatchers) * case.visits_a_second / CACHES as f64 * SENDING;
+        let load = f64::from(case.dispatchers) * case.visits_a_second / CACHES as f64 * SENDING_SECONDS;
         let mut play = Play {
             case,
             now: START,
@@ -162,7 +165,7 @@
             held: BTreeSet::new(),
             link: Pcg64Mcg::seed_from_u64(case.seed ^ 0x77),
             weight: load / 0.6,
-            seen: Seen::default(),
+            measured: Measured::default(),
         };
         let set = Set { tellers: case.set.0, part: case.set.1, ..Set::default() };
         for of in 0..case.dispatchers as usize {
@@ -185,19 +188,19 @@
             one.brain.listed(START, &list, true);
             for host in hosts {
                 let used_by = if host.0 <= CACHES { UsedBy::Location(LocationId(0)) } else { UsedBy::All };
-                one.verdicts.listed(START, host, Some(Incarnation(1)), used_by);
+                one.verdicts.update_host(START, host, Some(Incarnation(1)), used_by);
             }
             for other in (0..case.dispatchers as usize).filter(|other| *other != of) {
-                one.verdicts.standing(START, MemberId(other as u64), LocationId(0), true);
+                one.verdicts.set_alive(START, MemberId(other as u64), LocationId(0), true);
             }
             let first = Span::seconds(one.arrivals.gen_range(0.0..1.0 / case.visits_a_second));
             play.put(START + first, Event::Arrives(of));
             play.put(START + Span(10_000 * of as u64 / 31), Event::Round(of));
-            play.put(START + Span(50_000 * of as u64 / 31), Event::Woken(of));
+            play.put(START + Span(50_000 * of as u64 / 31), Event::Tick(of));
             play.all.push(one);
         }
         if case.fault == Fault::Restarts {
-            play.put(START + BACK + LIST_LATE, Event::Listed);
+            play.put(START + RESTARTED + LIST_DELAY, Event::Listed);
         }
         play
     }
@@ -218,67 +221,68 @@
     fn is_faulty(&self) -> bool {
         let since = self.now - START;
         let host = !matches!(self.case.fault, Fault::Links(_));
-        let over = matches!(self.case.fault, Fault::HangsOver | Fault::ErrorsOver) && since >= OVER;
-        host && since >= FAULT && !over && !(self.case.fault == Fault::Restarts && since >= BACK)
+        let over =
+            matches!(self.case.fault, Fault::HangsForAWhile | Fault::ErrorsForAWhile) && since >= FAULT_END;
+        host && since >= FAULT_START && !over && !(self.case.fault == Fault::Restarts && since >= RESTARTED)
     }
 
-    fn run(mut self) -> Seen {
+    fn run(mut self) -> Measured {
         while let Some(((at, _), event)) = self.events.pop_first().filter(|e| e.0 .0 < START + END) {
             self.now = at;
             match event {
                 Event::Round(of) => {
                     self.put(at + Span(10_000), Event::Round(of));
                     self.all[of].brain.woken(at);
-                    self.pull(of);
+                    self.carry_out_decisions(of);
                 }
-                Event::Woken(of) => {
-                    self.put(at + Span(50_000), Event::Woken(of));
-                    self.all[of].verdicts.woken(at);
-                    self.find(of);
+                Event::Tick(of) => {
+                    self.put(at + Span(50_000), Event::Tick(of));
+                    self.all[of].verdicts.tick(at);
+                    self.exchange_findings(of);
                 }
                 Event::Arrives(of) => self.arrives(of),
                 Event::Ends { of, visit, number, outcome, note } => {
                     self.ends(of, visit, number, outcome, note)
                 }
-                Event::Comes { to, from, said, at: sent } => {
+                Event::Delivered { to, from, message, at: sent } => {
                     let verdicts = &mut self.all[to].verdicts;
-                    verdicts.heard(at, MemberId(from as u64), LocationId(0), at - sent, said);
-                    self.share(to);
+                    verdicts.receive(at, MemberId(from as u64), LocationId(0), at - sent, message);
+                    self.carry_out_effects(to);
                 }
                 Event::Listed => {
-                    let since = START + BACK;
+                    let since = START + RESTARTED;
                     let entry = self.listing(FAULTY, since);
                     for of in 0..self.all.len() {
                         let one = &mut self.all[of];
                         one.brain.listed(at, &[entry], false);
-                        let back = self.seen.back.get_mut(&of);
-                        back.into_iter().for_each(|back| *back = (*back).min(LIST_LATE));
+                        let back = self.measured.back.get_mut(&of);
+                        back.into_iter().for_each(|back| *back = (*back).min(LIST_DELAY));
                         let by = UsedBy::Location(LocationId(0));
-                        one.verdicts.listed(at, FAULTY, Some(Incarnation(since.0)), by);
-                        self.pull(of);
-                        self.share(of);
+                        one.verdicts.update_host(at, FAULTY, Some(Incarnation(since.0)), by);
+                        self.carry_out_decisions(of);
+                        self.carry_out_effects(of);
                     }
                 }
             }
         }
-        self.seen
+        self.measured
     }
 
     fn arrives(&mut self, of: usize) {
         let (now, rate) = (self.now, self.case.visits_a_second);
         let one = &mut self.all[of];
         let gap = -(1.0 - one.arrivals.gen::<f64>()).ln() / rate;
-        // Few objects are asked for often.
+        // Popularity is skewed: a few objects get most visits.
         let object = ObjectId((1.0 / (1.0 - one.arrivals.gen::<f64>() * 0.998)).powf(1.2) as u64);
         one.next += 1;
         let id = VisitId(one.next);
         one.visits.insert(id, (now, 0, false));
-        let kilobytes = Some(SENDING * 5000.0);
+        let kilobytes = Some(SENDING_SECONDS * 5000.0);
         let (band, group, deadline) = (BandId(0), GroupId(0), now + Span::millis(4_000));
         one.brain.arrived(now, Visit { id, band, object, group, part: 0, kilobytes, deadline });
-        self.seen.visits += 1;
+        self.measured.visits += 1;
         self.put(now + Span::seconds(gap), Event::Arrives(of));
-        self.pull(of);
+        self.carry_out_decisions(of);
     }
 
     fn ends(&mut self, of: usize, visit: VisitId, number: u8, outcome: Outcome, note: Note) {
@@ -289,19 +293,19 @@
         let (took, report, number) = (now - sent, Report::default(), HandOffNo(number));
         one.brain.ended(now, Ended { visit, number, outcome, note, took, report, last });
         if last {
-            self.finally(of, visit, true);
+            self.end_visit(of, visit, true);
         }
-        self.pull(of);
+        self.carry_out_decisions(of);
     }
 
-    /// A visit has its answer; one that met the faulty host and was not settled in time is lost to it.
-    fn finally(&mut self, of: usize, visit: VisitId, settled: bool) {
+    /// Ends a visit. It counts as lost if it had a hand-off to the faulty host and no answer in time.
+    fn end_visit(&mut self, of: usize, visit: VisitId, settled: bool) {
         let Some((arrived, _, met)) = self.all[of].visits.remove(&visit) else { return };
-        let in_time = settled && self.now - arrived <= QUOTED;
-        self.seen.lost += u64::from(met && !in_time);
+        let in_time = settled && self.now - arrived <= QUOTED_TIME;
+        self.measured.lost += u64::from(met && !in_time);
     }
 
-    fn pull(&mut self, of: usize) {
+    fn carry_out_decisions(&mut self, of: usize) {
         let now = self.now;
         while let Some(decision) = self.all[of].brain.next(now) {
             match decision {
@@ -311,42 +315,42 @@
                     self.put(now, Event::Ends { of, visit, number: number.0, outcome, note });
                 }
                 Decision::TurnBack { visit, .. } | Decision::WriteOff { visit } => {
-                    self.finally(of, visit, false)
+                    self.end_visit(of, visit, false)
                 }
                 Decision::Log(line) => self.logged(of, &line),
                 Decision::Probe { .. } | Decision::Wake { .. } => {}
             }
         }
-        self.share(of);
+        self.carry_out_effects(of);
     }
 
     fn hand_off(&mut self, of: usize, visit: VisitId, host: HostId, fill: Option<Fill>) {
         let (now, faulty) = (self.now, self.is_faulty() && host == FAULTY);
-        let cold = self.case.fault == Fault::Restarts && host == FAULTY && now >= START + BACK;
+        let cold = self.case.fault == Fault::Restarts && host == FAULTY && now >= START + RESTARTED;
         let fault = self.case.fault;
         let one = &mut self.all[of];
         let Some(known) = one.visits.get_mut(&visit) else { return };
         let number = known.1;
         known.1 += 1;
         known.2 |= faulty;
-        self.seen.wasted += u64::from(faulty);
-        self.seen.to_cold.extend(cold.then_some(now));
+        self.measured.wasted += u64::from(faulty);
+        self.measured.to_cold.extend(cold.then_some(now));
         one.out.insert((visit, number), now);
-        // The same chances in both plays, by the visit.
+        // Seeded by the visit, for the same outcomes with and without sharing.
         let mut chance = Pcg64Mcg::seed_from_u64(
             self.case.seed ^ (of as u64) << 40 ^ u64::from(visit.0) << 4 ^ u64::from(number),
         );
         let object = ObjectId(u64::from(visit.0) % 97);
         let held = fill.is_none_or(|f| f.source == host) || !self.held.insert((host, object));
-        let quick = Span::seconds(chance.gen_range(0.5..1.5) * SENDING);
+        let quick = Span::seconds(chance.gen_range(0.5..1.5) * SENDING_SECONDS);
         let at_once = Span::seconds(chance.gen_range(0.004..0.02));
         let fails = match fault {
-            _ if one.bad_link && now >= START + FAULT && chance.gen_bool(0.9) => {
+            _ if one.bad_link && now >= START + FAULT_START && chance.gen_bool(0.9) => {
                 Some((Outcome::TimedOut, Span::millis(3_900)))
             }
             Fault::HalfErrors if faulty => chance.gen_bool(0.5).then_some((Outcome::Error, at_once)),
-            Fault::Errors | Fault::ErrorsOver if faulty => Some((Outcome::Error, at_once)),
-            Fault::Hangs | Fault::HangsOver if faulty => Some((Outcome::TimedOut, Span::millis(3_900))),
+            Fault::Errors | Fault::ErrorsForAWhile if faulty => Some((Outcome::Error, at_once)),
+            Fault::Hangs | Fault::HangsForAWhile if faulty => Some((Outcome::TimedOut, Span::millis(3_900))),
             _ if faulty => Some((Outcome::ConnectFailed, Span(500))),
             _ => None,
         };
@@ -360,31 +364,31 @@
 
     fn logged(&mut self, of: usize, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
-        let end = if self.case.fault == Fault::Restarts { BACK } else { OVER };
+        let end = if self.case.fault == Fault::Restarts { RESTARTED } else { FAULT_END };
         if let ["host", "3", what, ..] = words[..] {
             let since = self.now - START;
             if what.starts_with("back") && since >= end {
-                self.seen.back.insert(of, Span(since.0 - end.0));
+                self.measured.back.insert(of, Span(since.0 - end.0));
             } else if what == "shut" && since < end {
-                self.seen.back.insert(of, Span(END.0 - end.0));
+                self.measured.back.insert(of, Span(END.0 - end.0));
             } else if what.starts_with("back") {
-                self.seen.back.remove(&of);
+                self.measured.back.remove(&of);
             }
         }
         let ["host", id, "shut", ..] = words[..] else { return };
         let host = HostId(u64::from_str_radix(id, 16).unwrap_or(0));
         if host == FAULTY && !matches!(self.case.fault, Fault::Links(_)) {
-            let since = self.now - (START + FAULT);
-            self.seen.out.entry(of).or_insert(since);
+            let since = self.now - (START + FAULT_START);
+            self.measured.out.entry(of).or_insert(since);
         } else if !self.all[of].bad_link {
             let told = line.contains("told");
-            self.seen.wrong_told += u64::from(told);
-            self.seen.wrong_own += u64::from(!told);
+            self.measured.wrong_told += u64::from(told);
+            self.measured.wrong_own += u64::from(!told);
         }
     }
 
-    /// What the module holds goes to the room, and what others say to the module, as often as the timer comes.
-    fn find(&mut self, of: usize) {
+    /// Passes findings of the module to the verdicts, and verdicts to the module, on every tick.
+    fn exchange_findings(&mut self, of: usize) {
         let now = self.now;
         let one = &mut self.all[of];
         let mut shut = BTreeSet::new();
@@ -397,34 +401,34 @@
             shut.extend((kind != Kind::JustStarted).then_some(found.host));
             let (host, evidence, age) = (found.host, found.evidence, now - found.at);
             let since = found.since.map(|at| Incarnation(at.0));
-            one.verdicts.found(now, Finding { host, since, kind, evidence, age });
+            one.verdicts.report_finding(now, Finding { host, since, kind, evidence, age });
         }
-        one.shut.difference(&shut).for_each(|host| one.verdicts.cleared(now, *host));
+        one.shut.difference(&shut).for_each(|host| one.verdicts.report_recovery(now, *host));
         one.shut = shut;
         let refuted: Vec<HostId> = one.brain.refuted(now).collect();
-        refuted.into_iter().for_each(|host| one.verdicts.refuted(now, host));
+        refuted.into_iter().for_each(|host| one.verdicts.refute(now, host));
         for (host, (since, until)) in one.told.clone() {
             one.brain.hearsay(now, host, since, Word::Bad, until);
         }
-        self.pull(of);
+        self.carry_out_decisions(of);
     }
 
-    fn share(&mut self, of: usize) {
+    fn carry_out_effects(&mut self, of: usize) {
         let now = self.now;
         while let Some(effect) = self.all[of].verdicts.next() {
             if !self.case.shared {
                 continue;
             }
             match effect {
-                Effect::Publish { said, .. } => {
-                    self.seen.said += 1;
+                Effect::Publish { message, .. } => {
+                    self.measured.messages += 1;
                     for to in (0..self.all.len()).filter(|to| *to != of) {
                         let delay = Span(self.link.gen_range(1_000..5_000));
-                        self.put(now + delay, Event::Comes { to, from: of, said, at: now });
+                        self.put(now + delay, Event::Delivered { to, from: of, message, at: now });
                     }
                 }
-                Effect::Hearsay { host, since, kind, age, until, .. } => {
-                    self.seen.oldest = self.seen.oldest.max(age);
+                Effect::Verdict { host, since, kind, age, until, .. } => {
+                    self.measured.oldest = self.measured.oldest.max(age);
                     let (one, since) = (&mut self.all[of], since.map(|run| Time(run.0)));
                     let word = if kind == Kind::JustStarted { Word::Anew } else { Word::Bad };
                     if word == Word::Bad {
@@ -443,14 +447,15 @@
     }
 }
 
-/// Windows of two seconds in which more went to the cold host than it bears: N + 3 root N + 3.
-fn pushed_over(seen: &Seen, weight: f64) -> usize {
+/// Number of two-second windows with more hand-offs than the cold host can take, N: above N + 3 sqrt(N) + 3.
+fn overloaded_windows(measured: &Measured, weight: f64) -> usize {
     let rules = settings(1).cold_cache;
-    let over = seen.to_cold.iter().enumerate().filter(|(first, from)| {
-        let sent = seen.to_cold[*first..].iter().take_while(|at| **at < **from + rules.window).count() as f64;
-        let age = (**from - (START + BACK)).as_seconds() / rules.ramp.as_seconds();
+    let over = measured.to_cold.iter().enumerate().filter(|(first, from)| {
+        let sent =
+            measured.to_cold[*first..].iter().take_while(|at| **at < **from + rules.window).count() as f64;
+        let age = (**from - (START + RESTARTED)).as_seconds() / rules.ramp.as_seconds();
         let warm = (rules.share + (1.0 - rules.share) * age).min(1.0);
-        let borne = rules.multiple * warm * weight / SENDING * rules.window.as_seconds();
+        let borne = rules.multiple * warm * weight / SENDING_SECONDS * rules.window.as_seconds();
         age < 1.0 && sent > borne + 3.0 * borne.sqrt() + 3.0
     });
     over.count()
@@ -464,14 +469,14 @@
         Fault::HalfErrors,
         Fault::Hangs,
         Fault::Refuses,
-        Fault::ErrorsOver,
-        Fault::HangsOver,
+        Fault::ErrorsForAWhile,
+        Fault::HangsForAWhile,
         Fault::Restarts,
         Fault::Links(1),
         Fault::Links(2),
         Fault::Links(3),
     ];
-    println!("| fault | dispatchers | visits/s each | last out, alone (s) | shared | part | lost, alone | shared | part | hand-offs to it | shared | good out, alone | shared | told | cold over, alone | shared | last back, alone (s) | shared | mean back, alone (s) | shared | oldest used (s) |");
+    println!("| fault | dispatchers | visits/s each | last stopped, alone (s) | shared | ratio | lost, alone | shared | ratio | hand-offs to it | shared | healthy removed, alone | shared | by verdict | cold overloaded, alone | shared | last resumed, alone (s) | shared | mean resumed, alone (s) | shared | oldest evidence (s) |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for fault in faults {
         for (dispatchers, rate) in [(8, 2.0), (8, 5.0), (8, 20.0), (30, 2.0), (30, 5.0), (30, 20.0)] {
@@ -484,23 +489,25 @@
                     let case = Case { fault, dispatchers, visits_a_second: rate, seed, shared, set };
                     let play = Play::new(case);
                     let weight = play.weight;
-                    let seen = play.run();
+                    let measured = play.run();
                     let place = usize::from(shared);
-                    last[place] +=
-                        seen.out.values().max().copied().unwrap_or(Span::ZERO).as_seconds() / seeds as f64;
-                    back[place][0] += seen.back.values().max().map_or(0.0, |b| b.as_seconds()) / seeds as f64;
-                    back[place][1] += seen.back.values().map(|b| b.as_seconds()).sum::<f64>()
-                        / (seen.back.len().max(1) as f64 * seeds as f64);
-                    never[place] += dispatchers as usize - seen.out.len();
-                    lost[place] += seen.lost;
-                    wasted[place] += seen.wasted;
-                    wrong[place] += seen.wrong_own;
-                    over[place] += usize::from(pushed_over(&seen, weight) > 0);
-                    told += seen.wrong_told;
-                    oldest = oldest.max(seen.oldest);
+                    last[place] += measured.out.values().max().copied().unwrap_or(Span::ZERO).as_seconds()
+                        / seeds as f64;
+                    back[place][0] +=
+                        measured.back.values().max().map_or(0.0, |b| b.as_seconds()) / seeds as f64;
+                    back[place][1] += measured.back.values().map(|b| b.as_seconds()).sum::<f64>()
+                        / (measured.back.len().max(1) as f64 * seeds as f64);
+                    never[place] += dispatchers as usize - measured.out.len();
+                    lost[place] += measured.lost;
+                    wasted[place] += measured.wasted;
+                    wrong[place] += measured.wrong_own;
+                    over[place] += usize::from(overloaded_windows(&measured, weight) > 0);
+                    told += measured.wrong_told;
+                    oldest = oldest.max(measured.oldest);
                 }
             }
-            let over_at_all = matches!(fault, Fault::HangsOver | Fault::ErrorsOver | Fault::Restarts);
+            let over_at_all =
+                matches!(fault, Fault::HangsForAWhile | Fault::ErrorsForAWhile | Fault::Restarts);
             let backs = if over_at_all {
                 let [[last, mean], [last_shared, mean_shared]] = back;
                 format!("{last:.1} | {last_shared:.1} | {mean:.1} | {mean_shared:.1}")
--- a/crates/fleet/src/house.rs
+++ b/crates/fleet/src/house.rs
@@ -1,5 +1,6 @@
-//! The five rooms as one: what comes from others goes to its room, what one room says of a member or an item goes to
-//! the rooms that need it, and what has to leave the house comes out by `next`.
+//! One dispatcher's node of the fleet: combines membership, limits, verdicts, feed and rollout. Dispatches
+//! messages to them, passes changes of membership and feed items between them, and returns all effects
+//! through `Fleet::next`.
 use crate::common::{Incarnation, MemberId};
 use crate::feed::{self, Feed};
 use crate::limits::{self, Key, Limits};
@@ -10,21 +11,21 @@
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the feed's keys of verdicts begin with.
-const VERDICT: u8 = b'v';
+/// First byte of the feed keys of verdicts.
+const VERDICT_KEY: u8 = b'v';
 
-/// A room that is absent is off.
+/// Settings of all components; one that is `None` is off.
 #[derive(Clone, Debug, Default)]
 pub struct Set {
     pub members: members::Set,
     pub limits: Option<limits::Set>,
     pub verdicts: Option<verdicts::Set>,
-    /// Only there with verdicts or followers.
+    /// Only used with verdicts or followers.
     pub feed: feed::Set,
     pub rollout: Option<rollout::Set>,
 }
 
-/// What goes between members.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     Members(members::Said),
@@ -33,30 +34,32 @@
     Rollout(rollout::Said),
 }
 
-/// What was not taken of another's message.
+/// Why a message was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Void {
-    /// Of no one listed, or of a follower that says what only members say.
+    /// The sender is not listed, or is a follower and sent a message that only members send.
     Unlisted,
-    /// Of a run that a newer one has followed, or that is to start in the future.
+    /// The sender's run is outdated, or its start is too far in the future.
     Run,
-    /// The room it is for is off here.
+    /// The component it is for is off here.
     Off,
 }
 
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Tell {
         to: MemberId,
         message: Message,
     },
-    /// The dispatcher's part of a limit; `Fleet::taken` once it is in force there.
+    /// The dispatcher's allowance of a limit; the caller confirms with `Fleet::taken` once it is in force.
     Part {
         key: Key,
         amount: f64,
         until: Time,
         after: f64,
     },
+    /// A verdict on a host from findings of other dispatchers.
     Hearsay {
         host: HostId,
         since: Option<Incarnation>,
@@ -66,28 +69,31 @@
         age: Span,
         tellers: u8,
     },
+    /// Withdraws a verdict.
     Withdraw {
         host: HostId,
     },
-    /// To be synced; then `Fleet::kept`.
+    /// A record to store durably; the caller then calls `Fleet::kept`.
     Keep {
         ticket: u64,
         record: rollout::Record,
     },
-    /// Rules in force here from now on; or `Fleet::not_taken`.
+    /// Rules to put into force; the caller calls `Fleet::not_taken` if it can't.
     InForce {
         number: u64,
         text: String,
     },
+    /// The state or incarnation of a member changed.
     Changed {
         who: MemberId,
         standing: Standing,
         incarnation: Incarnation,
     },
+    /// Whether this dispatcher's own links are degraded.
     OwnTrouble(bool),
-    /// A newer process runs under this one's name: this one says no more.
+    /// A newer process runs under the same name; this one sends nothing more.
     SteppedDown,
-    /// An item of the feed came, or a state instead of all items up to a number.
+    /// An item of the feed was delivered, or a state that replaces all items up to `number`.
     Delivered {
         source: MemberId,
         incarnation: Incarnation,
@@ -97,6 +103,7 @@
     Log(String),
 }
 
+/// One dispatcher as a member of the fleet.
 pub struct Fleet {
     own: MemberId,
     locations: BTreeMap<MemberId, LocationId>,
@@ -107,12 +114,12 @@
     feed: Option<Feed>,
     rollout: Option<Rollout>,
     stepped_down: bool,
-    ready: VecDeque<Effect>,
+    effects: VecDeque<Effect>,
 }
 
 impl Fleet {
-    /// `listed`: all members, this one among them. `every`: the one periodic timer's. `kept`: what `Effect::Keep`
-    /// gave out in earlier runs.
+    /// `listed`: all members, including this one. `every`: interval of the periodic timer. `kept`: the
+    /// records of `Effect::Keep` from earlier runs.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         set: Set,
@@ -132,8 +139,8 @@
             let set = limits::Set { round: every, ..set };
             Limits::new(set, own, incarnation, &ids, seed ^ 1, now)
         });
-        let with_feed = set.verdicts.is_some() || !followers.is_empty();
-        let feed = with_feed.then(|| {
+        let needs_feed = set.verdicts.is_some() || !followers.is_empty();
+        let feed = needs_feed.then(|| {
             let set = feed::Set { round: every, ..set.feed };
             Feed::new(set, own, incarnation, &ids, followers, seed ^ 2, now)
         });
@@ -150,7 +157,7 @@
             feed,
             rollout,
             stepped_down: false,
-            ready: VecDeque::new(),
+            effects: VecDeque::new(),
         }
     }
 
@@ -174,7 +181,7 @@
         self.rollout.as_ref()
     }
 
-    /// A message of another. Where it is void nothing has changed.
+    /// Handles a message. An ignored one changes nothing.
     pub fn heard(
         &mut self,
         now: Time,
@@ -194,17 +201,17 @@
                 _ => Err(Void::Unlisted),
             };
         }
-        let current = self.members.accept(now, from, incarnation);
+        let is_current = self.members.accept(now, from, incarnation);
         if let Message::Members(said) = message {
-            // Also of an older run: it learns so of the newer one.
+            // Also from an outdated run, which is then told about the newer one.
             self.members.receive(now, from, said);
-            return if current { Ok(()) } else { Err(Void::Run) };
+            return if is_current { Ok(()) } else { Err(Void::Run) };
         }
-        if !current {
+        if !is_current {
             return Err(Void::Run);
         }
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.came(now, from, incarnation);
+            verdicts.note_incarnation(now, from, incarnation);
         }
         match (message, &mut self.limits, &mut self.feed, &mut self.rollout) {
             (Message::Limits(said), Some(limits), ..) => limits.receive(now, from, said),
@@ -215,7 +222,7 @@
         Ok(())
     }
 
-    /// The one periodic timer.
+    /// Periodic work of all components.
     pub fn woken(&mut self, now: Time) {
         if let Some(limits) = &mut self.limits {
             limits.tick(now);
@@ -225,11 +232,11 @@
         }
         self.members.tick(now);
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.woken(now);
+            verdicts.tick(now);
         }
-        // What this round's verdicts publish goes out in this round.
-        while let Some(effect) = self.next_of_verdicts(now) {
-            self.ready.push_back(effect);
+        // Lets the feed send in this tick what verdicts publish in it.
+        while let Some(effect) = self.next_verdicts_effect(now) {
+            self.effects.push_back(effect);
         }
         if let Some(feed) = &mut self.feed {
             feed.woken(now);
@@ -239,111 +246,122 @@
         }
     }
 
-    /// This process leaves in order.
+    /// Begins an orderly shutdown.
     pub fn leave(&mut self, now: Time) {
         self.members.leave(now);
     }
 
-    /// What the dispatcher would use of a limit if it could; to be told again at least every 10 s.
+    /// Sets what the dispatcher would use of a limit if it could; has to be repeated at least every 10 s.
     pub fn wants(&mut self, now: Time, key: Key, amount: f64) {
         if let Some(limits) = &mut self.limits {
             limits.set_demand(now, key, amount);
         }
     }
 
-    /// The last part that was pulled for this key is in force with the dispatcher.
+    /// Confirms that the last allowance returned for this key is in force.
     pub fn taken(&mut self, now: Time, key: Key) {
         if let Some(limits) = &mut self.limits {
             limits.confirm_applied(now, key);
         }
     }
 
+    /// See `Verdicts::report_finding`.
     pub fn found(&mut self, now: Time, finding: Finding) {
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.found(now, finding);
+            verdicts.report_finding(now, finding);
         }
     }
 
+    /// See `Verdicts::report_recovery`.
     pub fn cleared(&mut self, now: Time, host: HostId) {
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.cleared(now, host);
+            verdicts.report_recovery(now, host);
         }
     }
 
+    /// See `Verdicts::set_thresholds`.
     pub fn weighed(&mut self, now: Time, tellers: u8, part: f64) {
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.weighed(now, tellers, part);
+            verdicts.set_thresholds(now, tellers, part);
         }
     }
 
+    /// See `Verdicts::refute`.
     pub fn refuted(&mut self, now: Time, host: HostId) {
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.refuted(now, host);
+            verdicts.refute(now, host);
         }
     }
 
+    /// See `Verdicts::update_host`.
     pub fn listed(&mut self, now: Time, host: HostId, since: Option<Incarnation>, used_by: UsedBy) {
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.listed(now, host, since, used_by);
+            verdicts.update_host(now, host, since, used_by);
         }
     }
 
+    /// See `Verdicts::remove_host`.
     pub fn unlisted(&mut self, now: Time, host: HostId) {
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.unlisted(now, host);
+            verdicts.remove_host(now, host);
         }
     }
 
+    /// Passes the dispatcher's figures of a period to the rollout.
     pub fn counted(&mut self, now: Time, figures: rollout::Figures) {
         if let Some(rollout) = &mut self.rollout {
             rollout.counted(now, figures);
         }
     }
 
-    /// None where the rollout is off.
+    /// Carries out an operator's order; `None` if the rollout is off.
     pub fn order(&mut self, now: Time, order: rollout::Order) -> Option<Result<(), rollout::Error>> {
         Some(self.rollout.as_mut()?.order(now, order))
     }
 
+    /// Reports that the rules of this number can't be used.
     pub fn not_taken(&mut self, now: Time, number: u64, why: &str) {
         if let Some(rollout) = &mut self.rollout {
             rollout.refused(now, number, why);
         }
     }
 
-    pub fn kept(&mut self, now: Time, ticket: u64, well: bool) {
+    /// Reports that a record was stored, or could not be.
+    pub fn kept(&mut self, now: Time, ticket: u64, is_stored: bool) {
         if let Some(rollout) = &mut self.rollout {
-            rollout.kept(now, ticket, well);
+            rollout.kept(now, ticket, is_stored);
         }
     }
 
-    /// `now`: of the call before, for what is told has ages of that time.
+    /// The next effect to carry out. `now`: that of the preceding call, as messages contain ages at that
+    /// time.
     pub fn next(&mut self, now: Time) -> Option<Effect> {
         loop {
-            let found = self.ready.pop_front().or_else(|| self.next_of_members(now));
-            let found = found.or_else(|| self.next_of_limits());
-            let found = found.or_else(|| self.next_of_feed(now));
-            let found = found.or_else(|| self.next_of_verdicts(now));
-            let found = found.or_else(|| self.next_of_rollout())?;
-            // Guards against two processes under one name that both grant and vote.
-            if !(self.stepped_down && matches!(found, Effect::Tell { .. } | Effect::InForce { .. })) {
-                return Some(found);
+            let effect = self.effects.pop_front().or_else(|| self.next_members_effect(now));
+            let effect = effect.or_else(|| self.next_limits_effect());
+            let effect = effect.or_else(|| self.next_feed_effect(now));
+            let effect = effect.or_else(|| self.next_verdicts_effect(now));
+            let effect = effect.or_else(|| self.next_rollout_effect())?;
+            // After stepping down nothing is sent, so that two processes under one name never both lend and
+            // vote.
+            if !(self.stepped_down && matches!(effect, Effect::Tell { .. } | Effect::InForce { .. })) {
+                return Some(effect);
             }
         }
     }
 
-    fn next_of_members(&mut self, now: Time) -> Option<Effect> {
+    fn next_members_effect(&mut self, now: Time) -> Option<Effect> {
         Some(match self.members.next()? {
             members::Effect::Send { to, message } => Effect::Tell { to, message: Message::Members(message) },
             members::Effect::Changed { who, standing, incarnation } => {
-                self.stands(now, who, !matches!(standing, Standing::Dead | Standing::Left));
+                self.set_alive(now, who, !matches!(standing, Standing::Dead | Standing::Left));
                 Effect::Changed { who, standing, incarnation }
             }
-            members::Effect::LinksDegraded(trouble) => {
+            members::Effect::LinksDegraded(degraded) => {
                 if let Some(verdicts) = &mut self.verdicts {
-                    verdicts.own_trouble(now, trouble);
+                    verdicts.set_links_degraded(now, degraded);
                 }
-                Effect::OwnTrouble(trouble)
+                Effect::OwnTrouble(degraded)
             }
             members::Effect::SteppedDown => {
                 self.stepped_down = true;
@@ -356,7 +374,7 @@
         })
     }
 
-    fn stands(&mut self, now: Time, who: MemberId, alive: bool) {
+    fn set_alive(&mut self, now: Time, who: MemberId, alive: bool) {
         if let Some(limits) = &mut self.limits {
             limits.set_alive(now, who, alive);
         }
@@ -364,14 +382,14 @@
             feed.standing(now, who, alive);
         }
         if let (Some(verdicts), Some(location)) = (&mut self.verdicts, self.locations.get(&who)) {
-            verdicts.standing(now, who, *location, alive);
+            verdicts.set_alive(now, who, *location, alive);
         }
         if let Some(rollout) = &mut self.rollout {
             rollout.standing(now, who, alive);
         }
     }
 
-    fn next_of_limits(&mut self) -> Option<Effect> {
+    fn next_limits_effect(&mut self) -> Option<Effect> {
         Some(match self.limits.as_mut()?.next()? {
             limits::Effect::Send { to, message } => Effect::Tell { to, message: Message::Limits(message) },
             limits::Effect::Allowance { key, amount, until, after } => {
@@ -381,16 +399,16 @@
         })
     }
 
-    fn next_of_feed(&mut self, now: Time) -> Option<Effect> {
+    fn next_feed_effect(&mut self, now: Time) -> Option<Effect> {
         Some(match self.feed.as_mut()?.next()? {
             feed::Effect::Tell { to, said } => Effect::Tell { to, message: Message::Feed(said) },
             feed::Effect::Deliver { source, incarnation, number, key, value, age } => {
-                self.delivered(now, source, incarnation, &key, &value, age);
+                self.handle_feed_item(now, source, incarnation, &key, &value, age);
                 Effect::Delivered { source, incarnation, number, state: false }
             }
             feed::Effect::State { source, incarnation, up_to, items } => {
                 for item in items {
-                    self.delivered(now, source, incarnation, &item.key, &item.value, item.age);
+                    self.handle_feed_item(now, source, incarnation, &item.key, &item.value, item.age);
                 }
                 Effect::Delivered { source, incarnation, number: up_to, state: true }
             }
@@ -398,8 +416,8 @@
         })
     }
 
-    /// What is published for a room that isn't known here is passed over.
-    fn delivered(
+    /// Passes an item of the feed on; items with an unknown key are ignored.
+    fn handle_feed_item(
         &mut self,
         now: Time,
         source: MemberId,
@@ -410,23 +428,25 @@
     ) {
         let location = self.locations.get(&source).copied();
         let (Some(verdicts), Some(location)) = (&mut self.verdicts, location) else { return };
-        if key.first() != Some(&VERDICT) || source == self.own {
+        if key.first() != Some(&VERDICT_KEY) || source == self.own {
             return;
         }
-        let said = postcard::from_bytes::<verdicts::Said>(value).ok();
-        if let Some(said) = said.filter(|said| said.incarnation == incarnation) {
-            verdicts.heard(now, source, location, age, said);
+        let message = postcard::from_bytes::<verdicts::Message>(value).ok();
+        if let Some(message) = message.filter(|message| message.incarnation == incarnation) {
+            verdicts.receive(now, source, location, age, message);
         }
     }
 
-    fn next_of_verdicts(&mut self, now: Time) -> Option<Effect> {
+    fn next_verdicts_effect(&mut self, now: Time) -> Option<Effect> {
         loop {
             return Some(match self.verdicts.as_mut()?.next()? {
-                verdicts::Effect::Publish { key, said, hold } => match self.put(now, key, &said, hold) {
-                    Some(line) => Effect::Log(line),
-                    None => continue,
-                },
-                verdicts::Effect::Hearsay { host, since, kind, weight, until, age, tellers } => {
+                verdicts::Effect::Publish { key, message, ttl } => {
+                    match self.publish(now, key, &message, ttl) {
+                        Some(line) => Effect::Log(line),
+                        None => continue,
+                    }
+                }
+                verdicts::Effect::Verdict { host, since, kind, weight, until, age, reporters: tellers } => {
                     Effect::Hearsay { host, since, kind, weight, until, age, tellers }
                 }
                 verdicts::Effect::Withdraw { host } => Effect::Withdraw { host },
@@ -435,15 +455,21 @@
         }
     }
 
-    /// Why it could not be published.
-    fn put(&mut self, now: Time, mut key: Vec<u8>, said: &verdicts::Said, hold: Span) -> Option<String> {
-        key.insert(0, VERDICT);
-        let value = postcard::to_stdvec(said).ok()?;
-        let refused = self.feed.as_mut()?.publish(now, key, value, hold).err()?;
-        Some(format!("verdicts: not told to others ({}): {refused}", refused.code()))
+    /// Publishes a verdict through the feed. Returns a log line if that fails.
+    fn publish(
+        &mut self,
+        now: Time,
+        mut key: Vec<u8>,
+        message: &verdicts::Message,
+        ttl: Span,
+    ) -> Option<String> {
+        key.insert(0, VERDICT_KEY);
+        let value = postcard::to_stdvec(message).ok()?;
+        let error = self.feed.as_mut()?.publish(now, key, value, ttl).err()?;
+        Some(format!("verdicts: not published ({}): {error}", error.code()))
     }
 
-    fn next_of_rollout(&mut self) -> Option<Effect> {
+    fn next_rollout_effect(&mut self) -> Option<Effect> {
         Some(match self.rollout.as_mut()?.next()? {
             rollout::Effect::Tell { to, said } => Effect::Tell { to, message: Message::Rollout(said) },
             rollout::Effect::Keep { ticket, record } => Effect::Keep { ticket, record },
--- a/crates/fleet/src/verdicts/mod.rs
+++ b/crates/fleet/src/verdicts/mod.rs
@@ -1,6 +1,7 @@
-//! What other dispatchers found out about hosts. A finding goes to all with its evidence and age; it counts here
-//! only while several tellers say the same of the same run of a host, and never past a stated age.
-//! The module is told (`Effect::Hearsay`, `Effect::Withdraw`) and decides. docs/fleet-verdicts.md weighs the choices.
+//! Shared verdicts on hosts. Each dispatcher publishes its findings with their evidence and age. They become
+//! a verdict while several dispatchers report the same about the same run of a host, and only up to a maximum
+//! age. The caller decides what follows from `Effect::Verdict` and `Effect::Withdraw`. docs/fleet-verdicts.md
+//! explains the design.
 use crate::common::{Incarnation, MemberId};
 use cherrypass::ids::{HostId, LocationId};
 use cherrypass::time::{Span, Time};
@@ -8,107 +9,111 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-mod calls;
-pub use calls::*;
-
-/// How many times faster one member's clock may run than another's.
-const CLOCKS: f64 = 1.01;
-// Bounds on what is remembered; past them the new is refused. The third is two matters of 1,024 hosts, as many as
-// may be cold or bad at once; a source's place in the feed bounds an honest teller before that.
-const HOSTS_MOST: usize = 4_096;
-const TELLERS_MOST: usize = 1_024;
-const FINDINGS_MOST: usize = 2_048;
-const EVIDENCE_MOST: u32 = 1_000;
-/// At which part of the hold time a finding that stands is told anew, and by how much later a verdict must hold
-/// for the module to be told anew.
-const TOLD_ANEW: f64 = 0.25;
-const LONGER: f64 = 0.125;
-/// How long after a withdrawal the same host is not told of again, as a part of the hold time.
-const REST: f64 = 0.1;
-/// How long a finding on a host that is only reached through caches waits for one on a cache, likewise.
-const SETTLE: f64 = 0.05;
-/// What one teller's word weighs at most, and the hand-offs that weigh half of it.
-const TRUST: f64 = 0.5;
-const HALF_EVIDENCE: f64 = 4.0;
-
+mod types;
+pub use types::*;
+
+/// How much faster one member's clock may run than another's.
+const MAX_CLOCK_RATIO: f64 = 1.01;
+// Bounds on memory; what exceeds them is rejected. The third is two topics of 1,024 hosts, the most that may
+// be cold or unhealthy at once; a correct reporter reaches the bound of its space in the feed before that.
+const MAX_HOSTS: usize = 4_096;
+const MAX_REPORTERS: usize = 1_024;
+const MAX_FINDINGS: usize = 2_048;
+const MAX_EVIDENCE: u32 = 1_000;
+/// Fraction of the hold time after which a lasting finding is published again, and by which a verdict must be
+/// extended before the caller is told.
+const REPUBLISH_FRACTION: f64 = 0.25;
+const MIN_EXTENSION_FRACTION: f64 = 0.125;
+/// Pause after a withdrawal in which nothing is published about the host, as a fraction of the hold time.
+const WITHDRAWAL_PAUSE_FRACTION: f64 = 0.1;
+/// Delay of a finding about a host that is reached through caches, as a cache may be the cause; same unit.
+const SHARED_HOST_DELAY_FRACTION: f64 = 0.05;
+/// Largest weight of one report, and the number of hand-offs that gives half of it.
+const MAX_REPORT_WEIGHT: f64 = 0.5;
+const HALF_WEIGHT_EVIDENCE: f64 = 4.0;
+
+/// A listed host.
 #[derive(Debug)]
 struct Host {
     since: Option<Incarnation>,
     used_by: UsedBy,
-    /// After a withdrawal of our own: nothing is told of it before.
-    untold: Time,
-    /// Own hand-offs went well against what was told: nothing told of it counts before.
-    refuted: Time,
-    /// It was out by what was told: until then one teller is enough to call it new.
-    was_out: Time,
-    /// A teller's own trials brought it back: nothing found before counts.
-    cleared: Option<Time>,
-    /// This dispatcher told that it is bad, and has not taken that back.
-    tells: bool,
+    /// Nothing is published about it before: set by an own withdrawal.
+    publish_after: Time,
+    /// Reports of others are ignored before: set when own hand-offs contradicted them.
+    ignored_until: Time,
+    /// A verdict took it out of use: until then a single report of a restart is enough.
+    recently_out_until: Time,
+    /// Another dispatcher reported its recovery: earlier findings do not count.
+    recovered_at: Option<Time>,
+    /// This dispatcher has published that it is unhealthy and has not withdrawn that.
+    is_published: bool,
 }
 
-/// An own finding.
+/// A finding of this dispatcher.
 #[derive(Clone, Copy, Debug)]
-struct Mine {
+struct OwnFinding {
     since: Option<Incarnation>,
     kind: Kind,
     evidence: u32,
-    /// When the last hand-off spoke for it.
-    at: Time,
-    /// When it is told next, and whether it was.
-    next: Time,
-    told: bool,
+    /// When the latest hand-off supported it.
+    evidence_at: Time,
+    /// When it is published next, and whether it was before.
+    next_publish: Time,
+    is_published: bool,
 }
 
+/// The latest report of a dispatcher on one topic of a host.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    number: u64,
-    /// None: withdrawn, and remembered so that what was said before does not undo it.
+struct Report {
+    sequence: u64,
+    /// `None`: withdrawn, and remembered so that an older message does not undo that.
     found: Option<(Option<Incarnation>, Kind, u32)>,
     until: Time,
 }
 
+/// Another dispatcher and its reports.
 #[derive(Debug)]
-struct Teller {
+struct Reporter {
     location: LocationId,
     incarnation: Incarnation,
-    /// Dead, or it has left.
-    gone: bool,
-    told: BTreeMap<(HostId, Matter), Told>,
-    /// Finds too much at once: nothing of it counts before.
-    discounted: Time,
+    /// Dead, or shut down.
+    is_gone: bool,
+    reports: BTreeMap<(HostId, Topic), Report>,
+    /// It reported too many hosts at once: its reports do not count before.
+    discounted_until: Time,
 }
 
-/// A verdict that the module was told of.
+/// A verdict that the caller was told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Stands {
+struct Verdict {
     since: Option<Incarnation>,
     kind: Kind,
     weight: f64,
     until: Time,
-    tellers: u8,
+    reporters: u8,
 }
 
+/// One dispatcher's state of shared verdicts.
 pub struct Verdicts {
     set: Set,
     own: MemberId,
     location: LocationId,
     incarnation: Incarnation,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     hosts: BTreeMap<HostId, Host>,
-    /// How many hosts are used alike.
-    sizes: BTreeMap<UsedBy, usize>,
-    mine: BTreeMap<(HostId, Matter), Mine>,
-    tellers: BTreeMap<MemberId, Teller>,
-    /// In the order in which they came to stand, for the guard of half.
-    in_force: BTreeMap<(HostId, Matter), (u64, Stands)>,
-    trouble: bool,
-    /// Evidence from before this point is not told.
-    trouble_end: Time,
-    number: u64,
-    entered: u64,
-    logged: Option<Time>,
-    ready: VecDeque<Effect>,
+    /// Number of hosts by the group of their users.
+    group_sizes: BTreeMap<UsedBy, usize>,
+    own_findings: BTreeMap<(HostId, Topic), OwnFinding>,
+    reporters: BTreeMap<MemberId, Reporter>,
+    /// With the order in which they came into force, for `withdraw_above_half`.
+    verdicts: BTreeMap<(HostId, Topic), (u64, Verdict)>,
+    links_degraded: bool,
+    /// Evidence from before this time is not published.
+    links_degraded_until: Time,
+    sequence: u64,
+    last_order: u64,
+    last_logged: Option<Time>,
+    effects: VecDeque<Effect>,
 }
 
 impl Verdicts {
@@ -125,27 +130,29 @@
             own,
             location: own_location,
             incarnation,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             hosts: BTreeMap::new(),
-            sizes: BTreeMap::new(),
-            mine: BTreeMap::new(),
-            tellers: BTreeMap::new(),
-            in_force: BTreeMap::new(),
-            trouble: false,
-            trouble_end: now,
-            number: 0,
-            entered: 0,
-            logged: None,
-            ready: VecDeque::new(),
+            group_sizes: BTreeMap::new(),
+            own_findings: BTreeMap::new(),
+            reporters: BTreeMap::new(),
+            verdicts: BTreeMap::new(),
+            links_degraded: false,
+            links_degraded_until: now,
+            sequence: 0,
+            last_order: 0,
+            last_logged: None,
+            effects: VecDeque::new(),
         }
     }
 
-    /// The list's word on a host that is ready. A newer run voids what was found out about the older.
-    pub fn listed(&mut self, now: Time, host: HostId, since: Option<Incarnation>, used_by: UsedBy) {
-        if !self.hosts.contains_key(&host) && self.hosts.len() >= HOSTS_MOST {
+    /// The list has a host that is ready. A new run invalidates findings about the previous one.
+    pub fn update_host(&mut self, now: Time, host: HostId, since: Option<Incarnation>, used_by: UsedBy) {
+        if !self.hosts.contains_key(&host) && self.hosts.len() >= MAX_HOSTS {
             self.log(
                 now,
-                format!("more than {HOSTS_MOST} hosts listed; no verdicts are shared on the others"),
+                format!(
+                    "verdicts: more than {MAX_HOSTS} hosts listed; no verdicts are shared about the others"
+                ),
             );
             return;
         }
@@ -153,440 +160,498 @@
             let fresh = Host {
                 since,
                 used_by,
-                untold: now,
-                refuted: now,
-                was_out: Time::default(),
-                cleared: None,
-                tells: false,
+                publish_after: now,
+                ignored_until: now,
+                recently_out_until: Time::default(),
+                recovered_at: None,
+                is_published: false,
             };
             self.hosts.insert(host, fresh);
-            // Not withdrawn for others: on the run that their lists name it still holds.
-            self.mine.retain(|key, mine| key.0 != host || mine.since == since);
-            self.hold_to_half();
+            // Not withdrawn at other dispatchers: it still holds for the run in their lists.
+            self.own_findings.retain(|key, finding| key.0 != host || finding.since == since);
+            self.withdraw_above_half();
         }
-        self.weigh(now, host);
+        self.reevaluate(now, host);
     }
 
-    /// A host is draining or gone.
-    pub fn unlisted(&mut self, now: Time, host: HostId) {
+    /// A host is draining, or no longer listed.
+    pub fn remove_host(&mut self, now: Time, host: HostId) {
         self.hosts.remove(&host);
-        self.mine.retain(|key, _| key.0 != host);
-        self.hold_to_half();
-        self.weigh(now, host);
+        self.own_findings.retain(|key, _| key.0 != host);
+        self.withdraw_above_half();
+        self.reevaluate(now, host);
     }
 
-    /// The own module holds this; to be called again as evidence comes, and for as long as it stands. It is told
-    /// at once, then at a quarter of the hold time each.
-    pub fn found(&mut self, now: Time, finding: Finding) {
+    /// Reports an own finding; has to be repeated as long as it holds. It is published at once, and then
+    /// about every quarter of the hold time.
+    pub fn report_finding(&mut self, now: Time, finding: Finding) {
         let Finding { host, since, kind, evidence, age } = finding;
-        let Some(known) = self.hosts.get(&host).filter(|h| h.used_by.has(self.location)) else { return };
+        let Some(known) = self.hosts.get(&host).filter(|h| h.used_by.includes(self.location)) else { return };
         let at = now - age;
-        let stale = age >= self.set.hold || self.trouble || at < self.trouble_end;
-        if known.since != since || evidence == 0 || stale {
+        let is_stale = age >= self.set.hold || self.links_degraded || at < self.links_degraded_until;
+        if known.since != since || evidence == 0 || is_stale {
             return;
         }
-        // Nothing holds up the word that a process is new, for it must come before the withdrawal.
-        let settle = if known.used_by == UsedBy::All { self.set.hold.times(SETTLE) } else { Span::ZERO };
-        let next = if kind.matter() == Matter::New { now } else { known.untold.max(now + settle) };
-        let fresh = Mine { since, kind, evidence, at, next, told: false };
-        let mine = self.mine.entry((host, kind.matter())).or_insert(fresh);
-        if mine.kind != kind {
-            let soon = now + self.set.hold.times(REST);
-            *mine = Mine { told: mine.told, next: mine.next.min(soon), ..fresh };
+        // A restart is published without delay, as it has to arrive before the withdrawal.
+        let delay = if known.used_by == UsedBy::All {
+            self.set.hold.times(SHARED_HOST_DELAY_FRACTION)
+        } else {
+            Span::ZERO
+        };
+        let next_publish =
+            if kind.topic() == Topic::Restarted { now } else { known.publish_after.max(now + delay) };
+        let fresh = OwnFinding { since, kind, evidence, evidence_at: at, next_publish, is_published: false };
+        let finding = self.own_findings.entry((host, kind.topic())).or_insert(fresh);
+        if finding.kind != kind {
+            let soon = now + self.set.hold.times(WITHDRAWAL_PAUSE_FRACTION);
+            *finding = OwnFinding {
+                is_published: finding.is_published,
+                next_publish: finding.next_publish.min(soon),
+                ..fresh
+            };
         }
         if kind != Kind::JustStarted {
-            mine.at = mine.at.max(at);
+            finding.evidence_at = finding.evidence_at.max(at);
         }
-        mine.evidence = mine.evidence.max(evidence);
-        self.tell(now);
+        finding.evidence = finding.evidence.max(evidence);
+        self.publish_due(now);
     }
 
-    /// The own module holds the host to be bad no more.
-    pub fn cleared(&mut self, now: Time, host: HostId) {
-        self.mine.remove(&(host, Matter::Bad));
-        if self.hosts.get(&host).is_some_and(|known| known.tells) {
-            self.withdraw(now, host, Word::Cleared);
+    /// An own finding that the host is unhealthy no longer holds.
+    pub fn report_recovery(&mut self, now: Time, host: HostId) {
+        self.own_findings.remove(&(host, Topic::Unhealthy));
+        if self.hosts.get(&host).is_some_and(|known| known.is_published) {
+            self.withdraw(now, host, Statement::Recovered);
         }
-        self.tell(now);
+        self.publish_due(now);
     }
 
-    /// How many must say the same from now on, and which part of the own location's dispatchers.
-    pub fn weighed(&mut self, now: Time, tellers: u8, part: f64) {
-        if tellers == 0 || !(0.0..=1.0).contains(&part) {
+    /// Changes how many dispatchers must report the same, and which fraction of the own location's.
+    pub fn set_thresholds(&mut self, now: Time, reporters: u8, part: f64) {
+        if reporters == 0 || !(0.0..=1.0).contains(&part) {
             return;
         }
-        (self.set.tellers, self.set.part) = (tellers, part);
+        (self.set.tellers, self.set.part) = (reporters, part);
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
-        hosts.into_iter().for_each(|host| self.weigh(now, host));
+        hosts.into_iter().for_each(|host| self.reevaluate(now, host));
     }
 
-    /// Own hand-offs to a host went well after it was told to be bad: for the hold time nothing told of it counts.
-    pub fn refuted(&mut self, now: Time, host: HostId) {
+    /// Own hand-offs to a host succeeded despite a verdict: reports about it are ignored for the hold time.
+    pub fn refute(&mut self, now: Time, host: HostId) {
         if let Some(known) = self.hosts.get_mut(&host) {
-            known.refuted = now + self.set.hold;
+            known.ignored_until = now + self.set.hold;
         }
-        self.weigh(now, host);
+        self.reevaluate(now, host);
     }
 
-    /// The own links are bad, or well again. Guards against a dispatcher that takes its own trouble for that of
-    /// all hosts; what it found before it knew is withdrawn, and after only new evidence counts.
-    pub fn own_trouble(&mut self, now: Time, trouble: bool) {
-        if trouble && !self.trouble {
-            self.hush(now, |_| true);
-            self.mine.clear();
+    /// The own links are degraded, or work again. Keeps a dispatcher from blaming the hosts for its own
+    /// network: earlier findings are withdrawn, and afterwards only new evidence counts.
+    pub fn set_links_degraded(&mut self, now: Time, degraded: bool) {
+        if degraded && !self.links_degraded {
+            self.suppress(now, |_| true);
+            self.own_findings.clear();
         }
-        if self.trouble && !trouble {
-            self.trouble_end = now;
+        if self.links_degraded && !degraded {
+            self.links_degraded_until = now;
         }
-        self.trouble = trouble;
+        self.links_degraded = degraded;
     }
 
-    /// What the own process knows of another member; also of those that never told anything, for they count among
-    /// the dispatchers of their location.
-    pub fn standing(&mut self, now: Time, who: MemberId, location: LocationId, alive: bool) {
-        let Some(teller) = self.teller(now, who, location) else { return };
-        teller.gone = !alive;
-        self.voided(now, who, |_| !alive);
+    /// Whether another member is alive. Has to be called for all, also those without reports: they count
+    /// among the dispatchers of their location.
+    pub fn set_alive(&mut self, now: Time, who: MemberId, location: LocationId, alive: bool) {
+        let Some(reporter) = self.reporter_mut(now, who, location) else { return };
+        reporter.is_gone = !alive;
+        self.discard_reports_if(now, who, |_| !alive);
     }
 
-    /// Any message of a member's run came: a newer run voids what the older told.
-    pub fn came(&mut self, now: Time, from: MemberId, incarnation: Incarnation) {
-        let Some(teller) = self.tellers.get_mut(&from) else { return };
-        let newer = incarnation > teller.incarnation;
-        teller.incarnation = teller.incarnation.max(incarnation);
-        self.voided(now, from, |_| newer);
+    /// A message of any kind came from a member: a new run invalidates the reports of the previous one.
+    pub fn note_incarnation(&mut self, now: Time, from: MemberId, incarnation: Incarnation) {
+        let Some(reporter) = self.reporters.get_mut(&from) else { return };
+        let is_newer = incarnation > reporter.incarnation;
+        reporter.incarnation = reporter.incarnation.max(incarnation);
+        self.discard_reports_if(now, from, |_| is_newer);
     }
 
-    /// `age`: how long ago it was said, at most, by the own clock.
-    pub fn heard(&mut self, now: Time, from: MemberId, from_location: LocationId, age: Span, said: Said) {
-        let nonsense = matches!(said.word, Word::Found { evidence: 0, .. });
-        if from == self.own || nonsense {
+    /// Handles a message. `age`: upper bound of the time since it was sent, by the own clock.
+    pub fn receive(
+        &mut self,
+        now: Time,
+        from: MemberId,
+        from_location: LocationId,
+        age: Span,
+        message: Message,
+    ) {
+        let is_invalid = matches!(message.statement, Statement::Found { evidence: 0, .. });
+        if from == self.own || is_invalid {
             return;
         }
-        let (hold, used_to) = (self.set.hold, self.set.used_to());
-        let (host, matter) = (said.host, said.matter());
+        let (hold, usable_age) = (self.set.hold, self.set.usable_age());
+        let (host, topic) = (message.host, message.topic());
         let listed = self.hosts.get(&host).map(|h| (h.since, h.used_by));
-        if listed.is_some_and(|(_, used_by)| !used_by.has(from_location)) {
+        if listed.is_some_and(|(_, used_by)| !used_by.includes(from_location)) {
             return;
         }
-        self.came(now, from, said.incarnation);
-        let Some(teller) = self.teller(now, from, from_location) else { return };
-        let known = teller.told.get(&(host, matter));
-        let old = said.incarnation < teller.incarnation || known.is_some_and(|k| k.number >= said.number);
-        if old || teller.gone {
+        self.note_incarnation(now, from, message.incarnation);
+        let Some(reporter) = self.reporter_mut(now, from, from_location) else { return };
+        let known = reporter.reports.get(&(host, topic));
+        let is_outdated = message.incarnation < reporter.incarnation
+            || known.is_some_and(|k| k.sequence >= message.sequence);
+        if is_outdated || reporter.is_gone {
             return;
         }
-        if known.is_none() && teller.told.len() >= FINDINGS_MOST {
-            teller.discounted = now + hold;
+        if known.is_none() && reporter.reports.len() >= MAX_FINDINGS {
+            reporter.discounted_until = now + hold;
             self.log(
                 now,
-                format!("member {:x} tells of more than {FINDINGS_MOST} hosts; nothing counts", from.0),
+                format!(
+                    "verdicts: member {:x} reports more than {MAX_FINDINGS} hosts; ignoring its reports",
+                    from.0
+                ),
             );
-            return self.weigh_teller(now, from);
+            return self.reevaluate_reporter(now, from);
         }
-        let counts = now >= teller.discounted;
-        let told = match said.word {
-            Word::Withdrawn | Word::Cleared => Told { number: said.number, found: None, until: now + hold },
-            Word::Found { since, kind, evidence, age: then } => {
-                // A clock that runs faster than the teller's sees more time go by.
-                let age = then.times(CLOCKS) + age;
-                let until = if age < used_to { now + used_to - age } else { now };
-                let void = until <= now || listed.is_some_and(|(listed, _)| since < listed);
-                let found = Some((since, kind, evidence.min(EVIDENCE_MOST))).filter(|_| !void);
-                Told { number: said.number, found, until: if void { now + hold } else { until } }
+        let counts = now >= reporter.discounted_until;
+        let report = match message.statement {
+            Statement::Withdrawn | Statement::Recovered => {
+                Report { sequence: message.sequence, found: None, until: now + hold }
+            }
+            Statement::Found { since, kind, evidence, age: evidence_age } => {
+                // The own clock may run faster than the sender's.
+                let age = evidence_age.times(MAX_CLOCK_RATIO) + age;
+                let until = if age < usable_age { now + usable_age - age } else { now };
+                let is_invalid = until <= now || listed.is_some_and(|(listed, _)| since < listed);
+                let found = Some((since, kind, evidence.min(MAX_EVIDENCE))).filter(|_| !is_invalid);
+                Report {
+                    sequence: message.sequence,
+                    found,
+                    until: if is_invalid { now + hold } else { until },
+                }
             }
         };
-        teller.told.insert((host, matter), told);
-        if said.word == Word::Cleared && counts {
-            // Once in the hold time: guards against a host that is half bad and goes well now and then.
-            let known = self.hosts.get_mut(&host).filter(|h| h.cleared.is_none_or(|at| now >= at + hold));
-            known.into_iter().for_each(|known| known.cleared = Some(now));
+        reporter.reports.insert((host, topic), report);
+        if message.statement == Statement::Recovered && counts {
+            // Once in the hold time, as a host that fails in part also succeeds at times.
+            let known =
+                self.hosts.get_mut(&host).filter(|h| h.recovered_at.is_none_or(|at| now >= at + hold));
+            known.into_iter().for_each(|known| known.recovered_at = Some(now));
         }
-        if self.discount(now, from) {
-            self.weigh_teller(now, from);
+        if self.discount_if_excessive(now, from) {
+            self.reevaluate_reporter(now, from);
         }
-        self.weigh(now, host);
+        self.reevaluate(now, host);
     }
 
-    /// The periodic timer.
-    pub fn woken(&mut self, now: Time) {
+    /// Periodic work: expires findings, publishes own ones and updates verdicts.
+    pub fn tick(&mut self, now: Time) {
         let hold = self.set.hold;
-        self.mine.retain(|_, mine| now < mine.at + hold);
-        self.tell(now);
-        let mut hosts: Vec<HostId> = self.in_force.keys().map(|key| key.0).collect();
-        let ids: Vec<MemberId> = self.tellers.keys().copied().collect();
+        self.own_findings.retain(|_, finding| now < finding.evidence_at + hold);
+        self.publish_due(now);
+        let mut hosts: Vec<HostId> = self.verdicts.keys().map(|key| key.0).collect();
+        let ids: Vec<MemberId> = self.reporters.keys().copied().collect();
         for id in ids {
-            self.discount(now, id);
-            let Some(teller) = self.tellers.get_mut(&id) else { continue };
-            hosts.extend(teller.told.keys().map(|key| key.0));
-            teller.told.retain(|_, told| now < told.until);
+            self.discount_if_excessive(now, id);
+            let Some(reporter) = self.reporters.get_mut(&id) else { continue };
+            hosts.extend(reporter.reports.keys().map(|key| key.0));
+            reporter.reports.retain(|_, report| now < report.until);
         }
         hosts.sort();
         hosts.dedup();
-        hosts.into_iter().for_each(|host| self.weigh(now, host));
+        hosts.into_iter().for_each(|host| self.reevaluate(now, host));
     }
 
+    /// The next effect to carry out.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Option<Effect> {
-        self.ready.pop_front()
+        self.effects.pop_front()
     }
 
-    /// How many hosts are held to be bad by what was told, of those that are used alike.
-    pub fn told_bad(&self, used_by: UsedBy) -> usize {
-        let bad = self.in_force.keys().filter(|key| key.1 == Matter::Bad);
-        bad.filter(|key| self.hosts.get(&key.0).is_some_and(|h| h.used_by == used_by)).count()
+    /// Number of hosts of a group with a verdict that they are unhealthy.
+    pub fn unhealthy_count(&self, used_by: UsedBy) -> usize {
+        let unhealthy = self.verdicts.keys().filter(|key| key.1 == Topic::Unhealthy);
+        unhealthy.filter(|key| self.hosts.get(&key.0).is_some_and(|h| h.used_by == used_by)).count()
     }
 
-    /// Tells own findings that are due, unless they are too many to be the hosts' fault.
-    fn tell(&mut self, now: Time) {
-        let (caches, shared) = (self.users(UsedBy::Location(self.location)), self.users(UsedBy::All));
-        let bad =
-            self.mine.keys().filter(|key| key.1 == Matter::Bad).filter_map(|key| self.hosts.get(&key.0));
-        let [of_caches, of_shared] = bad.fold([0, 0], count);
-        if is_too_much([of_caches, of_shared], [caches, shared]) {
-            return self.hush(now, |_| true);
+    /// Publishes own findings that are due, unless they are too many to be the hosts' fault.
+    fn publish_due(&mut self, now: Time) {
+        let (caches, shared) =
+            (self.group_size(UsedBy::Location(self.location)), self.group_size(UsedBy::All));
+        let unhealthy = self
+            .own_findings
+            .keys()
+            .filter(|key| key.1 == Topic::Unhealthy)
+            .filter_map(|key| self.hosts.get(&key.0));
+        let [unhealthy_caches, unhealthy_shared] = unhealthy.fold([0, 0], count_by_group);
+        if is_excessive([unhealthy_caches, unhealthy_shared], [caches, shared]) {
+            return self.suppress(now, |_| true);
         }
-        // Guards against a bad cache's errors that are laid on the parent behind it: of two that seem bad the nearer
-        // is the cause. Harms a parent that fails while a cache does: each finds that out alone.
-        if of_caches > 0 || self.told_bad(UsedBy::Location(self.location)) > 0 {
-            self.hush(now, |host| host.used_by == UsedBy::All);
+        // With an unhealthy cache, errors of the hosts behind it are attributed to the cache. The cost: if
+        // both fail, each dispatcher has to find out about the parent alone.
+        if unhealthy_caches > 0 || self.unhealthy_count(UsedBy::Location(self.location)) > 0 {
+            self.suppress(now, |host| host.used_by == UsedBy::All);
         }
-        let due: Vec<_> =
-            self.mine.iter().filter(|(_, m)| m.next <= now).map(|(key, m)| (*key, *m)).collect();
-        for (key, mine) in due {
-            let (since, kind, evidence) = (mine.since, mine.kind, mine.evidence.min(EVIDENCE_MOST));
-            let age = now - mine.at;
-            let rest = self.set.hold.times(TOLD_ANEW * self.chance.gen_range(0.8..1.0));
-            self.mine.insert(key, Mine { told: true, next: now + rest, ..mine });
+        let due: Vec<_> = self
+            .own_findings
+            .iter()
+            .filter(|(_, m)| m.next_publish <= now)
+            .map(|(key, m)| (*key, *m))
+            .collect();
+        for (key, finding) in due {
+            let (since, kind, evidence) = (finding.since, finding.kind, finding.evidence.min(MAX_EVIDENCE));
+            let age = now - finding.evidence_at;
+            let pause = self.set.hold.times(REPUBLISH_FRACTION * self.rng.gen_range(0.8..1.0));
+            self.own_findings
+                .insert(key, OwnFinding { is_published: true, next_publish: now + pause, ..finding });
             let left = Span(self.set.hold.0.saturating_sub(age.0));
-            let known = self.hosts.get_mut(&key.0).filter(|_| key.1 == Matter::Bad);
-            known.into_iter().for_each(|known| known.tells = true);
-            self.publish(key, Word::Found { since, kind, evidence, age }, left);
+            let known = self.hosts.get_mut(&key.0).filter(|_| key.1 == Topic::Unhealthy);
+            known.into_iter().for_each(|known| known.is_published = true);
+            self.publish(key, Statement::Found { since, kind, evidence, age }, left);
         }
     }
 
-    /// Withdraws what was told of some hosts and holds it back.
-    fn hush(&mut self, now: Time, which: impl Fn(&Host) -> bool) {
-        let rest = self.set.hold.times(REST);
-        let mut told = Vec::new();
-        for (key, mine) in self.mine.iter_mut().filter(|(key, _)| key.1 == Matter::Bad) {
-            if self.hosts.get(&key.0).is_some_and(&which) {
-                told.extend(std::mem::take(&mut mine.told).then_some(key.0));
-                mine.next = mine.next.max(now + rest);
+    /// Withdraws what was published about some hosts, and publishes nothing more about them for a while.
+    fn suppress(&mut self, now: Time, applies: impl Fn(&Host) -> bool) {
+        let pause = self.set.hold.times(WITHDRAWAL_PAUSE_FRACTION);
+        let mut published = Vec::new();
+        for (key, finding) in self.own_findings.iter_mut().filter(|(key, _)| key.1 == Topic::Unhealthy) {
+            if self.hosts.get(&key.0).is_some_and(&applies) {
+                published.extend(std::mem::take(&mut finding.is_published).then_some(key.0));
+                finding.next_publish = finding.next_publish.max(now + pause);
             }
         }
-        told.into_iter().for_each(|host| self.withdraw(now, host, Word::Withdrawn));
+        published.into_iter().for_each(|host| self.withdraw(now, host, Statement::Withdrawn));
     }
 
-    fn withdraw(&mut self, now: Time, host: HostId, word: Word) {
-        let rest = self.set.hold.times(REST);
+    fn withdraw(&mut self, now: Time, host: HostId, statement: Statement) {
+        let pause = self.set.hold.times(WITHDRAWAL_PAUSE_FRACTION);
         self.hosts
             .get_mut(&host)
             .into_iter()
-            .for_each(|known| (known.untold, known.tells) = (now + rest, false));
-        self.publish((host, Matter::Bad), word, self.set.hold);
+            .for_each(|known| (known.publish_after, known.is_published) = (now + pause, false));
+        self.publish((host, Topic::Unhealthy), statement, self.set.hold);
     }
 
-    fn publish(&mut self, (host, matter): (HostId, Matter), word: Word, hold: Span) {
-        self.number += 1;
-        let key = [&[b'v', matter as u8][..], &host.0.to_be_bytes()].concat();
-        let said = Said { incarnation: self.incarnation, number: self.number, host, word };
-        self.ready.push_back(Effect::Publish { key, said, hold });
+    fn publish(&mut self, (host, topic): (HostId, Topic), statement: Statement, ttl: Span) {
+        self.sequence += 1;
+        let key = [&[b'v', topic as u8][..], &host.0.to_be_bytes()].concat();
+        let message = Message { incarnation: self.incarnation, sequence: self.sequence, host, statement };
+        self.effects.push_back(Effect::Publish { key, message, ttl });
     }
 
-    fn teller(&mut self, now: Time, who: MemberId, location: LocationId) -> Option<&mut Teller> {
-        if who == self.own || !self.tellers.contains_key(&who) && self.tellers.len() >= TELLERS_MOST {
+    fn reporter_mut(&mut self, now: Time, who: MemberId, location: LocationId) -> Option<&mut Reporter> {
+        if who == self.own || !self.reporters.contains_key(&who) && self.reporters.len() >= MAX_REPORTERS {
             return None;
         }
-        let fresh = Teller {
+        let fresh = Reporter {
             location,
             incarnation: Incarnation::default(),
-            gone: false,
-            told: BTreeMap::new(),
-            discounted: now,
+            is_gone: false,
+            reports: BTreeMap::new(),
+            discounted_until: now,
         };
-        let teller = self.tellers.entry(who).or_insert(fresh);
-        teller.location = location;
-        Some(teller)
+        let reporter = self.reporters.entry(who).or_insert(fresh);
+        reporter.location = location;
+        Some(reporter)
     }
 
-    /// Forgets what a member told, where it is void.
-    fn voided(&mut self, now: Time, who: MemberId, void: impl Fn(&Teller) -> bool) {
-        let Some(teller) = self.tellers.get_mut(&who).filter(|teller| void(teller)) else { return };
-        let told = std::mem::take(&mut teller.told);
-        told.into_keys().for_each(|key| self.weigh(now, key.0));
+    /// Drops the reports of a member if they are no longer valid.
+    fn discard_reports_if(&mut self, now: Time, who: MemberId, is_invalid: impl Fn(&Reporter) -> bool) {
+        let Some(reporter) = self.reporters.get_mut(&who).filter(|reporter| is_invalid(reporter)) else {
+            return;
+        };
+        let reports = std::mem::take(&mut reporter.reports);
+        reports.into_keys().for_each(|key| self.reevaluate(now, key.0));
     }
 
-    /// Guards against a dispatcher whose own link is bad and that does not know it: one that finds a large part
-    /// of its hosts bad at once counts for nothing, until the hold time after. Harms when so many hosts are bad
-    /// indeed: then each dispatcher finds that out alone. True where it counts otherwise than before.
-    fn discount(&mut self, now: Time, who: MemberId) -> bool {
-        let Some(teller) = self.tellers.get(&who).filter(|t| t.told.len() > 1) else { return false };
-        let bad = teller.told.iter().filter(|(key, told)| key.1 == Matter::Bad && now < told.until);
-        let bad = bad.filter_map(|(key, told)| Some((self.hosts.get(&key.0)?, told.found?)));
-        let bad = bad.filter(|(host, found)| host.since == found.0).map(|(host, _)| host).fold([0, 0], count);
-        let caches = UsedBy::Location(teller.location);
-        if !is_too_much(bad, [self.users(caches), self.users(UsedBy::All)]) {
+    /// Ignores a dispatcher that reports a large part of its hosts as unhealthy at once until one hold time
+    /// later: its own network is the likelier cause. The cost: if that many hosts do fail, each dispatcher
+    /// has to find out alone. True if the reporter counted until now.
+    fn discount_if_excessive(&mut self, now: Time, who: MemberId) -> bool {
+        let Some(reporter) = self.reporters.get(&who).filter(|t| t.reports.len() > 1) else { return false };
+        let unhealthy =
+            reporter.reports.iter().filter(|(key, report)| key.1 == Topic::Unhealthy && now < report.until);
+        let unhealthy = unhealthy.filter_map(|(key, report)| Some((self.hosts.get(&key.0)?, report.found?)));
+        let unhealthy = unhealthy
+            .filter(|(host, found)| host.since == found.0)
+            .map(|(host, _)| host)
+            .fold([0, 0], count_by_group);
+        let caches = UsedBy::Location(reporter.location);
+        if !is_excessive(unhealthy, [self.group_size(caches), self.group_size(UsedBy::All)]) {
             return false;
         }
         let until = now + self.set.hold;
-        self.tellers.get_mut(&who).is_some_and(|t| std::mem::replace(&mut t.discounted, until) <= now)
+        self.reporters.get_mut(&who).is_some_and(|t| std::mem::replace(&mut t.discounted_until, until) <= now)
     }
 
-    fn weigh_teller(&mut self, now: Time, who: MemberId) {
-        let told = self.tellers.get(&who).map(|teller| teller.told.keys().map(|key| key.0).collect());
-        let told: Vec<HostId> = told.unwrap_or_default();
-        told.into_iter().for_each(|host| self.weigh(now, host));
+    fn reevaluate_reporter(&mut self, now: Time, who: MemberId) {
+        let hosts =
+            self.reporters.get(&who).map(|reporter| reporter.reports.keys().map(|key| key.0).collect());
+        let hosts: Vec<HostId> = hosts.unwrap_or_default();
+        hosts.into_iter().for_each(|host| self.reevaluate(now, host));
     }
 
-    /// Tells the module what has changed of a host. News of a new process goes first: a host that is bad no more
-    /// may be cold.
-    fn weigh(&mut self, now: Time, host: HostId) {
-        for matter in [Matter::New, Matter::Bad] {
-            let (key, stands) = ((host, matter), self.stands(now, host, matter));
-            let known = self.in_force.get(&key).copied();
-            let changed = match (&known, &stands) {
+    /// Reports changes of a host's verdicts to the caller. A restart goes first, as a host that is no longer
+    /// unhealthy may be cold.
+    fn reevaluate(&mut self, now: Time, host: HostId) {
+        for topic in [Topic::Restarted, Topic::Unhealthy] {
+            let (key, verdict) = ((host, topic), self.evaluate(now, host, topic));
+            let known = self.verdicts.get(&key).copied();
+            let changed = match (&known, &verdict) {
                 (_, None) => false,
-                (None, Some(_)) => matter == Matter::New || self.fits(host),
-                (Some((_, was)), Some(is)) => {
-                    let longer = is.until > was.until + self.set.hold.times(LONGER);
-                    let other = is.kind != was.kind || is.until < was.until || is.since != was.since;
-                    matter == Matter::Bad && (other || longer)
+                (None, Some(_)) => topic == Topic::Restarted || self.has_room_for_verdict(host),
+                (Some((_, old)), Some(new)) => {
+                    let is_extended = new.until > old.until + self.set.hold.times(MIN_EXTENSION_FRACTION);
+                    let is_different =
+                        new.kind != old.kind || new.until < old.until || new.since != old.since;
+                    topic == Topic::Unhealthy && (is_different || is_extended)
                 }
             };
-            if let Some(is) = stands.filter(|_| changed) {
-                self.entered += u64::from(known.is_none());
-                let place = known.map_or(self.entered, |known| known.0);
-                self.in_force.insert(key, (place, is));
-                let Stands { since, kind, weight, until, tellers } = is;
-                let age = self.set.used_to();
+            if let Some(new) = verdict.filter(|_| changed) {
+                self.last_order += u64::from(known.is_none());
+                let order = known.map_or(self.last_order, |known| known.0);
+                self.verdicts.insert(key, (order, new));
+                let Verdict { since, kind, weight, until, reporters } = new;
+                let age = self.set.usable_age();
                 let age = Span(age.0.saturating_sub((until - now).0));
-                self.ready.push_back(Effect::Hearsay { host, since, kind, weight, until, age, tellers });
+                self.effects.push_back(Effect::Verdict { host, since, kind, weight, until, age, reporters });
                 if let Some(known) =
                     self.hosts.get_mut(&host).filter(|_| matches!(kind, Kind::CutOff | Kind::ShutOut))
                 {
-                    known.was_out = until;
+                    known.recently_out_until = until;
                 }
-            } else if stands.is_none() && known.is_some() {
-                self.in_force.remove(&key);
-                self.ready.extend((matter == Matter::Bad).then_some(Effect::Withdraw { host }));
+            } else if verdict.is_none() && known.is_some() {
+                self.verdicts.remove(&key);
+                self.effects.extend((topic == Topic::Unhealthy).then_some(Effect::Withdraw { host }));
             }
         }
     }
 
-    /// What the tellers that count say of a host, where they are enough.
-    fn stands(&self, now: Time, host: HostId, matter: Matter) -> Option<Stands> {
-        let known = self.hosts.get(&host).filter(|h| h.used_by.has(self.location))?;
-        if matter == Matter::Bad && now < known.refuted {
+    /// The verdict that follows from the reports that count, if there are enough.
+    fn evaluate(&self, now: Time, host: HostId, topic: Topic) -> Option<Verdict> {
+        let known = self.hosts.get(&host).filter(|h| h.used_by.includes(self.location))?;
+        if topic == Topic::Unhealthy && now < known.ignored_until {
             return None;
         }
-        // A parent behind a bad cache: as in `tell`.
-        let of_all = known.used_by == UsedBy::All && matter == Matter::Bad;
-        if of_all && self.told_bad(UsedBy::Location(self.location)) > 0 {
+        // A host behind an unhealthy cache: as in `publish_due`.
+        let is_shared = known.used_by == UsedBy::All && topic == Topic::Unhealthy;
+        if is_shared && self.unhealthy_count(UsedBy::Location(self.location)) > 0 {
             return None;
         }
         let is_cache = |host: &HostId| self.hosts.get(host).is_some_and(|h| h.used_by != UsedBy::All);
-        let is_live = |told: &Told| told.found.is_some() && now < told.until;
-        let blurred = |t: &Teller| t.told.iter().any(|(k, told)| is_cache(&k.0) && is_live(told));
-        let counts = |t: &&Teller| !t.gone && now >= t.discounted && known.used_by.has(t.location);
-        let counts = |t: &&Teller| counts(t) && !(of_all && blurred(t));
-        let said = self.tellers.values().filter(counts).filter_map(|teller| {
-            let told = teller.told.get(&(host, matter)).filter(|told| now < told.until)?;
-            // Guards against a host that is kept out by what was found before another had it back; harms where it was
-            // well for that one alone, or for a moment: those that still find it bad tell it anew.
-            let since = known.cleared.map_or(Time::default(), |at| at + self.set.used_to());
-            if matter == Matter::Bad && told.until <= since {
+        let is_live = |report: &Report| report.found.is_some() && now < report.until;
+        let blames_cache =
+            |t: &Reporter| t.reports.iter().any(|(k, report)| is_cache(&k.0) && is_live(report));
+        let counts =
+            |t: &&Reporter| !t.is_gone && now >= t.discounted_until && known.used_by.includes(t.location);
+        let counts = |t: &&Reporter| counts(t) && !(is_shared && blames_cache(t));
+        let reports = self.reporters.values().filter(counts).filter_map(|reporter| {
+            let report = reporter.reports.get(&(host, topic)).filter(|report| now < report.until)?;
+            // Findings from before a reported recovery do not count. Dispatchers for which the host still
+            // fails publish that again.
+            let since = known.recovered_at.map_or(Time::default(), |at| at + self.set.usable_age());
+            if topic == Topic::Unhealthy && report.until <= since {
                 return None;
             }
-            let (since, kind, evidence) = told.found.filter(|found| found.0 == known.since)?;
-            let here = teller.location == self.location;
-            (here || kind.goes_far()).then_some((told.until, since, kind, evidence, teller.location))
+            let (since, kind, evidence) = report.found.filter(|found| found.0 == known.since)?;
+            let is_local = reporter.location == self.location;
+            (is_local || kind.holds_everywhere()).then_some((
+                report.until,
+                since,
+                kind,
+                evidence,
+                reporter.location,
+            ))
         });
-        let mut said: Vec<_> = said.collect();
-        said.sort_by_key(|told| std::cmp::Reverse(told.0));
-        let here = self.tellers.values().filter(|t| !t.gone && t.location == self.location).count() + 1;
+        let mut reports: Vec<_> = reports.collect();
+        reports.sort_by_key(|report| std::cmp::Reverse(report.0));
+        let local_dispatchers =
+            self.reporters.values().filter(|t| !t.is_gone && t.location == self.location).count() + 1;
         let few = usize::from(self.set.tellers);
-        let many = few.max((here as f64 * self.set.part).ceil() as usize);
-        let (kind, enough) = if matter == Matter::New {
-            // Guards rule 4: a host that was out and is back is cold, so one word is enough. Elsewhere several
-            // locations must say it: one of them may only have lost its way.
-            let of_here = said.iter().filter(|told| told.4 == self.location).count();
-            let one_place = said.iter().all(|told| Some(told.4) == said.first().map(|first| first.4));
-            let was_out = now < known.was_out;
-            if !was_out && of_here < few && one_place && few > 1 {
+        let many = few.max((local_dispatchers as f64 * self.set.part).ceil() as usize);
+        let (kind, enough) = if topic == Topic::Restarted {
+            // A host that returns after a verdict is cold, so one report is enough. Otherwise, without enough
+            // reports from here, several locations must agree: a single one may have a network fault.
+            let local_reports = reports.iter().filter(|report| report.4 == self.location).count();
+            let is_one_location =
+                reports.iter().all(|report| Some(report.4) == reports.first().map(|first| first.4));
+            let was_recently_out = now < known.recently_out_until;
+            if !was_recently_out && local_reports < few && is_one_location && few > 1 {
                 return None;
             }
-            (Kind::JustStarted, if was_out { 1 } else { few })
+            (Kind::JustStarted, if was_recently_out { 1 } else { few })
         } else {
-            // Answers that are errors came over links that carry; silence may be the links' of those who say so.
-            let errors = said.iter().filter(|told| told.2 == Kind::ShutOut).count();
-            let worse = said.iter().filter(|told| told.2 != Kind::Slow).count();
-            let few = if of_all { many } else { few };
+            // Errors came over working links; silence may be due to the links of those who report it.
+            let errors = reports.iter().filter(|report| report.2 == Kind::ShutOut).count();
+            let worse_than_slow = reports.iter().filter(|report| report.2 != Kind::Slow).count();
+            let few = if is_shared { many } else { few };
             if errors >= few {
-                said.retain(|told| told.2 == Kind::ShutOut);
+                reports.retain(|report| report.2 == Kind::ShutOut);
                 (Kind::ShutOut, few)
-            } else if worse >= many {
-                said.retain(|told| told.2 != Kind::Slow);
+            } else if worse_than_slow >= many {
+                reports.retain(|report| report.2 != Kind::Slow);
                 (Kind::CutOff, many)
             } else {
                 (Kind::Slow, many)
             }
         };
-        let until = said.get(enough - 1)?.0;
-        let doubt = said.iter().map(|told| {
-            let (fresh, evidence) =
-                ((told.0 - now).as_seconds() / self.set.hold.as_seconds(), f64::from(told.3));
-            1.0 - TRUST * fresh * evidence / (evidence + HALF_EVIDENCE)
+        let until = reports.get(enough - 1)?.0;
+        let doubts = reports.iter().map(|report| {
+            let (freshness, evidence) =
+                ((report.0 - now).as_seconds() / self.set.hold.as_seconds(), f64::from(report.3));
+            1.0 - MAX_REPORT_WEIGHT * freshness * evidence / (evidence + HALF_WEIGHT_EVIDENCE)
         });
-        let weight = 1.0 - doubt.product::<f64>();
-        let tellers = said.len().min(usize::from(u8::MAX)) as u8;
-        Some(Stands { since: known.since, kind, weight, until, tellers })
+        let weight = 1.0 - doubts.product::<f64>();
+        let reporters = reports.len().min(usize::from(u8::MAX)) as u8;
+        Some(Verdict { since: known.since, kind, weight, until, reporters })
     }
 
-    /// Never more than half of a location's caches, or of what all use, are held to be bad by what was told.
-    fn fits(&self, host: HostId) -> bool {
+    /// Whether a further verdict keeps those of the host's group within half of its hosts.
+    fn has_room_for_verdict(&self, host: HostId) -> bool {
         let Some(used_by) = self.hosts.get(&host).map(|h| h.used_by) else { return false };
-        2 * (self.told_bad(used_by) + 1) <= self.users(used_by)
+        2 * (self.unhealthy_count(used_by) + 1) <= self.group_size(used_by)
     }
 
-    /// The same where the list has changed: the last that came go first.
-    fn hold_to_half(&mut self) {
-        self.sizes.clear();
-        self.hosts.values().for_each(|host| *self.sizes.entry(host.used_by).or_default() += 1);
+    /// Withdraws the latest verdicts where a change of the list brings them above half of a group.
+    fn withdraw_above_half(&mut self) {
+        self.group_sizes.clear();
+        self.hosts.values().for_each(|host| *self.group_sizes.entry(host.used_by).or_default() += 1);
         for used_by in [UsedBy::Location(self.location), UsedBy::All] {
-            while 2 * self.told_bad(used_by) > self.users(used_by) {
-                let bad = self.in_force.iter().filter(|(key, _)| key.1 == Matter::Bad);
-                let bad = bad.filter(|(key, _)| self.hosts.get(&key.0).is_some_and(|h| h.used_by == used_by));
-                let Some(host) = bad.max_by_key(|(_, place)| place.0).map(|(key, _)| key.0) else { break };
-                self.in_force.remove(&(host, Matter::Bad));
-                self.ready.push_back(Effect::Withdraw { host });
+            while 2 * self.unhealthy_count(used_by) > self.group_size(used_by) {
+                let unhealthy = self.verdicts.iter().filter(|(key, _)| key.1 == Topic::Unhealthy);
+                let unhealthy =
+                    unhealthy.filter(|(key, _)| self.hosts.get(&key.0).is_some_and(|h| h.used_by == used_by));
+                let Some(host) = unhealthy.max_by_key(|(_, verdict)| verdict.0).map(|(key, _)| key.0) else {
+                    break;
+                };
+                self.verdicts.remove(&(host, Topic::Unhealthy));
+                self.effects.push_back(Effect::Withdraw { host });
             }
         }
     }
 
-    fn users(&self, used_by: UsedBy) -> usize {
-        self.sizes.get(&used_by).copied().unwrap_or(0)
+    fn group_size(&self, used_by: UsedBy) -> usize {
+        self.group_sizes.get(&used_by).copied().unwrap_or(0)
     }
 
     fn log(&mut self, now: Time, line: String) {
-        if self.logged.is_none_or(|at| now >= at + self.set.hold) {
-            self.logged = Some(now);
-            self.ready.push_back(Effect::Log(line));
+        if self.last_logged.is_none_or(|at| now >= at + self.set.hold) {
+            self.last_logged = Some(now);
+            self.effects.push_back(Effect::Log(line));
         }
     }
 }
 
-/// Counts caches and hosts that all use.
-fn count([caches, shared]: [usize; 2], host: &Host) -> [usize; 2] {
+/// Counts caches, and hosts used by all locations.
+fn count_by_group([caches, shared]: [usize; 2], host: &Host) -> [usize; 2] {
     match host.used_by {
         UsedBy::All => [caches, shared + 1],
         UsedBy::Location(_) => [caches + 1, shared],
     }
 }
 
-/// Whether so many bad hosts at once are likelier one's own trouble: more than a third of all, or as many caches
-/// as a module shuts out at most.
-fn is_too_much(bad: [usize; 2], used: [usize; 2]) -> bool {
-    let all = bad[0] + bad[1];
-    all > 1 && (3 * all > used[0] + used[1] || bad[0] > 0 && 2 * bad[0] >= used[0])
+/// Whether so many unhealthy hosts at once point to the reporter's own network: more than a third of all
+/// hosts, or at least half of the caches.
+fn is_excessive(unhealthy: [usize; 2], used: [usize; 2]) -> bool {
+    let all = unhealthy[0] + unhealthy[1];
+    all > 1 && (3 * all > used[0] + used[1] || unhealthy[0] > 0 && 2 * unhealthy[0] >= used[0])
 }
--- /dev/null
+++ b/crates/fleet/src/verdicts/types.rs
@@ -0,0 +1,191 @@
+//! Types of the calls, messages and effects of shared verdicts, and the settings.
+use crate::common::Incarnation;
+use cherrypass::ids::{HostId, LocationId};
+use cherrypass::time::{Span, Time};
+use serde::{Deserialize, Serialize};
+
+/// Kind of a finding about a host.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Kind {
+    /// Answers with errors: the process is faulty, as seen from every location.
+    ShutOut,
+    /// Answers much more slowly than its peers. Not used in other locations: the network may be the cause.
+    Slow,
+    /// Does not answer, or connections to it fail. Not used in other locations: the network may be the cause.
+    CutOff,
+    /// Its process has restarted, and the list does not say so yet.
+    JustStarted,
+}
+
+/// What a finding is about. A host may have one finding on each topic.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum Topic {
+    Unhealthy,
+    Restarted,
+}
+
+impl Kind {
+    /// The topic of this kind of finding.
+    pub fn topic(self) -> Topic {
+        if self == Kind::JustStarted {
+            Topic::Restarted
+        } else {
+            Topic::Unhealthy
+        }
+    }
+
+    /// Whether a finding of this kind holds for all locations.
+    pub(super) fn holds_everywhere(self) -> bool {
+        matches!(self, Kind::ShutOut | Kind::JustStarted)
+    }
+}
+
+/// A finding of this dispatcher, from its own hand-offs alone: findings of others are never passed on.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Finding {
+    pub host: HostId,
+    /// The run of the host according to the list (its `since` in microseconds).
+    pub since: Option<Incarnation>,
+    pub kind: Kind,
+    /// Number of hand-offs that support it.
+    pub evidence: u32,
+    /// Age of the latest of them; zero if the finding holds now and the time is not known.
+    pub age: Span,
+}
+
+/// Content of a message about a host.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Statement {
+    Found {
+        since: Option<Incarnation>,
+        kind: Kind,
+        evidence: u32,
+        /// Age of the evidence when this was sent, by the sender's clock.
+        age: Span,
+    },
+    /// The sender no longer considers the host unhealthy.
+    Withdrawn,
+    /// The sender's own hand-offs to the host succeeded again: earlier findings about it no longer count.
+    Recovered,
+}
+
+/// A message between members.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Message {
+    /// The sender's run and a sequence number within it; an older message never overrides a newer one.
+    pub incarnation: Incarnation,
+    pub sequence: u64,
+    pub host: HostId,
+    pub statement: Statement,
+}
+
+/// The dispatchers that send visits to a host.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum UsedBy {
+    /// For a cache: those of its location.
+    Location(LocationId),
+    /// For a parent or the origin: all.
+    All,
+}
+
+impl UsedBy {
+    /// Whether dispatchers of this location use the host.
+    pub fn includes(self, location: LocationId) -> bool {
+        self == UsedBy::All || self == UsedBy::Location(location)
+    }
+}
+
+/// Settings of shared verdicts.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Set {
+    /// Findings whose evidence is older, by any member's clock, are not used.
+    pub hold: Span,
+    /// How many dispatchers must report the same, and which fraction of those in the own location.
+    pub tellers: u8,
+    pub part: f64,
+}
+
+impl Default for Set {
+    fn default() -> Set {
+        Set { hold: Span::millis(10_000), tellers: 2, part: 0.34 }
+    }
+}
+
+/// Why settings are rejected.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum SetError {
+    #[error("verdicts.hold_ms is outside 1000 to 60000: less expires too early, more is out of date")]
+    Hold,
+    #[error("verdicts.tellers is outside 1 to 64: give 2, or more where a location has many dispatchers")]
+    Tellers,
+    #[error(
+        "verdicts.part is outside 0 to 1: give the fraction of the location's dispatchers that have to agree"
+    )]
+    Part,
+}
+
+impl SetError {
+    pub fn code(self) -> &'static str {
+        match self {
+            SetError::Hold => "verdicts-hold",
+            SetError::Tellers => "verdicts-tellers",
+            SetError::Part => "verdicts-part",
+        }
+    }
+}
+
+impl Set {
+    /// Validates settings.
+    pub fn check(&self) -> Result<(), SetError> {
+        if !(Span::millis(1_000)..=Span::millis(60_000)).contains(&self.hold) {
+            return Err(SetError::Hold);
+        }
+        if !(1..=64).contains(&self.tellers) {
+            return Err(SetError::Tellers);
+        }
+        (0.0..=1.0).contains(&self.part).then_some(()).ok_or(SetError::Part)
+    }
+
+    /// Largest age, by the own clock, at which a finding is used: at most `hold` by every member's clock.
+    pub fn usable_age(&self) -> Span {
+        self.hold.times(1.0 / super::MAX_CLOCK_RATIO)
+    }
+}
+
+/// An action for the caller to carry out.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Effect {
+    /// Publishes to all members; replaces what was published with the same key. `ttl`: how long it is kept
+    /// for members that start later.
+    Publish {
+        key: Vec<u8>,
+        message: Message,
+        ttl: Span,
+    },
+    /// A verdict on a host from findings of other dispatchers, valid until `until`. `age`: upper bound of the
+    /// age of its oldest evidence. `weight`: below 1, the weight of own evidence. One on a restart is given
+    /// once, and not withdrawn.
+    Verdict {
+        host: HostId,
+        since: Option<Incarnation>,
+        kind: Kind,
+        weight: f64,
+        until: Time,
+        age: Span,
+        reporters: u8,
+    },
+    /// Withdraws the verdict that the host is unhealthy.
+    Withdraw {
+        host: HostId,
+    },
+    Log(String),
+}
+
+impl Message {
+    pub fn topic(&self) -> Topic {
+        match self.statement {
+            Statement::Found { kind, .. } => kind.topic(),
+            Statement::Withdrawn | Statement::Recovered => Topic::Unhealthy,
+        }
+    }
+}
