--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,10 @@
-//! What dispatchers that know of each other decide together, without input or output: who is there, limits that
-//! hold for all in sum, what others found out about hosts, a feed to many followers, and rules rolled out in stages.
+//! Protocols between dispatchers, without I/O: membership, fleet-wide limits, shared verdicts on hosts, a
+//! feed to many followers, delivery of the change log, and staged rollout of rules.
 //!
-//! Every room is alike: calls only update what is known (`heard` a message of another, `woken` by the one periodic
-//! timer, and what the dispatcher tells), then effects are pulled with `next` until there is none. Time is the caller's own
-//! clock, which never steps back and goes on while the process stands still; it is never compared with another
-//! member's: ages and spans are told, never points in time. Chance comes from a seed.
+//! All protocols work alike. Calls (a message of another member, a tick of the periodic timer, reports of the
+//! dispatcher) only update the state; the caller then takes effects from `next` until there is none. Time is
+//! the caller's own monotonic clock, which also advances while the process is paused. Clocks of members are
+//! never compared: messages contain ages and durations. Randomness comes from a seed.
 #![forbid(unsafe_code)]
 
 pub mod common;
