--- a/crates/fleet/src/verdicts/types.rs
+++ b/crates/fleet/src/verdicts/types.rs
@@ -115,21 +115,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum SetError {
     #[error("verdicts.hold_ms is outside 1000 to 60000: less expires too early, more is out of date")]
-    Hold,
+    MaxAge,
     #[error("verdicts.tellers is outside 1 to 64: give 2, or more where a location has many dispatchers")]
-    Tellers,
+    MinReporters,
     #[error(
         "verdicts.part is outside 0 to 1: give the fraction of the location's dispatchers that have to agree"
     )]
-    Part,
+    LocationFraction,
 }
 
 impl SetError {
     pub fn code(self) -> &'static str {
         match self {
-            SetError::Hold => "verdicts-hold",
-            SetError::Tellers => "verdicts-tellers",
-            SetError::Part => "verdicts-part",
+            SetError::MaxAge => "verdicts-hold",
+            SetError::MinReporters => "verdicts-tellers",
+            SetError::LocationFraction => "verdicts-part",
         }
     }
 }
@@ -138,12 +138,12 @@
     /// Validates settings.
     pub fn check(&self) -> Result<(), SetError> {
         if !(Span::millis(1_000)..=Span::millis(60_000)).contains(&self.hold) {
-            return Err(SetError::Hold);
+            return Err(SetError::MaxAge);
         }
         if !(1..=64).contains(&self.tellers) {
-            return Err(SetError::Tellers);
+            return Err(SetError::MinReporters);
         }
-        (0.0..=1.0).contains(&self.part).then_some(()).ok_or(SetError::Part)
+        (0.0..=1.0).contains(&self.part).then_some(()).ok_or(SetError::LocationFraction)
     }
 
     /// Largest age, by the own clock, at which a finding is used: at most `hold` by every member's clock.
--- a/crates/fleet/tests/house.rs
+++ b/crates/fleet/tests/house.rs
@@ -16,7 +16,7 @@
 const ORIGIN_LIMIT: f64 = 40.0;
 
 /// A node with its dispatcher's view, and counters for the checks.
-struct FleetNode {
+struct SimulatedNode {
     fleet: Fleet,
     incarnation: Incarnation,
     parts: BTreeMap<Key, Part>,
@@ -40,7 +40,7 @@
     bytes.unwrap().len()
 }
 
-impl Node for FleetNode {
+impl Node for SimulatedNode {
     type Said = (Incarnation, Message);
 
     fn heard(&mut self, now: Time, from: MemberId, (incarnation, message): Self::Said) {
@@ -88,7 +88,7 @@
     (0..most).map(|i| (MemberId::of(&format!("d{i}")), LocationId(i as u16 % 3))).collect()
 }
 
-fn start(network: &mut Network<FleetNode>, all: &[(MemberId, LocationId)], i: usize, kept: Vec<Record>) {
+fn start(network: &mut Network<SimulatedNode>, all: &[(MemberId, LocationId)], i: usize, kept: Vec<Record>) {
     let (own, incarnation) = (all[i].0, Incarnation(1_700_000_000_000_000 + network.now.0));
     let set = Set {
         limits: Some(limits::Set { origin: Some(ORIGIN_LIMIT), ..limits::Set::default() }),
@@ -105,7 +105,7 @@
         }
         let (parts, verdicts, longest_message, max_allowance) = Default::default();
         let (rules, ticks, stepped_down) = (0, 0, false);
-        FleetNode {
+        SimulatedNode {
             fleet,
             incarnation,
             parts,
@@ -121,7 +121,7 @@
     });
 }
 
-fn play(network: &mut Network<FleetNode>, seed: u64, seconds: f64) {
+fn play(network: &mut Network<SimulatedNode>, seed: u64, seconds: f64) {
     network.play(Span::seconds(seconds), |network| {
         let part = |id: &MemberId| Some(network.node(*id)?.parts.get(&Key::Origin)?.at(network.clock(*id)?));
         let sum: f64 = network.ids().iter().filter_map(part).sum();
@@ -129,7 +129,7 @@
     });
 }
 
-fn report_finding(network: &mut Network<FleetNode>, who: MemberId, host: HostId) {
+fn report_finding(network: &mut Network<SimulatedNode>, who: MemberId, host: HostId) {
     let (since, kind) = (Some(Incarnation(5)), Kind::ShutOut);
     let finding = Finding { host, since, kind, evidence: 20, age: Span::ZERO };
     network.call(who, |node, now| node.fleet.found(now, finding));
