--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -8,7 +8,7 @@
 use cherrypass::settings::{Band, ColdStart, Effect as Repeats, Settings};
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::verdicts::{Effect, Finding, Kind, Message, Set, UsedBy, Verdicts};
+use cherrypass_fleet::verdicts::{self, Effect, Finding, Kind, Message, UsedBy, Verdicts};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -167,7 +167,7 @@
             weight: load / 0.6,
             measured: Measured::default(),
         };
-        let set = Set { tellers: case.set.0, part: case.set.1, ..Set::default() };
+        let set = verdicts::Set { tellers: case.set.0, part: case.set.1, ..verdicts::Set::default() };
         for of in 0..case.dispatchers as usize {
             let seed = case.seed << 16 | of as u64;
             let (own, run) = (MemberId(of as u64), Incarnation(1));
--- a/crates/fleet/tests/house.rs
+++ b/crates/fleet/tests/house.rs
@@ -5,10 +5,10 @@
 use cherrypass_fleet::house::{Effect, Fleet, Message, Set};
 use cherrypass_fleet::limits::{Key, Part};
 use cherrypass_fleet::made::{Network, Node};
-use cherrypass_fleet::members::{Body, Claim, Said, Standing};
+use cherrypass_fleet::members::{Body, Claim, Standing};
 use cherrypass_fleet::rollout::{AfterHalt, Figures, Order, Plan, Record, Version};
 use cherrypass_fleet::verdicts::{Finding, Kind, UsedBy};
-use cherrypass_fleet::{limits, rollout, verdicts};
+use cherrypass_fleet::{limits, members, rollout, verdicts};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -192,7 +192,7 @@
             standing: Standing::Alive,
         };
         let words = vec![(all[2].0, Claim { incarnation: newer, ..own })];
-        let said = Message::Members(Said { own, body: Body::News, words });
+        let said = Message::Members(members::Said { own, body: Body::News, words });
         network.call(all[2].0, |node, now| node.heard(now, sender, (own.incarnation, said)));
         let sent = network.sent[&all[2].0];
         play(&mut network, seed, 3.0);
