--- a/crates/fleet/src/house.rs
+++ b/crates/fleet/src/house.rs
@@ -1,6 +1,6 @@
 //! One dispatcher's node of the fleet: combines membership, limits, verdicts, feed and rollout. Dispatches
-//! messages to them, passes changes of membership and feed items between them, and returns all effects
-//! through `Fleet::next`.
+//! messages to them, passes changes of membership and feed items between them, and returns the effects of
+//! all of them.
 use crate::common::{Incarnation, MemberId};
 use crate::feed::{self, Feed};
 use crate::limits::{self, Key, Limits};
@@ -52,7 +52,7 @@
         to: MemberId,
         message: Message,
     },
-    /// The dispatcher's allowance of a limit; the caller confirms with `Fleet::taken` once it is in force.
+    /// The dispatcher's allowance of a limit; the caller confirms it once it is in force.
     Part {
         key: Key,
         amount: f64,
@@ -73,12 +73,12 @@
     Withdraw {
         host: HostId,
     },
-    /// A record to store durably; the caller then calls `Fleet::kept`.
+    /// A record to store durably; the caller then reports whether it was stored.
     Keep {
         ticket: u64,
         record: rollout::Record,
     },
-    /// Rules to put into force; the caller calls `Fleet::not_taken` if it can't.
+    /// Rules to put into force; the caller reports if it can't use them.
     InForce {
         number: u64,
         text: String,
@@ -119,7 +119,7 @@
 
 impl Fleet {
     /// `listed`: all members, including this one. `every`: interval of the periodic timer. `kept`: the
-    /// records of `Effect::Keep` from earlier runs.
+    /// records stored by earlier runs.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         set: Set,
--- a/crates/fleet/src/verdicts/types.rs
+++ b/crates/fleet/src/verdicts/types.rs
@@ -98,7 +98,7 @@
 /// Settings of shared verdicts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Set {
-    /// Findings whose evidence is older, by any member's clock, are not used.
+    /// Hold time: findings whose evidence is older, by any member's clock, are not used.
     pub hold: Span,
     /// How many dispatchers must report the same, and which fraction of those in the own location.
     pub tellers: u8,
@@ -146,7 +146,8 @@
         (0.0..=1.0).contains(&self.part).then_some(()).ok_or(SetError::LocationFraction)
     }
 
-    /// Largest age, by the own clock, at which a finding is used: at most `hold` by every member's clock.
+    /// Largest age, by the own clock, at which a finding is used: within the hold time by every member's
+    /// clock.
     pub fn usable_age(&self) -> Span {
         self.hold.times(1.0 / super::MAX_CLOCK_RATIO)
     }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -43,7 +43,7 @@
 struct Uses(BTreeMap<(MemberId, Incarnation, Key), Vec<Allowed>>);
 
 impl Uses {
-    /// `part.until` is in true time.
+    /// The end of the allowance is in true time.
     fn add(&mut self, who: (MemberId, Incarnation, Key), from: Time, part: Part) {
         let allowed = self.0.entry(who).or_default();
         if let Some(last) = allowed.last_mut() {
