--- a/crates/fleet/examples/feed.rs
+++ b/crates/fleet/examples/feed.rs
@@ -1,9 +1,8 @@
-//! Measures the feed in virtual time on the made network: `cargo run --release -p cherrypass-fleet --example
-//! feed`.
+//! Measures the feed on the simulated network: `cargo run --release -p cherrypass-fleet --example feed`.
 //!
-//! `drag [from] [to] [seconds]`: delay of healthy followers with a fifth of all stopped or throttled, against
-//! none, with and without regrouping. `flap`: moves in an hour of a follower that stops and goes on. `size`:
-//! messages and bytes a member from 3 to 300 members.
+//! `drag [from] [to] [seconds]`: delay of healthy followers while a fifth of all are paused or throttled,
+//! compared with none, with and without regrouping. `flap`: moves per hour of a follower that pauses
+//! repeatedly. `size`: messages and bytes per member, from 3 to 300 members.
 #[path = "../tests/feed_bed/mod.rs"]
 mod feed_bed;
 
@@ -16,7 +15,7 @@
 use std::collections::BTreeSet;
 
 const ROUND: Span = Span::millis(50);
-/// Two items of each of five sources a round, to ten followers a member, with what belongs to them: bytes.
+/// Bytes per round: two items of each of five sources, to ten followers per member, with their overhead.
 const LOAD: usize = 10 * (10 * (2 * 4 + 200 + 128) + 5 * 128);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -38,7 +37,8 @@
 
 fn drag(seed: u64, faults: Faults, regroup: bool, spare: f64, seconds: u64) -> Run {
     let budget = (LOAD as f64 * spare) as usize;
-    let mut fleet = Fleet::new(seed, Set { budget, regroup, most_followers: 40, ..Set::default() }, 5, 50);
+    let mut fleet =
+        Fleet::new(seed, Set { round_bytes: budget, regroup, max_followers: 40, ..Set::default() }, 5, 50);
     fleet.net.link = Link { lost: 0.01, twice: 0.0, delay: [Span::millis(1), Span::millis(5)] };
     let mut shuffled = fleet.followers.clone();
     shuffled.shuffle(&mut fleet.net.chance);
@@ -149,7 +149,7 @@
     }
 }
 
-/// One of ten followers stops for `still` and goes on for `goes`, again and again, for an hour.
+/// One of ten followers alternates between a pause and running, for an hour.
 fn print_flap() {
     for (still, goes) in
         [(0.5, 2.0), (1.5, 3.0), (3.0, 3.0), (3.0, 15.0), (3.0, 30.0), (3.0, 60.0), (3.0, 400.0)]
--- a/crates/fleet/src/feed/follower.rs
+++ b/crates/fleet/src/feed/follower.rs
@@ -1,34 +1,37 @@
-//! One who only listens.
-use super::log::Found;
-use super::{Class, Effect, Fence, Have, Said, Segment, Set, Stamp};
+//! A process that follows the feed without being a member: it subscribes to a carrier and acknowledges
+//! frames.
+use super::log::SegmentCheck;
+use super::{Effect, Fence, FollowerClass, Position, Said, Segment, Set, Stamp};
 use crate::common::{rendezvous_order, Incarnation, MemberId};
 use cherrypass::containers::Mean;
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A fence further ahead than this is wrong: it would lock out every later carrier.
-const MOST_AHEAD: u64 = 256;
+/// A fence further ahead is rejected: it would lock out every later carrier.
+const MAX_FENCE_ADVANCE: u64 = 256;
 
+/// A follower's side of the feed.
 #[derive(Clone, Debug)]
 pub struct Follower {
     set: Set,
-    positions: BTreeMap<MemberId, Have>,
+    positions: BTreeMap<MemberId, Position>,
     members: BTreeSet<MemberId>,
-    order: Vec<MemberId>,
-    next_asked: usize,
+    carrier_order: Vec<MemberId>,
+    next_candidate: usize,
     fence: Fence,
-    /// Whether the carrier of the fence has been heard under it; when last, and its last frame.
-    carried: bool,
-    heard: Time,
-    gap: Mean,
-    class: Class,
-    frame: u64,
-    asked: Time,
-    acked: Time,
-    woken: Time,
-    /// What the next ack tells of.
-    touched: BTreeSet<MemberId>,
-    came: bool,
+    /// Whether the carrier of the fence has been heard under it, when last, and the mean time between its
+    /// frames.
+    is_carried: bool,
+    last_heard: Time,
+    mean_gap: Mean,
+    class: FollowerClass,
+    last_frame: u64,
+    last_asked: Time,
+    last_acked: Time,
+    last_tick: Time,
+    /// Sources whose positions go into the next acknowledgement, and whether that is due.
+    sources_to_ack: BTreeSet<MemberId>,
+    is_ack_due: bool,
     out: VecDeque<Effect>,
 }
 
@@ -46,75 +49,80 @@
             set,
             positions: BTreeMap::new(),
             members: order.iter().copied().collect(),
-            order,
-            next_asked: 0,
+            carrier_order: order,
+            next_candidate: 0,
             fence: Fence { incarnation, number: 0, carrier: first },
-            carried: false,
-            heard: now,
-            gap: Mean::default(),
-            class: Class::default(),
-            frame: 0,
-            asked: Time(0),
-            acked: now,
-            woken: now,
-            touched: BTreeSet::new(),
-            came: false,
+            is_carried: false,
+            last_heard: now,
+            mean_gap: Mean::default(),
+            class: FollowerClass::default(),
+            last_frame: 0,
+            last_asked: Time(0),
+            last_acked: now,
+            last_tick: now,
+            sources_to_ack: BTreeSet::new(),
+            is_ack_due: false,
             out: VecDeque::new(),
         }
     }
 
+    /// The next effect. Call until there is none after each call.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Option<Effect> {
         self.out.pop_front()
     }
 
-    /// Who carries it, by what it knows.
+    /// The fence of the present carrier, as far as known here.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
     pub fn is_carried(&self) -> bool {
-        self.carried
+        self.is_carried
     }
 
+    /// The periodic timer, called every `Set::round`.
     pub fn woken(&mut self, now: Time) {
-        // After standing still itself, it can't tell whether its carrier was silent.
-        if now - self.woken > self.set.orphan_after {
-            self.heard = self.heard.max(now);
+        // After a pause of this process it is unknown whether the carrier was silent.
+        if now - self.last_tick > self.set.orphan_after {
+            self.last_heard = self.last_heard.max(now);
         }
-        self.woken = now;
-        let usual = Span::seconds(self.gap.value * self.set.orphan_gaps).min(self.set.orphan_most);
-        let silent = now - self.heard > usual.max(self.set.orphan_after);
-        if (!self.carried || silent) && now - self.asked >= self.set.ask_every {
-            self.ask(now);
+        self.last_tick = now;
+        let silence_limit =
+            Span::seconds(self.mean_gap.value * self.set.orphan_gap_factor).min(self.set.max_orphan_time);
+        let is_silent = now - self.last_heard > silence_limit.max(self.set.orphan_after);
+        if (!self.is_carried || is_silent) && now - self.last_asked >= self.set.retry_interval {
+            self.subscribe(now);
         }
-        if self.carried && (self.came || now - self.acked >= self.set.beat) {
-            self.acked = now;
-            self.came = false;
-            let touched = std::mem::take(&mut self.touched);
-            let have = touched.iter().filter_map(|source| self.positions.get(source)).copied().collect();
-            let said = Said::Ack { fence: self.fence, frame: self.frame, stamp: self.stamp(now), have };
-            self.out.push_back(Effect::Tell { to: self.fence.carrier, said });
+        if self.is_carried && (self.is_ack_due || now - self.last_acked >= self.set.heartbeat) {
+            self.last_acked = now;
+            self.is_ack_due = false;
+            let sources = std::mem::take(&mut self.sources_to_ack);
+            let positions = sources.iter().filter_map(|source| self.positions.get(source)).copied().collect();
+            let message =
+                Said::Ack { fence: self.fence, frame: self.last_frame, stamp: self.stamp(now), positions };
+            self.out.push_back(Effect::Tell { to: self.fence.carrier, said: message });
         }
     }
 
-    fn ask(&mut self, now: Time) {
-        if self.order.is_empty() {
+    /// Asks the next member in order to become the carrier.
+    fn subscribe(&mut self, now: Time) {
+        if self.carrier_order.is_empty() {
             return;
         }
-        let mut carrier = self.order[self.next_asked % self.order.len()];
-        if self.carried && self.class.slow {
-            // One whose own link is the trouble better stays among the slow ones.
+        let mut carrier = self.carrier_order[self.next_candidate % self.carrier_order.len()];
+        if self.is_carried && self.class.is_slow {
+            // A slow follower stays with its carrier: its own link is the likely cause.
             carrier = self.fence.carrier;
         } else {
-            self.next_asked += 1;
+            self.next_candidate += 1;
         }
-        self.adopt(Fence { number: self.fence.number + 1, carrier, ..self.fence });
-        self.asked = now;
-        let have = self.positions.values().copied().collect();
+        self.adopt_fence(Fence { number: self.fence.number + 1, carrier, ..self.fence });
+        self.last_asked = now;
+        let positions = self.positions.values().copied().collect();
         self.out.push_back(Effect::Tell {
             to: carrier,
-            said: Said::Ask { fence: self.fence, stamp: self.stamp(now), class: self.class, have },
+            said: Said::Subscribe { fence: self.fence, stamp: self.stamp(now), class: self.class, positions },
         });
     }
 
@@ -122,80 +130,86 @@
         Stamp { run: self.fence.incarnation, clock: now.0 }
     }
 
-    fn adopt(&mut self, fence: Fence) {
+    fn adopt_fence(&mut self, fence: Fence) {
         self.fence = fence;
-        self.carried = false;
-        self.frame = 0;
+        self.is_carried = false;
+        self.last_frame = 0;
     }
 
-    pub fn heard(&mut self, now: Time, from: MemberId, said: Said) {
+    /// Handles a message; senders that are no members are ignored.
+    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
         if !self.members.contains(&from) {
             return;
         }
-        match said {
-            Said::Carry { fence, frame, echo, class, segments } => {
-                if fence.carrier != from || !self.is_newest(fence) {
-                    let said = Said::Released { fence: self.fence };
-                    self.out.push_back(Effect::Tell { to: from, said });
+        match message {
+            Said::Frame { fence, frame, echo, class, segments } => {
+                if fence.carrier != from || !self.accepts_fence(fence) {
+                    let message = Said::CarriedElsewhere { fence: self.fence };
+                    self.out.push_back(Effect::Tell { to: from, said: message });
                     return;
                 }
                 if fence != self.fence {
-                    self.adopt(fence);
+                    self.adopt_fence(fence);
                 }
-                self.carried = true;
-                self.next_asked = 0;
-                self.gap.push((now - self.heard).as_seconds().min(self.set.orphan_most.as_seconds()), 0.1);
-                self.heard = now;
+                self.is_carried = true;
+                self.next_candidate = 0;
+                self.mean_gap.push(
+                    (now - self.last_heard).as_seconds().min(self.set.max_orphan_time.as_seconds()),
+                    0.1,
+                );
+                self.last_heard = now;
                 self.class = class;
-                self.frame = self.frame.max(frame);
-                self.came |= !segments.is_empty();
+                self.last_frame = self.last_frame.max(frame);
+                self.is_ack_due |= !segments.is_empty();
                 let Some(transit) = echo.and_then(|echo| echo.transit(now, self.fence.incarnation)) else {
-                    // Of an item without a bound on its age nothing can be said: the ack brings a clock
-                    // value.
-                    self.came = true;
+                    // Without an echo the age of the items has no bound; the acknowledgement delivers a stamp
+                    // for one.
+                    self.is_ack_due = true;
                     return;
                 };
-                for segment in segments.into_iter().take(self.set.most_segments) {
-                    self.take(segment, transit);
+                for segment in segments.into_iter().take(self.set.max_segments) {
+                    self.apply_segment(segment, transit);
                 }
             }
-            Said::Moved { fence } if self.is_newest(fence) && fence != self.fence => {
-                self.adopt(fence);
-                // The new one has the orphan's time to show itself.
-                self.asked = now + self.set.orphan_after;
+            Said::Moved { fence } if self.accepts_fence(fence) && fence != self.fence => {
+                self.adopt_fence(fence);
+                // The new carrier has `orphan_after` to send its first frame.
+                self.last_asked = now + self.set.orphan_after;
             }
-            Said::Refuse { fence } if fence == self.fence && fence.carrier == from && !self.carried => {
-                // The next one at the next waking.
-                self.asked = Time(0);
-                if self.next_asked.is_multiple_of(self.order.len().max(1)) {
-                    self.asked = now;
+            Said::SubscribeRejected { fence }
+                if fence == self.fence && fence.carrier == from && !self.is_carried =>
+            {
+                // Asks the next member at the next tick, or after a pause once all have refused.
+                self.last_asked = Time(0);
+                if self.next_candidate.is_multiple_of(self.carrier_order.len().max(1)) {
+                    self.last_asked = now;
                 }
             }
             _ => {}
         }
     }
 
-    fn is_newest(&self, fence: Fence) -> bool {
+    fn accepts_fence(&self, fence: Fence) -> bool {
         fence.incarnation == self.fence.incarnation
             && fence >= self.fence
-            && fence.number <= self.fence.number.saturating_add(MOST_AHEAD)
+            && fence.number <= self.fence.number.saturating_add(MAX_FENCE_ADVANCE)
             && self.members.contains(&fence.carrier)
     }
 
-    fn take(&mut self, segment: Segment, transit: Span) {
+    fn apply_segment(&mut self, segment: Segment, transit: Span) {
         let (source, incarnation, up_to) = (segment.source, segment.incarnation, segment.up_to);
         if !self.members.contains(&source) {
             return;
         }
         let at = self.positions.get(&source).copied();
-        match segment.against(&self.set, at, transit) {
-            Found::Wrong => return,
-            Found::Known | Found::Gap => {}
-            Found::New { items, whole } => {
-                self.positions.insert(source, Have { source, incarnation, number: up_to });
-                Effect::hand_over(&mut self.out, source, incarnation, up_to, items, whole);
+        match segment.check_against(&self.set, at, transit) {
+            SegmentCheck::Invalid => return,
+            SegmentCheck::Known | SegmentCheck::Gap => {}
+            SegmentCheck::New { items, is_complete } => {
+                self.positions.insert(source, Position { source, incarnation, number: up_to });
+                Effect::push_items(&mut self.out, source, incarnation, up_to, items, is_complete);
             }
         }
-        self.touched.insert(source);
+        self.sources_to_ack.insert(source);
     }
 }
--- a/crates/fleet/src/feed/log.rs
+++ b/crates/fleet/src/feed/log.rs
@@ -1,24 +1,27 @@
-//! What is kept of one source: its newest items whole, and of the older ones the latest of each key.
-use super::{Have, Set};
+//! The items held of one source: its newest items without a gap, and of the older ones the latest item of
+//! each key.
+use super::{Position, Set};
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Clocks run up to 1% apart: a span measured on one is at most this much longer on another.
-pub(super) const LONGER: f64 = 1.02;
-/// And at least this part of it.
-const SHORTER: f64 = 0.98;
-/// No source numbers more between two segments: a wrong number must not void a source's stream.
-const MOST_LEAP: u64 = 1 << 24;
-/// Where memory is short, an item may go after this part of its hold: clocks differ.
-const NEAR_END: f64 = 0.97;
-/// What an item takes in memory and on the way beside its key and value, bytes.
-const BESIDE: usize = 128;
-/// No age or hold is longer.
-pub(super) const LONGEST: Span = Span(7 * 24 * 3600 * 1_000_000);
+/// Clock rates may differ by up to 1%: a span measured on one clock is at most this many times as long on
+/// another,
+pub(super) const MAX_CLOCK_RATIO: f64 = 1.02;
+/// and at least this fraction of it.
+const MIN_CLOCK_RATIO: f64 = 0.98;
+/// Bound on the numbers a segment may span, so that a wrong number can't invalidate a source's stream.
+const MAX_SEGMENT_NUMBERS: u64 = 1 << 24;
+/// When memory is short, an item may be dropped after this fraction of its hold time, since by the source's
+/// clock it may have expired.
+const EARLY_EXPIRY_FRACTION: f64 = 0.97;
+/// Bytes an item takes in memory and in messages besides its key and value.
+const ITEM_OVERHEAD_BYTES: usize = 128;
+/// Limit of ages and hold times.
+pub(super) const MAX_HOLD: Span = Span(7 * 24 * 3600 * 1_000_000);
 
-/// One item as it is told. `age` is an upper bound at the time of the telling.
+/// One item as it is sent. `age` is an upper bound at the time of sending.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     pub number: u64,
@@ -29,86 +32,86 @@
 }
 
 impl Item {
-    /// What it counts against bounds, bytes; a key is kept twice.
+    /// Bytes that it counts against the bounds; a key is stored twice.
     pub(super) fn cost(&self) -> usize {
-        2 * self.key.len() + self.value.len() + BESIDE
+        2 * self.key.len() + self.value.len() + ITEM_OVERHEAD_BYTES
     }
 }
 
-/// Of one source all that still matters of the numbers `after + 1 ..= up_to`. Where items are missing, they
-/// were replaced by later ones of their key, or have run out.
+/// All still valid items of a source with the numbers `after + 1 ..= up_to`. Missing numbers were replaced by
+/// later items of their key or have expired.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
     pub source: MemberId,
     pub incarnation: Incarnation,
     pub after: u64,
     pub up_to: u64,
-    /// The last number the sender has.
+    /// The last number that the sender has.
     pub head: u64,
     pub items: Vec<Item>,
 }
 
-/// What a segment is to one who stands somewhere in its source's numbers.
-pub(super) enum Found {
-    /// Nothing new in it.
+/// How a segment relates to a receiver's position.
+pub(super) enum SegmentCheck {
+    /// Contains nothing new.
     Known,
-    /// Something before it is missing.
+    /// Items before it are missing.
     Gap,
-    /// New items; `whole`: every number is there.
+    /// New items; `is_complete`: without a missing number.
     New {
         items: Vec<Item>,
-        whole: bool,
+        is_complete: bool,
     },
-    Wrong,
+    Invalid,
 }
 
 impl Segment {
-    fn is_sound(&self, set: &Set) -> bool {
+    fn is_valid(&self, set: &Set) -> bool {
         let mut last = self.after;
         self.after < self.up_to
             && self.up_to <= self.head
-            && self.up_to - self.after <= MOST_LEAP
+            && self.up_to - self.after <= MAX_SEGMENT_NUMBERS
             && self.items.iter().all(|item| {
-                let rises = item.number > last && item.number <= self.up_to;
+                let is_ascending = item.number > last && item.number <= self.up_to;
                 last = item.number;
-                rises && set.takes(&item.key, &item.value) && item.hold <= LONGEST
+                is_ascending && set.accepts(&item.key, &item.value) && item.hold <= MAX_HOLD
             })
     }
 
-    /// `transit`: upper bound on its time on the way.
-    pub(super) fn against(self, set: &Set, at: Option<Have>, transit: Span) -> Found {
-        if !self.is_sound(set) {
-            return Found::Wrong;
+    /// `transit`: upper bound on the time that its message was on the way.
+    pub(super) fn check_against(self, set: &Set, at: Option<Position>, transit: Span) -> SegmentCheck {
+        if !self.is_valid(set) {
+            return SegmentCheck::Invalid;
         }
         let position = match at {
-            Some(at) if at.incarnation > self.incarnation => return Found::Known,
+            Some(at) if at.incarnation > self.incarnation => return SegmentCheck::Known,
             Some(at) if at.incarnation == self.incarnation => at.number,
             _ => 0,
         };
         if position >= self.up_to {
-            return Found::Known;
+            return SegmentCheck::Known;
         }
         if self.after > position {
-            return Found::Gap;
+            return SegmentCheck::Gap;
         }
         let mut items = self.items;
         items.retain(|item| item.number > position);
         for item in &mut items {
-            item.age = Span(item.age.0.saturating_add(transit.0)).min(LONGEST);
+            item.age = Span(item.age.0.saturating_add(transit.0)).min(MAX_HOLD);
         }
-        let whole = items.len() as u64 == self.up_to - position;
-        Found::New { items, whole }
+        let is_complete = items.len() as u64 == self.up_to - position;
+        SegmentCheck::New { items, is_complete }
     }
 }
 
-/// A clock value that means something to its teller alone, who gets it back, and only in the same run.
+/// A sender's own clock value; the receiver returns it, and it is valid only within the same run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
     pub run: Incarnation,
     pub clock: u64,
 }
 
-/// A stamp given back, and how long it had been held.
+/// A returned stamp, and for how long it was held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     pub stamp: Stamp,
@@ -116,68 +119,71 @@
 }
 
 impl Echo {
-    /// Upper bound on the way of the message that carried it.
+    /// Upper bound on the time that the message with this echo was on the way; none if the stamp is not of
+    /// this run.
     pub(super) fn transit(self, now: Time, run: Incarnation) -> Option<Span> {
-        let gone = now.0.checked_sub(self.stamp.clock).filter(|_| self.stamp.run == run)?;
-        let least = self.held.times(SHORTER);
-        (least.0 <= gone).then(|| Span(gone - least.0).times(LONGER))
+        let elapsed = now.0.checked_sub(self.stamp.clock).filter(|_| self.stamp.run == run)?;
+        let min_held = self.held.times(MIN_CLOCK_RATIO);
+        (min_held.0 <= elapsed).then(|| Span(elapsed - min_held.0).times(MAX_CLOCK_RATIO))
     }
 }
 
+/// An item and when it was received.
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredItem {
     item: Item,
-    at: Time,
+    received: Time,
 }
 
-impl Kept {
+impl StoredItem {
     fn age(&self, now: Time) -> Span {
-        (self.item.age + (now - self.at).times(LONGER)).min(LONGEST)
+        (self.item.age + (now - self.received).times(MAX_CLOCK_RATIO)).min(MAX_HOLD)
     }
 
-    fn is_over(&self, now: Time) -> bool {
+    fn is_expired(&self, now: Time) -> bool {
         self.age(now) >= self.item.hold
     }
 }
 
+/// The items of one run of a source.
 #[derive(Clone, Debug)]
-pub(super) struct Log {
+pub(super) struct SourceLog {
     pub incarnation: Incarnation,
     pub up_to: u64,
-    /// Up to which number it was handed over here; more than `up_to` while all is taken anew.
-    pub handed: u64,
-    /// All numbers after it are there.
-    whole_after: u64,
-    items: BTreeMap<u64, Kept>,
+    /// The last number that was delivered here; greater than `up_to` while all items are being fetched again.
+    pub delivered_up_to: u64,
+    /// No number after it is missing.
+    complete_after: u64,
+    items: BTreeMap<u64, StoredItem>,
     latest: BTreeMap<Vec<u8>, u64>,
-    /// Of all items, and of those after `whole_after`.
+    /// Bytes of all items, and of those after `complete_after`.
     bytes: usize,
-    whole_bytes: usize,
-    last_at: Time,
+    complete_bytes: usize,
+    last_received: Time,
 }
 
-impl Log {
-    pub fn new(incarnation: Incarnation) -> Log {
-        Log {
+impl SourceLog {
+    pub fn new(incarnation: Incarnation) -> SourceLog {
+        SourceLog {
             incarnation,
             up_to: 0,
-            handed: 0,
-            whole_after: 0,
+            delivered_up_to: 0,
+            complete_after: 0,
             items: BTreeMap::new(),
             latest: BTreeMap::new(),
             bytes: 0,
-            whole_bytes: 0,
-            last_at: Time(0),
+            complete_bytes: 0,
+            last_received: Time(0),
         }
     }
 
-    /// Items and bytes held.
+    /// Number of items and their bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.items.len(), self.bytes)
     }
 
-    /// Whether the latest items of all keys fit into half the state with this one; the other half is for
-    /// those that a member still holds which has yet to get their replacements.
+    /// Whether with this item the latest items of all keys fit into half the state bound; the other half is
+    /// for replaced items that a member still holds until it receives their replacements.
     pub fn fits(&self, set: &Set, item: &Item) -> bool {
         let live = self.latest.iter().filter(|(key, _)| **key != item.key);
         let costs = live.filter_map(|(_, number)| self.items.get(number)).map(|kept| kept.item.cost());
@@ -185,7 +191,7 @@
         2 * count <= set.state_items && 2 * bytes <= set.state_bytes
     }
 
-    fn drop_item(&mut self, number: u64) {
+    fn remove_item(&mut self, number: u64) {
         let Some(kept) = self.items.remove(&number) else { return };
         self.bytes -= kept.item.cost();
         if self.latest.get(&kept.item.key) == Some(&number) {
@@ -193,91 +199,100 @@
         }
     }
 
-    /// Takes what is new up to a number; `whole`: with no number missing.
-    pub fn take(&mut self, now: Time, items: Vec<Item>, up_to: u64, whole: bool, set: &Set) {
+    /// Appends new items up to a number; `is_complete`: without a missing number.
+    pub fn append(&mut self, now: Time, items: Vec<Item>, up_to: u64, is_complete: bool, set: &Set) {
         for item in items {
             let (number, cost) = (item.number, item.cost());
             self.bytes += cost;
-            self.whole_bytes += cost;
+            self.complete_bytes += cost;
             let replaced = self.latest.insert(item.key.clone(), number);
-            self.items.insert(number, Kept { item, at: now });
-            if let Some(old) = replaced.filter(|old| *old <= self.whole_after) {
-                self.drop_item(old);
+            self.items.insert(number, StoredItem { item, received: now });
+            if let Some(old) = replaced.filter(|old| *old <= self.complete_after) {
+                self.remove_item(old);
             }
-            if whole {
+            if is_complete {
                 self.up_to = number;
                 self.trim(now, set);
             }
         }
         self.up_to = up_to;
-        if !whole {
-            self.whole_after = up_to;
-            self.whole_bytes = 0;
-            let gone =
+        if !is_complete {
+            self.complete_after = up_to;
+            self.complete_bytes = 0;
+            let replaced =
                 self.items.iter().filter(|(number, kept)| self.latest.get(&kept.item.key) != Some(*number));
-            for number in gone.map(|(number, _)| *number).collect::<Vec<_>>() {
-                self.drop_item(number);
+            for number in replaced.map(|(number, _)| *number).collect::<Vec<_>>() {
+                self.remove_item(number);
             }
         }
-        self.last_at = now;
+        self.last_received = now;
         self.trim(now, set);
     }
 
-    /// Holds the bounds.
+    /// Enforces the bounds.
     pub fn trim(&mut self, now: Time, set: &Set) {
-        while let Some(first) = self.items.get(&(self.whole_after + 1)) {
-            let over = first.is_over(now);
-            let many = self.up_to - self.whole_after > set.backlog_items as u64;
-            if !(over || many || self.whole_bytes > set.backlog_bytes) {
+        while let Some(first) = self.items.get(&(self.complete_after + 1)) {
+            let is_expired = first.is_expired(now);
+            let is_over_count = self.up_to - self.complete_after > set.backlog_items as u64;
+            if !(is_expired || is_over_count || self.complete_bytes > set.backlog_bytes) {
                 break;
             }
-            self.whole_after += 1;
-            self.whole_bytes -= first.item.cost();
-            if over || self.latest.get(&first.item.key) != Some(&self.whole_after) {
-                self.drop_item(self.whole_after);
+            self.complete_after += 1;
+            self.complete_bytes -= first.item.cost();
+            if is_expired || self.latest.get(&first.item.key) != Some(&self.complete_after) {
+                self.remove_item(self.complete_after);
             }
         }
-        while self.passes(set) {
-            let older = self.items.range(..=self.whole_after);
-            let part = |kept: &Kept| kept.age(now).as_seconds() / kept.item.hold.as_seconds().max(1e-6);
-            let most = older.map(|(number, kept)| (part(kept), *number)).max_by(|a, b| a.0.total_cmp(&b.0));
-            match most {
-                // By the source's clock it has run out.
-                Some((part, number)) if part >= NEAR_END => self.drop_item(number),
-                // Items replaced by ones that are still to come here can be too many. One that dropped any
-                // other would pass on a state that isn't whole: it takes all anew instead.
+        while self.exceeds_state_bounds(set) {
+            let older = self.items.range(..=self.complete_after);
+            let elapsed_fraction =
+                |kept: &StoredItem| kept.age(now).as_seconds() / kept.item.hold.as_seconds().max(1e-6);
+            let oldest = older
+                .map(|(number, kept)| (elapsed_fraction(kept), *number))
+                .max_by(|a, b| a.0.total_cmp(&b.0));
+            match oldest {
+                // It may have expired by the source's clock.
+                Some((fraction, number)) if fraction >= EARLY_EXPIRY_FRACTION => self.remove_item(number),
+                // Items whose replacements have not arrived yet may exceed the bounds. Dropping any other
+                // item would make the state that is passed on incomplete, so all items are fetched again.
                 _ => {
-                    let (handed, incarnation) = (self.handed, self.incarnation);
-                    *self = Log { handed, ..Log::new(incarnation) };
+                    let (delivered_up_to, incarnation) = (self.delivered_up_to, self.incarnation);
+                    *self = SourceLog { delivered_up_to, ..SourceLog::new(incarnation) };
                 }
             }
         }
     }
 
-    fn passes(&self, set: &Set) -> bool {
-        let older = self.items.len() as u64 - (self.up_to - self.whole_after);
-        older > set.state_items as u64 || self.bytes - self.whole_bytes > set.state_bytes
+    fn exceeds_state_bounds(&self, set: &Set) -> bool {
+        let older = self.items.len() as u64 - (self.up_to - self.complete_after);
+        older > set.state_items as u64 || self.bytes - self.complete_bytes > set.state_bytes
     }
 
-    /// Forgets what has run out.
+    /// Drops expired items.
     pub fn expire(&mut self, now: Time, set: &Set) {
-        let over = self.items.range(..=self.whole_after).filter(|(_, kept)| kept.is_over(now));
-        for number in over.map(|(number, _)| *number).collect::<Vec<_>>() {
-            self.drop_item(number);
+        let expired = self.items.range(..=self.complete_after).filter(|(_, kept)| kept.is_expired(now));
+        for number in expired.map(|(number, _)| *number).collect::<Vec<_>>() {
+            self.remove_item(number);
         }
         self.trim(now, set);
     }
 
-    /// What follows a number, at least one item, else at most so many bytes.
-    pub fn segment(&self, now: Time, source: MemberId, after: u64, room: usize) -> Option<(Segment, usize)> {
+    /// The items after a number, at least one and otherwise at most `max_bytes` bytes, with their cost.
+    pub fn segment(
+        &self,
+        now: Time,
+        source: MemberId,
+        after: u64,
+        max_bytes: usize,
+    ) -> Option<(Segment, usize)> {
         if after >= self.up_to {
             return None;
         }
-        let mut bytes = BESIDE;
+        let mut bytes = ITEM_OVERHEAD_BYTES;
         let (mut items, mut up_to) = (Vec::new(), self.up_to);
         for (number, kept) in self.items.range(after + 1..) {
             let cost = kept.item.cost();
-            if !items.is_empty() && bytes + cost > room {
+            if !items.is_empty() && bytes + cost > max_bytes {
                 up_to = number - 1;
                 break;
             }
@@ -288,9 +303,10 @@
         Some((Segment { source, incarnation: self.incarnation, after, up_to, head, items }, bytes))
     }
 
-    /// Since when something after a number has waited.
-    pub fn waits_since(&self, after: u64) -> Option<Time> {
-        (after < self.up_to)
-            .then(|| self.items.range(after + 1..).next().map_or(self.last_at, |(_, kept)| kept.at))
+    /// Since when the oldest item after a number has been held.
+    pub fn pending_since(&self, after: u64) -> Option<Time> {
+        (after < self.up_to).then(|| {
+            self.items.range(after + 1..).next().map_or(self.last_received, |(_, kept)| kept.received)
+        })
     }
 }
--- a/crates/fleet/src/feed/mod.rs
+++ b/crates/fleet/src/feed/mod.rs
@@ -1,158 +1,133 @@
-//! A feed from any member to all and to those who only follow, which no slow follower drags.
+//! A feed of items from any member to all members and to followers, in which a slow follower does not delay
+//! others. No input or output; time comes in as an argument.
 //!
-//! Items are numbered by source (a member's run, from 1). A source pushes each round's items to all members;
-//! what is lost on the way is seen by a gap or by what members tell each other they have, and comes from any
-//! of them. Each member carries a group of followers and sends to each what it lacks by its acknowledged
-//! place in every source's numbers; nothing is queued for a follower. One too far behind gets what still
-//! matters instead of all. docs/fleet-feed.md has the choice and the bounds.
-mod carry;
+//! Items are numbered per source (one run of a member's process, starting at 1). A source pushes its new
+//! items to all members every round; losses are detected by gaps or by the positions that members report to
+//! each other, and are repaired from any member. Each member is the carrier of a group of followers and sends
+//! to each of them what it lacks according to its acknowledged position in every source; nothing is queued
+//! per follower. A follower that is too far behind receives the items that are still valid instead of all of
+//! them. See docs/fleet-feed.md.
+mod carrier;
 mod follower;
 mod log;
-mod set;
+mod settings;
 
 use crate::common::{Incarnation, MemberId};
-use carry::{Carrier, Logs, Others};
+use carrier::{Carrier, Logs, OtherCarriers};
 use cherrypass::time::{Span, Time};
 pub use follower::Follower;
 pub use log::{Echo, Item, Segment, Stamp};
-use log::{Found, Log};
+use log::{SegmentCheck, SourceLog};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
-pub use set::Set;
+pub use settings::Set;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Why an item wasn't published.
+/// Why an item was not published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    #[error("an item's key has {key} and its value {value} bytes, more than fit; publish it in parts")]
-    TooBig { key: usize, value: usize },
-    #[error("too many items still hold; let them run out sooner, use fewer keys, or raise feed.state_*")]
+pub enum PublishError {
+    #[error("an item's key has {key} bytes and its value {value}, more than the limit: publish it in parts")]
+    TooLarge { key: usize, value: usize },
+    #[error("too many unexpired items: use shorter hold times or fewer keys, or raise feed.state_*")]
     Full,
 }
 
-impl Refused {
+impl PublishError {
+    /// The error code, for scripts.
     pub fn code(&self) -> &'static str {
         match self {
-            Refused::TooBig { .. } => "feed-too-big",
-            Refused::Full => "feed-full",
+            PublishError::TooLarge { .. } => "feed-too-big",
+            PublishError::Full => "feed-full",
         }
     }
 }
 
-/// Up to which number of a source one has everything.
+/// All items of a source up to `number` have been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Have {
+pub struct Position {
     pub source: MemberId,
     pub incarnation: Incarnation,
     pub number: u64,
 }
 
-/// Who carries a follower: of two the greater holds. A follower's new run voids all fences of the earlier.
+/// The carrier of a follower. Of two fences the greater one is valid; a new run of the follower voids all
+/// fences of its earlier runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fence {
-    /// The follower's.
+    /// The follower's run.
     pub incarnation: Incarnation,
     pub number: u64,
     pub carrier: MemberId,
 }
 
-/// What a follower is taken for; it goes along with it.
+/// How a follower is classified; handed over with it when it moves to another carrier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Class {
-    pub slow: bool,
-    /// How often it was slow of late: its way back takes longer each time.
+pub struct FollowerClass {
+    pub is_slow: bool,
+    /// Recent returns to the slow class; each one doubles the time until it is reclassified.
     pub relapses: u8,
 }
 
-/// A member's word on itself as a carrier.
+/// A carrier's load as it reports it to the other members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
-    /// Those that aren't slow, and those that are.
+pub struct CarrierLoad {
+    /// Followers that are not slow.
     pub followers: u16,
-    pub slow: u16,
-    /// Bytes a round that nobody takes.
-    pub room: u32,
-    /// Lower median of its followers' lags, and how far it is behind itself.
+    pub slow_followers: u16,
+    /// Unused bytes of the budget of a round.
+    pub spare_bytes: u32,
+    /// Lower median of its followers' lags, plus its own lag.
     pub lag: Span,
 }
 
+/// A message of the feed. Encoded by position (postcard): the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Said {
     // Between members.
-    /// What the teller has; only what it names is compared.
-    Have {
-        stamp: Stamp,
-        about: About,
-        have: Vec<Have>,
-    },
-    /// What follows these numbers is asked for.
-    Want {
-        stamp: Stamp,
-        have: Vec<Have>,
-    },
-    /// `answer`: to a `Want`.
-    Items {
-        echo: Option<Echo>,
-        answer: bool,
-        segments: Vec<Segment>,
-    },
-    Take {
+    /// The positions of the sender; only the sources it names are compared.
+    Positions { stamp: Stamp, load: CarrierLoad, positions: Vec<Position> },
+    /// Requests the items after these positions.
+    Request { stamp: Stamp, positions: Vec<Position> },
+    /// Items, pushed by their source or as the answer to a `Request` (`is_answer`).
+    Segments { echo: Option<Echo>, is_answer: bool, segments: Vec<Segment> },
+    /// Asks a member to take over a follower.
+    OfferMove {
         follower: MemberId,
         fence: Fence,
         stamp: Option<Stamp>,
-        have: Vec<Have>,
-        class: Class,
-    },
-    Taken {
-        follower: MemberId,
-        fence: Fence,
-    },
-    Full {
-        follower: MemberId,
-        fence: Fence,
-    },
-    // From a follower.
-    Ask {
-        fence: Fence,
-        stamp: Stamp,
-        class: Class,
-        have: Vec<Have>,
-    },
-    /// Everything up to the frame has come that will come; the places of the sources that frames told of.
-    Ack {
-        fence: Fence,
-        frame: u64,
-        stamp: Stamp,
-        have: Vec<Have>,
-    },
-    Released {
-        fence: Fence,
-    },
-    // To a follower.
-    Carry {
-        fence: Fence,
-        frame: u64,
-        echo: Option<Echo>,
-        class: Class,
-        segments: Vec<Segment>,
-    },
-    Moved {
-        fence: Fence,
-    },
-    Refuse {
-        fence: Fence,
+        positions: Vec<Position>,
+        class: FollowerClass,
     },
+    /// The sender carries the follower from now on.
+    MoveAccepted { follower: MemberId, fence: Fence },
+    /// The sender has no capacity for the follower.
+    MoveRejected { follower: MemberId, fence: Fence },
+    // From a follower to a member.
+    /// Asks a member to become the carrier.
+    Subscribe { fence: Fence, stamp: Stamp, class: FollowerClass, positions: Vec<Position> },
+    /// Acknowledges the frames up to `frame`, with the positions in the sources that they contained.
+    Ack { fence: Fence, frame: u64, stamp: Stamp, positions: Vec<Position> },
+    /// Answer to a carrier whose fence is outdated; `fence` is the valid one.
+    CarriedElsewhere { fence: Fence },
+    // From a member to a follower.
+    /// The next items for the follower; without segments a heartbeat.
+    Frame { fence: Fence, frame: u64, echo: Option<Echo>, class: FollowerClass, segments: Vec<Segment> },
+    /// Another member carries the follower now.
+    Moved { fence: Fence },
+    /// The member has no capacity for another follower.
+    SubscribeRejected { fence: Fence },
 }
 
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     Tell {
         to: MemberId,
         said: Said,
     },
-    /// The next item of a source. `age` is an upper bound.
+    /// Deliver the next item of a source. `age` is an upper bound.
     Deliver {
         source: MemberId,
         incarnation: Incarnation,
@@ -161,8 +136,8 @@
         value: Vec<u8>,
         age: Span,
     },
-    /// Instead of all items up to a number those of them that still matter, in order: the others were
-    /// replaced by a later item of their key (here or still to come), or have run out.
+    /// Deliver the items up to a number that are still valid, in order: the missing ones were replaced by a
+    /// later item of their key (in this list or still to come) or have expired.
     State {
         source: MemberId,
         incarnation: Incarnation,
@@ -173,15 +148,16 @@
 }
 
 impl Effect {
-    fn hand_over(
+    /// Queues items for delivery: one by one if no number is missing, else as a `State`.
+    fn push_items(
         out: &mut VecDeque<Effect>,
         source: MemberId,
         incarnation: Incarnation,
         up_to: u64,
         items: Vec<Item>,
-        whole: bool,
+        is_complete: bool,
     ) {
-        if !whole {
+        if !is_complete {
             out.push_back(Effect::State { source, incarnation, up_to, items });
             return;
         }
@@ -193,10 +169,11 @@
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    dead: bool,
-    /// Its clock as it last told it, and when that came.
+    is_dead: bool,
+    /// Its latest stamp, and when it was received.
     stamp: Option<(Stamp, Time)>,
-    about: Option<(About, Time)>,
+    /// Its latest load report, and when it was received.
+    load: Option<(CarrierLoad, Time)>,
 }
 
 impl Peer {
@@ -205,20 +182,20 @@
     }
 }
 
-/// A source's number that someone has and this member hasn't.
+/// A number of a source that another member has reported and this one lacks.
 #[derive(Clone, Debug)]
 struct Missing {
     incarnation: Incarnation,
     number: u64,
-    teller: MemberId,
+    reported_by: MemberId,
     since: Time,
-    /// When it was last told, and whether by more than one: a wrong number must not make this one feel
-    /// behind.
-    told: Time,
-    vouched: bool,
+    /// When it was last reported, and whether by more than one member: a wrong number from a single member
+    /// must not make this one count as lagging.
+    last_reported: Time,
+    is_confirmed: bool,
 }
 
-/// A member's side.
+/// A member's side of the feed: source, receiver and carrier.
 #[derive(Clone, Debug)]
 pub struct Feed {
     set: Set,
@@ -229,27 +206,28 @@
     logs: Logs,
     carrier: Carrier,
     missing: BTreeMap<MemberId, Missing>,
-    wanted: Option<Time>,
-    tries: u32,
-    /// Bytes left of this round for those that lack something.
-    repair: usize,
-    /// Of the own items, up to which all members were told once.
-    pushed: u64,
-    /// Sources of which something came since the last round.
-    news: BTreeSet<MemberId>,
-    /// The order in which the others are told, and who is next.
-    ring: Vec<MemberId>,
-    turn: usize,
-    told: Time,
-    stamps: f64,
-    expired: Time,
-    chance: Pcg64Mcg,
+    last_request: Option<Time>,
+    request_attempts: u32,
+    /// Bytes that may still be sent this round to members that lack items.
+    repair_bytes_left: usize,
+    /// The last own item that was pushed to all members.
+    pushed_up_to: u64,
+    /// Sources with new items since the last round.
+    updated_sources: BTreeSet<MemberId>,
+    /// The order in which the other members are sent reports, and the index of the next one.
+    peer_order: Vec<MemberId>,
+    next_peer: usize,
+    last_full_report: Time,
+    /// Reports that are due, so that each member receives a stamp within `Set::stamp_interval`.
+    stamp_credit: f64,
+    last_expiry: Time,
+    rng: Pcg64Mcg,
     out: VecDeque<Effect>,
 }
 
 impl Feed {
-    /// `members`: all listed ones (at most `Set::most_sources`), this one among them or not; `followers`:
-    /// those who may ask to be carried.
+    /// `members`: all listed members (at most `Set::most_sources`), with or without this one. `followers`:
+    /// those that may subscribe.
     pub fn new(
         set: Set,
         own: MemberId,
@@ -263,140 +241,152 @@
             .take(set.most_sources - 1)
             .map(|id| (*id, Peer::default()))
             .collect();
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut ring: Vec<MemberId> = peers.keys().copied().collect();
-        ring.shuffle(&mut chance);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut peer_order: Vec<MemberId> = peers.keys().copied().collect();
+        peer_order.shuffle(&mut rng);
         Feed {
             own,
             incarnation,
             followers: followers.iter().copied().collect(),
-            logs: BTreeMap::from([(own, Log::new(incarnation))]),
+            logs: BTreeMap::from([(own, SourceLog::new(incarnation))]),
             carrier: Carrier::new(own, now),
             missing: BTreeMap::new(),
-            wanted: None,
-            tries: 0,
-            repair: set.repair,
-            pushed: 0,
-            news: BTreeSet::new(),
-            turn: 0,
-            told: Time(0),
-            stamps: ring.len() as f64,
-            ring,
+            last_request: None,
+            request_attempts: 0,
+            repair_bytes_left: set.repair_bytes,
+            pushed_up_to: 0,
+            updated_sources: BTreeSet::new(),
+            next_peer: 0,
+            last_full_report: Time(0),
+            stamp_credit: peer_order.len() as f64,
+            peer_order,
             peers,
-            expired: now,
-            chance,
+            last_expiry: now,
+            rng,
             out: VecDeque::new(),
             set,
         }
     }
 
     #[allow(clippy::should_implement_trait)]
-    /// To be pulled until there is none after each call, before the next: what is told has ages of that time.
+    /// The next effect. Call until there is none after each call and before the next one: ages in messages
+    /// are relative to the time of the call.
     pub fn next(&mut self) -> Option<Effect> {
         self.out.pop_front()
     }
 
-    /// Gives an item to all; it is replaced by the next one of its key and runs out after `hold`. Its number.
-    pub fn publish(&mut self, now: Time, key: Vec<u8>, value: Vec<u8>, hold: Span) -> Result<u64, Refused> {
-        if !self.set.takes(&key, &value) {
-            return Err(Refused::TooBig { key: key.len(), value: value.len() });
+    /// Publishes an item and returns its number. It is replaced by the next item of its key and expires after
+    /// `hold`.
+    pub fn publish(
+        &mut self,
+        now: Time,
+        key: Vec<u8>,
+        value: Vec<u8>,
+        hold: Span,
+    ) -> Result<u64, PublishError> {
+        if !self.set.accepts(&key, &value) {
+            return Err(PublishError::TooLarge { key: key.len(), value: value.len() });
         }
-        let Some(log) = self.logs.get_mut(&self.own) else { return Err(Refused::Full) };
-        let hold = hold.min(log::LONGEST);
+        let Some(log) = self.logs.get_mut(&self.own) else { return Err(PublishError::Full) };
+        let hold = hold.min(log::MAX_HOLD);
         let number = log.up_to + 1;
         let item = Item { number, key, value, hold, age: Span::ZERO };
         log.expire(now, &self.set);
         if !log.fits(&self.set, &item) {
-            return Err(Refused::Full);
+            return Err(PublishError::Full);
         }
-        log.take(now, vec![item], number, true, &self.set);
+        log.append(now, vec![item], number, true, &self.set);
         Ok(number)
     }
 
-    /// The members room's word.
+    /// Another member's status, from the failure detector.
     pub fn standing(&mut self, _now: Time, who: MemberId, alive: bool) {
         if let Some(peer) = self.peers.get_mut(&who) {
-            peer.dead = !alive;
+            peer.is_dead = !alive;
         }
     }
 
-    /// Proposes a follower to another member, as before a planned stop; it goes on being carried until that
-    /// one has taken it.
-    pub fn give(&mut self, now: Time, follower: MemberId, to: MemberId) {
+    /// Offers a follower to another member, as before a planned stop; it is carried here until that member
+    /// has accepted it.
+    pub fn start_move(&mut self, now: Time, follower: MemberId, to: MemberId) {
         if self.peers.contains_key(&to) {
-            let offer = self.carrier.give(now, follower, to);
+            let offer = self.carrier.start_move(now, follower, to);
             self.out.extend(offer);
         }
     }
 
-    /// The followers carried, and whether they count as slow.
+    /// The followers carried here, and whether each is classified as slow.
     pub fn carried(&self) -> impl Iterator<Item = (MemberId, bool)> + '_ {
         self.carrier.carried()
     }
 
-    pub fn about(&self) -> About {
-        self.carrier.about(&self.set)
+    /// This member's load as a carrier.
+    pub fn about(&self) -> CarrierLoad {
+        self.carrier.load(&self.set)
     }
 
-    /// Followers that went to another by a move this member began.
+    /// Number of moves started here and accepted by another member.
     pub fn moves(&self) -> u64 {
         self.carrier.moves
     }
 
-    /// Items and bytes held of all sources; followers' places and frames in flight.
+    /// Items and bytes held of all sources; positions and frames in flight of all followers.
     pub fn size(&self) -> (usize, usize, usize, usize) {
         let (items, bytes) =
-            self.logs.values().map(Log::size).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+            self.logs.values().map(SourceLog::size).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let (places, flying) = self.carrier.size();
         (items, bytes, places, flying)
     }
 
-    pub fn heard(&mut self, now: Time, from: MemberId, said: Said) {
+    /// Handles a message; senders that are not listed are ignored.
+    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
         if self.peers.contains_key(&from) {
-            self.heard_member(now, from, said);
+            self.handle_member(now, from, message);
         } else if self.followers.contains(&from) {
-            self.carrier.heard_follower(now, from, said, &self.set, &mut self.out);
+            self.carrier.handle_follower(now, from, message, &self.set, &mut self.out);
         }
     }
 
-    fn heard_member(&mut self, now: Time, from: MemberId, said: Said) {
-        if let Said::Have { stamp, .. } | Said::Want { stamp, .. } = &said {
+    fn handle_member(&mut self, now: Time, from: MemberId, message: Said) {
+        if let Said::Positions { stamp, .. } | Said::Request { stamp, .. } = &message {
             let Some(peer) = self.peers.get_mut(&from) else { return };
-            // One that comes late must not replace a newer one: an echo of an older one is a looser bound.
+            // A delayed stamp must not replace a newer one: the echo of an older stamp gives a looser bound.
             if peer.stamp.is_none_or(|(known, _)| known < *stamp) {
                 peer.stamp = Some((*stamp, now));
             }
         }
-        match said {
-            Said::Have { about, have, .. } if have.len() <= self.set.most_sources => {
+        match message {
+            Said::Positions { load, positions, .. } if positions.len() <= self.set.most_sources => {
                 if let Some(peer) = self.peers.get_mut(&from) {
-                    peer.about = Some((about, now));
+                    peer.load = Some((load, now));
                 }
                 let mut ahead = Vec::new();
-                for have in have {
-                    let own = self.have(have.source);
-                    let theirs = (have.incarnation, have.number);
+                for position in positions {
+                    let own = self.position_of(position.source);
+                    let theirs = (position.incarnation, position.number);
                     match own.map(|own| (own.incarnation, own.number)) {
                         Some(ours) if ours > theirs => ahead.extend(own),
                         Some(ours) if ours == theirs => {}
-                        _ => self.lacks(now, from, have),
+                        _ => self.note_missing(now, from, position),
                     }
                 }
                 if !ahead.is_empty() {
-                    self.tell_have(now, from, ahead);
+                    self.send_positions(now, from, ahead);
                 }
-                self.want(now, from, false);
+                self.request_missing(now, from, false);
             }
-            Said::Want { have, .. } if have.len() <= self.set.most_sources => self.answer(now, from, &have),
-            Said::Items { echo, answer, segments } => {
+            Said::Request { positions, .. } if positions.len() <= self.set.most_sources => {
+                self.answer_request(now, from, &positions)
+            }
+            Said::Segments { echo, is_answer: answer, segments } => {
                 let transit = echo.and_then(|echo| echo.transit(now, self.incarnation));
-                for segment in segments.into_iter().take(self.set.most_segments) {
-                    self.take(now, from, segment, transit);
+                for segment in segments.into_iter().take(self.set.max_segments) {
+                    self.apply_segment(now, from, segment, transit);
                 }
-                self.want(now, from, answer);
+                self.request_missing(now, from, answer);
             }
-            Said::Take { follower, .. } if !self.followers.contains(&follower) => {}
-            said => self.carrier.heard_member(now, from, said, &self.set, &mut self.out),
+            Said::OfferMove { follower, .. } if !self.followers.contains(&follower) => {}
+            message => self.carrier.handle_member(now, from, message, &self.set, &mut self.out),
         }
     }
 
@@ -404,100 +394,107 @@
         Stamp { run: self.incarnation, clock: now.0 }
     }
 
-    fn have(&self, source: MemberId) -> Option<Have> {
-        self.logs.get(&source).map(|log| Have { source, incarnation: log.incarnation, number: log.up_to })
+    fn position_of(&self, source: MemberId) -> Option<Position> {
+        self.logs.get(&source).map(|log| Position { source, incarnation: log.incarnation, number: log.up_to })
     }
 
-    /// Someone has more of a source.
-    fn lacks(&mut self, now: Time, teller: MemberId, have: Have) {
-        if !self.peers.contains_key(&have.source) || have.number == 0 {
+    /// Notes that another member has more items of a source.
+    fn note_missing(&mut self, now: Time, reported_by: MemberId, position: Position) {
+        if !self.peers.contains_key(&position.source) || position.number == 0 {
             return;
         }
-        let Have { incarnation, number, .. } = have;
-        let first = Missing { incarnation, number, teller, since: now, told: now, vouched: false };
-        let known = self.missing.entry(have.source).or_insert(first);
-        known.told = now;
-        known.vouched |= known.teller != teller;
+        let Position { incarnation, number, .. } = position;
+        let new =
+            Missing { incarnation, number, reported_by, since: now, last_reported: now, is_confirmed: false };
+        let known = self.missing.entry(position.source).or_insert(new);
+        known.last_reported = now;
+        known.is_confirmed |= known.reported_by != reported_by;
         if (known.incarnation, known.number) < (incarnation, number) {
-            (known.incarnation, known.number, known.teller) = (incarnation, number, teller);
+            (known.incarnation, known.number, known.reported_by) = (incarnation, number, reported_by);
         }
     }
 
-    fn take(&mut self, now: Time, from: MemberId, segment: Segment, transit: Option<Span>) {
+    fn apply_segment(&mut self, now: Time, from: MemberId, segment: Segment, transit: Option<Span>) {
         let (source, incarnation) = (segment.source, segment.incarnation);
         if !self.peers.contains_key(&source) {
             return;
         }
         let (up_to, head) = (segment.up_to, segment.head);
-        let at = self.have(source);
-        let found = segment.against(&self.set, at, transit.unwrap_or(Span::ZERO));
-        match found {
-            Found::Wrong | Found::Known => return,
-            Found::New { items, whole } if transit.is_some() => {
+        let at = self.position_of(source);
+        let check = segment.check_against(&self.set, at, transit.unwrap_or(Span::ZERO));
+        match check {
+            SegmentCheck::Invalid | SegmentCheck::Known => return,
+            SegmentCheck::New { items, is_complete } if transit.is_some() => {
                 if at.is_none_or(|at| at.incarnation != incarnation) {
-                    self.logs.insert(source, Log::new(incarnation));
+                    self.logs.insert(source, SourceLog::new(incarnation));
                 }
                 let Some(log) = self.logs.get_mut(&source) else { return };
-                let handed = log.handed;
-                log.handed = handed.max(up_to);
+                let delivered = log.delivered_up_to;
+                log.delivered_up_to = delivered.max(up_to);
                 let mut fresh = items.clone();
-                log.take(now, items, up_to, whole, &self.set);
-                self.news.insert(source);
-                if up_to > handed {
-                    fresh.retain(|item| item.number > handed);
-                    let whole = fresh.len() as u64 == up_to - handed;
-                    Effect::hand_over(&mut self.out, source, incarnation, up_to, fresh, whole);
+                log.append(now, items, up_to, is_complete, &self.set);
+                self.updated_sources.insert(source);
+                if up_to > delivered {
+                    fresh.retain(|item| item.number > delivered);
+                    let is_complete = fresh.len() as u64 == up_to - delivered;
+                    Effect::push_items(&mut self.out, source, incarnation, up_to, fresh, is_complete);
                 }
             }
-            // Without an echo nothing bounds its age: the answer to a want has one.
+            // Without an echo the age of the items has no bound; the answer to a request has one.
             _ => {}
         }
-        let now_at = self.have(source).map(|have| (have.incarnation, have.number));
-        if now_at.is_none_or(|at| at < (incarnation, head)) {
-            self.lacks(now, from, Have { source, incarnation, number: head });
+        let reached = self.position_of(source).map(|position| (position.incarnation, position.number));
+        if reached.is_none_or(|at| at < (incarnation, head)) {
+            self.note_missing(now, from, Position { source, incarnation, number: head });
         }
     }
 
-    /// Asks for what is missing; `on`: the last answer came, the next may be asked for at once.
-    fn want(&mut self, now: Time, to: MemberId, on: bool) {
+    /// Requests missing items. `has_answer`: the last request was answered, so the next one may be sent at
+    /// once.
+    fn request_missing(&mut self, now: Time, to: MemberId, has_answer: bool) {
         let logs = &self.logs;
-        let lasts = self.set.about_for;
+        let lifetime = self.set.report_lifetime;
         self.missing.retain(|source, missing| {
             let at = logs.get(source).map(|log| (log.incarnation, log.up_to));
-            now - missing.told <= lasts && at.is_none_or(|at| at < (missing.incarnation, missing.number))
+            now - missing.last_reported <= lifetime
+                && at.is_none_or(|at| at < (missing.incarnation, missing.number))
         });
-        let waits = self.wanted.is_some_and(|at| now - at < Span(self.set.round.0 * 3));
+        let is_request_pending = self.last_request.is_some_and(|at| now - at < Span(self.set.round.0 * 3));
         if self.missing.is_empty() {
-            self.wanted = None;
-            self.tries = 0;
-        } else if on || !waits {
-            self.wanted = Some(now);
-            let have = self.missing.iter().take(self.set.most_segments).map(|(source, missing)| {
-                self.have(*source).unwrap_or(Have {
+            self.last_request = None;
+            self.request_attempts = 0;
+        } else if has_answer || !is_request_pending {
+            self.last_request = Some(now);
+            let positions = self.missing.iter().take(self.set.max_segments).map(|(source, missing)| {
+                self.position_of(*source).unwrap_or(Position {
                     source: *source,
                     incarnation: missing.incarnation,
                     number: 0,
                 })
             });
-            let said = Said::Want { stamp: self.stamp(now), have: have.collect() };
-            self.out.push_back(Effect::Tell { to, said });
+            let message = Said::Request { stamp: self.stamp(now), positions: positions.collect() };
+            self.out.push_back(Effect::Tell { to, said: message });
         }
     }
 
-    fn answer(&mut self, now: Time, to: MemberId, have: &[Have]) {
+    /// Answers a request within this round's repair budget.
+    fn answer_request(&mut self, now: Time, to: MemberId, positions: &[Position]) {
         let (mut segments, mut bytes) = (Vec::new(), 0);
-        let most = self.set.frame_bytes.min(self.repair);
-        for have in have {
-            if segments.len() >= self.set.most_segments || bytes >= most {
+        let max_bytes = self.set.frame_bytes.min(self.repair_bytes_left);
+        for position in positions {
+            if segments.len() >= self.set.max_segments || bytes >= max_bytes {
                 break;
             }
-            let Some(log) = self.logs.get(&have.source).filter(|log| log.incarnation >= have.incarnation)
+            let Some(log) =
+                self.logs.get(&position.source).filter(|log| log.incarnation >= position.incarnation)
             else {
                 continue;
             };
-            let after = if log.incarnation == have.incarnation { have.number } else { 0 };
-            let Some((segment, cost)) = log.segment(now, have.source, after, most - bytes) else { continue };
-            if bytes > 0 && bytes + cost > most {
+            let after = if log.incarnation == position.incarnation { position.number } else { 0 };
+            let Some((segment, cost)) = log.segment(now, position.source, after, max_bytes - bytes) else {
+                continue;
+            };
+            if bytes > 0 && bytes + cost > max_bytes {
                 continue;
             }
             bytes += cost;
@@ -506,95 +503,99 @@
         if segments.is_empty() {
             return;
         }
-        self.repair = self.repair.saturating_sub(bytes);
+        self.repair_bytes_left = self.repair_bytes_left.saturating_sub(bytes);
         let echo = self.peers.get(&to).and_then(|peer| peer.echo(now));
-        self.out.push_back(Effect::Tell { to, said: Said::Items { echo, answer: true, segments } });
+        self.out.push_back(Effect::Tell { to, said: Said::Segments { echo, is_answer: true, segments } });
     }
 
-    fn tell_have(&mut self, now: Time, to: MemberId, have: Vec<Have>) {
-        let said = Said::Have { stamp: self.stamp(now), about: self.about(), have };
-        self.out.push_back(Effect::Tell { to, said });
+    fn send_positions(&mut self, now: Time, to: MemberId, positions: Vec<Position>) {
+        let message = Said::Positions { stamp: self.stamp(now), load: self.about(), positions };
+        self.out.push_back(Effect::Tell { to, said: message });
     }
 
+    /// The periodic timer, called every `Set::round`.
     pub fn woken(&mut self, now: Time) {
-        self.repair = self.set.repair;
-        self.push(now);
-        self.tell(now);
+        self.repair_bytes_left = self.set.repair_bytes;
+        self.push_own_items(now);
+        self.report_positions(now);
         if !self.missing.is_empty() {
-            // Now the one who told of it, now another: the teller may be gone.
-            let teller = self.missing.values().next().map(|missing| missing.teller);
-            let other = self.ring.choose(&mut self.chance).copied();
-            let to = if self.tries.is_multiple_of(2) { teller } else { other };
-            self.tries = self.tries.wrapping_add(1);
+            // Asks the member that reported it and a random one in turn: the former may have failed.
+            let reporter = self.missing.values().next().map(|missing| missing.reported_by);
+            let other = self.peer_order.choose(&mut self.rng).copied();
+            let to = if self.request_attempts.is_multiple_of(2) { reporter } else { other };
+            self.request_attempts = self.request_attempts.wrapping_add(1);
             if let Some(to) = to.or(other) {
-                self.want(now, to, false);
+                self.request_missing(now, to, false);
             }
         }
-        if now - self.expired >= Span::seconds(1.0) {
-            self.expired = now;
+        if now - self.last_expiry >= Span::seconds(1.0) {
+            self.last_expiry = now;
             for log in self.logs.values_mut() {
                 log.expire(now, &self.set);
             }
         }
-        let about: Vec<_> = self
+        let loads: Vec<_> = self
             .peers
             .iter()
-            .filter(|(_, peer)| !peer.dead)
-            .filter_map(|(id, peer)| peer.about.map(|(about, at)| (*id, about, at)))
-            .filter(|(.., at)| now - *at <= self.set.about_for)
+            .filter(|(_, peer)| !peer.is_dead)
+            .filter_map(|(id, peer)| peer.load.map(|(load, at)| (*id, load, at)))
+            .filter(|(.., at)| now - *at <= self.set.report_lifetime)
             .collect();
-        // What nobody told of lately is nowhere any more.
-        let lately = Span(self.set.beat.0 * 6);
-        let counts = |missing: &&Missing| missing.vouched && now - missing.told <= lately;
-        let behind = self.missing.values().filter(counts).map(|missing| now - missing.since).max();
-        let behind = behind.unwrap_or(Span::ZERO);
-        let others = Others { about: &about, behind };
-        self.carrier.woken(now, &self.logs, &others, &self.set, &mut self.out);
+        // Numbers that no member has reported for a while no longer exist anywhere.
+        let lately = Span(self.set.heartbeat.0 * 6);
+        let counts = |missing: &&Missing| missing.is_confirmed && now - missing.last_reported <= lately;
+        let own_lag = self.missing.values().filter(counts).map(|missing| now - missing.since).max();
+        let own_lag = own_lag.unwrap_or(Span::ZERO);
+        let others = OtherCarriers { loads: &loads, own_lag };
+        self.carrier.tick(now, &self.logs, &others, &self.set, &mut self.out);
     }
 
-    /// The own items since the last round, to all members.
-    fn push(&mut self, now: Time) {
+    /// Sends own items published since the last round to all members.
+    fn push_own_items(&mut self, now: Time) {
         let Some(log) = self.logs.get(&self.own) else { return };
-        let Some((segment, _)) = log.segment(now, self.own, self.pushed, self.set.frame_bytes) else {
+        let Some((segment, _)) = log.segment(now, self.own, self.pushed_up_to, self.set.frame_bytes) else {
             return;
         };
-        self.pushed = segment.up_to;
-        for (to, peer) in self.peers.iter().filter(|(_, peer)| !peer.dead) {
-            let said = Said::Items { echo: peer.echo(now), answer: false, segments: vec![segment.clone()] };
-            self.out.push_back(Effect::Tell { to: *to, said });
+        self.pushed_up_to = segment.up_to;
+        for (to, peer) in self.peers.iter().filter(|(_, peer)| !peer.is_dead) {
+            let message =
+                Said::Segments { echo: peer.echo(now), is_answer: false, segments: vec![segment.clone()] };
+            self.out.push_back(Effect::Tell { to: *to, said: message });
         }
     }
 
-    /// What came since the last round to two others; everything to one, now and then; a clock value to each.
-    fn tell(&mut self, now: Time) {
-        if self.ring.is_empty() {
+    /// Reports positions: changed ones to two random members, all of them to one member every
+    /// `report_interval`, and a stamp to each member within `stamp_interval`.
+    fn report_positions(&mut self, now: Time) {
+        if self.peer_order.is_empty() {
             return;
         }
-        let news = std::mem::take(&mut self.news);
-        let news: Vec<Have> = news.into_iter().filter_map(|source| self.have(source)).collect();
-        if !news.is_empty() {
-            for _ in 0..self.ring.len().min(2) {
-                let to = self.ring[self.chance.gen_range(0..self.ring.len())];
-                self.tell_have(now, to, news.clone());
+        let updated = std::mem::take(&mut self.updated_sources);
+        let updated: Vec<Position> =
+            updated.into_iter().filter_map(|source| self.position_of(source)).collect();
+        if !updated.is_empty() {
+            for _ in 0..self.peer_order.len().min(2) {
+                let to = self.peer_order[self.rng.gen_range(0..self.peer_order.len())];
+                self.send_positions(now, to, updated.clone());
             }
         }
-        let all = now - self.told >= self.set.tell_every;
-        self.stamps +=
-            self.ring.len() as f64 * self.set.round.as_seconds() / self.set.stamp_within.as_seconds();
-        self.stamps = self.stamps.min(self.ring.len() as f64);
-        let mut left = (self.stamps as usize).max(usize::from(all));
-        let mut have: Vec<Have> = Vec::new();
-        if all {
-            self.told = now;
-            have = self.logs.keys().filter_map(|source| self.have(*source)).collect();
+        let is_full_report = now - self.last_full_report >= self.set.report_interval;
+        self.stamp_credit +=
+            self.peer_order.len() as f64 * self.set.round.as_seconds() / self.set.stamp_interval.as_seconds();
+        self.stamp_credit = self.stamp_credit.min(self.peer_order.len() as f64);
+        let mut reports = (self.stamp_credit as usize).max(usize::from(is_full_report));
+        let mut positions: Vec<Position> = Vec::new();
+        if is_full_report {
+            self.last_full_report = now;
+            positions = self.logs.keys().filter_map(|source| self.position_of(*source)).collect();
         }
-        while left > 0 {
-            left -= 1;
-            self.stamps -= 1.0;
-            let to = self.ring[self.turn % self.ring.len()];
-            self.turn = (self.turn + 1) % self.ring.len();
-            self.tell_have(now, to, std::mem::take(&mut have));
+        while reports > 0 {
+            reports -= 1;
+            self.stamp_credit -= 1.0;
+            let to = self.peer_order[self.next_peer % self.peer_order.len()];
+            self.next_peer = (self.next_peer + 1) % self.peer_order.len();
+            self.send_positions(now, to, std::mem::take(&mut positions));
         }
-        self.stamps = self.stamps.max(0.0);
+        self.stamp_credit = self.stamp_credit.max(0.0);
     }
 }
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -1,10 +1,11 @@
-//! The feed on the made network: order and completeness under faults, fences, bounds, who is slow.
+//! Tests of the feed on the simulated network: order and completeness under faults, fences, bounds, and slow
+//! followers.
 mod feed_bed;
 
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::feed::{
-    Class, Echo, Effect, Feed, Fence, Follower, Have, Item, Said, Segment, Set, Stamp,
+    Echo, Effect, Feed, Fence, Follower, FollowerClass, Item, Position, Said, Segment, Set, Stamp,
 };
 use cherrypass_fleet::made::Link;
 use feed_bed::Fleet;
@@ -12,7 +13,7 @@
 use std::collections::HashSet;
 use test_case::test_case;
 
-/// Runs a seeded schedule; a failure names its seed.
+/// Runs a schedule for each seed; a failure prints its seed.
 fn each_seed(seeds: std::ops::Range<u64>, play: impl Fn(u64) + std::panic::RefUnwindSafe) {
     for seed in seeds {
         if let Err(cause) = std::panic::catch_unwind(|| play(seed)) {
@@ -22,7 +23,7 @@
     }
 }
 
-fn asked(name: &str) -> Option<u64> {
+fn from_env(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
@@ -33,17 +34,18 @@
         state_items: 48,
         state_bytes: 16 << 10,
         frame_bytes: 1 << 10,
-        window: 2 << 10,
-        most_value: 600,
+        window_bytes: 2 << 10,
+        max_value_bytes: 600,
         slow_after: Span::millis(600),
-        back_after: Span::seconds(2.0),
-        stay: Span::seconds(3.0),
-        gone_after: Span::seconds(8.0),
+        recovery_time: Span::seconds(2.0),
+        min_stay: Span::seconds(3.0),
+        follower_timeout: Span::seconds(8.0),
         ..Set::default()
     }
 }
 
-/// Losses, repeats, changes of order, cuts, stops, deaths and restarts for eight seconds, then quiet.
+/// Loss, duplication, reordering, cuts, pauses, crashes and restarts for eight seconds, then an undisturbed
+/// phase.
 fn schedule(seed: u64) {
     let (members, followers) = (2 + (seed % 3) as usize, 2 + (seed / 3 % 4) as usize);
     let mut fleet = Fleet::new(seed, small(), members, followers);
@@ -104,13 +106,13 @@
     }
 }
 
-/// `FEED_SEEDS` asks for more of them.
+/// `FEED_SEEDS` sets the number of seeds.
 #[test_case(0; "first quarter")]
 #[test_case(1; "second quarter")]
 #[test_case(2; "third quarter")]
 #[test_case(3; "last quarter")]
 fn whatever_fails_every_follower_gets_all_in_order(quarter: u64) {
-    let seeds = asked("FEED_SEEDS").unwrap_or(1200) / 4;
+    let seeds = from_env("FEED_SEEDS").unwrap_or(1200) / 4;
     each_seed(quarter * seeds..(quarter + 1) * seeds, schedule);
 }
 
@@ -118,14 +120,14 @@
 const B: MemberId = MemberId(2);
 const F: MemberId = MemberId(3);
 
-/// Two members and a follower, with all that is on the way.
+/// Two members and a follower, with all messages in transit.
 #[derive(Clone)]
 struct World {
     now: Time,
     feeds: [Option<Feed>; 2],
     follower: Option<Follower>,
     flying: Vec<(MemberId, MemberId, Said)>,
-    /// How far the follower is with A's items, which all have keys of their own.
+    /// The follower's position in A's items, which all have different keys.
     at: u64,
     published: u64,
     lost: bool,
@@ -133,7 +135,8 @@
 }
 
 impl World {
-    /// A has published, carries the follower and has just proposed it to B.
+    /// The carrier has just offered the follower to the other member; A has published an item before and
+    /// after the follower subscribed.
     fn new() -> World {
         let set = Set { backlog_items: 2, ..Set::default() };
         let now = Time(1_000_000);
@@ -155,7 +158,7 @@
         let first = world.follower.as_ref().map(|follower| follower.fence().carrier);
         let (now, other) = (world.now, if first == Some(A) { B } else { A });
         for feed in world.feeds.iter_mut().flatten() {
-            feed.give(now, F, other);
+            feed.start_move(now, F, other);
         }
         world.pull();
         world
@@ -171,21 +174,21 @@
     fn pull(&mut self) {
         for (own, feed) in [A, B].into_iter().zip(&mut self.feeds) {
             while let Some(effect) = feed.as_mut().and_then(Feed::next) {
-                if let Effect::Tell { to, said } = effect {
-                    self.flying.push((own, to, said));
+                if let Effect::Tell { to, said: message } = effect {
+                    self.flying.push((own, to, message));
                 }
             }
         }
         while let Some(effect) = self.follower.as_mut().and_then(Follower::next) {
             match effect {
-                Effect::Tell { to, said } => self.flying.push((F, to, said)),
+                Effect::Tell { to, said: message } => self.flying.push((F, to, message)),
                 Effect::Deliver { number, .. } => {
                     assert_eq!(number, self.at + 1, "a gap or a repeat");
                     self.at = number;
                 }
                 Effect::State { up_to, items, .. } => {
                     let numbers: Vec<u64> = items.iter().map(|item| item.number).collect();
-                    assert!(numbers.into_iter().eq(self.at + 1..=up_to), "a state that isn't whole");
+                    assert!(numbers.into_iter().eq(self.at + 1..=up_to), "an incomplete state");
                     self.at = up_to;
                 }
                 Effect::Log(_) => {}
@@ -194,10 +197,10 @@
     }
 
     fn deliver(&mut self, index: usize) {
-        let (from, to, said) = self.flying.remove(index);
+        let (from, to, message) = self.flying.remove(index);
         match (to, &mut self.feeds, &mut self.follower) {
-            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.heard(self.now, from, said),
-            (F, _, Some(follower)) => follower.heard(self.now, from, said),
+            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.heard(self.now, from, message),
+            (F, _, Some(follower)) => follower.heard(self.now, from, message),
             _ => {}
         }
         self.pull();
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Every world one step on.
+    /// All successors by one step.
     fn steps(&self) -> Vec<World> {
         let mut steps = Vec::new();
         let mut step = |change: &dyn Fn(&mut World)| {
@@ -271,19 +274,21 @@
         let held = |feed: &Feed| feed.size().0 as u64;
         match &self.feeds {
             [Some(_), _] => assert_eq!(self.at, self.published),
-            [_, other] => assert!(self.at >= other.as_ref().map_or(0, held), "B has more than it gave"),
+            [_, other] => {
+                assert!(self.at >= other.as_ref().map_or(0, held), "B has more items than it delivered")
+            }
         }
     }
 }
 
-/// Every order of deliveries and wakings, a loss and a death, from a proposed move on; `FEED_DEPTH` steps of
-/// it.
+/// Every order of deliveries and timers with one loss and one crash, from an offered move on, for
+/// `FEED_DEPTH` steps.
 #[test]
 fn a_move_with_a_loss_and_a_death_loses_and_repeats_nothing() {
     let mut worlds = vec![World::new()];
     let mut known = HashSet::new();
     let mut count = 0;
-    for _ in 0..asked("FEED_DEPTH").unwrap_or(4) {
+    for _ in 0..from_env("FEED_DEPTH").unwrap_or(4) {
         let mut next = Vec::new();
         for world in worlds.iter().flat_map(World::steps) {
             if known.insert(world.fingerprint()) {
@@ -301,8 +306,8 @@
     assert!(count > 2000, "{count} worlds");
 }
 
-/// Plays so long with every source publishing each round.
-fn busy(fleet: &mut Fleet, seconds: u64) {
+/// Runs for some seconds with every source publishing in each round.
+fn run_busy(fleet: &mut Fleet, seconds: u64) {
     for round in 0..seconds * 20 {
         for source in fleet.members.clone() {
             fleet.publish(source, (round % 50) as u32, 100, Span::seconds(30.0));
@@ -311,14 +316,14 @@
     }
 }
 
-/// All followers that count as slow, and how many moves members began.
-fn slow(fleet: &Fleet) -> (Vec<MemberId>, u64) {
+/// All followers classified as slow, and the number of moves that members started.
+fn slow_followers(fleet: &Fleet) -> (Vec<MemberId>, u64) {
     let feeds = || fleet.members.iter().filter_map(|id| fleet.net.node(*id)?.feed());
     let slow = feeds().flat_map(Feed::carried).filter(|(_, slow)| *slow).map(|(id, _)| id);
     (slow.collect(), feeds().map(Feed::moves).sum())
 }
 
-fn lame(fleet: &mut Fleet, pairs: impl IntoIterator<Item = (MemberId, MemberId)>) {
+fn slow_down(fleet: &mut Fleet, pairs: impl IntoIterator<Item = (MemberId, MemberId)>) {
     let link = Link { lost: 0.3, twice: 0.0, delay: [Span::millis(1200), Span::millis(1500)] };
     for (one, other) in pairs {
         fleet.net.links.insert((one, other), link);
@@ -330,22 +335,22 @@
 fn a_slow_follower_is_grouped_and_comes_back_once_it_keeps_up() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 3, 12);
-        busy(&mut fleet, 4);
+        run_busy(&mut fleet, 4);
         let (id, members) = (fleet.followers[seed as usize], fleet.members.clone());
-        lame(&mut fleet, members.into_iter().map(|member| (member, id)));
-        busy(&mut fleet, 8);
-        assert_eq!(slow(&fleet).0, [id]);
+        slow_down(&mut fleet, members.into_iter().map(|member| (member, id)));
+        run_busy(&mut fleet, 8);
+        assert_eq!(slow_followers(&fleet).0, [id]);
         fleet.net.links.clear();
-        busy(&mut fleet, 8);
-        assert_eq!(slow(&fleet).0, [id], "back too soon");
-        busy(&mut fleet, 8);
-        assert_eq!(slow(&fleet).0, []);
-        // One that stops and goes on doesn't wander.
+        run_busy(&mut fleet, 8);
+        assert_eq!(slow_followers(&fleet).0, [id], "back too soon");
+        run_busy(&mut fleet, 8);
+        assert_eq!(slow_followers(&fleet).0, []);
+        // A follower that pauses repeatedly is not moved back and forth.
         for _ in 0..10 {
             fleet.net.stop(id, Span::seconds(3.0));
-            busy(&mut fleet, 6);
+            run_busy(&mut fleet, 6);
         }
-        let (found, moves) = slow(&fleet);
+        let (found, moves) = slow_followers(&fleet);
         assert!(found == [id] && moves <= 4, "{found:?} {moves} moves");
         fleet.net.play(Span::seconds(5.0), |_| {});
         fleet.assert_complete();
@@ -357,12 +362,12 @@
 fn a_member_whose_followers_all_lag_gives_them_away() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
-        busy(&mut fleet, 4);
+        run_busy(&mut fleet, 4);
         let (member, followers) = (fleet.members[seed as usize], fleet.followers.clone());
-        lame(&mut fleet, followers.into_iter().map(|id| (member, id)));
-        busy(&mut fleet, 14);
+        slow_down(&mut fleet, followers.into_iter().map(|id| (member, id)));
+        run_busy(&mut fleet, 14);
         let carried = fleet.net.node(member).unwrap().feed().unwrap().carried().count();
-        assert_eq!((slow(&fleet).0, carried), (vec![], 0));
+        assert_eq!((slow_followers(&fleet).0, carried), (vec![], 0));
     });
 }
 
@@ -370,19 +375,19 @@
 fn where_all_lag_nobody_moves() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
-        busy(&mut fleet, 4);
+        run_busy(&mut fleet, 4);
         let pairs = |fleet: &Fleet| -> Vec<(MemberId, MemberId)> {
             let followers = &fleet.followers;
             fleet.members.iter().flat_map(|member| followers.iter().map(|id| (*member, *id))).collect()
         };
         let pairs = pairs(&fleet);
-        lame(&mut fleet, pairs);
-        busy(&mut fleet, 20);
-        assert_eq!(slow(&fleet), (vec![], 0));
+        slow_down(&mut fleet, pairs);
+        run_busy(&mut fleet, 20);
+        assert_eq!(slow_followers(&fleet), (vec![], 0));
     });
 }
 
-/// What no honest peer says changes nothing: no panic, no fence, no place, no memory.
+/// Invalid messages change no state.
 #[test]
 fn nonsense_is_passed_over() {
     let now = Time(5_000_000);
@@ -409,41 +414,45 @@
         Segment { source: F, ..segment(0, 1, vec![item(1, Span::ZERO)]) },
     ];
     let stamp = Stamp { run: Incarnation(most), clock: most };
-    let have = vec![Have { source: F, incarnation: Incarnation(most), number: most }; 4000];
-    let (class, follower) = (Class::default(), MemberId(77));
+    let have = vec![Position { source: F, incarnation: Incarnation(most), number: most }; 4000];
+    let (class, follower) = (FollowerClass::default(), MemberId(77));
     let wrong = [
-        Said::Items { echo, answer: true, segments: segments.clone() },
-        // Sound, but nothing bounds its age.
-        Said::Items { echo: None, answer: true, segments: vec![segment(0, 1, vec![item(1, Span(most))])] },
-        Said::Items {
+        Said::Segments { echo, is_answer: true, segments: segments.clone() },
+        // Valid, but without a bound on its age.
+        Said::Segments {
+            echo: None,
+            is_answer: true,
+            segments: vec![segment(0, 1, vec![item(1, Span(most))])],
+        },
+        Said::Segments {
             echo: Some(Echo { stamp, held: Span(most) }),
-            answer: false,
+            is_answer: false,
             segments: vec![segment(0, 1, vec![item(1, Span(most))])],
         },
-        Said::Have { stamp, about: Default::default(), have: have.clone() },
-        Said::Want { stamp, have: have.clone() },
-        Said::Take { follower, fence: fence(1, A), stamp: None, have: vec![], class },
-        Said::Take { follower: F, fence: fence(1, B), stamp: None, have: vec![], class },
-        Said::Take { follower: F, fence: fence(1, A), stamp: None, have, class },
-        Said::Taken { follower: F, fence: fence(most, B) },
-        Said::Full { follower: F, fence: fence(most, B) },
+        Said::Positions { stamp, load: Default::default(), positions: have.clone() },
+        Said::Request { stamp, positions: have.clone() },
+        Said::OfferMove { follower, fence: fence(1, A), stamp: None, positions: vec![], class },
+        Said::OfferMove { follower: F, fence: fence(1, B), stamp: None, positions: vec![], class },
+        Said::OfferMove { follower: F, fence: fence(1, A), stamp: None, positions: have, class },
+        Said::MoveAccepted { follower: F, fence: fence(most, B) },
+        Said::MoveRejected { follower: F, fence: fence(most, B) },
     ];
-    for said in wrong {
+    for message in wrong {
         for from in [B, F, MemberId(77)] {
-            feed.heard(now, from, said.clone());
+            feed.heard(now, from, message.clone());
         }
     }
     assert_eq!((feed.size(), feed.carried().count()), ((0, 0, 0, 0), 0));
     let mut follower = Follower::new(Set::default(), F, Incarnation(9), &[A, B], now);
     let before = follower.fence();
     for fence in [fence(most, A), fence(1, F), Fence { incarnation: Incarnation(most), ..fence(1, A) }] {
-        let said = Said::Carry { fence, frame: most, echo, class, segments: segments.clone() };
-        follower.heard(now, fence.carrier, said);
+        let message = Said::Frame { fence, frame: most, echo, class, segments: segments.clone() };
+        follower.heard(now, fence.carrier, message);
         follower.heard(now, A, Said::Moved { fence });
-        follower.heard(now, A, Said::Refuse { fence });
+        follower.heard(now, A, Said::SubscribeRejected { fence });
     }
-    let said = Said::Carry { fence: fence(1, A), frame: 1, echo, class, segments };
-    follower.heard(now, A, said);
+    let message = Said::Frame { fence: fence(1, A), frame: 1, echo, class, segments };
+    follower.heard(now, A, message);
     assert_eq!((before.number, follower.fence()), (0, fence(1, A)));
     while let Some(effect) = follower.next() {
         assert!(matches!(effect, Effect::Tell { .. }), "{effect:?}");
--- a/crates/fleet/tests/feed_bed/mod.rs
+++ b/crates/fleet/tests/feed_bed/mod.rs
@@ -1,4 +1,4 @@
-//! Members and followers of a feed on the made network, each watched by a checker of what it hands over.
+//! Members and followers of a feed on the simulated network; everything that one of them delivers is checked.
 #![allow(dead_code)]
 use cherrypass::containers::rendezvous;
 use cherrypass::ids::HostId;
@@ -11,30 +11,32 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// All that was ever published, by run of a source: key, hold, and when in true time.
+/// All items published, by run of a source: key, hold, and true time.
 pub type Ledger = Rc<RefCell<BTreeMap<(MemberId, Incarnation), Vec<(Vec<u8>, Span, Time)>>>>;
 
+/// A member or a follower.
 pub enum Side {
     Member(Feed),
     Listener(Follower),
 }
 
+/// A process on the network with its checks.
 pub struct Bed {
     pub id: MemberId,
     pub side: Side,
     pub ledger: Ledger,
-    /// True time and own clock at the start, and how fast the clock goes.
+    /// True time and own clock at the start, and the clock's rate.
     start: (Time, Time),
     rate: f64,
-    /// By source: how far it is, and the number it knows of each key.
+    /// By source: the position, and the latest number of each key.
     pub at: BTreeMap<MemberId, (Incarnation, u64)>,
     pub knows: BTreeMap<(MemberId, Vec<u8>), u64>,
     pub states: u64,
     pub delivered: u64,
-    /// True delays of what came, from so long after the network's start on.
+    /// True delays of items published from this time on.
     pub measure_from: Time,
     pub delays: Vec<u32>,
-    /// How much longer told ages were than true ones, the worst.
+    /// The greatest amount by which a reported age exceeded the true one.
     pub looseness: Span,
     pub largest: usize,
 }
@@ -83,7 +85,7 @@
         let (published, _, when) = &ledger[&(source, incarnation)][number as usize - 1];
         assert_eq!(published, key);
         let true_age = at - *when;
-        assert!(age + Span(50) >= true_age, "an item of {true_age:?} was told as {age:?} old");
+        assert!(age + Span(50) >= true_age, "reported age {age:?} is below the true age {true_age:?}");
         self.looseness = self.looseness.max(Span(age.0.saturating_sub(true_age.0)));
         if *when >= self.measure_from {
             self.delays.push(true_age.0 as u32);
@@ -96,7 +98,7 @@
             Effect::Deliver { source, incarnation, number, key, age, .. } => {
                 let at = self.at.get(&source).copied().unwrap_or_default();
                 let before = if at.0 == incarnation { at.1 } else { 0 };
-                assert!(incarnation >= at.0, "an older run's item came after a newer's");
+                assert!(incarnation >= at.0, "an item of an older run arrived after one of a newer run");
                 assert_eq!(number, before + 1, "a gap or a repeat from {source:?}");
                 self.at.insert(source, (incarnation, number));
                 self.delivered += 1;
@@ -105,7 +107,7 @@
             Effect::State { source, incarnation, up_to, items } => {
                 let at = self.at.get(&source).copied().unwrap_or_default();
                 let before = if at.0 == incarnation { at.1 } else { 0 };
-                assert!(incarnation >= at.0 && up_to > before, "a state that goes back");
+                assert!(incarnation >= at.0 && up_to > before, "a state that goes backwards");
                 let mut last = before;
                 for item in &items {
                     assert!(item.number > last && item.number <= up_to, "a state out of order");
@@ -136,10 +138,10 @@
 impl Node for Bed {
     type Said = Said;
 
-    fn heard(&mut self, now: Time, from: MemberId, said: Said) {
+    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
         match &mut self.side {
-            Side::Member(feed) => feed.heard(now, from, said),
-            Side::Listener(follower) => follower.heard(now, from, said),
+            Side::Member(feed) => feed.heard(now, from, message),
+            Side::Listener(follower) => follower.heard(now, from, message),
         }
     }
 
@@ -160,7 +162,7 @@
                 Side::Listener(follower) => follower.next(),
             }?;
             match effect {
-                Effect::Tell { to, said } => return Some((to, said)),
+                Effect::Tell { to, said: message } => return Some((to, message)),
                 other => self.note(now, other),
             }
         }
@@ -184,7 +186,7 @@
             (0..count).map(|i| MemberId::of(&format!("{kind}{i}"))).collect()
         };
         let members = name("member", members);
-        // Small fleets begin with even groups.
+        // Names are chosen so that small fleets begin with even groups.
         let home = |id: MemberId| {
             let value = |member: &MemberId| rendezvous(id.0, HostId(member.0), 1.0);
             members.iter().copied().max_by(|a, b| value(a).total_cmp(&value(b)))
@@ -202,7 +204,7 @@
         fleet
     }
 
-    /// Starts a member or a follower, or starts it anew.
+    /// Starts or restarts a member or a follower.
     pub fn start(&mut self, id: MemberId) {
         self.runs += 1;
         let incarnation = Incarnation(self.net.now.0 + self.runs);
@@ -238,7 +240,8 @@
         self.net.call(id, |bed, now| bed.publish(now, key.to_le_bytes().to_vec(), bytes, hold));
     }
 
-    /// That everyone who is there has all of every source that is, and the latest of each key that lasts.
+    /// Asserts that every running process has all items of every running source, and the latest unexpired
+    /// item of each key.
     pub fn assert_complete(&self) {
         let ledger = self.ledger.borrow();
         for source in &self.members {
@@ -257,7 +260,7 @@
         }
     }
 
-    /// That every follower has one carrier, and no other member believes it carries it.
+    /// Asserts that every follower has one carrier, and no other member carries it.
     pub fn assert_carried_once(&self) {
         for id in &self.followers {
             let Some(follower) = self.net.node(*id).and_then(Bed::follower) else { continue };
