--- a/crates/fleet/src/delivery/carrier.rs
+++ b/crates/fleet/src/delivery/carrier.rs
@@ -1,149 +1,154 @@
-//! One who reads the change log and passes its changes on.
-use super::log::Held;
-use super::{ChangeNumber, Echo, Effect, LogId, Reason, Record, Said, Set, Stamp, LONGER};
+//! The carrier: reads the change log and passes its changes on to followers.
+use super::held::HeldChanges;
+use super::{ChangeNumber, Echo, Effect, LogId, Reason, Record, Said, Set, Stamp, MAX_CLOCK_RATIO};
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Messages of which a carrier remembers how far they went, to see by their echo what was lost.
-const REMEMBERED: usize = 8;
-/// What was sent and not acknowledged goes out again after so many batches, twice as many each time up to the most.
+/// Messages per follower whose last change is remembered, to detect a loss by the echo.
+const REMEMBERED_MESSAGES: usize = 8;
+/// Unacknowledged changes are resent after this many batches, doubled each time up to the maximum.
 const RESEND_BATCHES: f64 = 3.0;
-const RESEND_MOST: Span = Span::millis(4_000);
-/// So many full messages may follow each other at once to a follower that lacks more than one of them holds.
-const BURST: f64 = 4.0;
+const MAX_RESEND_TIMEOUT: Span = Span::millis(4_000);
+/// Full messages that may be sent in a row to a follower that lacks more than one message holds.
+const BURST_MESSAGES: f64 = 4.0;
 
-/// What a carrier knows of one follower.
-struct Place {
+/// The state of one follower.
+struct FollowerState {
     incarnation: Incarnation,
     acknowledged: ChangeNumber,
-    /// The last change that is on its way.
+    /// The last change that was sent.
     sent: ChangeNumber,
-    /// When a message went to it last, and when one with changes.
-    told: Time,
-    changes_told: Time,
-    /// Whether more was there than fitted into that one.
+    /// When the last message was sent, and the last one with changes.
+    last_sent: Time,
+    last_sent_changes: Time,
+    /// Whether there were more changes than fitted into that message.
     has_more: bool,
-    heard: Time,
-    /// Its latest stamp, and when that came.
+    last_heard: Time,
+    /// Its latest stamp, and when it was received.
     stamp: Stamp,
-    stamped: Time,
-    /// When what is on its way counts as lost.
-    resend: Time,
-    resend_after: Span,
-    /// Bytes that may go to it, and up to when they were counted.
-    allowance: f64,
-    allowed: Time,
-    messages: VecDeque<(Stamp, ChangeNumber)>,
+    stamp_received: Time,
+    /// When unacknowledged changes count as lost.
+    resend_at: Time,
+    resend_timeout: Span,
+    /// Bytes that may be sent now, and when they were last refilled.
+    allowance_bytes: f64,
+    allowance_updated: Time,
+    sent_messages: VecDeque<(Stamp, ChangeNumber)>,
 }
 
-impl Place {
-    fn lacks(&self, newest: ChangeNumber) -> bool {
+impl FollowerState {
+    fn is_behind(&self, newest: ChangeNumber) -> bool {
         self.sent < newest
     }
 
-    /// One full message each batch on average, and some more at once after a while without.
-    fn allow(&mut self, now: Time, set: &Set) {
+    /// Refills by one full message per batch, up to a burst.
+    fn refill_allowance(&mut self, now: Time, set: &Set) {
         let message = set.message_bytes as f64;
-        let earned = message * (now - self.allowed).as_seconds() / set.batch.as_seconds();
-        self.allowance = (self.allowance + earned).min(BURST * message);
-        self.allowed = now;
+        let earned = message * (now - self.allowance_updated).as_seconds() / set.batch_interval.as_seconds();
+        self.allowance_bytes = (self.allowance_bytes + earned).min(BURST_MESSAGES * message);
+        self.allowance_updated = now;
     }
 
-    /// All up to `last` is there; what the message of the echo told beside was there too, or something before it was
-    /// lost.
-    fn acknowledges(&mut self, now: Time, last: ChangeNumber, echo: Option<Echo>, batch: Span) {
+    /// The follower has all changes up to `last`. If it has less than the message named by the echo
+    /// contained, that message or an earlier one was lost.
+    fn acknowledge(&mut self, now: Time, last: ChangeNumber, echo: Option<Echo>, batch: Span) {
         if last > self.acknowledged {
-            self.resend_after = batch.times(RESEND_BATCHES);
-            self.resend = now + self.resend_after;
+            self.resend_timeout = batch.times(RESEND_BATCHES);
+            self.resend_at = now + self.resend_timeout;
         }
         self.acknowledged = last;
         self.sent = self.sent.max(last);
-        let told = echo.and_then(|echo| self.messages.iter().find(|(stamp, _)| *stamp == echo.stamp));
-        if told.is_some_and(|(_, up_to)| last < *up_to) {
+        let echoed = echo.and_then(|echo| self.sent_messages.iter().find(|(stamp, _)| *stamp == echo.stamp));
+        if echoed.is_some_and(|(_, up_to)| last < *up_to) {
             self.sent = last;
-            // It does not wait for the next batch.
-            self.changes_told = Time::default();
+            // Resends without waiting for the next batch.
+            self.last_sent_changes = Time::default();
         }
     }
 
-    fn looks_for_losses(&mut self, now: Time) {
-        if self.acknowledged < self.sent && now >= self.resend {
+    /// Rewinds to the last acknowledged change after a timeout.
+    fn check_for_losses(&mut self, now: Time) {
+        if self.acknowledged < self.sent && now >= self.resend_at {
             self.sent = self.acknowledged;
-            self.resend_after = (self.resend_after + self.resend_after).min(RESEND_MOST);
-            self.resend = now + self.resend_after;
+            self.resend_timeout = (self.resend_timeout + self.resend_timeout).min(MAX_RESEND_TIMEOUT);
+            self.resend_at = now + self.resend_timeout;
         }
     }
 }
 
-/// Carries followers; see the module's description.
+/// A carrier's side of the delivery.
 pub struct Carrier {
     set: Set,
-    held: Held,
-    /// A time at which the log had nothing newer than what is held.
-    known: Option<Time>,
-    followers: BTreeMap<MemberId, Place>,
-    /// Whose turn a round's bytes ended at.
+    changes: HeldChanges,
+    /// The latest time at which the log had nothing newer than what is held.
+    log_known_at: Option<Time>,
+    followers: BTreeMap<MemberId, FollowerState>,
+    /// The first follower that the bytes of a tick did not suffice for.
     next_served: Option<MemberId>,
     last_stamp: Stamp,
-    out: VecDeque<Effect>,
+    effects: VecDeque<Effect>,
 }
 
 impl Carrier {
-    /// `last`: the last change that the configuration tells of; what comes before is not carried.
+    /// `last`: the last change that the configuration includes; earlier ones are not carried.
     pub fn new(set: Set, last: ChangeNumber) -> Carrier {
-        let held = Held::new(last, set.held_bytes);
+        let changes = HeldChanges::new(last, set.held_bytes);
         Carrier {
             set,
-            held,
-            known: None,
+            changes,
+            log_known_at: None,
             followers: BTreeMap::new(),
             next_served: None,
             last_stamp: Stamp(0),
-            out: VecDeque::new(),
+            effects: VecDeque::new(),
         }
     }
 
+    /// The next effect. Call until there is none after each call.
     pub fn next_effect(&mut self) -> Option<Effect> {
-        self.out.pop_front()
+        self.effects.pop_front()
     }
 
+    /// Number of followers carried.
     pub fn followers(&self) -> usize {
         self.followers.len()
     }
 
+    /// Whether a follower is carried.
     pub fn carries(&self, follower: MemberId) -> bool {
         self.followers.contains_key(&follower)
     }
 
     /// The last change that it knows of.
     pub fn newest(&self) -> ChangeNumber {
-        self.held.newest()
+        self.changes.newest()
     }
 
     /// Bytes of the changes that it holds.
     pub fn held_bytes(&self) -> usize {
-        self.held.bytes()
+        self.changes.bytes()
     }
 
-    /// A change was read from the log.
+    /// Adds a change that was read from the log.
     pub fn read(&mut self, number: ChangeNumber, record: Record) {
-        self.held.push(number, record);
+        self.changes.push(number, record);
     }
 
-    /// An answer of the log came whole: at `asked` it had nothing newer than what it told.
+    /// Notes a complete answer of the log: at `asked` the log had nothing newer than the changes read.
     pub fn log_heard(&mut self, asked: Time) {
-        self.known = self.known.max(Some(asked));
+        self.log_known_at = self.log_known_at.max(Some(asked));
     }
 
-    pub fn heard(&mut self, now: Time, from: MemberId, incarnation: Incarnation, said: Said) {
-        match said {
+    /// Handles a follower's message.
+    pub fn heard(&mut self, now: Time, from: MemberId, incarnation: Incarnation, message: Said) {
+        match message {
             Said::Follow { log, last, stamp, echo } => {
-                if let Err(reason) = self.follows(now, from, incarnation, log, last, (stamp, echo)) {
+                if let Err(reason) = self.handle_follow(now, from, incarnation, log, last, (stamp, echo)) {
                     self.refuse(from, reason);
                 }
             }
-            Said::Gone => {
+            Said::Unfollow => {
                 self.followers.remove(&from);
             }
             Said::Changes { .. } | Said::NotCarried { .. } | Said::Leaving => {}
@@ -151,12 +156,12 @@
     }
 
     fn refuse(&mut self, to: MemberId, reason: Reason) {
-        let (log, retry_after) = (self.set.log, self.set.silent);
-        let said = Said::NotCarried { log, reason, retry_after };
-        self.out.push_back(Effect::Tell { to, said });
+        let (log, retry_after) = (self.set.log, self.set.carrier_timeout);
+        let message = Said::NotCarried { log, reason, retry_after };
+        self.effects.push_back(Effect::Tell { to, said: message });
     }
 
-    fn follows(
+    fn handle_follow(
         &mut self,
         now: Time,
         from: MemberId,
@@ -168,134 +173,135 @@
         if log != self.set.log {
             return Err(Reason::OtherLog);
         }
-        let known = self.followers.get(&from);
-        if known.is_some_and(|place| incarnation < place.incarnation) {
+        let existing = self.followers.get(&from);
+        if existing.is_some_and(|state| incarnation < state.incarnation) {
             return Ok(());
         }
-        let is_new = known.is_none_or(|place| place.incarnation < incarnation);
+        let is_new = existing.is_none_or(|state| state.incarnation < incarnation);
         if is_new {
-            self.takes(now, from)?;
-            self.followers.insert(from, self.place(now, incarnation, last));
+            self.check_capacity(now, from)?;
+            self.followers.insert(from, self.new_follower(now, incarnation, last));
         }
-        let Some(place) = self.followers.get_mut(&from) else { return Ok(()) };
-        // Guards against acknowledgements that overtake each other.
-        if stamp < place.stamp {
+        let Some(state) = self.followers.get_mut(&from) else { return Ok(()) };
+        // Guards against reordered acknowledgements.
+        if stamp < state.stamp {
             return Ok(());
         }
-        (place.heard, place.stamp, place.stamped) = (now, stamp, now);
-        place.acknowledges(now, last, echo, self.set.batch);
+        (state.last_heard, state.stamp, state.stamp_received) = (now, stamp, now);
+        state.acknowledge(now, last, echo, self.set.batch_interval);
         if is_new {
-            self.tell(now, from);
+            self.send_changes(now, from);
         }
         Ok(())
     }
 
-    /// Whether one more can be carried.
-    fn takes(&self, now: Time, follower: MemberId) -> Result<(), Reason> {
+    /// Whether one more follower can be carried.
+    fn check_capacity(&self, now: Time, follower: MemberId) -> Result<(), Reason> {
         if self.followers.len() >= self.set.followers && !self.followers.contains_key(&follower) {
             return Err(Reason::Full);
         }
-        match self.known {
-            Some(known) if now - known <= self.set.stale => Ok(()),
+        match self.log_known_at {
+            Some(known) if now - known <= self.set.max_log_age => Ok(()),
             _ => Err(Reason::Stale),
         }
     }
 
-    fn place(&self, now: Time, incarnation: Incarnation, last: ChangeNumber) -> Place {
-        let resend_after = self.set.batch.times(RESEND_BATCHES);
-        Place {
+    fn new_follower(&self, now: Time, incarnation: Incarnation, last: ChangeNumber) -> FollowerState {
+        let resend_after = self.set.batch_interval.times(RESEND_BATCHES);
+        FollowerState {
             incarnation,
             acknowledged: last,
             sent: last,
-            told: Time::default(),
-            changes_told: Time::default(),
+            last_sent: Time::default(),
+            last_sent_changes: Time::default(),
             has_more: false,
-            heard: now,
+            last_heard: now,
             stamp: Stamp(0),
-            stamped: now,
-            resend: now + resend_after,
-            resend_after,
-            allowance: BURST * self.set.message_bytes as f64,
-            allowed: now,
-            messages: VecDeque::new(),
+            stamp_received: now,
+            resend_at: now + resend_after,
+            resend_timeout: resend_after,
+            allowance_bytes: BURST_MESSAGES * self.set.message_bytes as f64,
+            allowance_updated: now,
+            sent_messages: VecDeque::new(),
         }
     }
 
-    /// The periodic timer. Followers are told in turn, so that those for whom a round's bytes did not reach are first in
-    /// the next one.
+    /// The periodic timer. Serves followers in turn, beginning with those for whom the bytes of the last tick
+    /// did not suffice.
     pub fn woken(&mut self, now: Time) {
-        let gone = self.set.gone;
-        self.followers.retain(|_, place| now - place.heard <= gone);
-        let from = self.next_served.take();
-        let order = self.followers.keys().filter(|id| Some(**id) >= from);
-        let order = order.chain(self.followers.keys().filter(|id| Some(**id) < from));
+        let timeout = self.set.follower_timeout;
+        self.followers.retain(|_, state| now - state.last_heard <= timeout);
+        let first = self.next_served.take();
+        let order = self.followers.keys().filter(|id| Some(**id) >= first);
+        let order = order.chain(self.followers.keys().filter(|id| Some(**id) < first));
         let order: Vec<MemberId> = order.copied().collect();
-        let mut left = self.set.round_bytes;
+        let mut bytes_left = self.set.round_bytes;
         for id in order {
             if !self.is_due(now, id) {
                 continue;
             }
-            if left < self.set.message_bytes {
+            if bytes_left < self.set.message_bytes {
                 self.next_served = self.next_served.or(Some(id));
                 continue;
             }
-            left = left.saturating_sub(self.tell(now, id));
+            bytes_left = bytes_left.saturating_sub(self.send_changes(now, id));
         }
     }
 
     fn is_due(&mut self, now: Time, id: MemberId) -> bool {
-        let (newest, set) = (self.held.newest(), &self.set);
-        let Some(place) = self.followers.get_mut(&id) else { return false };
-        place.looks_for_losses(now);
-        place.allow(now, set);
-        // What did not fit into the last message does not wait for the next batch.
-        let may_go = place.has_more || now - place.changes_told >= set.batch;
-        let is_allowed = place.allowance >= set.message_bytes as f64;
-        now - place.told >= set.idle || place.lacks(newest) && may_go && is_allowed
+        let (newest, set) = (self.changes.newest(), &self.set);
+        let Some(state) = self.followers.get_mut(&id) else { return false };
+        state.check_for_losses(now);
+        state.refill_allowance(now, set);
+        // Changes that did not fit into the last message do not wait for the next batch.
+        let may_send = state.has_more || now - state.last_sent_changes >= set.batch_interval;
+        let is_allowed = state.allowance_bytes >= set.message_bytes as f64;
+        now - state.last_sent >= set.heartbeat || state.is_behind(newest) && may_send && is_allowed
     }
 
-    /// Sends what a follower lacks, or that there is nothing new; how many bytes of changes that were.
-    fn tell(&mut self, now: Time, to: MemberId) -> usize {
-        let Some(place) = self.followers.get_mut(&to) else { return 0 };
-        let Some(records) = self.held.after(place.sent, self.set.message_bytes) else {
-            // A follower that is ahead of this carrier waits until that has caught up.
-            if place.sent <= self.held.newest() {
+    /// Sends the changes a follower lacks, or a message that there are none; returns the bytes of the
+    /// changes.
+    fn send_changes(&mut self, now: Time, to: MemberId) -> usize {
+        let Some(state) = self.followers.get_mut(&to) else { return 0 };
+        let Some(records) = self.changes.after(state.sent, self.set.message_bytes) else {
+            // A follower that is ahead waits until this carrier has caught up.
+            if state.sent <= self.changes.newest() {
                 self.followers.remove(&to);
                 self.refuse(to, Reason::NotHeld);
             }
             return 0;
         };
-        let Some(known) = self.known else { return 0 };
+        let Some(known) = self.log_known_at else { return 0 };
         self.last_stamp = Stamp(self.last_stamp.0 + 1);
-        let (after, bytes): (_, usize) = (place.sent, records.iter().map(|record| record.len()).sum());
-        place.sent = after.plus(records.len());
-        place.told = now;
+        let (after, bytes): (_, usize) = (state.sent, records.iter().map(|record| record.len()).sum());
+        state.sent = after.plus(records.len());
+        state.last_sent = now;
         if !records.is_empty() {
-            place.changes_told = now;
+            state.last_sent_changes = now;
         }
-        place.has_more = place.sent < self.held.newest();
-        place.allowance -= bytes as f64;
-        place.messages.push_back((self.last_stamp, place.sent));
-        if place.messages.len() > REMEMBERED {
-            place.messages.pop_front();
+        state.has_more = state.sent < self.changes.newest();
+        state.allowance_bytes -= bytes as f64;
+        state.sent_messages.push_back((self.last_stamp, state.sent));
+        if state.sent_messages.len() > REMEMBERED_MESSAGES {
+            state.sent_messages.pop_front();
         }
-        let said = Said::Changes {
+        let message = Said::Changes {
             log: self.set.log,
             after,
             records,
-            newest: self.held.newest(),
-            age: (now - known).times(LONGER),
+            newest: self.changes.newest(),
+            age: (now - known).times(MAX_CLOCK_RATIO),
             stamp: self.last_stamp,
-            echo: Echo { stamp: place.stamp, held: now - place.stamped },
+            echo: Echo { stamp: state.stamp, held: now - state.stamp_received },
         };
-        self.out.push_back(Effect::Tell { to, said });
+        self.effects.push_back(Effect::Tell { to, said: message });
         bytes
     }
 
-    /// This process ends in order.
+    /// Announces the shutdown of this process to all followers.
     pub fn leave(&mut self) {
         for to in std::mem::take(&mut self.followers).into_keys() {
-            self.out.push_back(Effect::Tell { to, said: Said::Leaving });
+            self.effects.push_back(Effect::Tell { to, said: Said::Leaving });
         }
     }
 }
--- a/crates/fleet/src/delivery/follower.rs
+++ b/crates/fleet/src/delivery/follower.rs
@@ -1,5 +1,5 @@
-//! One who takes the change log's changes from a carrier.
-use super::{ChangeNumber, Echo, Effect, Reason, Record, Said, Set, Stamp, SHORTER};
+//! The follower: receives the change log's changes from a carrier and reads the log itself if there is none.
+use super::{ChangeNumber, Echo, Effect, Reason, Record, Said, Set, Stamp, MIN_CLOCK_RATIO};
 use crate::common::{rendezvous_order, MemberId};
 use cherrypass::time::{Span, Time};
 use rand::{Rng, SeedableRng};
@@ -7,44 +7,45 @@
 use std::collections::VecDeque;
 
 /// Own stamps that are remembered; an echo of an older one proves nothing.
-const REMEMBERED: usize = 64;
-/// After all carriers were asked in vain the wait before they are asked again doubles, up to so many times
-/// [`Set::silent`]. Guards against all followers asking at their full rate while every carrier is lost or full.
-const WAIT_MOST: f64 = 8.0;
-/// The part of [`Set::silent`] in which one that is asked has to answer, which it does at once: an ask that is lost costs
-/// less than a carrier that is given up.
-const ANSWER: f64 = 0.5;
+const REMEMBERED_STAMPS: usize = 64;
+/// After a pass over all carriers without success the wait doubles, up to this many times [`Set::carrier_timeout`].
+/// Guards against all followers asking at their full rate while every carrier is lost or full.
+const MAX_WAIT_FACTOR: f64 = 8.0;
+/// The fraction of [`Set::carrier_timeout`] within which a carrier has to answer a request. It answers at once, and a
+/// lost request costs less than a carrier that is given up.
+const ANSWER_FRACTION: f64 = 0.5;
 
-/// Follows the log by its carriers; see the module's description.
+/// A follower's side of the delivery.
 pub struct Follower {
     set: Set,
-    /// All carriers, in the order in which this one asks them.
+    /// All carriers, in the order in which this follower asks them.
     carriers: Vec<MemberId>,
-    /// The one that is asked, or that carries.
+    /// The index of the carrier, or of the one that is asked.
     candidate: usize,
-    carried: bool,
-    /// Another one that is asked while the carrier proves nothing new, and when that was.
-    probe: usize,
-    probed: Time,
-    /// How many were asked in vain in this pass over all carriers, and how many passes were in vain.
-    tried: usize,
-    passes: i32,
-    asked: Time,
-    heard: Time,
-    told: Time,
+    is_carried: bool,
+    /// The index of another carrier that is asked while the present one proves nothing new, and when it was
+    /// asked.
+    probed_carrier: usize,
+    last_probe: Time,
+    /// Carriers asked without success in this pass over all of them, and passes without success.
+    tried_in_pass: usize,
+    failed_passes: i32,
+    last_asked: Time,
+    last_heard: Time,
+    last_sent: Time,
     last: ChangeNumber,
-    /// When a carrier last told or proved anything new.
-    progressed: Time,
-    /// All changes of the log up to then are here, by whatever way.
-    known: Time,
+    /// When a carrier last delivered or proved anything new.
+    last_progress: Time,
+    /// All changes that the log had at this time have been delivered or read.
+    known_up_to: Time,
     stamps: VecDeque<(Stamp, Time)>,
-    /// The carrier's latest stamp, and when it came.
-    echo: Option<(Stamp, Time)>,
+    /// The carrier's latest stamp, and when it was received.
+    carrier_stamp: Option<(Stamp, Time)>,
     reads_log: bool,
-    /// From then on the log is read directly, if no carrier proves anything before.
-    read_at: Time,
-    chance: Pcg64Mcg,
-    out: VecDeque<Effect>,
+    /// When the log is to be read directly, if no carrier proves anything before.
+    read_log_at: Time,
+    rng: Pcg64Mcg,
+    effects: VecDeque<Effect>,
 }
 
 impl Follower {
@@ -60,32 +61,33 @@
         let mut follower = Follower {
             carriers: rendezvous_order(own, carriers.iter().copied()),
             candidate: 0,
-            carried: false,
-            probe: 0,
-            probed: now,
-            tried: 0,
-            passes: 0,
-            asked: now,
-            heard: now,
-            told: now,
+            is_carried: false,
+            probed_carrier: 0,
+            last_probe: now,
+            tried_in_pass: 0,
+            failed_passes: 0,
+            last_asked: now,
+            last_heard: now,
+            last_sent: now,
             last,
-            progressed: now,
-            known: now,
+            last_progress: now,
+            known_up_to: now,
             stamps: VecDeque::new(),
-            echo: None,
+            carrier_stamp: None,
             reads_log: false,
-            read_at: now,
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            out: VecDeque::new(),
+            read_log_at: now,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            effects: VecDeque::new(),
             set,
         };
-        follower.put_off_reading(now);
-        follower.ask(now);
+        follower.postpone_log_reading(now);
+        follower.ask_candidate(now);
         follower
     }
 
+    /// The next effect. Call until there is none after each call.
     pub fn next_effect(&mut self) -> Option<Effect> {
-        self.out.pop_front()
+        self.effects.pop_front()
     }
 
     /// The last change that was delivered, or that the process read itself.
@@ -93,228 +95,230 @@
         self.last
     }
 
+    /// Whether the log is read directly.
     pub fn reads_log(&self) -> bool {
         self.reads_log
     }
 
     /// The carrier, if one has been heard.
     pub fn carrier(&self) -> Option<MemberId> {
-        self.carriers.get(self.candidate).copied().filter(|_| self.carried)
+        self.carriers.get(self.candidate).copied().filter(|_| self.is_carried)
     }
 
-    /// This process has read the log itself up to `last`; `asked`: when the request went out, if its answer came
-    /// whole.
+    /// Notes that this process has read the log itself up to `last`; `asked`: when the request was sent, if
+    /// its answer was complete.
     pub fn read(&mut self, last: ChangeNumber, asked: Option<Time>) {
         self.last = self.last.max(last);
         if let Some(asked) = asked.filter(|_| last >= self.last) {
-            self.proves(asked);
+            self.advance_known_up_to(asked);
         }
     }
 
-    fn proves(&mut self, at: Time) {
-        if at > self.known {
-            self.known = at;
-            self.out.push_back(Effect::KnownUpTo(at));
+    fn advance_known_up_to(&mut self, at: Time) {
+        if at > self.known_up_to {
+            self.known_up_to = at;
+            self.effects.push_back(Effect::KnownUpTo(at));
         }
     }
 
-    /// A message came; whoever is no carrier is not listened to.
-    pub fn heard(&mut self, now: Time, from: MemberId, said: Said) {
-        let Some(place) = self.carriers.iter().position(|carrier| *carrier == from) else { return };
-        match said {
+    /// Handles a message; senders that are no carriers are ignored.
+    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+        let Some(index) = self.carriers.iter().position(|carrier| *carrier == from) else { return };
+        match message {
             Said::Changes { log, after, records, newest, age, stamp, echo } if log == self.set.log => {
-                // As it was before this message, which may be the first in a while that has anything new.
-                let was_deaf = self.is_deaf(now);
-                let (before, has_all) = (self.last, self.takes(after, records));
+                // Evaluated before this message, which may be the first one in a while with anything new.
+                let was_stalled = self.is_stalled(now);
+                let (before, has_all) = (self.last, self.deliver_new(after, records));
                 if self.last > before {
-                    self.progressed = now;
+                    self.last_progress = now;
                 }
                 if has_all && self.last >= newest {
-                    self.proven_by_carrier(now, echo, age);
+                    self.apply_carrier_proof(now, echo, age);
                 }
-                self.carried_by(now, place, stamp, was_deaf);
+                self.note_carrier(now, index, stamp, was_stalled);
             }
-            Said::NotCarried { reason, .. } if place == self.candidate => self.not_carried(now, reason),
-            Said::Leaving if place == self.candidate => self.ask_next(now),
+            Said::NotCarried { reason, .. } if index == self.candidate => self.handle_refusal(now, reason),
+            Said::Leaving if index == self.candidate => self.ask_next_candidate(now),
             _ => {}
         }
     }
 
-    /// Takes what is new; whether nothing before it is missing.
-    fn takes(&mut self, after: ChangeNumber, records: Vec<Record>) -> bool {
+    /// Delivers the new ones of these records. Returns whether no change before them is missing.
+    fn deliver_new(&mut self, after: ChangeNumber, records: Vec<Record>) -> bool {
         let Some(known) = self.last.0.checked_sub(after.0) else { return false };
         let known = usize::try_from(known).unwrap_or(usize::MAX);
         if known < records.len() {
             let first = self.last.next();
             let records: Vec<Record> = records.into_iter().skip(known).collect();
             self.last = self.last.plus(records.len());
-            self.out.push_back(Effect::Deliver { first, records });
+            self.effects.push_back(Effect::Deliver { first, records });
         }
         true
     }
 
-    /// The carrier knew no newer change so long before it sent its message, and it sent that after it had this one's
-    /// stamp for a while.
-    fn proven_by_carrier(&mut self, now: Time, echo: Echo, age: Span) {
+    /// Advances the time up to which all changes are known: the carrier had this process's stamp for
+    /// `echo.held` before it sent the message, and `age` before sending it the log had nothing newer.
+    fn apply_carrier_proof(&mut self, now: Time, echo: Echo, age: Span) {
         let Some((_, stamped)) = self.stamps.iter().find(|(stamp, _)| *stamp == echo.stamp) else { return };
-        let sent = (*stamped + echo.held.times(SHORTER)).min(now);
+        let sent = (*stamped + echo.held.times(MIN_CLOCK_RATIO)).min(now);
         let at = sent - age;
-        if at > self.known {
-            self.progressed = now;
+        if at > self.known_up_to {
+            self.last_progress = now;
         }
-        self.proves(at);
-        if now - at <= self.set.stale {
-            self.put_off_reading(now);
-            self.reads_log_itself(false);
+        self.advance_known_up_to(at);
+        if now - at <= self.set.max_log_age {
+            self.postpone_log_reading(now);
+            self.set_reads_log(false);
         }
     }
 
-    /// What comes late of another than the present carrier is taken as well, and that one is told to end it; but where
-    /// the present one proves nothing, one that was asked beside it takes its place.
-    fn carried_by(&mut self, now: Time, place: usize, stamp: Stamp, was_deaf: bool) {
-        if place != self.candidate {
-            let takes_over = self.carried && place == self.probe && was_deaf;
-            let left = if takes_over { self.candidate } else { place };
-            self.out.push_back(Effect::Tell { to: self.carriers[left], said: Said::Gone });
+    /// Notes a message with changes. A carrier other than the present one is told to stop, unless the present
+    /// one is stalled and this is the one that was probed: then it takes over.
+    fn note_carrier(&mut self, now: Time, index: usize, stamp: Stamp, was_stalled: bool) {
+        if index != self.candidate {
+            let takes_over = self.is_carried && index == self.probed_carrier && was_stalled;
+            let left = if takes_over { self.candidate } else { index };
+            self.effects.push_back(Effect::Tell { to: self.carriers[left], said: Said::Unfollow });
             if !takes_over {
                 return;
             }
-            // It has as long as any that was asked to prove something.
-            (self.candidate, self.asked) = (place, now);
+            // It has as long as any newly asked carrier to prove something.
+            (self.candidate, self.last_asked) = (index, now);
         }
-        (self.carried, self.tried, self.passes, self.heard) = (true, 0, 0, now);
-        self.echo = Some((stamp, now));
-        self.tell(now);
+        (self.is_carried, self.tried_in_pass, self.failed_passes, self.last_heard) = (true, 0, 0, now);
+        self.carrier_stamp = Some((stamp, now));
+        self.acknowledge(now);
     }
 
-    fn not_carried(&mut self, now: Time, reason: Reason) {
+    fn handle_refusal(&mut self, now: Time, reason: Reason) {
         if reason == Reason::NotHeld {
-            // All who lack it come to the log within this span, not at once.
-            self.read_at = self.read_at.min(now + self.set.silent.times(self.chance.gen_range(0.0..1.0)));
+            // Spreads the followers that lack the change over this span.
+            self.read_log_at =
+                self.read_log_at.min(now + self.set.carrier_timeout.times(self.rng.gen_range(0.0..1.0)));
         }
         if reason == Reason::OtherLog {
             let carrier = self.carriers[self.candidate].0;
-            self.out.push_back(Effect::Log(format!("carrier {carrier:x} reads another change log")));
+            self.effects.push_back(Effect::Log(format!("carrier {carrier:x} reads another change log")));
         }
-        self.ask_next(now);
+        self.ask_next_candidate(now);
     }
 
-    /// Acknowledges, and shows that this follower is there.
-    fn tell(&mut self, now: Time) {
+    /// Acknowledges to the carrier, or asks the candidate to carry.
+    fn acknowledge(&mut self, now: Time) {
         let Some(to) = self.carriers.get(self.candidate).copied() else { return };
-        self.told = now;
-        let echo = self.echo.map(|(stamp, came)| Echo { stamp, held: now - came });
-        self.follow(now, to, echo);
+        self.last_sent = now;
+        let echo = self.carrier_stamp.map(|(stamp, came)| Echo { stamp, held: now - came });
+        self.send_follow(now, to, echo);
     }
 
-    fn follow(&mut self, now: Time, to: MemberId, echo: Option<Echo>) {
-        let newer = self.stamps.back().map_or(now.0, |(stamp, _)| now.0.max(stamp.0 + 1));
-        let stamp = Stamp(newer);
+    fn send_follow(&mut self, now: Time, to: MemberId, echo: Option<Echo>) {
+        let stamp = self.stamps.back().map_or(now.0, |(stamp, _)| now.0.max(stamp.0 + 1));
+        let stamp = Stamp(stamp);
         self.stamps.push_back((stamp, now));
-        if self.stamps.len() > REMEMBERED {
+        if self.stamps.len() > REMEMBERED_STAMPS {
             self.stamps.pop_front();
         }
-        let said = Said::Follow { log: self.set.log, last: self.last, stamp, echo };
-        self.out.push_back(Effect::Tell { to, said });
+        let message = Said::Follow { log: self.set.log, last: self.last, stamp, echo };
+        self.effects.push_back(Effect::Tell { to, said: message });
     }
 
-    fn ask(&mut self, now: Time) {
-        (self.asked, self.heard, self.carried, self.echo) = (now, now, false, None);
-        self.tell(now);
+    fn ask_candidate(&mut self, now: Time) {
+        (self.last_asked, self.last_heard, self.is_carried, self.carrier_stamp) = (now, now, false, None);
+        self.acknowledge(now);
     }
 
-    /// The next carrier's turn, at once until all were asked.
-    fn ask_next(&mut self, now: Time) {
+    /// Asks the next carrier, without a pause until all were asked.
+    fn ask_next_candidate(&mut self, now: Time) {
         if self.carriers.is_empty() {
             return;
         }
         self.candidate = (self.candidate + 1) % self.carriers.len();
-        self.tried += 1;
-        if self.tried < self.carriers.len() {
-            return self.ask(now);
+        self.tried_in_pass += 1;
+        if self.tried_in_pass < self.carriers.len() {
+            return self.ask_candidate(now);
         }
-        self.passes += 1;
-        (self.asked, self.carried, self.echo) = (now, false, None);
+        self.failed_passes += 1;
+        (self.last_asked, self.is_carried, self.carrier_stamp) = (now, false, None);
     }
 
-    /// Whether all were asked in vain.
-    fn waits(&self) -> bool {
-        self.tried >= self.carriers.len()
+    /// Whether all carriers were asked without success.
+    fn has_tried_all(&self) -> bool {
+        self.tried_in_pass >= self.carriers.len()
     }
 
-    /// How long the one that was asked last has to answer, or until the next pass begins.
-    fn patience(&self) -> Span {
-        self.set.silent.times(match self.waits() {
-            true => 2.0_f64.powi(self.passes).min(WAIT_MOST),
-            false => ANSWER,
+    /// How long the candidate has to answer, or until the next pass begins.
+    fn answer_timeout(&self) -> Span {
+        self.set.carrier_timeout.times(match self.has_tried_all() {
+            true => 2.0_f64.powi(self.failed_passes).min(MAX_WAIT_FACTOR),
+            false => ANSWER_FRACTION,
         })
     }
 
-    fn put_off_reading(&mut self, now: Time) {
-        self.read_at = now + self.set.fallback.times(self.chance.gen_range(1.0..2.0));
+    fn postpone_log_reading(&mut self, now: Time) {
+        self.read_log_at = now + self.set.fallback.times(self.rng.gen_range(1.0..2.0));
     }
 
-    fn reads_log_itself(&mut self, reads: bool) {
+    fn set_reads_log(&mut self, reads: bool) {
         if self.reads_log != reads {
             self.reads_log = reads;
-            self.out.push_back(Effect::ReadLog(reads));
+            self.effects.push_back(Effect::ReadLog(reads));
         }
     }
 
     /// The periodic timer.
     pub fn woken(&mut self, now: Time) {
-        if now >= self.read_at {
-            self.reads_log_itself(true);
+        if now >= self.read_log_at {
+            self.set_reads_log(true);
         }
-        if self.carried && self.is_deaf(now) && now - self.probed > self.set.stale {
-            self.ask_another(now);
+        if self.is_carried && self.is_stalled(now) && now - self.last_probe > self.set.max_log_age {
+            self.probe_another(now);
         }
-        if self.carried && now - self.heard > self.set.silent {
+        if self.is_carried && now - self.last_heard > self.set.carrier_timeout {
             self.leave_carrier(now);
-        } else if !self.carried && now - self.asked > self.patience() {
-            self.try_again(now);
-        } else if self.carried && now - self.told >= self.set.idle {
-            self.tell(now);
+        } else if !self.is_carried && now - self.last_asked > self.answer_timeout() {
+            self.handle_timeout(now);
+        } else if self.is_carried && now - self.last_sent >= self.set.heartbeat {
+            self.acknowledge(now);
         }
     }
 
-    /// Whether the carrier has told and proven nothing new for long.
-    fn is_deaf(&self, now: Time) -> bool {
-        now - self.progressed.max(self.asked) > self.set.stale + self.set.stale
+    /// Whether the carrier has delivered and proved nothing new for long.
+    fn is_stalled(&self, now: Time) -> bool {
+        now - self.last_progress.max(self.last_asked) > self.set.max_log_age + self.set.max_log_age
     }
 
-    /// Asks one after another while the present carrier stays. Guards against followers that all leave their carriers
-    /// when the log itself is lost, and come back to all of them at once.
-    fn ask_another(&mut self, now: Time) {
-        self.probed = now;
-        self.probe = (self.probe + 1) % self.carriers.len();
-        if self.probe == self.candidate {
-            self.probe = (self.probe + 1) % self.carriers.len();
+    /// Asks the other carriers one after another while the present one stays. Guards against followers that
+    /// all leave their carriers when the log itself is lost, and later return to all of them at once.
+    fn probe_another(&mut self, now: Time) {
+        self.last_probe = now;
+        self.probed_carrier = (self.probed_carrier + 1) % self.carriers.len();
+        if self.probed_carrier == self.candidate {
+            self.probed_carrier = (self.probed_carrier + 1) % self.carriers.len();
         }
-        if self.probe != self.candidate {
-            self.follow(now, self.carriers[self.probe], None);
+        if self.probed_carrier != self.candidate {
+            self.send_follow(now, self.carriers[self.probed_carrier], None);
         }
     }
 
     fn leave_carrier(&mut self, now: Time) {
         let to = self.carriers[self.candidate];
-        self.out.push_back(Effect::Tell { to, said: Said::Gone });
-        self.ask_next(now);
+        self.effects.push_back(Effect::Tell { to, said: Said::Unfollow });
+        self.ask_next_candidate(now);
     }
 
-    /// One that was asked did not answer, or a wait is over.
-    fn try_again(&mut self, now: Time) {
-        if self.waits() {
-            self.tried = 0;
-            return self.ask(now);
+    /// The candidate did not answer, or the wait between passes is over.
+    fn handle_timeout(&mut self, now: Time) {
+        if self.has_tried_all() {
+            self.tried_in_pass = 0;
+            return self.ask_candidate(now);
         }
-        self.ask_next(now);
+        self.ask_next_candidate(now);
     }
 
-    /// This process ends in order.
+    /// Announces the shutdown of this process to the carrier.
     pub fn leave(&mut self) {
         if let Some(to) = self.carrier() {
-            self.out.push_back(Effect::Tell { to, said: Said::Gone });
+            self.effects.push_back(Effect::Tell { to, said: Said::Unfollow });
         }
     }
 }
--- a/crates/fleet/src/delivery/mod.rs
+++ b/crates/fleet/src/delivery/mod.rs
@@ -1,12 +1,13 @@
-//! Delivery of the change log's numbered changes: carriers read the log and pass each change on to followers, which then
-//! need not ask the log themselves (docs/fleet-delivery.md). No input or output; time comes in as an argument.
+//! Delivery of the change log's numbered changes: carriers read the log and pass each change on to followers,
+//! which then need not read the log themselves (docs/fleet-delivery.md). No input or output; time comes in as
+//! an argument.
 //!
-//! A change is an opaque, encoded record with its number in the log. Numbers go up by one, and are the same for all who
-//! read the same log ([`LogId`]), so that a follower may go from any carrier to any other, or to the log itself, and
-//! loses its place nowhere. It takes changes in order, without gap or repeat.
+//! A change is an opaque, encoded record with its number in the log. Numbers increase by one and are the same
+//! for all readers of a log ([`LogId`]), so a follower may switch between carriers, or to the log itself,
+//! without losing its place. It takes changes in order, without gaps or repeats.
 mod carrier;
 mod follower;
-mod log;
+mod held;
 
 pub use carrier::Carrier;
 pub use follower::Follower;
@@ -16,18 +17,20 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Clocks run up to 1% apart: a span measured on one is at most this much longer on another.
-const LONGER: f64 = 1.02;
-/// And at least this part of it.
-const SHORTER: f64 = 0.98;
-/// A longer record is not carried (bytes): followers read it from the log.
-pub const RECORD_MOST: usize = 16 << 10;
+/// Clock rates may differ by up to 1%: a span measured on one clock is at most this many times as long on
+/// another,
+const MAX_CLOCK_RATIO: f64 = 1.02;
+/// and at least this fraction of it.
+const MIN_CLOCK_RATIO: f64 = 0.98;
+/// The longest record that is carried, in bytes; followers read a longer one from the log.
+pub const MAX_RECORD_BYTES: usize = 16 << 10;
 
-/// A change's place in the change log.
+/// A change's position in the change log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeNumber(pub u64);
 
 impl ChangeNumber {
+    /// The number of the change that follows.
     pub fn next(self) -> ChangeNumber {
         ChangeNumber(self.0.saturating_add(1))
     }
@@ -37,7 +40,8 @@
     }
 }
 
-/// A change log whose numbers mean the same to all who name it, by its name in the operators' file.
+/// Identifies a change log by the hash of its name in the operators' file; its numbers mean the same to all
+/// who name it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogId(pub u64);
 
@@ -47,32 +51,28 @@
     }
 }
 
-/// A change as it is carried; what it says is the dispatcher's matter.
+/// An encoded change; its content is opaque here.
 pub type Record = Arc<[u8]>;
 
-/// A point in its teller's own time, in microseconds; it means nothing to others but to be given back.
+/// A point in the sender's own time, in microseconds; the receiver only returns it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp(pub u64);
 
-/// The receiver's latest stamp, given back, and for how long the sender held it.
+/// The receiver's latest stamp, returned, and for how long the sender held it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     pub stamp: Stamp,
     pub held: Span,
 }
 
-/// One message of the delivery.
+/// A message of the delivery. Encoded by position (postcard): the order of variants and fields must not
+/// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Said {
     /// A follower asks to be carried, or acknowledges all changes up to `last`.
-    Follow {
-        log: LogId,
-        last: ChangeNumber,
-        stamp: Stamp,
-        echo: Option<Echo>,
-    },
-    /// The changes after `after`, in order; none where there is nothing new. `newest` is the last one that the carrier
-    /// knows of, `age` how long ago, at most, the log had nothing newer.
+    Follow { log: LogId, last: ChangeNumber, stamp: Stamp, echo: Option<Echo> },
+    /// The changes after `after`, in order; none where there is nothing new. `newest` is the last one that
+    /// the carrier knows of, `age` an upper bound on the time since the log had nothing newer.
     Changes {
         log: LogId,
         after: ChangeNumber,
@@ -82,76 +82,75 @@
         stamp: Stamp,
         echo: Echo,
     },
-    NotCarried {
-        log: LogId,
-        reason: Reason,
-        retry_after: Span,
-    },
-    /// The carrier ends in order: another one is to be asked at once.
+    /// The carrier does not carry the follower.
+    NotCarried { log: LogId, reason: Reason, retry_after: Span },
+    /// The carrier shuts down: the follower asks another one at once.
     Leaving,
-    /// The follower ends in order, or another one carries it.
-    Gone,
+    /// The follower shuts down or is carried by another carrier.
+    Unfollow,
 }
 
 /// Why a carrier does not carry a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// It carries as many as it may.
+    /// It carries the maximum number of followers.
     Full,
-    /// It has not, or no longer, what comes after the follower's last change, or can't carry it: the follower reads
+    /// It does not hold the changes after the follower's last one, or can't carry them: the follower reads
     /// the log itself first.
     NotHeld,
-    /// It has not heard the log for too long.
+    /// It has had no answer of the log for too long.
     Stale,
     /// The two read different logs.
     OtherLog,
 }
 
-/// What has to leave the room.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Tell {
         to: MemberId,
         said: Said,
     },
-    /// At a follower: `first` and the changes that follow on it, to be taken in this order.
+    /// At a follower: apply the changes from `first` on, in order.
     Deliver {
         first: ChangeNumber,
         records: Vec<Record>,
     },
-    /// At a follower: whether the log is to be read directly.
+    /// At a follower: start or stop reading the log directly.
     ReadLog(bool),
-    /// At a follower: all changes that the log had at that time, by this process's own clock, were delivered.
+    /// At a follower: all changes that the log had at that time, by this process's own clock, have been
+    /// delivered.
     KnownUpTo(Time),
     Log(String),
 }
 
-/// Spans and bounds of the delivery; all carriers and followers of a fleet have the same.
+/// Settings of the delivery; the same for all carriers and followers of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Set {
     pub log: LogId,
-    /// The least distance between two messages with changes to one follower.
-    pub batch: Span,
-    /// A message goes to each follower at least so often, also where nothing is new.
-    pub idle: Span,
-    /// A carrier that said nothing for so long is given up, and another one is asked.
-    pub silent: Span,
-    /// A follower that could not be carried for so long reads the log itself; up to as long again by chance, so that
-    /// all who lose their carriers do not come to the log at once.
+    /// The least time between two messages with changes to one follower.
+    pub batch_interval: Span,
+    /// The longest time between two messages to a follower, or from one, also where nothing is new.
+    pub heartbeat: Span,
+    /// A carrier that has not been heard for this long is replaced.
+    pub carrier_timeout: Span,
+    /// A follower without proof from a carrier for this long reads the log itself; up to as long again at
+    /// random, so that followers that lose their carriers do not all read the log at once.
     pub fallback: Span,
-    /// A carrier that has not heard the log for so long carries nobody new; a follower whose carrier proves nothing looks
-    /// for another after twice as long, when all carriers of a lost log refuse it.
-    pub stale: Span,
-    /// A follower that said nothing for so long is let go.
-    pub gone: Span,
-    /// Bytes of changes to one follower in a message, and to all in one round of the timer. A record that is longer
-    /// goes alone. With `batch` this bounds the rate at which a follower catches up; the default fits in one Ethernet
-    /// frame, and within 7 kB a second.
+    /// A carrier without an answer of the log for this long accepts no new follower. A follower whose carrier
+    /// proves nothing looks for another one after twice as long: by then, if the log itself is lost, all
+    /// carriers refuse it.
+    pub max_log_age: Span,
+    /// A follower that has not been heard for this long is dropped.
+    pub follower_timeout: Span,
+    /// Bytes of changes in a message to one follower, and in one tick to all. A longer record is sent alone.
+    /// With `batch_interval` this bounds the rate at which a follower catches up; the default fits in one Ethernet
+    /// frame.
     pub message_bytes: usize,
     pub round_bytes: usize,
     /// Bytes of changes that a carrier holds.
     pub held_bytes: usize,
-    /// Followers of one carrier.
+    /// The maximum number of followers of one carrier.
     pub followers: usize,
 }
 
@@ -159,12 +158,12 @@
     fn default() -> Set {
         Set {
             log: LogId::default(),
-            batch: Span::millis(250),
-            idle: Span::millis(250),
-            silent: Span::millis(800),
+            batch_interval: Span::millis(250),
+            heartbeat: Span::millis(250),
+            carrier_timeout: Span::millis(800),
             fallback: Span::millis(5_000),
-            stale: Span::millis(1_000),
-            gone: Span::millis(10_000),
+            max_log_age: Span::millis(1_000),
+            follower_timeout: Span::millis(10_000),
             message_bytes: 1_400,
             round_bytes: 256 << 10,
             held_bytes: 8 << 20,
--- a/crates/fleet/src/made.rs
+++ b/crates/fleet/src/made.rs
@@ -1,26 +1,29 @@
-//! A made network: members, links with faults and clocks in virtual time, from one seed. For tests and measurements.
+//! A simulated network for tests and measurements: members, links with faults, and clocks, in virtual time
+//! and from one seed.
 use crate::common::MemberId;
 use cherrypass::time::{Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One member's rooms as the network drives them. Times are of the member's own clock.
+/// A member as the network drives it. Times are of the member's own clock.
 pub trait Node {
     type Said: Clone;
-    fn heard(&mut self, now: Time, from: MemberId, said: Self::Said);
+    /// Receives a message.
+    fn heard(&mut self, now: Time, from: MemberId, message: Self::Said);
+    /// The periodic timer.
     fn woken(&mut self, now: Time);
-    /// The next message that is to go out; other effects are the node's own to note.
+    /// The next message to send; the node handles other effects itself.
     fn next(&mut self, now: Time) -> Option<(MemberId, Self::Said)>;
 }
 
-/// What links do to messages.
+/// The faults of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    /// The part that is lost, and the part that comes twice.
+    /// The fractions of messages that are lost and that arrive twice.
     pub lost: f64,
     pub twice: f64,
-    /// Least and most time on the way; what varies also changes the order.
+    /// Least and greatest transit time; a range also reorders messages.
     pub delay: [Span; 2],
 }
 
@@ -31,47 +34,47 @@
 }
 
 enum Event<S> {
-    Wake(MemberId, u64),
-    Comes { from: MemberId, to: MemberId, said: S },
+    Timer(MemberId, u64),
+    Arrival { from: MemberId, to: MemberId, message: S },
 }
 
-struct Place<N> {
+struct Member<N> {
     node: N,
-    /// Counts starts: a wake of an earlier one is void.
-    start: u64,
-    /// How fast its clock goes, and what it showed when.
-    rate: f64,
-    shows: (Time, Time),
-    /// Until when it stands still.
-    still: Option<Time>,
+    /// Number of restarts; timers of earlier runs are ignored.
+    starts: u64,
+    /// The rate of its clock, and a pair of true time and the clock's time then.
+    clock_rate: f64,
+    clock_origin: (Time, Time),
+    /// Until when it is paused, in true time.
+    paused_until: Option<Time>,
 }
 
-impl<N> Place<N> {
+impl<N> Member<N> {
     fn clock(&self, now: Time) -> Time {
-        self.shows.1 + (now - self.shows.0).times(self.rate)
+        self.clock_origin.1 + (now - self.clock_origin.0).times(self.clock_rate)
     }
 }
 
-/// Members on links. The network's own time is the true one.
+/// Members and links. The network's own time is the true time.
 pub struct Network<N: Node> {
     pub now: Time,
     pub chance: Pcg64Mcg,
-    /// Of all links, and of single ones (from, to).
+    /// The default link, and links of single directions (from, to).
     pub link: Link,
     pub links: BTreeMap<(MemberId, MemberId), Link>,
-    /// Directions in which nothing comes through.
+    /// Directions in which all messages are lost.
     pub cut: BTreeSet<(MemberId, MemberId)>,
-    /// Messages sent, by sender.
+    /// Number of messages sent, by sender.
     pub sent: BTreeMap<MemberId, u64>,
-    every: Span,
-    places: BTreeMap<MemberId, Place<N>>,
+    timer_interval: Span,
+    members: BTreeMap<MemberId, Member<N>>,
     events: BTreeMap<(Time, u64), Event<N::Said>>,
-    next: u64,
+    next_event: u64,
 }
 
 impl<N: Node> Network<N> {
-    /// `every`: the members' periodic timer.
-    pub fn new(seed: u64, every: Span) -> Network<N> {
+    /// `timer_interval`: the interval of the members' periodic timer.
+    pub fn new(seed: u64, timer_interval: Span) -> Network<N> {
         Network {
             now: Time(1_000_000),
             chance: Pcg64Mcg::seed_from_u64(seed),
@@ -79,90 +82,94 @@
             links: BTreeMap::new(),
             cut: BTreeSet::new(),
             sent: BTreeMap::new(),
-            every,
-            places: BTreeMap::new(),
+            timer_interval,
+            members: BTreeMap::new(),
             events: BTreeMap::new(),
-            next: 0,
+            next_event: 0,
         }
     }
 
-    /// Starts a member, or starts it anew; `rate` is its clock's (1.0 is true time).
-    pub fn start(&mut self, id: MemberId, rate: f64, node: impl FnOnce(Time) -> N) {
-        let start = self.places.get(&id).map_or(0, |place| place.start + 1);
-        let shows = (self.now, Time(self.now.0 ^ id.0 >> 24));
-        let place = Place { node: node(shows.1), start, rate, shows, still: None };
-        self.places.insert(id, place);
-        let first = self.every.times(self.chance.gen_range(0.0..1.0));
-        self.put(self.now + first, Event::Wake(id, start));
-        self.pull(id);
+    /// Starts or restarts a member; `clock_rate` 1.0 is true time.
+    pub fn start(&mut self, id: MemberId, clock_rate: f64, node: impl FnOnce(Time) -> N) {
+        let starts = self.members.get(&id).map_or(0, |member| member.starts + 1);
+        let clock_origin = (self.now, Time(self.now.0 ^ id.0 >> 24));
+        let member =
+            Member { node: node(clock_origin.1), starts, clock_rate, clock_origin, paused_until: None };
+        self.members.insert(id, member);
+        let first_timer = self.timer_interval.times(self.chance.gen_range(0.0..1.0));
+        self.schedule(self.now + first_timer, Event::Timer(id, starts));
+        self.send_pending(id);
     }
 
-    /// It is gone at once.
+    /// Removes a member without notice.
     pub fn kill(&mut self, id: MemberId) {
-        self.places.remove(&id);
+        self.members.remove(&id);
     }
 
-    /// It stands still for so long; what comes to it waits.
+    /// Pauses a member; messages to it wait.
     pub fn stop(&mut self, id: MemberId, span: Span) {
-        if let Some(place) = self.places.get_mut(&id) {
-            place.still = Some(self.now + span);
+        if let Some(member) = self.members.get_mut(&id) {
+            member.paused_until = Some(self.now + span);
         }
     }
 
+    /// All running members.
     pub fn ids(&self) -> Vec<MemberId> {
-        self.places.keys().copied().collect()
+        self.members.keys().copied().collect()
     }
 
-    pub fn is_still(&self, id: MemberId) -> bool {
-        self.places.get(&id).and_then(|place| place.still).is_some_and(|until| self.now < until)
+    /// Whether a member is paused now.
+    pub fn is_paused(&self, id: MemberId) -> bool {
+        self.members.get(&id).and_then(|member| member.paused_until).is_some_and(|until| self.now < until)
     }
 
+    /// A running member's node.
     pub fn node(&self, id: MemberId) -> Option<&N> {
-        self.places.get(&id).map(|place| &place.node)
+        self.members.get(&id).map(|member| &member.node)
     }
 
-    /// What a member's clock shows now.
+    /// The present time of a member's clock.
     pub fn clock(&self, id: MemberId) -> Option<Time> {
-        self.places.get(&id).map(|place| place.clock(self.now))
+        self.members.get(&id).map(|member| member.clock(self.now))
     }
 
-    /// Calls a member, and sends what it says then.
+    /// Calls a member and sends the messages that result.
     pub fn call<T>(&mut self, id: MemberId, call: impl FnOnce(&mut N, Time) -> T) -> Option<T> {
-        let place = self.places.get_mut(&id)?;
-        let clock = place.clock(self.now);
-        let found = call(&mut place.node, clock);
-        self.pull(id);
-        Some(found)
+        let member = self.members.get_mut(&id)?;
+        let clock = member.clock(self.now);
+        let result = call(&mut member.node, clock);
+        self.send_pending(id);
+        Some(result)
     }
 
-    /// Plays for so long; `look` sees the network after each event.
+    /// Runs for a span of true time; `look` is called after each event.
     pub fn play(&mut self, span: Span, mut look: impl FnMut(&mut Network<N>)) {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) {
             self.now = entry.key().0;
             let event = entry.remove();
             let to = match &event {
-                Event::Wake(id, _) => *id,
-                Event::Comes { to, .. } => *to,
+                Event::Timer(id, _) => *id,
+                Event::Arrival { to, .. } => *to,
             };
-            match self.places.get(&to).map(|place| place.still) {
+            match self.members.get(&to).map(|member| member.paused_until) {
                 None => continue,
                 Some(Some(until)) if self.now < until => {
-                    self.put(until, event);
+                    self.schedule(until, event);
                     continue;
                 }
                 Some(_) => {}
             }
             match event {
-                Event::Wake(id, start) => {
-                    if self.places.get(&id).is_none_or(|place| place.start != start) {
+                Event::Timer(id, starts) => {
+                    if self.members.get(&id).is_none_or(|member| member.starts != starts) {
                         continue;
                     }
-                    self.put(self.now + self.every, Event::Wake(id, start));
+                    self.schedule(self.now + self.timer_interval, Event::Timer(id, starts));
                     self.call(id, |node, now| node.woken(now));
                 }
-                Event::Comes { from, to, said } => {
-                    self.call(to, |node, now| node.heard(now, from, said));
+                Event::Arrival { from, to, message } => {
+                    self.call(to, |node, now| node.heard(now, from, message));
                 }
             }
             look(self);
@@ -170,34 +177,35 @@
         self.now = end;
     }
 
-    fn pull(&mut self, id: MemberId) {
+    /// Sends a member's pending messages.
+    fn send_pending(&mut self, id: MemberId) {
         loop {
-            let Some(place) = self.places.get_mut(&id) else { return };
-            let clock = place.clock(self.now);
-            let Some((to, said)) = place.node.next(clock) else { return };
+            let Some(member) = self.members.get_mut(&id) else { return };
+            let clock = member.clock(self.now);
+            let Some((to, message)) = member.node.next(clock) else { return };
             *self.sent.entry(id).or_default() += 1;
-            self.send(id, to, said);
+            self.send(id, to, message);
         }
     }
 
-    fn send(&mut self, from: MemberId, to: MemberId, said: N::Said) {
+    fn send(&mut self, from: MemberId, to: MemberId, message: N::Said) {
         let link = self.links.get(&(from, to)).copied().unwrap_or(self.link);
         if self.cut.contains(&(from, to)) || self.chance.gen_bool(link.lost) {
             return;
         }
         if self.chance.gen_bool(link.twice) {
-            self.comes(link, from, to, said.clone());
+            self.schedule_arrival(link, from, to, message.clone());
         }
-        self.comes(link, from, to, said);
+        self.schedule_arrival(link, from, to, message);
     }
 
-    fn comes(&mut self, link: Link, from: MemberId, to: MemberId, said: N::Said) {
+    fn schedule_arrival(&mut self, link: Link, from: MemberId, to: MemberId, message: N::Said) {
         let delay = Span(self.chance.gen_range(link.delay[0].0..=link.delay[1].0));
-        self.put(self.now + delay, Event::Comes { from, to, said });
+        self.schedule(self.now + delay, Event::Arrival { from, to, message });
     }
 
-    fn put(&mut self, at: Time, event: Event<N::Said>) {
-        self.next += 1;
-        self.events.insert((at, self.next), event);
+    fn schedule(&mut self, at: Time, event: Event<N::Said>) {
+        self.next_event += 1;
+        self.events.insert((at, self.next_event), event);
     }
 }
--- a/crates/fleet/tests/delivery.rs
+++ b/crates/fleet/tests/delivery.rs
@@ -1,37 +1,37 @@
-//! The delivery of changes in virtual time.
+//! Tests of the delivery of changes on the simulated network.
 mod delivery_bed;
 
 use cherrypass::time::Span;
 use cherrypass_fleet::common::MemberId;
-use cherrypass_fleet::delivery::{Set, RECORD_MOST};
+use cherrypass_fleet::delivery::{Set, MAX_RECORD_BYTES};
 use cherrypass_fleet::made::Link;
 use delivery_bed::Bed;
 use rand::Rng;
 use test_case::test_case;
 
-/// Of a purge, from the log to all (the operators' bound).
+/// The bound on the delay of a purge from the log to all followers.
 const PURGE_BOUND: Span = Span::millis(1_100);
 
 fn seconds(s: f64) -> Span {
     Span::seconds(s)
 }
 
-/// Every follower has all, one carrier, and does not read the log itself.
-fn assert_at_rest(bed: &Bed) {
+/// Asserts that every follower has nearly all changes and one carrier, and does not read the log itself.
+fn assert_settled(bed: &Bed) {
     let newest = bed.log.newest();
     for id in &bed.followers {
         let one = bed.network.node(*id).unwrap();
         assert!(newest - one.last() < 100, "{id:?} has {} of {newest}", one.last());
-        assert!(one.follower().unwrap().carrier().is_some(), "{id:?} is carried by nobody");
+        assert!(one.follower().unwrap().carrier().is_some(), "{id:?} has no carrier");
         assert!(!one.reads_log, "{id:?} reads the log");
     }
     let carried: usize =
         bed.carriers.iter().map(|id| bed.network.node(*id).unwrap().carrier().unwrap().followers()).sum();
-    assert_eq!(carried, bed.followers.len(), "each has one carrier");
+    assert_eq!(carried, bed.followers.len(), "each follower has one carrier");
 }
 
-/// How long ago it was, at the follower that is furthest behind, that it knew all.
-fn behind(bed: &Bed) -> Span {
+/// The greatest time over all followers since when they know all changes.
+fn max_delay(bed: &Bed) -> Span {
     let age = |id: &MemberId| {
         let one = bed.network.node(*id).unwrap();
         one.known.map_or(Span::millis(u64::from(u32::MAX)), |known| bed.network.clock(*id).unwrap() - known)
@@ -45,10 +45,10 @@
     bed.play(seconds(5.0));
     for _ in 0..200 {
         bed.play(seconds(0.05));
-        let behind = behind(&bed);
-        assert!(behind < PURGE_BOUND, "{behind:?}");
+        let delay = max_delay(&bed);
+        assert!(delay < PURGE_BOUND, "{delay:?}");
     }
-    assert_at_rest(&bed);
+    assert_settled(&bed);
 }
 
 #[test]
@@ -58,13 +58,14 @@
     bed.play(seconds(10.0));
     for _ in 0..200 {
         bed.play(seconds(0.05));
-        let behind = behind(&bed);
-        assert!(behind < PURGE_BOUND + seconds(1.0), "{behind:?}");
+        let delay = max_delay(&bed);
+        assert!(delay < PURGE_BOUND + seconds(1.0), "{delay:?}");
     }
-    assert_at_rest(&bed);
+    assert_settled(&bed);
 }
 
-/// Given up after `silent`, a round later another one is asked; its first message has what was missed.
+/// A silent carrier is given up after `carrier_timeout` and another one asked, whose first message has the missed
+/// changes.
 #[test]
 fn a_lost_carrier_is_replaced_within_a_second() {
     let mut bed = Bed::new(3, Set::default(), 4, 40);
@@ -72,14 +73,14 @@
     let lost = bed.carriers[0];
     bed.network.kill(lost);
     bed.play(seconds(1.2));
-    let behind = behind(&bed);
-    assert!(behind < seconds(0.6), "{behind:?}");
+    let delay = max_delay(&bed);
+    assert!(delay < seconds(0.6), "{delay:?}");
     bed.start(lost, 0);
     bed.play(seconds(5.0));
-    assert_at_rest(&bed);
+    assert_settled(&bed);
 }
 
-/// It says so, and nobody waits for its silence.
+/// A carrier that shuts down announces it, so that no follower has to wait for a timeout.
 #[test]
 fn a_carrier_that_leaves_is_replaced_at_once() {
     let mut bed = Bed::new(4, Set::default(), 4, 40);
@@ -87,11 +88,12 @@
     let leaves = bed.carriers[0];
     bed.leave(leaves);
     bed.play(seconds(0.3));
-    let behind = behind(&bed);
-    assert!(behind < seconds(0.6), "{behind:?}");
+    let delay = max_delay(&bed);
+    assert!(delay < seconds(0.6), "{delay:?}");
 }
 
-/// Followers without any carrier come to the log one after another, and go back to the carriers when these are there.
+/// Followers without any carrier start reading the log one after another, and return to the carriers once
+/// these are back.
 #[test]
 fn without_carriers_the_log_is_read_directly() {
     let set = Set::default();
@@ -108,14 +110,14 @@
     assert!((8..=32).contains(&half), "{half} of 40 after half of the time");
     bed.play(set.fallback);
     assert_eq!(reading(&bed), 40);
-    assert!(behind(&bed) < PURGE_BOUND);
+    assert!(max_delay(&bed) < PURGE_BOUND);
     let known = bed.log.newest();
     carriers.iter().for_each(|id| bed.start(*id, known));
     bed.play(seconds(15.0));
-    assert_at_rest(&bed);
+    assert_settled(&bed);
 }
 
-/// Its bytes in each message are bounded, and others have theirs in time.
+/// Messages to a follower that catches up are bounded, and others are not delayed.
 #[test]
 fn a_cut_follower_catches_up_at_a_bounded_rate() {
     let mut bed = Bed::new(6, Set::default(), 2, 20);
@@ -131,12 +133,12 @@
     let caught_up = bed.network.node(cut).unwrap().last();
     assert!(caught_up < bed.log.newest() - 1_000, "{caught_up} at once");
     bed.play(seconds(60.0));
-    assert_at_rest(&bed);
+    assert_settled(&bed);
     let longest = bed.carriers.iter().map(|id| bed.network.node(*id).unwrap().longest_message).max().unwrap();
     assert!(longest <= bed.set.message_bytes + 128, "{longest} bytes");
 }
 
-/// What a carrier does not hold any more is read from the log.
+/// Changes that a carrier no longer holds are read from the log.
 #[test]
 fn a_follower_too_far_behind_reads_the_log_first() {
     let mut bed = Bed::new(7, Set { held_bytes: 8_000, ..Set::default() }, 2, 10);
@@ -149,7 +151,7 @@
         has_read |= bed.network.node(late).unwrap().reads_log;
     }
     assert!(has_read);
-    assert_at_rest(&bed);
+    assert_settled(&bed);
 }
 
 #[test]
@@ -157,49 +159,49 @@
     let mut bed = Bed::new(8, Set::default(), 2, 10);
     bed.play(seconds(5.0));
     let now = bed.network.now;
-    bed.log.write(now, vec![7; RECORD_MOST + 1].into());
+    bed.log.write(now, vec![7; MAX_RECORD_BYTES + 1].into());
     bed.play(seconds(10.0));
-    assert_at_rest(&bed);
+    assert_settled(&bed);
     let longest = bed.carriers.iter().map(|id| bed.network.node(*id).unwrap().longest_message).max().unwrap();
     assert!(longest <= bed.set.message_bytes + 128, "{longest} bytes");
 }
 
-/// A carrier that can't hear the log proves nothing, and its followers go to one that does.
+/// A carrier that can't reach the log proves nothing, and its followers switch to one that does.
 #[test]
 fn followers_leave_a_carrier_without_the_log() {
     let mut bed = Bed::new(9, Set::default(), 3, 30);
     bed.play(seconds(5.0));
-    let deaf = bed.carriers[0];
-    bed.without_log.push(deaf);
+    let stale = bed.carriers[0];
+    bed.without_log.push(stale);
     bed.play(seconds(8.0));
-    assert!(behind(&bed) < PURGE_BOUND, "{:?}", behind(&bed));
-    assert_eq!(bed.network.node(deaf).unwrap().carrier().unwrap().followers(), 0);
+    assert!(max_delay(&bed) < PURGE_BOUND, "{:?}", max_delay(&bed));
+    assert_eq!(bed.network.node(stale).unwrap().carrier().unwrap().followers(), 0);
 }
 
-/// Those beyond one carrier's bound go to others.
+/// Followers beyond a carrier's limit go to other carriers.
 #[test]
 fn a_full_carrier_sends_followers_on() {
     let mut bed = Bed::new(10, Set { followers: 10, ..Set::default() }, 3, 30);
     bed.play(seconds(10.0));
-    assert_at_rest(&bed);
+    assert_settled(&bed);
     for id in &bed.carriers {
         assert_eq!(bed.network.node(*id).unwrap().carrier().unwrap().followers(), 10);
     }
 }
 
-/// A place that nobody holds any more is free after `gone`.
+/// A crashed follower's place is free again after `follower_timeout`.
 #[test]
 fn a_follower_that_died_is_let_go() {
     let mut bed = Bed::new(12, Set::default(), 1, 4);
     bed.play(seconds(3.0));
     let died = bed.followers.pop().unwrap();
     bed.network.kill(died);
-    bed.play(bed.set.gone.times(1.1));
-    assert_at_rest(&bed);
+    bed.play(bed.set.follower_timeout.times(1.1));
+    assert_settled(&bed);
 }
 
-/// Where the log itself is lost all stay where they are. Of 4.5 s they lack 342 changes when it is back, and get 243 a
-/// second while 76 come: all is there after 2.1 s.
+/// No follower switches carriers while the log itself is unreachable. After 4.5 s 342 changes are missing;
+/// these arrive at 243 per second while 76 are added, so all are delivered after 2.1 s.
 #[test]
 fn a_lost_log_moves_nobody() {
     let mut bed = Bed::new(13, Set::default(), 4, 60);
@@ -213,11 +215,11 @@
     assert_eq!(carriers(&bed), before);
     bed.without_log.clear();
     bed.play(seconds(2.6));
-    assert!(behind(&bed) < PURGE_BOUND, "{:?}", behind(&bed));
+    assert!(max_delay(&bed) < PURGE_BOUND, "{:?}", max_delay(&bed));
     assert_eq!(carriers(&bed), before);
 }
 
-/// Slow ones, with long ways that lose half, take nothing from the others.
+/// Slow followers, with high latency and half of their messages lost, do not delay others.
 #[test]
 fn slow_followers_hold_up_nobody() {
     let mut bed = Bed::new(11, Set::default(), 2, 40);
@@ -230,12 +232,12 @@
     bed.followers.retain(|id| !slow.contains(id));
     for _ in 0..200 {
         bed.play(seconds(0.05));
-        let behind = behind(&bed);
-        assert!(behind < PURGE_BOUND, "{behind:?}");
+        let delay = max_delay(&bed);
+        assert!(delay < PURGE_BOUND, "{delay:?}");
     }
 }
 
-/// Faults of all kinds at chance times, then rest.
+/// Faults of all kinds at random times, then an undisturbed phase.
 fn schedule(seed: u64) {
     let set = Set { held_bytes: 40_000, followers: 6, ..Set::default() };
     let mut bed = Bed::new(seed, set, 3, 8);
@@ -258,8 +260,8 @@
         }
     }
     bed.play(seconds(40.0));
-    assert_at_rest(&bed);
-    assert!(behind(&bed) < PURGE_BOUND, "{:?}", behind(&bed));
+    assert_settled(&bed);
+    assert!(max_delay(&bed) < PURGE_BOUND, "{:?}", max_delay(&bed));
 }
 
 fn fault(bed: &mut Bed) {
@@ -287,7 +289,7 @@
 #[test_case(1500..2000; "fourth")]
 fn no_gap_no_repeat_and_no_false_proof_under_faults(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        // The seed stands before what failed.
+        // A failure's output names the seed.
         println!("seed {seed}");
         schedule(seed);
     }
--- a/crates/fleet/tests/delivery_bed/mod.rs
+++ b/crates/fleet/tests/delivery_bed/mod.rs
@@ -1,5 +1,6 @@
-//! Carriers, followers and a change log in virtual time. What a follower took is held against the log at every event:
-//! no gap, no repeat, nothing else than the log has, and all that it says it knows.
+//! Carriers, followers and a change log on the simulated network. After every round each follower is checked
+//! against the log: no gap, no repeat, no foreign change, and all changes up to the time that it claims to
+//! know.
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::delivery::{Carrier, ChangeNumber, Effect, Follower, Record, Said, Set};
@@ -7,10 +8,10 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// The periodic timer of all; the log's answers take as long.
-pub const EVERY: Span = Span::millis(50);
+/// The interval of the periodic timer, and the latency of the log.
+pub const TIMER_INTERVAL: Span = Span::millis(50);
 
-/// The change log as it truly is: a change's number is its place, from 1.
+/// The change log: a change's number is its index, from 1.
 #[derive(Default)]
 pub struct Log {
     written: Vec<(Time, Record)>,
@@ -25,7 +26,7 @@
         self.written.len() as u64
     }
 
-    /// How many there were at that time.
+    /// The number of changes at a time.
     fn at(&self, time: Time) -> usize {
         self.written.partition_point(|(written, _)| *written <= time)
     }
@@ -36,22 +37,22 @@
     Follower(Box<Follower>),
 }
 
-/// One process. It keeps what was delivered, and what it said it knows.
-pub struct One {
+/// A process, with what was delivered to it and what it claims to know.
+pub struct Process {
     role: Role,
     incarnation: Incarnation,
-    /// The last change of its start.
+    /// The last change known at its start.
     start: u64,
     pub taken: Vec<Record>,
     pub known: Option<Time>,
     pub reads_log: bool,
     pub longest_message: usize,
-    /// When what was read of the log was asked for, and how much the log had.
+    /// A pending read of the log: when it was requested, and the number of changes then.
     pending: Option<(Time, usize)>,
     rate: f64,
 }
 
-impl One {
+impl Process {
     pub fn follower(&self) -> Option<&Follower> {
         match &self.role {
             Role::Follower(follower) => Some(follower),
@@ -71,7 +72,7 @@
         self.start + self.taken.len() as u64
     }
 
-    /// An answer of the log that was asked for at `asked` and has the first `count` changes.
+    /// Handles an answer of the log with its first `count` changes, requested at `asked`.
     fn read(&mut self, log: &Log, asked: Time, count: usize) {
         match &mut self.role {
             Role::Carrier(carrier) => {
@@ -92,10 +93,10 @@
 
     fn take(&mut self, effect: Effect) -> Option<(MemberId, (Incarnation, Said))> {
         match effect {
-            Effect::Tell { to, said } => {
-                let bytes = postcard::to_stdvec(&said).unwrap().len();
+            Effect::Tell { to, said: message } => {
+                let bytes = postcard::to_stdvec(&message).unwrap().len();
                 self.longest_message = self.longest_message.max(bytes);
-                return Some((to, (self.incarnation, said)));
+                return Some((to, (self.incarnation, message)));
             }
             Effect::Deliver { first, records } => {
                 assert_eq!(first.0, self.last() + 1, "a gap or a repeat");
@@ -103,7 +104,7 @@
             }
             Effect::ReadLog(reads) => self.reads_log = reads,
             Effect::KnownUpTo(at) => {
-                assert!(self.known.is_none_or(|known| known < at), "what is known only grows");
+                assert!(self.known.is_none_or(|known| known < at), "the known time must increase");
                 self.known = Some(at);
             }
             Effect::Log(_) => {}
@@ -112,13 +113,13 @@
     }
 }
 
-impl Node for One {
+impl Node for Process {
     type Said = (Incarnation, Said);
 
-    fn heard(&mut self, now: Time, from: MemberId, (incarnation, said): (Incarnation, Said)) {
+    fn heard(&mut self, now: Time, from: MemberId, (incarnation, message): (Incarnation, Said)) {
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.heard(now, from, incarnation, said),
-            Role::Follower(follower) => follower.heard(now, from, said),
+            Role::Carrier(carrier) => carrier.heard(now, from, incarnation, message),
+            Role::Follower(follower) => follower.heard(now, from, message),
         }
     }
 
@@ -142,19 +143,19 @@
     }
 }
 
-/// All of them, with the log.
+/// All processes, with the log.
 pub struct Bed {
-    pub network: Network<One>,
+    pub network: Network<Process>,
     pub log: Log,
     pub set: Set,
     pub carriers: Vec<MemberId>,
     pub followers: Vec<MemberId>,
-    /// Those that can't reach the log.
+    /// Processes that can't reach the log.
     pub without_log: Vec<MemberId>,
-    /// A change's bytes.
+    /// Bytes per change.
     pub record_bytes: usize,
-    pub per_round: f64,
-    owed: f64,
+    pub changes_per_round: f64,
+    pending_changes: f64,
     runs: BTreeMap<MemberId, u64>,
 }
 
@@ -163,15 +164,15 @@
         let named =
             |kind: &str, count: usize| (0..count).map(|n| MemberId::of(&format!("{kind}{n}"))).collect();
         let mut bed = Bed {
-            network: Network::new(seed, EVERY),
+            network: Network::new(seed, TIMER_INTERVAL),
             log: Log::default(),
             set,
             carriers: named("carrier", carriers),
             followers: named("follower", followers),
             without_log: Vec::new(),
             record_bytes: 20,
-            per_round: 3.8,
-            owed: 0.0,
+            changes_per_round: 3.8,
+            pending_changes: 0.0,
             runs: BTreeMap::new(),
         };
         for id in bed.carriers.clone().into_iter().chain(bed.followers.clone()) {
@@ -184,7 +185,7 @@
         self.carriers.iter().chain(&self.followers).copied().collect()
     }
 
-    /// Starts one, or starts it anew, with the changes up to `known`.
+    /// Starts or restarts a process that knows the changes up to `known`.
     pub fn start(&mut self, id: MemberId, known: u64) {
         let run = self.runs.entry(id).or_default();
         *run += 1;
@@ -197,7 +198,7 @@
                 true => Role::Carrier(Box::new(Carrier::new(set, last))),
                 false => Role::Follower(Box::new(Follower::new(set, id, &carriers, last, seed, now))),
             };
-            One {
+            Process {
                 role,
                 incarnation,
                 start: known,
@@ -211,14 +212,15 @@
         });
     }
 
-    /// Plays for so long, while the log grows. Whoever reads it asks each round and has the answer in the next one.
+    /// Runs for a span while the log grows. A reader sends a request each round and gets the answer in the
+    /// next one.
     pub fn play(&mut self, span: Span) {
         let end = self.network.now + span;
         while self.network.now < end {
             self.grow();
             self.read_log();
             let log = &self.log;
-            self.network.play(EVERY, |_| {});
+            self.network.play(TIMER_INTERVAL, |_| {});
             for id in self.followers.iter().chain(&self.carriers) {
                 check(&self.network, log, *id);
             }
@@ -226,9 +228,9 @@
     }
 
     fn grow(&mut self) {
-        self.owed += self.per_round;
-        while self.owed >= 1.0 {
-            self.owed -= 1.0;
+        self.pending_changes += self.changes_per_round;
+        while self.pending_changes >= 1.0 {
+            self.pending_changes -= 1.0;
             let mut record = vec![0; self.record_bytes];
             self.network.chance.fill(&mut record[..]);
             let number = self.log.newest() + 1;
@@ -239,10 +241,10 @@
 
     fn read_log(&mut self) {
         for id in self.ids() {
-            if self.network.is_still(id) {
+            if self.network.is_paused(id) {
                 continue;
             }
-            let is_reader = |one: &One| one.carrier().is_some() || one.reads_log;
+            let is_reader = |one: &Process| one.carrier().is_some() || one.reads_log;
             let reaches = !self.without_log.contains(&id);
             let (log, count) = (&self.log, self.log.at(self.network.now));
             self.network.call(id, |one, now| {
@@ -254,7 +256,7 @@
         }
     }
 
-    /// One ends in order.
+    /// Shuts a process down in order.
     pub fn leave(&mut self, id: MemberId) {
         self.network.call(id, |one, _| match &mut one.role {
             Role::Carrier(carrier) => carrier.leave(),
@@ -264,8 +266,9 @@
     }
 }
 
-/// What one took is what the log has, and all of it up to the time that it says.
-fn check(network: &Network<One>, log: &Log, id: MemberId) {
+/// Checks a follower's changes against the log: all of them are the log's, and none is missing up to the time
+/// it claims to know.
+fn check(network: &Network<Process>, log: &Log, id: MemberId) {
     let Some((one, clock)) = network.node(id).zip(network.clock(id)) else { return };
     if one.follower().is_none() {
         return;
@@ -273,10 +276,10 @@
     let start = one.start as usize;
     let wanted = &log.written[start..start + one.taken.len()];
     if let (Some(last), Some((_, wanted))) = (one.taken.last(), wanted.last()) {
-        assert_eq!(last, wanted, "not what the log has");
+        assert_eq!(last, wanted, "differs from the log");
     }
     let Some(known) = one.known else { return };
     let truly = network.now - (clock - known).times(1.0 / one.rate);
     let there = log.at(truly - Span(1)) as u64;
-    assert!(one.last() >= there, "{id:?} has {} of {there} that it says it knows", one.last());
+    assert!(one.last() >= there, "{id:?} has {} of the {there} changes it claims to know", one.last());
 }
