--- a/crates/fleet/examples/rollout.rs
+++ b/crates/fleet/examples/rollout.rs
@@ -1,6 +1,7 @@
-//! How soon harmful versions halt, and how often harmless ones do, in virtual time on the made network:
-//! `cargo run --release --example rollout [runs] [seed]`. Figures are made: traffic that is uneven, swings
-//! and bursts together, visits of one second that share their fate, hosts that fail for a whole location.
+//! Measures how soon harmful versions are halted, and how often harmless ones are, on the simulated network:
+//! `cargo run --release --example rollout [runs] [seed]`. Figures are generated: uneven load with daily
+//! swings and common bursts, correlated visits within a second, and host failures that affect a whole
+//! location.
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
@@ -10,14 +11,14 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a version does to its dispatchers' visits.
+/// The effect of a version on its dispatchers' visits.
 #[derive(Clone, Copy, Debug, Default)]
 struct Harm {
     late: f64,
     turned_back: f64,
     written_off: f64,
     hand_offs: f64,
-    /// A second and dispatcher.
+    /// Per second and dispatcher.
     shut_out: f64,
 }
 
@@ -48,7 +49,7 @@
     ),
 ];
 
-/// A slow random course about 0, of deviation 1.
+/// A mean-reverting random walk about 0 with standard deviation 1.
 #[derive(Clone, Copy, Default)]
 struct Course(f64);
 
@@ -102,7 +103,7 @@
         World { chance, second, common: Default::default(), locations: BTreeMap::new(), members, fails }
     }
 
-    /// One second of all dispatchers; `has` is the version's harm where it is in force.
+    /// The figures of one second of all dispatchers; `has` is the version's effect where it is in force.
     fn second(
         &mut self,
         listed: &[(MemberId, LocationId)],
@@ -110,7 +111,7 @@
     ) -> Vec<(MemberId, Figures)> {
         self.second += 1.0;
         let chance = &mut self.chance;
-        // A day pressed into an hour.
+        // The daily swing, compressed into an hour.
         let swing = 1.0 + 0.4 * (self.second * std::f64::consts::TAU / 3600.0).sin();
         let burst =
             (0.25 * self.common[0].step(chance, 30.0) + 0.15 * self.common[1].step(chance, 5.0)).exp();
@@ -134,7 +135,7 @@
             let harm = has(*id);
             let fails = if failed > 0.0 { 1.0 } else { 0.0 };
             let mut share = |base: f64, power: f64, more: f64| {
-                // Visits of a second share their fate.
+                // Visits within a second are correlated.
                 let p = base * *worse * load.powf(power) * (0.6 * normal(chance) - 0.18).exp() + more;
                 draw(chance, visits as f64 * p.min(1.0)).min(visits)
             };
@@ -143,7 +144,7 @@
             let late = share(0.02, 1.5, harm.late + 0.02 * fails);
             let again = share(0.08, 1.0, harm.hand_offs + 0.1 * fails);
             let bad = (turned_back + written_off + late).min(visits);
-            // Each dispatcher finds a failed host out in the first five seconds or so.
+            // Each dispatcher ejects a failed host within the first seconds.
             let found = if failed > 15.0 { 0.2 } else { 0.0 };
             let shut_out = draw(chance, 0.004 + found + harm.shut_out);
             let (in_time, hand_offs) = (visits - bad, visits - turned_back + again);
@@ -161,8 +162,8 @@
 
 impl Node for Member {
     type Said = Said;
-    fn heard(&mut self, now: Time, from: MemberId, said: Said) {
-        self.rollout.heard(now, from, said);
+    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+        self.rollout.heard(now, from, message);
     }
     fn woken(&mut self, now: Time) {
         self.rollout.woken(now);
@@ -170,7 +171,7 @@
     fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
         loop {
             match self.rollout.next()? {
-                Effect::Tell { to, said } => return Some((to, said)),
+                Effect::Tell { to, said: message } => return Some((to, message)),
                 Effect::Keep { ticket, .. } => self.rollout.kept(now, ticket, true),
                 Effect::InForce { number, .. } => self.in_force = number,
                 Effect::Log(line) => self.logs.push(line),
@@ -184,10 +185,10 @@
     stage: u16,
     full: bool,
     seconds: u64,
-    /// Of all visits since the start, those that saw the version.
+    /// The share of visits since the start that were subject to the version.
     share: f64,
     why: String,
-    /// Bytes told a member and second, and the most windows' worth.
+    /// Messages sent by all members.
     told: u64,
 }
 
--- a/crates/fleet/src/rollout/figures.rs
+++ b/crates/fleet/src/rollout/figures.rs
@@ -1,28 +1,29 @@
-//! Whether dispatchers with a new version do worse: differences in differences of windows, Welch's t on them.
+//! Tests whether dispatchers with a new version do worse: difference in differences over time windows, by
+//! Welch's t-test.
 //!
-//! Visits of one dispatcher and one window share their fate, so a window is one value, however many visits it
-//! had. From each value its dispatcher's mean before the version is taken (dispatchers differ), then the mean
-//! of those without the version in the same window (bursts and the day's swing are common). What is left is
-//! compared after against before. Windows that resemble their predecessors count for fewer (first-order
-//! autocorrelation).
+//! Visits of one dispatcher in one window are not independent, so a window is one value, however many visits
+//! it had. From each value its dispatcher's mean before the version is subtracted (dispatchers differ), then
+//! the mean of the dispatchers without the version in the same window (load varies for all). The rest is
+//! compared after against before. Autocorrelated windows count for fewer (first order).
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeMap;
 
-/// What a dispatcher counted in a second, or in a window of seconds.
+/// A dispatcher's counts over a second, or over a window of seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
     pub visits: u64,
-    /// Settled within their quoted time.
+    /// Served within their quoted time.
     pub in_time: u64,
     pub turned_back: u64,
     pub written_off: u64,
     pub hand_offs: u64,
-    /// Hosts that were newly shut out.
+    /// Hosts that were newly ejected.
     pub shut_out: u64,
 }
 
 impl Figures {
+    /// Adds other counts to these.
     pub fn add(&mut self, more: Figures) {
         self.visits = self.visits.saturating_add(more.visits);
         self.in_time = self.in_time.saturating_add(more.in_time);
@@ -32,8 +33,8 @@
         self.shut_out = self.shut_out.saturating_add(more.shut_out);
     }
 
-    /// No part is more than the whole, whatever a peer says.
-    pub fn sane(mut self) -> Figures {
+    /// Limits counts received from another member to plausible values: no part exceeds the whole.
+    pub fn clamped(mut self) -> Figures {
         self.visits = self.visits.min(1_000_000_000);
         for part in [&mut self.in_time, &mut self.turned_back, &mut self.written_off] {
             *part = (*part).min(self.visits);
@@ -43,87 +44,92 @@
         self
     }
 
-    /// Higher is worse.
+    /// The value of a measure; higher is worse.
     fn value(&self, measure: Measure) -> f64 {
         let share = |part: u64| part as f64 / self.visits.max(1) as f64;
         match measure {
             Measure::Late => 1.0 - share(self.in_time),
-            Measure::TurnedBack => share(self.turned_back),
-            Measure::WrittenOff => share(self.written_off),
+            Measure::Refused => share(self.turned_back),
+            Measure::Failed => share(self.written_off),
             Measure::HandOffs => share(self.hand_offs),
-            Measure::ShutOut => self.shut_out as f64,
+            Measure::Ejected => self.shut_out as f64,
         }
     }
 }
 
+/// What is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
     Late,
-    TurnedBack,
-    WrittenOff,
+    Refused,
+    Failed,
     HandOffs,
-    ShutOut,
+    Ejected,
 }
 
+/// All measures.
 pub const MEASURES: [Measure; 5] =
-    [Measure::Late, Measure::TurnedBack, Measure::WrittenOff, Measure::HandOffs, Measure::ShutOut];
+    [Measure::Late, Measure::Refused, Measure::Failed, Measure::HandOffs, Measure::Ejected];
 
 impl Measure {
+    /// The name as it appears in the reason of a halt.
     pub fn name(self) -> &'static str {
         match self {
             Measure::Late => "visits past their quoted time",
-            Measure::TurnedBack => "visits turned back",
-            Measure::WrittenOff => "visits written off",
-            Measure::HandOffs => "hand-offs a visit",
-            Measure::ShutOut => "hosts shut out a window",
+            Measure::Refused => "visits refused",
+            Measure::Failed => "visits failed",
+            Measure::HandOffs => "hand-offs per visit",
+            Measure::Ejected => "hosts ejected per window",
         }
     }
 
-    /// What is borne without a halt: shares, hand-offs a visit, hosts a window.
-    fn borne(self) -> f64 {
+    /// The worsening that is tolerated: shares of visits, hand-offs per visit, hosts per window.
+    fn tolerance(self) -> f64 {
         match self {
-            Measure::Late | Measure::TurnedBack | Measure::WrittenOff => 0.01,
+            Measure::Late | Measure::Refused | Measure::Failed => 0.01,
             Measure::HandOffs => 0.05,
-            Measure::ShutOut => 0.2,
+            Measure::Ejected => 0.2,
         }
     }
 
-    /// The least deviation of one window that is believed: all-zero windows prove no certainty.
-    fn least_deviation(self) -> f64 {
+    /// The least standard deviation that is assumed for a window: windows without any variation are no
+    /// certainty.
+    fn min_deviation(self) -> f64 {
         match self {
-            Measure::Late | Measure::TurnedBack | Measure::WrittenOff => 0.003,
+            Measure::Late | Measure::Refused | Measure::Failed => 0.003,
             Measure::HandOffs => 0.01,
-            Measure::ShutOut => 0.2,
+            Measure::Ejected => 0.2,
         }
     }
 }
 
-/// A closed window: the version that was in force all through it, if one was, and its figures.
+/// A closed window: its counts, and the version that was in force during all of it, if one was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counted {
+pub struct WindowFigures {
     pub number: Option<u64>,
     pub figures: Figures,
 }
 
-/// One dispatcher's windows by their place in time.
-pub type Windows = BTreeMap<u64, Counted>;
+/// One dispatcher's windows by their index in time.
+pub type Windows = BTreeMap<u64, WindowFigures>;
 
-/// Drops what is too much of windows: of those before a stage the oldest, of those since the oldest.
+/// Drops surplus windows: the oldest ones before a stage, and the oldest ones since.
 pub fn prune<T>(windows: &mut BTreeMap<u64, T>, since: u64, before: usize, after: usize) {
     while windows.range(..since).count() > before {
         windows.pop_first();
     }
     while windows.range(since..).count() > after {
-        let Some(first) = windows.range(since..).next().map(|(place, _)| *place) else { return };
+        let Some(first) = windows.range(since..).next().map(|(index, _)| *index) else { return };
         windows.remove(&first);
     }
 }
 
+/// The result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Finding {
-    /// Too few windows to tell.
-    Few,
-    /// Windows since, and the least p of all measures.
+pub enum Comparison {
+    /// There are too few windows.
+    TooFewWindows,
+    /// The number of windows since the version, and the least p-value of all measures.
     NotWorse {
         windows: usize,
         p: f64,
@@ -135,21 +141,22 @@
     },
 }
 
+/// Count, mean and variance of values.
 struct Sample {
-    n: f64,
+    count: f64,
     mean: f64,
-    square: f64,
+    variance: f64,
 }
 
-fn sample(values: &[f64], least: f64) -> Sample {
-    let n = values.len() as f64;
-    let mean = values.iter().sum::<f64>() / n;
-    let square = values.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    Sample { n, mean, square: square.max(least * least) }
+fn sample(values: &[f64], min_deviation: f64) -> Sample {
+    let count = values.len() as f64;
+    let mean = values.iter().sum::<f64>() / count;
+    let variance = values.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (count - 1.0).max(1.0);
+    Sample { count, mean, variance: variance.max(min_deviation * min_deviation) }
 }
 
-/// How much a window resembles the one before it, of both samples about their own means; never below 0.
-fn resemblance(samples: [&[f64]; 2]) -> f64 {
+/// First-order autocorrelation of both samples about their own means; at least 0.
+fn autocorrelation(samples: [&[f64]; 2]) -> f64 {
     let (mut with_next, mut own, mut n) = (0.0, 0.0, 0.0);
     for values in samples {
         let mean = values.iter().sum::<f64>() / values.len() as f64;
@@ -162,36 +169,37 @@
     (plain + (1.0 + 3.0 * plain.max(0.0)) / n).clamp(0.0, 0.9)
 }
 
-/// The chance of such a worsening, or a greater one, if the true one is what is borne.
-pub fn chance(before: &[f64], after: &[f64], measure: Measure) -> f64 {
-    let rho = resemblance([before, after]);
-    let worth = (1.0 - rho) / (1.0 + rho);
-    let (a, b) = (sample(before, measure.least_deviation()), sample(after, measure.least_deviation()));
-    let (va, vb) = (a.square / (a.n * worth), b.square / (b.n * worth));
+/// The probability of a worsening at least as great as the observed one if the true one is the tolerance.
+pub fn p_value(before: &[f64], after: &[f64], measure: Measure) -> f64 {
+    let rho = autocorrelation([before, after]);
+    let effective_share = (1.0 - rho) / (1.0 + rho);
+    let (a, b) = (sample(before, measure.min_deviation()), sample(after, measure.min_deviation()));
+    let (va, vb) = (a.variance / (a.count * effective_share), b.variance / (b.count * effective_share));
     let error = (va + vb).sqrt();
-    let t = (b.mean - a.mean - measure.borne()) / error;
-    let freedom =
-        (va + vb).powi(2) / (va * va / (a.n * worth - 1.0).max(1.0) + vb * vb / (b.n * worth - 1.0).max(1.0));
+    let t = (b.mean - a.mean - measure.tolerance()) / error;
+    let freedom = (va + vb).powi(2)
+        / (va * va / (a.count * effective_share - 1.0).max(1.0)
+            + vb * vb / (b.count * effective_share - 1.0).max(1.0));
     match StudentsT::new(0.0, 1.0, freedom.max(1.0)) {
         Ok(student) if t.is_finite() => student.sf(t),
         _ => 1.0,
     }
 }
 
-/// The means over dispatchers of what is above their own means, window by window. Weights are fixed, so that
-/// one that is not heard for a window doesn't shift the mean; windows of less than half the weight are left
-/// out.
-fn course(group: &[&Windows], since: u64, measure: Measure) -> (f64, BTreeMap<u64, f64>) {
+/// The mean of the dispatchers' values before the version, and window by window the mean deviation from their
+/// own. Weights are fixed, so that a dispatcher that is missing in a window does not shift the mean; windows
+/// with less than half the weight are omitted.
+fn deviations(group: &[&Windows], since: u64, measure: Measure) -> (f64, BTreeMap<u64, f64>) {
     let mut sums: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
     let (mut all, mut means) = (0.0, 0.0);
     for windows in group {
-        let before: Vec<&Counted> =
+        let before: Vec<&WindowFigures> =
             windows.range(..since).map(|(_, w)| w).filter(|w| w.figures.visits > 0).collect();
         let visits: f64 = before.iter().map(|w| w.figures.visits as f64).sum();
         if before.is_empty() {
             continue;
         }
-        let (weight, mean) = if measure == Measure::ShutOut {
+        let (weight, mean) = if measure == Measure::Ejected {
             (1.0, before.iter().map(|w| w.figures.value(measure)).sum::<f64>() / before.len() as f64)
         } else {
             let sum: f64 = before.iter().map(|w| w.figures.value(measure) * w.figures.visits as f64).sum();
@@ -199,55 +207,59 @@
         };
         all += weight;
         means += weight * mean;
-        for (place, counted) in windows.iter().filter(|(_, w)| w.figures.visits > 0) {
-            let entry = sums.entry(*place).or_default();
-            entry.0 += weight * (counted.figures.value(measure) - mean);
+        for (index, window) in windows.iter().filter(|(_, w)| w.figures.visits > 0) {
+            let entry = sums.entry(*index).or_default();
+            entry.0 += weight * (window.figures.value(measure) - mean);
             entry.1 += weight;
         }
     }
     sums.retain(|_, (_, weight)| *weight >= 0.5 * all);
-    let course = sums.into_iter().map(|(place, (sum, weight))| (place, sum / weight)).collect();
-    (if all > 0.0 { means / all } else { 0.0 }, course)
+    let series = sums.into_iter().map(|(index, (sum, weight))| (index, sum / weight)).collect();
+    (if all > 0.0 { means / all } else { 0.0 }, series)
 }
 
-/// Least windows before and since.
-pub const BEFORE: usize = 8;
-pub const SINCE: usize = 4;
-/// Least windows since that tell that it is not worse: by fewer only much of the harm there may be would show.
-pub const WELL: usize = 2 * SINCE;
+/// Least windows before the version and since.
+pub const MIN_WINDOWS_BEFORE: usize = 8;
+pub const MIN_WINDOWS_SINCE: usize = 4;
+/// Least windows since the version to find it not worse: fewer would miss most kinds of harm.
+pub const MIN_WINDOWS_TO_PASS: usize = 2 * MIN_WINDOWS_SINCE;
 
-/// `with` has the version since the window `since`, `without` has not (may be empty: then against themselves
-/// alone). `spend` is the chance of a false alarm for this look at all measures.
-pub fn judge(with: &[&Windows], without: &[&Windows], since: u64, spend: f64) -> Finding {
-    let mut least = (1.0, Measure::Late, 0.0);
+/// Compares `with`, which have the version since the window `since`, to `without`, which do not have it. If
+/// `without` is empty, `with` is compared to itself before. `alpha` is the rate of false alarms of this
+/// comparison, over all measures.
+pub fn compare(with: &[&Windows], without: &[&Windows], since: u64, alpha: f64) -> Comparison {
+    let mut worst = (1.0, Measure::Late, 0.0);
     let mut windows = usize::MAX;
     for measure in MEASURES {
-        let ((mean, a), (other_mean, b)) = (course(with, since, measure), course(without, since, measure));
-        // What is common moves shares in proportion to what they are.
+        let ((mean, a), (other_mean, b)) =
+            (deviations(with, since, measure), deviations(without, since, measure));
+        // A common influence changes shares in proportion to their size.
         let scale = match measure {
-            Measure::Late | Measure::TurnedBack | Measure::WrittenOff => {
+            Measure::Late | Measure::Refused | Measure::Failed => {
                 ((mean + 0.001) / (other_mean + 0.001)).clamp(0.25, 4.0)
             }
-            Measure::HandOffs | Measure::ShutOut => 1.0,
+            Measure::HandOffs | Measure::Ejected => 1.0,
         };
-        let left = |place: &u64, value: &f64| match b.get(place) {
+        let difference = |index: &u64, value: &f64| match b.get(index) {
             Some(other) => Some(value - scale * other),
             None => without.is_empty().then_some(*value),
         };
-        let before: Vec<f64> = a.range(..since).filter_map(|(place, value)| left(place, value)).collect();
-        let after: Vec<f64> = a.range(since..).filter_map(|(place, value)| left(place, value)).collect();
+        let before: Vec<f64> =
+            a.range(..since).filter_map(|(index, value)| difference(index, value)).collect();
+        let after: Vec<f64> =
+            a.range(since..).filter_map(|(index, value)| difference(index, value)).collect();
         windows = windows.min(after.len());
-        if before.len() < BEFORE || after.len() < SINCE {
-            return Finding::Few;
+        if before.len() < MIN_WINDOWS_BEFORE || after.len() < MIN_WINDOWS_SINCE {
+            return Comparison::TooFewWindows;
         }
-        let p = chance(&before, &after, measure);
-        if p < least.0 {
+        let p = p_value(&before, &after, measure);
+        if p < worst.0 {
             let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len() as f64;
-            least = (p, measure, mean(&after) - mean(&before));
+            worst = (p, measure, mean(&after) - mean(&before));
         }
     }
-    if least.0 < spend / MEASURES.len() as f64 {
-        return Finding::Worse { measure: least.1, by: least.2, p: least.0 };
+    if worst.0 < alpha / MEASURES.len() as f64 {
+        return Comparison::Worse { measure: worst.1, by: worst.2, p: worst.0 };
     }
-    Finding::NotWorse { windows, p: least.0 }
+    Comparison::NotWorse { windows, p: worst.0 }
 }
--- a/crates/fleet/src/rollout/mod.rs
+++ b/crates/fleet/src/rollout/mod.rs
@@ -1,23 +1,25 @@
-//! Rules rolled out in stages, halted by themselves.
+//! Staged rollout of rules with automatic halts.
 //!
-//! Where the rollout stands is one register, a `Step`, that is rewritten by a majority: who wants to change
-//! it asks all for promises under a new ballot, takes over the highest step any of them accepted, changes
-//! that one and has the outcome accepted. So whoever runs it goes on with the same one, and two that both run
-//! it can't split it. Whatever a member answers is on its disk before (`Effect::Keep`, `kept`).
+//! The state of the rollout is one replicated register, a `Step`, changed by majority consensus (Paxos): a
+//! proposer asks all members for promises under a new ballot, takes over the highest step that any of them
+//! accepted, changes it and has the result accepted. So any member can continue a rollout, and two that drive
+//! it at the same time can't split it. Members answer only after their state is on disk (`Effect::Keep`,
+//! `kept`).
 //!
-//! A step by which more dispatchers get the version needs all listed members besides, each of which refuses
-//! once it knows of a halt. So a halt at any member, heard of by nobody, ends promoting: only a step that the
-//! member itself had accepted before may still come, and then no dispatcher that knows of the halt takes the
-//! version by it.
+//! A step by which more dispatchers get the version needs the acceptance of all listed members, each of which
+//! refuses once it knows of a halt. So a halt at any member ends promotion even if no other member has heard
+//! of it: only a step that this member had accepted before may still be chosen, and no dispatcher that knows
+//! of the halt puts the version in force because of it.
 //!
-//! A member that starts takes part only once it knows what enough others know (`catching`), so a store that
-//! lost its end, or all of it, harms nothing while fewer than the set number did so at the same time.
+//! A member that starts takes part only once it knows what enough others know (catching up), so a store that
+//! lost its latest records or all of them does no harm while fewer than the configured number of stores do so
+//! at the same time.
 mod figures;
+mod register;
 mod runner;
-mod steps;
 mod version;
 
-pub use figures::{chance, judge, prune, Counted, Figures, Finding, Measure, Windows};
+pub use figures::{compare, p_value, prune, Comparison, Figures, Measure, WindowFigures, Windows};
 pub use version::{AfterHalt, Error, Id, Plan, Version};
 
 use crate::common::{Incarnation, MemberId};
@@ -25,111 +27,115 @@
 use cherrypass::time::{Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use register::Attempt;
 use runner::Peer;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use steps::Attempt;
 
-/// More are refused where a fleet is set up, and not listed here: a message names each of them with its run, and must
-/// fit in one datagram.
+/// The largest number of members: a message names each of them with its run and must fit into one datagram. A
+/// fleet with more is refused when it is set up.
 pub const MEMBERS: usize = 1_024;
-/// Characters of a reason that are kept.
-const WHY: usize = 160;
-/// A ballot this far above all others is a lie.
-const LEAP: u64 = 1 << 20;
+/// Longest reason of a halt, in characters.
+const MAX_REASON_CHARS: usize = 160;
+/// A ballot or step number that is this far ahead is rejected as invalid.
+const MAX_NUMBER_JUMP: u64 = 1 << 20;
 
-/// The room's settings.
+/// Settings of the rollout.
 #[derive(Clone, Debug)]
 pub struct Set {
-    /// How often members tell how they are.
-    pub hello: Span,
-    /// After how long without a word a member with the version halts it.
-    pub unheard: Span,
-    /// After how long without a runner another one goes on.
-    pub lead: Span,
-    /// How long an attempt to change the step lasts, and how often it is told.
-    pub attempt: Span,
-    pub again: Span,
-    /// How long an order waits for those it needs.
-    pub patience: Span,
+    /// How often members send their status.
+    pub hello_interval: Span,
+    /// A member with the version that has not been heard for this long causes a halt.
+    pub silence_limit: Span,
+    /// The time without a runner after which another member takes over.
+    pub runner_timeout: Span,
+    /// The timeout of an attempt to change the step, and the interval of its messages.
+    pub attempt_timeout: Span,
+    pub resend_interval: Span,
+    /// How long an order waits for the acceptances that it needs.
+    pub order_timeout: Span,
     /// How long after a stage's hold its figures may still be too few, or a dispatcher may still be without
     /// the version.
-    pub tell_within: Span,
-    /// The figures' windows, and how many before a stage and since are kept.
+    pub stage_overtime: Span,
+    /// The length of the windows, and how many are kept from before a stage and since.
     pub window: Span,
-    pub windows: [usize; 2],
-    /// The chance that a harmless version is halted for its figures, over its whole way.
-    pub false_halts: f64,
-    /// How many members may have lost the end of their store at the same time.
-    pub liars: usize,
-    /// Promoting needs all listed members; else all that have the version or would get it, and a majority of
-    /// all.
-    pub all: bool,
-    /// How long a store that failed rests before it is tried again.
+    pub max_windows: [usize; 2],
+    /// The probability that a harmless version is halted for its figures, over the whole rollout.
+    pub false_halt_rate: f64,
+    /// How many members may have lost the latest records of their store at the same time.
+    pub max_faulty_stores: usize,
+    /// Promotion needs all listed members; otherwise those that have the version or would get it, and a
+    /// majority of all.
+    pub promotion_needs_all: bool,
+    /// How long to wait before a failed store is tried again.
     pub store_rest: Span,
 }
 
 impl Default for Set {
     fn default() -> Set {
         Set {
-            hello: Span::seconds(1.0),
-            unheard: Span::seconds(10.0),
-            lead: Span::seconds(5.0),
-            attempt: Span::seconds(4.0),
-            again: Span::millis(250),
-            patience: Span::seconds(60.0),
-            tell_within: Span::seconds(120.0),
+            hello_interval: Span::seconds(1.0),
+            silence_limit: Span::seconds(10.0),
+            runner_timeout: Span::seconds(5.0),
+            attempt_timeout: Span::seconds(4.0),
+            resend_interval: Span::millis(250),
+            order_timeout: Span::seconds(60.0),
+            stage_overtime: Span::seconds(120.0),
             window: Span::seconds(5.0),
-            windows: [36, 48],
-            false_halts: 0.005,
-            liars: 1,
-            all: true,
+            max_windows: [36, 48],
+            false_halt_rate: 0.005,
+            max_faulty_stores: 1,
+            promotion_needs_all: true,
             store_rest: Span::seconds(5.0),
         }
     }
 }
 
+/// The phase of a rollout. Its lower-case name is written to the status and the events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// In force everywhere.
+    /// The version is in force everywhere.
     #[default]
     Full,
+    /// The version is being rolled out.
     Rolling,
-    /// Who has it keeps it.
+    /// Halted: dispatchers that have the version keep it.
     Halted,
-    /// The base is in force everywhere again.
+    /// Rolled back: the base is in force everywhere again.
     Back,
 }
 
-/// Where the rollout stands.
+/// The state of the rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Step {
-    /// Counts changes.
+    /// Counts the changes of the step.
     pub at: u64,
     pub version: Id,
-    /// What was full before.
+    /// The version that was in force everywhere before.
     pub base: Id,
-    /// Counts resumes; a halt is of one run.
+    /// Counts resumes; a halt applies to one run.
     pub run: u32,
     /// 0: a part of the first location; k: the first k locations.
     pub stage: u16,
-    /// The stage in which an operator resumed: there is no `before` to compare it with.
+    /// The stage in which an operator resumed the rollout; it has no windows before the version to compare
+    /// with.
     pub resumed: Option<u16>,
     pub phase: Phase,
 }
 
 impl Step {
-    /// By which more dispatchers may get the version.
+    /// Whether more dispatchers may get the version by this step.
     pub fn promotes(&self) -> bool {
         matches!(self.phase, Phase::Rolling | Phase::Full) && self.at > 0
     }
 
+    /// The version number and run, to which a halt applies.
     fn key(&self) -> (u64, u32) {
         (self.version.number, self.run)
     }
 }
 
-/// Of one version and run; the first given stays.
+/// A halt of one version and run; the first one is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Halt {
     pub number: u64,
@@ -138,74 +144,80 @@
     pub why: String,
 }
 
+/// A ballot of the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
-    pub who: MemberId,
-    /// A process that forgot its ballots can't use one again.
+    pub proposer: MemberId,
+    /// Ensures that a process that lost its ballots can't use one again.
     pub incarnation: Incarnation,
 }
 
 impl Default for Ballot {
     fn default() -> Ballot {
-        Ballot { round: 0, who: MemberId(0), incarnation: Incarnation(0) }
+        Ballot { round: 0, proposer: MemberId(0), incarnation: Incarnation(0) }
     }
 }
 
-/// All that a member must remember but the documents.
+/// All that a member keeps on disk besides the documents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The highest of several is the last.
+    /// Of several states the one with the highest count is the latest.
     pub count: u64,
     pub promised: Ballot,
     pub accepted: Option<(Ballot, Step)>,
-    /// The latest step known to be a majority's.
+    /// The latest step known to be accepted by a majority.
     pub chosen: Step,
     pub halt: Option<Halt>,
-    /// Members that caught up here after a start: what they answered before is void.
+    /// The latest runs of members that caught up after a start: answers of earlier runs are void.
     pub met: BTreeMap<MemberId, Incarnation>,
     pub in_force: Id,
-    /// Starts of the process since it took the version in force.
+    /// Restarts of the process since it put the version in force.
     pub starts: u8,
 }
 
-/// What is kept. Needed again are the last state and the documents that it names.
+/// A record on disk. Only the latest state and the documents that it names are needed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     State(Box<State>),
     Document(Version),
 }
 
+/// A member's status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     incarnation: Incarnation,
-    /// Takes part, and runs the rollout.
-    able: bool,
-    runs: bool,
+    /// Whether it takes part, and whether it runs the rollout.
+    is_able: bool,
+    is_runner: bool,
     step: Step,
     halt: Option<Halt>,
     in_force: u64,
     starts: u8,
-    /// Up to which number the other's windows have come, of which run of its process.
-    seen: (Incarnation, u64),
-    /// Numbered windows and how long ago each was closed.
-    windows: Vec<(u64, Span, Counted)>,
+    /// The number of the receiver's last window that was received, and the run of its process.
+    windows_seen: (Incarnation, u64),
+    /// Windows with their numbers and the time since each was closed.
+    windows: Vec<(u64, Span, WindowFigures)>,
 }
 
-/// What goes between members.
+/// A message between members. Encoded by position (postcard): the order of variants and fields must not
+/// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Said {
     Hello(Box<Hello>),
-    Want(Id),
+    /// Requests a document.
+    RequestDocument(Id),
     Document(Version),
-    /// After a start: what do you know?
+    /// Asks for the receiver's state, after a start.
     Catch(Incarnation),
+    /// The answer to `Catch`.
     Caught {
         to: Incarnation,
-        /// The teller has caught up itself.
+        /// Whether the sender has caught up itself.
         sure: bool,
         state: Box<State>,
     },
+    /// Asks for a promise not to accept lower ballots.
     Prepare(Ballot),
     Promise {
         ballot: Ballot,
@@ -213,12 +225,14 @@
         accepted: Option<(Ballot, Step)>,
         met: BTreeMap<MemberId, Incarnation>,
     },
+    /// Asks to accept a step.
     Accept(Ballot, Step),
     Accepted {
         ballot: Ballot,
         incarnation: Incarnation,
         met: BTreeMap<MemberId, Incarnation>,
     },
+    /// Rejects a ballot because of a higher one or of a halt.
     Refuse {
         ballot: Ballot,
         higher: Ballot,
@@ -226,19 +240,20 @@
     },
 }
 
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Tell {
         to: MemberId,
         said: Said,
     },
-    /// To be synced; then `kept` is called with the ticket. One is out at a time.
+    /// Write and sync a record, then call `kept` with the ticket. There is one at a time.
     Keep {
         ticket: u64,
         record: Record,
     },
-    /// These rules are in force here from now on (number 0, no text: the file's alone), or `refused` is
-    /// called.
+    /// Put these rules in force (number 0 without a text: those of the operators' file alone), or call
+    /// `refused`.
     InForce {
         number: u64,
         text: String,
@@ -246,6 +261,7 @@
     Log(String),
 }
 
+/// An operator's order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     Start(Version),
@@ -254,102 +270,105 @@
     Back,
 }
 
+/// A member's view of the rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
     pub step: Step,
-    /// The step this member accepted and doesn't know to be a majority's: it may come, halted or not.
+    /// The step this member accepted and does not know to be chosen: it may still be, halted or not.
     pub may_come: Option<Step>,
     pub stages: u16,
     pub halt: Option<Halt>,
     pub in_force: u64,
-    /// The member that runs it, as far as known here.
+    /// The member that runs the rollout, as far as known here.
     pub runner: Option<MemberId>,
-    /// Whether this member takes part: it has caught up and its store takes records.
+    /// Whether this member takes part: it has caught up and its store can be written.
     pub able: bool,
-    /// What an order or the next stage waits for, one line; at most 8 members are named.
+    /// What an order or the next stage waits for, in one line; at most 8 members are named.
     pub waits: Option<String>,
 }
 
-/// Answers that go out once what they say is on disk.
+/// What is done once the state is on disk.
 #[derive(Clone, Debug)]
-enum After {
-    Say(MemberId, Said),
+enum Deferred {
+    Send(MemberId, Said),
     Ack { to: MemberId, ballot: Ballot, step: Step },
     InForce(Id),
 }
 
-/// A change of the step that somebody wants.
+/// A change of the step.
 #[derive(Clone, Debug, PartialEq)]
 enum Change {
     Start(Id),
-    /// From this step on to the next stage.
+    /// From this step to the next stage.
     Promote(Step),
     Halt(Halt),
     Resume(u64),
-    Back(u64),
+    RollBack(u64),
 }
 
+/// A member's part in the rollout.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     set: Set,
     own: MemberId,
     incarnation: Incarnation,
     listed: BTreeMap<MemberId, LocationId>,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     state: State,
     documents: BTreeMap<Id, Version>,
     // Disk.
-    unkept: Vec<Id>,
-    dirty: bool,
-    /// The ticket that is out, and what waits for it; `after` waits for the next.
-    out: Option<(u64, Option<Id>)>,
-    under: Vec<After>,
-    after: Vec<After>,
-    sound: bool,
-    rest: Time,
-    // Catching up: who answered, and whether it was sure.
-    catching: Option<BTreeMap<MemberId, bool>>,
-    ask: Time,
+    unsaved_documents: Vec<Id>,
+    is_dirty: bool,
+    /// The ticket being written, with the document's id, and what waits for this record and for the next one.
+    record_in_flight: Option<(u64, Option<Id>)>,
+    awaiting_record: Vec<Deferred>,
+    awaiting_next_record: Vec<Deferred>,
+    is_store_ok: bool,
+    store_retry_at: Time,
+    // Catching up: who answered, and whether that member had caught up itself; none once done.
+    catch_up_answers: Option<BTreeMap<MemberId, bool>>,
+    next_catch_up: Time,
     // The proposer.
     attempt: Option<Attempt>,
-    wanted: Option<(Change, Time)>,
-    /// An order waits there: it is not given up for one of the runner's own changes, but a halt.
-    ordered: bool,
-    rounds: u64,
-    not_before: Time,
-    asked: BTreeSet<Id>,
-    // The runner, and what members tell it.
+    pending_change: Option<(Change, Time)>,
+    /// Whether the pending change is an order: it is not replaced by one of the runner's own changes, except
+    /// for a halt.
+    is_order_pending: bool,
+    highest_round: u64,
+    next_attempt_at: Time,
+    requested_documents: BTreeSet<Id>,
+    // The runner, and what members report to it.
     peers: BTreeMap<MemberId, Peer>,
     runner: Option<(MemberId, Time)>,
-    runs: Option<Time>,
-    lead_at: Time,
-    hello_at: Time,
-    /// The place among the others at which telling them in turn goes on.
-    turn_to_tell: usize,
-    tell_all: bool,
-    learned: Time,
+    running_since: Option<Time>,
+    take_over_at: Time,
+    next_hello: Time,
+    /// The index of the next member in turn for a status.
+    next_hello_peer: usize,
+    hello_to_all: bool,
+    step_learned: Time,
     stage_visits: u64,
-    looks: u32,
-    /// The window from which on the next look is due.
-    next_look: u64,
-    well: bool,
-    waits: Option<String>,
-    /// The version and run this dispatcher could not take.
+    comparisons: u32,
+    /// The window at which the next comparison is due.
+    next_comparison: u64,
+    has_passed: bool,
+    waiting_for: Option<String>,
+    /// The version and run that this dispatcher could not put in force.
     refused: Option<(u64, u32)>,
     /// What the dispatcher was last told to put in force; `state.in_force` may still wait for the disk.
     active: Id,
     // Own figures.
-    window: (Counted, Time),
-    windows: BTreeMap<u64, (Time, Counted)>,
+    open_window: (WindowFigures, Time),
+    closed_windows: BTreeMap<u64, (Time, WindowFigures)>,
     next_window: u64,
-    since_window: u64,
+    stage_first_window: u64,
     inbox: VecDeque<Said>,
     effects: VecDeque<Effect>,
 }
 
 impl Rollout {
-    /// `members`: all listed with their locations, this one among them. `kept`: records from the store, in
-    /// any order.
+    /// `members`: all listed members with their locations, this one among them. `kept`: records from the
+    /// store, in any order.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         set: Set,
@@ -373,50 +392,50 @@
                 }
             }
         }
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let lead_at = now + set.lead + set.lead.times(chance.gen_range(0.0..1.0));
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let take_over_at = now + set.runner_timeout + set.runner_timeout.times(rng.gen_range(0.0..1.0));
         let mut rollout = Rollout {
             peers: listed.keys().filter(|id| **id != own).map(|id| (*id, Peer::default())).collect(),
-            rounds: state.promised.round,
-            window: (Counted::default(), now),
+            highest_round: state.promised.round,
+            open_window: (WindowFigures::default(), now),
             set,
             own,
             incarnation,
             listed,
-            chance,
+            rng,
             state,
             documents,
-            unkept: Vec::new(),
-            dirty: false,
-            out: None,
-            under: Vec::new(),
-            after: Vec::new(),
-            sound: true,
-            rest: now,
-            catching: Some(BTreeMap::new()),
-            ask: now,
+            unsaved_documents: Vec::new(),
+            is_dirty: false,
+            record_in_flight: None,
+            awaiting_record: Vec::new(),
+            awaiting_next_record: Vec::new(),
+            is_store_ok: true,
+            store_retry_at: now,
+            catch_up_answers: Some(BTreeMap::new()),
+            next_catch_up: now,
             attempt: None,
-            wanted: None,
-            ordered: false,
-            not_before: now,
-            asked: BTreeSet::new(),
+            pending_change: None,
+            is_order_pending: false,
+            next_attempt_at: now,
+            requested_documents: BTreeSet::new(),
             runner: None,
-            runs: None,
-            lead_at,
-            hello_at: now,
-            turn_to_tell: 0,
-            tell_all: false,
-            learned: now,
+            running_since: None,
+            take_over_at,
+            next_hello: now,
+            next_hello_peer: 0,
+            hello_to_all: false,
+            step_learned: now,
             stage_visits: 0,
-            looks: 0,
-            next_look: 0,
-            well: false,
-            waits: None,
+            comparisons: 0,
+            next_comparison: 0,
+            has_passed: false,
+            waiting_for: None,
             refused: None,
             active: Id::default(),
-            windows: BTreeMap::new(),
+            closed_windows: BTreeMap::new(),
             next_window: 1,
-            since_window: 1,
+            stage_first_window: 1,
             inbox: VecDeque::new(),
             effects: VecDeque::new(),
         };
@@ -425,24 +444,24 @@
         if in_force.number > 0 {
             if in_force == rollout.state.chosen.version && rollout.state.chosen.phase == Phase::Rolling {
                 rollout.state.starts = rollout.state.starts.saturating_add(1);
-                rollout.dirty = true;
+                rollout.is_dirty = true;
             }
             rollout.put_in_force(in_force);
         }
-        rollout.try_caught(now);
+        rollout.try_finish_catch_up(now);
         rollout
     }
 
-    /// An order of an operator. What it starts is done once those it needs have answered: see `status`.
+    /// Handles an operator's order. It completes once the members it needs have answered: see `status`.
     pub fn order(&mut self, now: Time, order: Order) -> Result<(), Error> {
         let step = self.latest();
         let number = step.version.number;
         if order == Order::Halt {
-            if self.under_way().is_none() {
-                return Err(Error::Nothing);
+            if self.rolling_step().is_none() {
+                return Err(Error::NothingUnderWay);
             }
             self.halt(now, "ordered".to_owned());
-            self.turn(now);
+            self.flush(now);
             return Ok(());
         }
         if let Order::Start(version) = &order {
@@ -453,117 +472,123 @@
         }
         let change = match order {
             Order::Start(_) if !matches!(step.phase, Phase::Full | Phase::Back) => {
-                return Err(Error::Busy(number))
+                return Err(Error::VersionUnderWay(number))
             }
             Order::Resume if step.phase != Phase::Halted => return Err(Error::NotHalted(number)),
             Order::Back if number == 0 || step.phase == Phase::Back => return Err(Error::NoWayBack),
-            _ if !self.sound => return Err(Error::Store),
-            _ if self.catching.is_some() => return Err(Error::Catching),
+            _ if !self.is_store_ok => return Err(Error::StoreUnavailable),
+            _ if self.catch_up_answers.is_some() => return Err(Error::NotCaughtUp),
             Order::Start(version) => {
                 let id = version.id();
                 self.documents.insert(id, version);
-                self.unkept.push(id);
+                self.unsaved_documents.push(id);
                 Change::Start(id)
             }
             Order::Resume => Change::Resume(number),
-            Order::Back | Order::Halt => Change::Back(number),
+            Order::Back | Order::Halt => Change::RollBack(number),
         };
         self.attempt = None;
-        self.wanted = Some((change, now));
-        self.ordered = true;
-        self.turn(now);
+        self.pending_change = Some((change, now));
+        self.is_order_pending = true;
+        self.flush(now);
         Ok(())
     }
 
-    /// What this dispatcher counted in the last second.
+    /// Adds this dispatcher's counts of the last second.
     pub fn counted(&mut self, now: Time, figures: Figures) {
-        self.window.0.figures.add(figures.sane());
+        self.open_window.0.figures.add(figures.clamped());
         self.close_window(now);
     }
 
-    /// The version could not be taken; the one before stays. Counts as a halt.
+    /// The version could not be put in force; the one before stays. Counts as a halt.
     pub fn refused(&mut self, now: Time, number: u64, why: &str) {
         if self.active.number != number || number == 0 {
             return;
         }
         let step = self.state.chosen;
         self.refused = Some((number, step.run));
-        let back = if step.base.number == number { Id::default() } else { step.base };
-        let why: String = why.chars().filter(|c| !c.is_control()).take(WHY).collect();
-        self.log(format!("rules {number} not taken, {} stay in force: {why}", back.number));
-        self.state.in_force = back;
-        self.window.0.number = None;
-        self.active = back;
+        let fallback = if step.base.number == number { Id::default() } else { step.base };
+        let why: String = why.chars().filter(|c| !c.is_control()).take(MAX_REASON_CHARS).collect();
+        self.log(format!(
+            "rules {number} could not be put in force, {} stay in force: {why}",
+            fallback.number
+        ));
+        self.state.in_force = fallback;
+        self.open_window.0.number = None;
+        self.active = fallback;
         self.state.starts = 0;
-        self.dirty = true;
+        self.is_dirty = true;
         if step.version.number == number && step.phase == Phase::Rolling {
-            self.halt(now, format!("could not be taken: {why}"));
+            self.halt(now, format!("could not be put in force: {why}"));
         }
-        self.turn(now);
+        self.flush(now);
     }
 
-    pub fn heard(&mut self, now: Time, from: MemberId, said: Said) {
+    /// Handles a message of another member.
+    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
         if from != self.own && self.listed.contains_key(&from) {
-            self.take(now, from, said);
-            self.turn(now);
+            self.handle(now, from, message);
+            self.flush(now);
         }
     }
 
-    /// The members room's word on another.
+    /// Another member's status, from the failure detector.
     pub fn standing(&mut self, _now: Time, who: MemberId, alive: bool) {
         if let Some(peer) = self.peers.get_mut(&who) {
-            peer.dead = !alive;
+            peer.is_dead = !alive;
         }
     }
 
-    /// The record is on disk, or is not.
-    pub fn kept(&mut self, now: Time, ticket: u64, well: bool) {
-        let Some((_, document)) = self.out.take_if(|(out, _)| *out == ticket) else { return };
-        if !well {
-            if self.sound {
+    /// The record is on disk (`is_written`), or could not be written.
+    pub fn kept(&mut self, now: Time, ticket: u64, is_written: bool) {
+        let Some((_, document)) = self.record_in_flight.take_if(|(out, _)| *out == ticket) else { return };
+        if !is_written {
+            if self.is_store_ok {
                 self.log(
-                    "rollout: the store takes no record; this dispatcher takes no part until it does"
+                    "rollout: the store can't be written; this dispatcher takes no part until it can"
                         .to_owned(),
                 );
             }
-            self.sound = false;
-            self.rest = now + self.set.store_rest;
-            let lost = std::mem::take(&mut self.under);
-            self.after.extend(lost);
-            self.after.retain(|after| matches!(after, After::InForce(_)));
+            self.is_store_ok = false;
+            self.store_retry_at = now + self.set.store_rest;
+            let unwritten = std::mem::take(&mut self.awaiting_record);
+            self.awaiting_next_record.extend(unwritten);
+            self.awaiting_next_record.retain(|deferred| matches!(deferred, Deferred::InForce(_)));
             match document {
-                Some(id) => self.unkept.push(id),
-                None => self.dirty = true,
+                Some(id) => self.unsaved_documents.push(id),
+                None => self.is_dirty = true,
             }
             return;
         }
         if document.is_none() {
-            if !self.sound {
-                self.log("rollout: the store takes records again".to_owned());
+            if !self.is_store_ok {
+                self.log("rollout: the store can be written again".to_owned());
             }
-            self.sound = true;
-            for after in std::mem::take(&mut self.under) {
-                self.done(after);
+            self.is_store_ok = true;
+            for deferred in std::mem::take(&mut self.awaiting_record) {
+                self.complete(deferred);
             }
         }
-        self.turn(now);
+        self.flush(now);
     }
 
     /// The periodic timer.
     pub fn woken(&mut self, now: Time) {
         self.close_window(now);
         self.catch_up(now);
-        self.pursue(now);
-        self.run(now);
-        self.greet(now);
-        self.turn(now);
+        self.drive_attempt(now);
+        self.drive_rollout(now);
+        self.send_hellos(now);
+        self.flush(now);
     }
 
+    /// The next effect. Call until there is none after each call.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
+    /// This member's view of the rollout.
     pub fn status(&self) -> Status {
         let step = self.state.chosen;
         Status {
@@ -572,26 +597,26 @@
             stages: self.documents.get(&step.version).map_or(0, Version::stages),
             halt: self.state.halt.clone().filter(|halt| (halt.number, halt.run) == step.key()),
             in_force: self.active.number,
-            runner: self.runs.map(|_| self.own).or(self.runner.map(|(id, _)| id)),
-            able: self.able(),
-            waits: self.waits.clone(),
+            runner: self.running_since.map(|_| self.own).or(self.runner.map(|(id, _)| id)),
+            able: self.is_able(),
+            waits: self.waiting_for.clone(),
         }
     }
 
-    /// What is on this member's mind, for those who look whether it is right.
+    /// The state, for checks.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    fn able(&self) -> bool {
-        self.sound && self.catching.is_none()
+    fn is_able(&self) -> bool {
+        self.is_store_ok && self.catch_up_answers.is_none()
     }
 
     fn majority(&self) -> usize {
         self.listed.len() / 2 + 1
     }
 
-    /// The latest step known here, a majority's or not.
+    /// The latest step known here, chosen or only accepted.
     fn latest(&self) -> Step {
         let accepted = self.state.accepted.map(|(_, step)| step).unwrap_or_default();
         if accepted.at > self.state.chosen.at {
@@ -601,12 +626,13 @@
         }
     }
 
-    /// The latest step that is not the end of its way, as far as is known here.
-    fn under_way(&self) -> Option<Step> {
+    /// The step that is being rolled out, as far as known here.
+    fn rolling_step(&self) -> Option<Step> {
         [self.latest(), self.state.chosen].into_iter().find(|step| step.phase == Phase::Rolling)
     }
 
-    fn halts(&self, step: &Step) -> bool {
+    /// Whether a halt of the step's version and run is known.
+    fn is_halted(&self, step: &Step) -> bool {
         self.state.halt.as_ref().is_some_and(|halt| (halt.number, halt.run) == step.key())
     }
 
@@ -614,62 +640,62 @@
         self.effects.push_back(Effect::Log(line));
     }
 
-    /// To itself by the same way as to others.
-    fn say(&mut self, to: MemberId, said: Said) {
+    /// Sends a message; those to this member itself are queued.
+    fn send(&mut self, to: MemberId, message: Said) {
         if to == self.own {
-            self.inbox.push_back(said);
+            self.inbox.push_back(message);
         } else {
-            self.effects.push_back(Effect::Tell { to, said });
+            self.effects.push_back(Effect::Tell { to, said: message });
         }
     }
 
-    /// The end of each call: what was said to itself, then what must be kept.
-    fn turn(&mut self, now: Time) {
-        while let Some(said) = self.inbox.pop_front() {
-            self.take(now, self.own, said);
+    /// At the end of each call: handles messages to itself, then writes the next record if there is one.
+    fn flush(&mut self, now: Time) {
+        while let Some(message) = self.inbox.pop_front() {
+            self.handle(now, self.own, message);
         }
-        if self.out.is_some() || (!self.sound && now < self.rest) {
+        if self.record_in_flight.is_some() || (!self.is_store_ok && now < self.store_retry_at) {
             return;
         }
         let ticket = self.state.count + 1;
-        if let Some(id) = self.unkept.pop() {
-            // Only those that are named are unkept (`prune_documents`).
+        if let Some(id) = self.unsaved_documents.pop() {
+            // Every unsaved document is in `documents` (`prune_documents`).
             if let Some(version) = self.documents.get(&id) {
                 self.state.count = ticket;
-                self.out = Some((ticket, Some(id)));
+                self.record_in_flight = Some((ticket, Some(id)));
                 let record = Record::Document(version.clone());
                 self.effects.push_back(Effect::Keep { ticket, record });
             }
-        } else if self.dirty || !self.sound || !self.after.is_empty() {
-            self.dirty = false;
+        } else if self.is_dirty || !self.is_store_ok || !self.awaiting_next_record.is_empty() {
+            self.is_dirty = false;
             self.state.count = ticket;
-            self.out = Some((ticket, None));
-            self.under.append(&mut self.after);
+            self.record_in_flight = Some((ticket, None));
+            self.awaiting_record.append(&mut self.awaiting_next_record);
             let record = Record::State(Box::new(self.state.clone()));
             self.effects.push_back(Effect::Keep { ticket, record });
         }
     }
 
-    /// What waited for the disk goes out.
-    fn done(&mut self, after: After) {
-        match after {
-            After::Say(to, said) => self.say(to, said),
-            After::InForce(id) => {
+    /// Completes what waited for the disk.
+    fn complete(&mut self, deferred: Deferred) {
+        match deferred {
+            Deferred::Send(to, message) => self.send(to, message),
+            Deferred::InForce(id) => {
                 if id == self.state.in_force {
                     self.put_in_force(id);
                 }
             }
-            After::Ack { to, ballot, step } => {
-                // Guards against a halt that came while the disk wrote: it does harm if a promotion passes
-                // it.
-                let refused = ballot < self.state.promised || (step.promotes() && self.halts(&step));
-                let said = if refused {
+            Deferred::Ack { to, ballot, step } => {
+                // Guards against a halt that arrived during the write: it must not be overtaken by a
+                // promotion.
+                let is_refused = ballot < self.state.promised || (step.promotes() && self.is_halted(&step));
+                let message = if is_refused {
                     self.refusal(ballot)
                 } else {
                     let met = self.state.met.clone();
                     Said::Accepted { ballot, incarnation: self.incarnation, met }
                 };
-                self.say(to, said);
+                self.send(to, message);
             }
         }
     }
@@ -679,23 +705,23 @@
         if id.number == 0 || text.is_some() {
             let (number, text) = (id.number, text.unwrap_or_default());
             self.active = id;
-            if self.window.0.number != Some(number) {
-                self.window.0.number = None;
+            if self.open_window.0.number != Some(number) {
+                self.open_window.0.number = None;
             }
             self.effects.push_back(Effect::InForce { number, text });
         }
     }
 
-    /// Documents that nothing names any more are dropped.
+    /// Drops documents that are no longer named.
     fn prune_documents(&mut self) {
         let state = &self.state;
         let mut named = vec![state.chosen.version, state.chosen.base, state.in_force];
         named.extend(state.accepted.iter().flat_map(|(_, step)| [step.version, step.base]));
-        named.extend(self.attempt.iter().flat_map(|attempt| attempt.names()));
-        if let Some((Change::Start(id), _)) = &self.wanted {
+        named.extend(self.attempt.iter().flat_map(|attempt| attempt.named_versions()));
+        if let Some((Change::Start(id), _)) = &self.pending_change {
             named.push(*id);
         }
         self.documents.retain(|id, _| named.contains(id));
-        self.unkept.retain(|id| named.contains(id));
+        self.unsaved_documents.retain(|id| named.contains(id));
     }
 }
--- a/crates/fleet/src/rollout/version.rs
+++ b/crates/fleet/src/rollout/version.rs
@@ -1,5 +1,4 @@
-//! What is rolled out: numbered versions of the rules with the plan of their way, and what is wrong with an
-//! order.
+//! What is rolled out: numbered versions of the rules with a plan of their stages, and the errors of orders.
 use crate::common::MemberId;
 use cherrypass::containers::rendezvous;
 use cherrypass::ids::{HostId, LocationId};
@@ -9,24 +8,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-/// The most bytes of a version's text.
-pub const TEXT: usize = 16 * 1024;
+/// Limit of a version's text.
+pub const MAX_TEXT_BYTES: usize = 16 * 1024;
 
-/// How a plan's order is written in messages and records.
+/// Encoding of a plan's order in messages and records.
 mod order {
     use super::LocationId;
     use serde::{de::Error, Deserialize, Deserializer, Serialize, Serializer};
 
-    /// Two equal bytes at the start, which no order of locations named once each has: places of two bytes follow.
-    const WIDE: [u8; 2] = [0, 0];
+    /// The prefix of the wide form, in which each location takes two bytes. No order in the narrow form
+    /// begins with two equal bytes, since it names each location once.
+    const WIDE_PREFIX: [u8; 2] = [0, 0];
 
-    /// A byte for each place, as builds read it that know no place above 255; those refuse the wide form as an
-    /// order that names a location twice.
+    /// One byte per location where all are below 256, as older builds read it; these reject the wide form as
+    /// an order that names a location twice.
     pub fn bytes(order: &[LocationId]) -> Vec<u8> {
         let narrow: Option<Vec<u8>> = order.iter().map(|place| u8::try_from(place.0).ok()).collect();
         narrow.filter(|bytes| !is_wide(bytes)).unwrap_or_else(|| {
             let places = order.iter().flat_map(|place| place.0.to_le_bytes());
-            WIDE.into_iter().chain(places).collect()
+            WIDE_PREFIX.into_iter().chain(places).collect()
         })
     }
 
@@ -43,53 +43,59 @@
         if !is_wide(&bytes) {
             return Ok(bytes.into_iter().map(|place| LocationId(place.into())).collect());
         }
-        let places = bytes[WIDE.len()..].chunks(2).map(|place| match place {
+        let places = bytes[WIDE_PREFIX.len()..].chunks(2).map(|place| match place {
             [low, high] => Ok(LocationId(u16::from_le_bytes([*low, *high]))),
-            _ => Err(D::Error::custom("half a place in an order")),
+            _ => Err(D::Error::custom("odd number of bytes in the wide form of an order")),
         });
         places.collect()
     }
 }
 
-/// Numbers start at 1; 0 are the rules of the operators' file alone.
+/// Identifies a version. Numbers start at 1; 0 stands for the rules of the operators' file alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
     pub number: u64,
-    /// Of the whole document, so that two documents under one number are told apart.
+    /// Hash of the whole document, which distinguishes two documents with the same number.
     pub digest: u64,
 }
 
+/// What happens after a halt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AfterHalt {
-    /// Who has the version keeps it until an order.
+    /// Dispatchers that have the version keep it until an order.
     #[default]
     Stay,
-    /// All go back to the last full version.
+    /// All return to the last version that was in force everywhere.
     Back,
 }
 
+/// The stages of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
+    /// The locations in the order in which they get the version.
     #[serde(with = "order")]
     pub order: Vec<LocationId>,
-    /// The part of the first location that has it first, in thousandths; at least one dispatcher.
+    /// The part of the first location that gets it in the first stage, in thousandths; at least one
+    /// dispatcher.
     pub first: u16,
-    /// What each stage holds for, at least.
+    /// The least duration of a stage.
     pub hold: Span,
     /// Visits that dispatchers with the version must have had in a stage.
     pub visits: u64,
     pub after_halt: AfterHalt,
 }
 
+/// A version of the rules with its plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
     pub number: u64,
-    /// JSON that the operators' document came to; checked by those who take it.
+    /// The operators' document as JSON; checked by the dispatchers that put it in force.
     pub text: String,
     pub plan: Plan,
 }
 
 impl Version {
+    /// The version's number and digest.
     pub fn id(&self) -> Id {
         let mut hasher = FnvHasher::default();
         hasher.write_u64(self.number);
@@ -103,59 +109,65 @@
         Id { number: self.number, digest: hasher.finish() }
     }
 
-    /// Stages after which it is in force everywhere: a part of the first location, then location by location.
+    /// The number of stages: a part of the first location, then location by location.
     pub fn stages(&self) -> u16 {
         self.plan.order.len() as u16 + 1
     }
 
-    /// Whether a dispatcher has the version in this stage. Who is of the first part is the same for all.
-    pub fn has(&self, listed: &BTreeMap<MemberId, LocationId>, stage: u16, who: MemberId) -> bool {
+    /// Whether a dispatcher has the version in a stage. All dispatchers agree on the first part.
+    pub fn includes(&self, listed: &BTreeMap<MemberId, LocationId>, stage: u16, who: MemberId) -> bool {
         let Some(location) = listed.get(&who) else { return false };
         let Some(place) = self.plan.order.iter().position(|named| named == location) else { return false };
         if stage > 0 {
             return place < usize::from(stage);
         }
-        place == 0 && self.rank(who) >= self.least_rank(listed, *location)
+        place == 0 && self.rank(who) >= self.min_first_part_rank(listed, *location)
     }
 
-    /// All dispatchers that have the version in this stage: one look at the list, where asking for each of them
-    /// goes through the list as often as it is long.
-    pub fn all_with(&self, listed: &BTreeMap<MemberId, LocationId>, stage: u16) -> BTreeSet<MemberId> {
+    /// All dispatchers that have the version in a stage, in one pass over the list instead of one per
+    /// dispatcher.
+    pub fn included_dispatchers(
+        &self,
+        listed: &BTreeMap<MemberId, LocationId>,
+        stage: u16,
+    ) -> BTreeSet<MemberId> {
         let parts = usize::from(stage.max(1)).min(self.plan.order.len());
-        let named: BTreeSet<LocationId> = self.plan.order[..parts].iter().copied().collect();
-        let there = listed.iter().filter(|(_, location)| named.contains(location)).map(|(id, _)| *id);
+        let locations: BTreeSet<LocationId> = self.plan.order[..parts].iter().copied().collect();
+        let there = listed.iter().filter(|(_, location)| locations.contains(location)).map(|(id, _)| *id);
         match self.plan.order.first().filter(|_| stage == 0) {
             Some(first) => {
-                let least = self.least_rank(listed, *first);
-                there.filter(|id| self.rank(*id) >= least).collect()
+                let min_rank = self.min_first_part_rank(listed, *first);
+                there.filter(|id| self.rank(*id) >= min_rank).collect()
             }
             None => there.collect(),
         }
     }
 
+    /// The rank by which the first part is chosen.
     fn rank(&self, id: MemberId) -> f64 {
         rendezvous(self.number, HostId(id.0), 1.0)
     }
 
-    /// The rank that a dispatcher of the first location needs to be of its first part.
-    fn least_rank(&self, listed: &BTreeMap<MemberId, LocationId>, first: LocationId) -> f64 {
+    /// The least rank of the first part of the first location.
+    fn min_first_part_rank(&self, listed: &BTreeMap<MemberId, LocationId>, first: LocationId) -> f64 {
         let there = listed.iter().filter(|(_, location)| **location == first);
         let mut ranks: Vec<f64> = there.map(|(id, _)| self.rank(*id)).collect();
         ranks.sort_by(|a, b| b.total_cmp(a));
-        let most = (ranks.len() * usize::from(self.plan.first)).div_ceil(1000).max(1);
-        ranks.get(most - 1).copied().unwrap_or(f64::NEG_INFINITY)
+        let count = (ranks.len() * usize::from(self.plan.first)).div_ceil(1000).max(1);
+        ranks.get(count - 1).copied().unwrap_or(f64::NEG_INFINITY)
     }
 
+    /// Checks a version against the listed dispatchers.
     pub fn check(&self, listed: &BTreeMap<MemberId, LocationId>) -> Result<(), Error> {
         let plan = &self.plan;
         if self.number == 0 || self.number == u64::MAX {
             return Err(Error::Number(self.number));
         }
-        if self.text.len() > TEXT {
-            return Err(Error::Long { bytes: self.text.len() });
+        if self.text.len() > MAX_TEXT_BYTES {
+            return Err(Error::TextTooLong { bytes: self.text.len() });
         }
         if !(1..=1000).contains(&plan.first) {
-            return Err(Error::First(plan.first));
+            return Err(Error::FirstPart(plan.first));
         }
         if !(Span::seconds(1.0)..=Span::seconds(7.0 * 86_400.0)).contains(&plan.hold) {
             return Err(Error::Hold(plan.hold.as_seconds()));
@@ -164,70 +176,72 @@
         let mut named = BTreeSet::new();
         for location in &plan.order {
             if !there.contains(location) {
-                return Err(Error::Unknown(location.0));
+                return Err(Error::UnknownLocation(location.0));
             }
             if !named.insert(*location) {
-                return Err(Error::Twice(location.0));
+                return Err(Error::LocationTwice(location.0));
             }
         }
         match there.difference(&named).next() {
-            Some(location) => Err(Error::Missing(location.0)),
+            Some(location) => Err(Error::LocationMissing(location.0)),
             None => Ok(()),
         }
     }
 }
 
-/// Why an order was not taken; nothing in force has changed.
+/// Why an order was rejected; nothing in force has changed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Error {
-    #[error("number {0} can't be used: give the version a number from 1 up")]
+    #[error("number {0} can't be used: number versions from 1")]
     Number(u64),
-    #[error("number {given} is not above {last}, the last one rolled out: give the version a higher number")]
+    #[error("number {given} is not above {last}, the last version rolled out: give it a higher number")]
     Older { given: u64, last: u64 },
-    #[error("the text has {bytes} bytes, {TEXT} are taken: shorten the document")]
-    Long { bytes: usize },
-    #[error("the first part is {0} thousandths: give 1 to 1000")]
-    First(u16),
-    #[error("a stage holds for {0} s: give 1 s to 7 days")]
+    #[error("the text has {bytes} bytes, the limit is {MAX_TEXT_BYTES}: shorten the document")]
+    TextTooLong { bytes: usize },
+    #[error("the first part is {0} thousandths: must be 1 to 1000")]
+    FirstPart(u16),
+    #[error("a stage holds for {0} s: must be 1 s to 7 days")]
     Hold(f64),
-    #[error("no listed dispatcher is in location {0}: take it from the plan or list its dispatchers")]
-    Unknown(u16),
+    #[error("no listed dispatcher is in location {0}: remove it from the plan or list its dispatchers")]
+    UnknownLocation(u16),
     #[error("the plan names location {0} twice: name each once")]
-    Twice(u16),
+    LocationTwice(u16),
     #[error("the plan leaves out location {0}: name each location of the fleet once")]
-    Missing(u16),
-    #[error("version {0} is on its way or halted: let it end, or order it back first")]
-    Busy(u64),
-    #[error("no version is on its way: see `rollout status`")]
-    Nothing,
+    LocationMissing(u16),
+    #[error("version {0} is being rolled out or halted: let it finish or roll it back first")]
+    VersionUnderWay(u64),
+    #[error("no version is being rolled out: see `rollout status`")]
+    NothingUnderWay,
     #[error("version {0} is not halted: there is nothing to resume")]
     NotHalted(u64),
-    #[error("no version to go back from: see `rollout status`")]
+    #[error("no version to roll back: see `rollout status`")]
     NoWayBack,
-    #[error("this dispatcher's store takes nothing: free or mend its disk, or order at another dispatcher")]
-    Store,
-    #[error("this dispatcher has not heard enough others since its start: wait, or order at another")]
-    Catching,
+    #[error("this dispatcher's store can't be written: check its disk, or use another dispatcher")]
+    StoreUnavailable,
+    #[error(
+        "this dispatcher has not heard from enough others since its start: wait, or use another dispatcher"
+    )]
+    NotCaughtUp,
 }
 
 impl Error {
-    /// Short, for scripts.
+    /// The error code, for scripts.
     pub fn code(&self) -> &'static str {
         match self {
             Error::Number(_) => "rollout-number",
             Error::Older { .. } => "rollout-older",
-            Error::Long { .. } => "rollout-long",
-            Error::First(_) => "rollout-first",
+            Error::TextTooLong { .. } => "rollout-long",
+            Error::FirstPart(_) => "rollout-first",
             Error::Hold(_) => "rollout-hold",
-            Error::Unknown(_) => "rollout-location",
-            Error::Twice(_) => "rollout-twice",
-            Error::Missing(_) => "rollout-missing",
-            Error::Busy(_) => "rollout-busy",
-            Error::Nothing => "rollout-nothing",
+            Error::UnknownLocation(_) => "rollout-location",
+            Error::LocationTwice(_) => "rollout-twice",
+            Error::LocationMissing(_) => "rollout-missing",
+            Error::VersionUnderWay(_) => "rollout-busy",
+            Error::NothingUnderWay => "rollout-nothing",
             Error::NotHalted(_) => "rollout-not-halted",
             Error::NoWayBack => "rollout-no-way-back",
-            Error::Store => "rollout-store",
-            Error::Catching => "rollout-catching",
+            Error::StoreUnavailable => "rollout-store",
+            Error::NotCaughtUp => "rollout-catching",
         }
     }
 }
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Rules in stages: schedules with faults from seeds, and every order of events of small cases.
+//! Tests of the rollout: random schedules with faults, and every order of events in small cases.
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
@@ -16,8 +16,8 @@
 fn set() -> Set {
     Set {
         window: Span::millis(500),
-        tell_within: Span::seconds(20.0),
-        patience: Span::seconds(20.0),
+        stage_overtime: Span::seconds(20.0),
+        order_timeout: Span::seconds(20.0),
         ..Set::default()
     }
 }
@@ -29,12 +29,12 @@
     Version { number, text: format!("{{\"n\":{number}}}"), plan }
 }
 
-/// What a store does.
+/// A simulated store.
 #[derive(Default)]
 struct Disk {
     records: Vec<Record>,
-    /// Synced, as it said, but gone at a kill.
-    lies: bool,
+    /// Records that were reported as synced are lost at a kill.
+    loses_synced: bool,
     unsynced: Vec<Record>,
     full: bool,
 }
@@ -43,7 +43,7 @@
     fn keep(&mut self, record: Record) -> bool {
         if !self.full {
             self.unsynced.push(record);
-            if !self.lies {
+            if !self.loses_synced {
                 self.records.append(&mut self.unsynced);
             }
         }
@@ -54,36 +54,36 @@
 struct Member {
     rollout: Rollout,
     disk: Rc<RefCell<Disk>>,
-    /// Out at the disk until the next wake.
+    /// The record being written, until the next tick.
     out: Option<(u64, Record)>,
     before: u64,
     in_force: Vec<u64>,
     logs: Vec<String>,
-    said: VecDeque<(MemberId, Said)>,
+    messages: VecDeque<(MemberId, Said)>,
     wakes: u32,
     figures: Figures,
     acked: u64,
-    /// The number it can't take.
-    refuses: u64,
+    /// The version that it can't put in force.
+    rejected_version: u64,
 }
 
 impl Member {
-    /// After each call, so that what is told is held against what was known then.
+    /// Handles effects after each call, so that messages are checked against the state at that time.
     fn drain(&mut self) {
         while let Some(effect) = self.rollout.next() {
             match effect {
-                Effect::Tell { to, said } => {
-                    if matches!(said, Said::Accepted { .. }) {
+                Effect::Tell { to, said: message } => {
+                    if matches!(message, Said::Accepted { .. }) {
                         self.acked = self.rollout.state().accepted.map_or(0, |(_, step)| step.at);
                     }
-                    self.said.push_back((to, said));
+                    self.messages.push_back((to, message));
                 }
                 Effect::Keep { ticket, record } => assert!(self.out.replace((ticket, record)).is_none()),
                 Effect::InForce { number, .. } => {
                     let status = self.rollout.status();
                     let halted = status.halt.is_some() && status.step.phase != Phase::Back;
                     let newly = number == status.step.version.number && self.before != number;
-                    assert!(!(halted && newly), "newly taken under a halt: {status:?}");
+                    assert!(!(halted && newly), "put in force after a halt: {status:?}");
                     self.before = number;
                     self.in_force.push(number);
                 }
@@ -95,15 +95,15 @@
 
 impl Node for Member {
     type Said = Said;
-    fn heard(&mut self, now: Time, from: MemberId, said: Said) {
-        self.rollout.heard(now, from, said);
+    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+        self.rollout.heard(now, from, message);
         self.drain();
     }
     fn woken(&mut self, now: Time) {
         self.wakes += 1;
         if let Some((ticket, record)) = self.out.take() {
-            let well = self.disk.borrow_mut().keep(record);
-            self.rollout.kept(now, ticket, well);
+            let is_written = self.disk.borrow_mut().keep(record);
+            self.rollout.kept(now, ticket, is_written);
             self.drain();
         }
         if self.wakes.is_multiple_of(5) {
@@ -111,14 +111,14 @@
         }
         self.rollout.woken(now);
         self.drain();
-        if self.refuses > 0 && self.in_force.last() == Some(&self.refuses) {
-            self.rollout.refused(now, self.refuses, "key `x` is not known");
+        if self.rejected_version > 0 && self.in_force.last() == Some(&self.rejected_version) {
+            self.rollout.refused(now, self.rejected_version, "key `x` is not known");
             self.in_force.pop();
         }
     }
     fn next(&mut self, _now: Time) -> Option<(MemberId, Said)> {
         self.drain();
-        self.said.pop_front()
+        self.messages.pop_front()
     }
 }
 
@@ -132,14 +132,14 @@
     disks: BTreeMap<MemberId, Rc<RefCell<Disk>>>,
     incarnation: u64,
     seed: u64,
-    look: Look,
+    invariants: Invariants,
 }
 
 impl Play {
     fn new(seed: u64, listed: Listed) -> Play {
         let disks = listed.iter().map(|(id, _)| (*id, Rc::default())).collect();
         let net = Network::new(seed, Span::millis(100));
-        let mut play = Play { net, listed, disks, incarnation: 1, seed, look: Look::default() };
+        let mut play = Play { net, listed, disks, incarnation: 1, seed, invariants: Invariants::default() };
         for (id, _) in play.listed.clone() {
             play.start(id);
         }
@@ -167,22 +167,22 @@
                 before,
                 in_force,
                 logs,
-                said: VecDeque::new(),
+                messages: VecDeque::new(),
                 wakes: 0,
                 figures,
-                refuses: 0,
+                rejected_version: 0,
                 acked: 0,
             }
         });
     }
 
-    /// The process is gone; what was out at the disk may be there or not.
+    /// Kills a process; the record being written may or may not be on disk.
     fn kill(&mut self, id: MemberId) {
         let written = self.net.chance.gen_bool(0.5);
         let out = self.net.call(id, |member, _| member.out.take()).flatten();
         let mut disk = self.disks[&id].borrow_mut();
         disk.unsynced.clear();
-        if let Some((_, record)) = out.filter(|_| written && !disk.full && !disk.lies) {
+        if let Some((_, record)) = out.filter(|_| written && !disk.full && !disk.loses_synced) {
             disk.records.push(record);
         }
         let last = disk.records.iter().rev().find_map(|record| match record {
@@ -190,7 +190,7 @@
             Record::Document(_) => None,
         });
         let on_disk = last.flatten().map(|halt| (halt.number, halt.run));
-        self.look.halts.retain(|(who, key), _| *who != id || Some(*key) == on_disk);
+        self.invariants.halts.retain(|(who, key), _| *who != id || Some(*key) == on_disk);
         drop(disk);
         self.net.kill(id);
     }
@@ -200,8 +200,8 @@
     }
 
     fn play(&mut self, seconds: f64) {
-        let (seed, look) = (self.seed, &mut self.look);
-        self.net.play(Span::seconds(seconds), |net| look.all(net, seed));
+        let (seed, invariants) = (self.seed, &mut self.invariants);
+        self.net.play(Span::seconds(seconds), |net| invariants.all(net, seed));
     }
 
     fn member(&self, id: u64) -> &Member {
@@ -209,18 +209,18 @@
     }
 }
 
-/// What must hold at every moment.
+/// Invariants that are checked after every event.
 #[derive(Clone, Default, Debug)]
-struct Look {
-    /// Steps of a majority by their count.
+struct Invariants {
+    /// Chosen steps by their count.
     steps: BTreeMap<u64, Step>,
-    /// Halts by member, and up to which step it had told others that it accepts.
+    /// Halts by member, with the last step that the member had accepted before.
     halts: BTreeMap<(MemberId, (u64, u32)), u64>,
     acked: BTreeMap<MemberId, u64>,
     when: BTreeMap<u64, Time>,
 }
 
-impl Look {
+impl Invariants {
     fn at(&mut self, id: MemberId, state: &State) -> Result<(), String> {
         let step = state.chosen;
         if let Some(halt) = &state.halt {
@@ -264,7 +264,7 @@
                     let on = step.promotes() && before.phase == Phase::Rolling && before.run == step.run;
                     assert!(
                         !on || held >= Span::seconds(1.9),
-                        "seed {seed}: held for {held:?} only: {step:?}"
+                        "seed {seed}: held only for {held:?}: {step:?}"
                     );
                 }
             }
@@ -279,7 +279,8 @@
     let first = version(5, &p.listed, AfterHalt::Stay);
     p.order(MemberId(4), Order::Start(first.clone())).unwrap();
     p.play(60.0);
-    let stages: Vec<(u16, Phase)> = p.look.steps.values().map(|step| (step.stage, step.phase)).collect();
+    let stages: Vec<(u16, Phase)> =
+        p.invariants.steps.values().map(|step| (step.stage, step.phase)).collect();
     let rolling = |stage| (stage, Phase::Rolling);
     assert_eq!(
         stages,
@@ -312,14 +313,14 @@
 fn each_trouble_halts_in_the_first_stage() {
     type Trouble = fn(&mut Play, MemberId);
     let troubles: [(&str, Trouble); 4] = [
-        ("could not be taken", |_, _| {}),
-        ("can't be heard", |p, id| p.kill(id)),
+        ("could not be put in force", |_, _| {}),
+        ("is unreachable", |p, id| p.kill(id)),
         ("quoted time", |p, id| {
             let bad =
                 Figures { visits: 50, in_time: 38, turned_back: 11, hand_offs: 60, ..Figures::default() };
             p.net.call(id, |member, _| member.figures = bad).unwrap();
         }),
-        ("figures too few", |p, _| {
+        ("too few figures", |p, _| {
             for (id, _) in p.listed.clone() {
                 p.net.call(id, |member, _| member.figures = Figures::default()).unwrap();
             }
@@ -328,18 +329,19 @@
     for (why, trouble) in troubles {
         let mut p = Play::new(7, fleet(8, 2));
         p.play(20.0);
-        for (id, _) in p.listed.clone().into_iter().filter(|_| why == "could not be taken") {
-            p.net.call(id, |member, _| member.refuses = 3).unwrap();
+        for (id, _) in p.listed.clone().into_iter().filter(|_| why == "could not be put in force") {
+            p.net.call(id, |member, _| member.rejected_version = 3).unwrap();
         }
         let mut start = version(3, &p.listed, AfterHalt::Stay);
         start.plan.hold = Span::seconds(5.0);
         let listed: BTreeMap<_, _> = p.listed.iter().copied().collect();
-        let with: Vec<MemberId> = listed.keys().copied().filter(|id| start.has(&listed, 0, *id)).collect();
+        let with: Vec<MemberId> =
+            listed.keys().copied().filter(|id| start.includes(&listed, 0, *id)).collect();
         p.order(MemberId(1), Order::Start(start)).unwrap();
-        p.play(if why == "can't be heard" { 2.0 } else { 0.4 });
+        p.play(if why == "is unreachable" { 2.0 } else { 0.4 });
         with.iter().for_each(|id| trouble(&mut p, *id));
         p.play(60.0);
-        let last = *p.look.steps.values().next_back().unwrap();
+        let last = *p.invariants.steps.values().next_back().unwrap();
         assert_eq!((last.stage, last.phase), (0, Phase::Halted), "{why}");
         let left = p.net.ids()[0].0;
         let halt = p.member(left).rollout.status().halt.unwrap();
@@ -347,23 +349,24 @@
         for id in p.net.ids().into_iter().filter(|id| !with.contains(id)) {
             assert!(!p.member(id.0).in_force.contains(&3), "{why}: {id:?} has it");
         }
-        if why == "could not be taken" {
+        if why == "could not be put in force" {
             let member = p.member(halt.by.0);
-            let lines = member.logs.iter().filter(|line| line.contains("not taken, 0 stay")).count();
+            let lines =
+                member.logs.iter().filter(|line| line.contains("could not be put in force, 0 stay")).count();
             assert_eq!((lines, member.rollout.status().in_force), (1, 0), "{:?}", member.logs);
         }
     }
 }
 
-/// One schedule of faults and orders, then all is mended and it must come to an end.
+/// A schedule of faults and orders; after all faults are repaired the rollout must end.
 fn schedule(seed: u64) -> Play {
     let (members, locations) = (3 + seed % 5, 1 + (seed / 5 % 3) as u8);
     let mut p = Play::new(seed, fleet(members, locations));
     p.play(14.0);
     let any = |p: &mut Play| MemberId(p.net.chance.gen_range(1..=members));
-    let liar = any(&mut p);
+    let faulty = any(&mut p);
     if seed.is_multiple_of(2) {
-        p.disks[&liar].borrow_mut().lies = true;
+        p.disks[&faulty].borrow_mut().loses_synced = true;
     }
     let slowest = Span::millis([5, 50, 800][(seed % 3) as usize]);
     p.net.link = Link { lost: 0.25 * (seed % 4) as f64 / 3.0, twice: 0.1, delay: [Span::millis(1), slowest] };
@@ -431,7 +434,7 @@
     let mut ends = BTreeMap::new();
     for seed in first..first + seeds {
         let p = schedule(seed);
-        let last = p.look.steps.values().next_back().copied().unwrap_or_default();
+        let last = p.invariants.steps.values().next_back().copied().unwrap_or_default();
         for (id, _) in &p.listed {
             let member = p.member(id.0);
             let status = member.rollout.status();
@@ -441,7 +444,7 @@
                     let member = p.member(id.0);
                     println!("{id:?} {:?} {:?}", member.rollout.status(), member.logs);
                 }
-                panic!("seed {seed}: has not ended");
+                panic!("seed {seed}: rollout has not ended");
             }
             let due = match last.phase {
                 Phase::Full => Some(last.version.number),
@@ -450,7 +453,7 @@
             };
             assert!(
                 due.is_none_or(|due| due == status.in_force),
-                "seed {seed}: {id:?} has not what is due: {status:?}"
+                "seed {seed}: {id:?} the due version is not in force: {status:?}"
             );
         }
         *ends.entry(last.phase).or_insert(0) += 1;
@@ -459,16 +462,16 @@
     assert!(ends.len() == 3 || seeds < 100, "{ends:?}");
 }
 
-/// Every order of events from the moment on in which one or two members begin to promote the second stage:
-/// messages (any may stay out for ever), disks, one halt anywhere, one kill anywhere with the last record
-/// there or lost.
+/// Explores every order of events from the point at which one or two members begin to promote the second
+/// stage: messages (any of which may be lost), writes, one halt and one kill at any member, with the last
+/// record kept or lost.
 #[derive(Clone)]
 struct World {
     nodes: Vec<Rc<(Rollout, u64)>>,
     disks: Vec<Vec<Record>>,
     out: Vec<Option<(u64, Record)>>,
-    said: Vec<(usize, usize, Said, u64)>,
-    look: Look,
+    messages: Vec<(usize, usize, Said, u64)>,
+    invariants: Invariants,
     halts: u8,
     kills: u8,
     wakes: u8,
@@ -476,17 +479,17 @@
     exploring: bool,
 }
 
-struct Hash64(fnv::FnvHasher);
+struct FnvWriter(fnv::FnvHasher);
 
-impl std::fmt::Write for Hash64 {
+impl std::fmt::Write for FnvWriter {
     fn write_str(&mut self, s: &str) -> std::fmt::Result {
         std::hash::Hasher::write(&mut self.0, s.as_bytes());
         Ok(())
     }
 }
 
-fn hash(what: &dyn std::fmt::Debug) -> u64 {
-    let mut hash = Hash64(fnv::FnvHasher::default());
+fn hash_debug(what: &dyn std::fmt::Debug) -> u64 {
+    let mut hash = FnvWriter(fnv::FnvHasher::default());
     std::fmt::Write::write_fmt(&mut hash, format_args!("{what:?}")).unwrap();
     std::hash::Hasher::finish(&hash.0)
 }
@@ -497,40 +500,40 @@
         call(&mut rollout);
         while let Some(effect) = rollout.next() {
             match effect {
-                // After the beginning nobody hears of a halt, which is the worst for it.
+                // While exploring, no member learns of a halt by a status, which is the worst case.
                 Effect::Tell { said: Said::Hello(_), .. } if self.exploring => {}
-                Effect::Tell { to, said } => {
-                    if matches!(said, Said::Accepted { .. }) {
+                Effect::Tell { to, said: message } => {
+                    if matches!(message, Said::Accepted { .. }) {
                         let at = rollout.state().accepted.map_or(0, |(_, step)| step.at);
-                        self.look.acked.insert(MemberId(i as u64 + 1), at);
+                        self.invariants.acked.insert(MemberId(i as u64 + 1), at);
                     }
-                    let hash = hash(&(i, to, &said));
-                    if !self.said.iter().any(|(.., other)| *other == hash) {
-                        self.said.push((i, to.0 as usize - 1, said, hash));
+                    let hash = hash_debug(&(i, to, &message));
+                    if !self.messages.iter().any(|(.., other)| *other == hash) {
+                        self.messages.push((i, to.0 as usize - 1, message, hash));
                     }
                 }
                 Effect::Keep { ticket, record } => self.out[i] = Some((ticket, record)),
                 _ => {}
             }
         }
-        self.look.at(MemberId(i as u64 + 1), rollout.state())?;
-        let hash = hash(&rollout);
+        self.invariants.at(MemberId(i as u64 + 1), rollout.state())?;
+        let hash = hash_debug(&rollout);
         self.nodes[i] = Rc::new((rollout, hash));
         Ok(())
     }
 
     fn explore(&mut self) {
         self.exploring = true;
-        self.said.retain(|(.., said, _)| !matches!(said, Said::Hello(_)));
+        self.messages.retain(|(.., message, _)| !matches!(message, Said::Hello(_)));
     }
 
     fn key(&self) -> u64 {
-        let mut said: Vec<u64> = self.said.iter().map(|(.., hash)| *hash).collect();
-        said.sort_unstable();
+        let mut hashes: Vec<u64> = self.messages.iter().map(|(.., hash)| *hash).collect();
+        hashes.sort_unstable();
         let nodes: Vec<u64> = self.nodes.iter().map(|node| node.1).collect();
-        hash(&(
+        hash_debug(&(
             nodes,
-            said,
+            hashes,
             self.out.iter().map(|out| out.is_some()).collect::<Vec<_>>(),
             self.halts,
             self.kills,
@@ -543,9 +546,9 @@
         self.call(i, |rollout| rollout.kept(now, ticket, true))
     }
 
-    /// All that can come next.
+    /// All possible next events.
     fn moves(&self) -> Vec<Move> {
-        let mut moves: Vec<Move> = (0..self.said.len()).map(Move::Hear).collect();
+        let mut moves: Vec<Move> = (0..self.messages.len()).map(Move::Hear).collect();
         let all = 0..self.nodes.len();
         moves.extend(all.clone().filter(|i| self.out[*i].is_some()).map(Move::Disk));
         moves.extend(all.clone().filter(|_| self.halts > 0).map(Move::Halt));
@@ -559,8 +562,8 @@
         let now = self.now;
         match next {
             Move::Hear(n) => {
-                let (from, to, said, _) = self.said.swap_remove(n);
-                self.call(to, |rollout| rollout.heard(now, MemberId(from as u64 + 1), said))
+                let (from, to, message, _) = self.messages.swap_remove(n);
+                self.call(to, |rollout| rollout.heard(now, MemberId(from as u64 + 1), message))
             }
             Move::Disk(i) => self.disk(now, i),
             Move::Wake(i) => {
@@ -579,7 +582,7 @@
                         self.disks[i].push(record);
                     }
                 } else if !keeps {
-                    // A store that lost its last record, though it had synced it.
+                    // A store that lost its last synced record.
                     self.disks[i].pop();
                 }
                 let id = MemberId(i as u64 + 1);
@@ -588,7 +591,7 @@
                     Record::Document(_) => None,
                 });
                 if last != Some(true) {
-                    self.look.halts.retain(|(who, _), _| *who != id);
+                    self.invariants.halts.retain(|(who, _), _| *who != id);
                 }
                 let kept = self.disks[i].clone();
                 let rollout = Rollout::new(set(), id, listed[i].1, Incarnation(9), listed, kept, 1, now);
@@ -608,7 +611,8 @@
     Wake(usize),
 }
 
-/// Plays up to the promotion by hand; with two runners, the second doesn't hear the first's hellos.
+/// Runs until the promotion begins; with two runners, the second one does not receive the first one's
+/// statuses.
 fn before_promoting(listed: &Listed, runners: usize) -> World {
     let mut now = Time(1_000_000);
     let nodes = listed.iter().enumerate().map(|(i, (id, location))| {
@@ -616,13 +620,13 @@
         Rc::new((rollout, 0))
     });
     let n = listed.len();
-    let (disks, out, look) = (vec![vec![]; n], vec![None; n], Look::default());
+    let (disks, out, invariants) = (vec![vec![]; n], vec![None; n], Invariants::default());
     let mut world = World {
         nodes: nodes.collect(),
         disks,
         out,
-        said: vec![],
-        look,
+        messages: vec![],
+        invariants,
         halts: 1,
         kills: 0,
         wakes: 0,
@@ -646,10 +650,10 @@
                 world.call(i, |rollout| rollout.counted(now, figures)).unwrap();
             }
             world.call(i, |rollout| rollout.woken(now)).unwrap();
-            let prepares = |(from, _, said, _): &(usize, usize, Said, u64)| {
-                *from == i && matches!(said, Said::Prepare(_))
+            let prepares = |(from, _, message, _): &(usize, usize, Said, u64)| {
+                *from == i && matches!(message, Said::Prepare(_))
             };
-            if step.at == 1 && world.nodes[i].0.status().step.at == 1 && world.said.iter().any(prepares) {
+            if step.at == 1 && world.nodes[i].0.status().step.at == 1 && world.messages.iter().any(prepares) {
                 frozen.push(i);
             }
         }
@@ -658,17 +662,17 @@
             return world;
         }
         while let Some(n) =
-            world.said.iter().position(|(from, to, ..)| !frozen.contains(to) && !frozen.contains(from))
+            world.messages.iter().position(|(from, to, ..)| !frozen.contains(to) && !frozen.contains(from))
         {
-            let (from, to, said, _) = world.said.swap_remove(n);
+            let (from, to, message, _) = world.messages.swap_remove(n);
             if !(runners == 2
                 && started
                 && step.at == 1
                 && from == 0
                 && to == 1
-                && matches!(said, Said::Hello(_)))
+                && matches!(message, Said::Hello(_)))
             {
-                world.call(to, |rollout| rollout.heard(now, MemberId(from as u64 + 1), said)).unwrap();
+                world.call(to, |rollout| rollout.heard(now, MemberId(from as u64 + 1), message)).unwrap();
             }
             for i in 0..world.nodes.len() {
                 while world.out[i].is_some() && !frozen.contains(&i) {
@@ -682,7 +686,7 @@
             }
         }
     }
-    panic!("no promotion was begun");
+    panic!("no promotion began");
 }
 
 #[test]
@@ -693,7 +697,7 @@
     let mut seen = HashSet::from([first.key()]);
     let (mut left, mut promoted) = (vec![first], false);
     while let Some(world) = left.pop() {
-        promoted |= world.look.steps.values().any(|step| step.stage > 0 && step.promotes());
+        promoted |= world.invariants.steps.values().any(|step| step.stage > 0 && step.promotes());
         for next in world.moves() {
             let mut after = world.clone();
             after.make(&listed, next).unwrap();
@@ -706,12 +710,13 @@
     assert!(promoted && seen.len() > 1000);
 }
 
-/// Random orders of what is too much for all orders: two that promote, a promotion against an order back,
-/// each with a kill.
+/// Random orders of cases that are too large to explore fully: two promotions, or a promotion against a
+/// rollback, each with a kill.
 #[test]
 fn random_orders_with_two_that_change() {
     let walks: u64 = std::env::var("ROLLOUT_WALKS").ok().and_then(|walks| walks.parse().ok()).unwrap_or(300);
-    // One promotes, or two do, or one promotes and another goes back, or one halts and another goes back.
+    // One member promotes, or two do, or one promotes and another rolls back, or one halts and another rolls
+    // back.
     for (members, runners, back, halt, kills) in [
         (3, 2, false, false, 0),
         (3, 2, false, false, 1),
@@ -739,7 +744,7 @@
             let (mut world, mut chance) = (first.clone(), Pcg64Mcg::seed_from_u64(seed));
             while let Some(next) = world.moves().choose(&mut chance).copied() {
                 let rare = matches!(next, Move::Halt(_) | Move::Kill(..) | Move::Wake(_));
-                if rare && !(world.said.is_empty() || chance.gen_bool(0.03)) {
+                if rare && !(world.messages.is_empty() || chance.gen_bool(0.03)) {
                     continue;
                 }
                 world.make(&listed, next).unwrap_or_else(|why| {
@@ -749,9 +754,9 @@
                 });
             }
             let steps: Vec<(u16, Phase)> =
-                world.look.steps.values().map(|step| (step.stage, step.phase)).collect();
-            let promoting = world.look.steps.values().filter(|step| step.promotes()).count();
-            assert!(promoting <= 2, "seed {seed}: promoted twice in no time: {steps:?}");
+                world.invariants.steps.values().map(|step| (step.stage, step.phase)).collect();
+            let promoting = world.invariants.steps.values().filter(|step| step.promotes()).count();
+            assert!(promoting <= 2, "seed {seed}: promoted twice: {steps:?}");
             ends.insert(steps);
         }
         println!("{members} members, {runners} runners, back {back}, halt {halt}, {kills} kills: {ends:?}");
@@ -759,8 +764,8 @@
     }
 }
 
-/// A member accepts `back` with one other, forgets it at a kill, and then hears the third alone, which would
-/// halt.
+/// A member accepts a rollback with one other, loses the record in a kill, and then hears only the third,
+/// which would halt.
 #[test]
 fn a_member_that_forgot_what_it_accepted_abstains() {
     let listed = fleet(3, 3);
@@ -770,13 +775,13 @@
     let now = world.now;
     let third = world.nodes[0].0.status().runner.unwrap().0 as usize - 1;
     let (other, forgets) = ((third + 1) % 3, (third + 2) % 3);
-    let settle = |world: &mut World, among: [usize; 2]| {
+    let run_among = |world: &mut World, among: [usize; 2]| {
         for _ in 0..4 {
             for i in among {
                 world.make(&listed, Move::Wake(i)).unwrap();
             }
             while let Some(n) =
-                world.said.iter().position(|(from, to, ..)| among.contains(from) && among.contains(to))
+                world.messages.iter().position(|(from, to, ..)| among.contains(from) && among.contains(to))
             {
                 world.make(&listed, Move::Hear(n)).unwrap();
                 among.into_iter().for_each(|i| world.disk(now, i).unwrap());
@@ -785,18 +790,18 @@
         }
     };
     world.call(other, |rollout| rollout.order(now, Order::Back).unwrap()).unwrap();
-    settle(&mut world, [other, forgets]);
+    run_among(&mut world, [other, forgets]);
     assert_eq!(world.nodes[other].0.state().chosen.phase, Phase::Back);
     world.make(&listed, Move::Kill(forgets, false)).unwrap();
     world.call(third, |rollout| rollout.order(now, Order::Halt).unwrap()).unwrap();
-    settle(&mut world, [third, forgets]);
+    run_among(&mut world, [third, forgets]);
     assert_eq!(world.nodes[third].0.state().chosen.phase, Phase::Rolling);
-    settle(&mut world, [other, forgets]);
+    run_among(&mut world, [other, forgets]);
     let node = &world.nodes[forgets].0;
     assert!(node.status().able && node.state().chosen.phase == Phase::Back);
 }
 
-/// A plan as builds read and write it that know no place above 255.
+/// A plan as older builds encode it, with locations below 256 only.
 #[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 struct PlanOfBytes {
     order: Vec<u8>,
@@ -837,13 +842,13 @@
     }
     let half = postcard::to_stdvec(&of_bytes(&[0, 0, 1, 1, 9])).unwrap();
     assert!(postcard::from_bytes::<Plan>(&half).is_err());
-    // Two documents are told apart by their digests, also where the low bytes of their places agree.
+    // Digests differ even where the low bytes of the locations agree.
     let id = |places: &[u16]| Version { number: 3, text: "{}".to_owned(), plan: plan(places) }.id();
     assert_ne!(id(&[300]), id(&[44, 1]));
     assert_ne!(id(&[300]), id(&[44]));
 }
 
-/// Who has a version is told in one look for all as it is for each.
+/// `included_dispatchers` agrees with `includes` for each dispatcher.
 #[test]
 fn all_that_have_a_version_are_those_that_each_say_so() {
     let mut chance = Pcg64Mcg::seed_from_u64(3);
@@ -855,8 +860,12 @@
         let mut version = version(chance.gen(), &listed.clone().into_iter().collect(), AfterHalt::Stay);
         version.plan.first = chance.gen_range(1..=1_000);
         for stage in 0..=version.stages() {
-            let each = listed.keys().copied().filter(|id| version.has(&listed, stage, *id));
-            assert_eq!(each.collect::<BTreeSet<_>>(), version.all_with(&listed, stage), "stage {stage}");
+            let each = listed.keys().copied().filter(|id| version.includes(&listed, stage, *id));
+            assert_eq!(
+                each.collect::<BTreeSet<_>>(),
+                version.included_dispatchers(&listed, stage),
+                "stage {stage}"
+            );
         }
     }
 }
