--- a/crates/fleet/examples/feed.rs
+++ b/crates/fleet/examples/feed.rs
@@ -30,9 +30,9 @@
     delays: Vec<u32>,
     moves: u64,
     slow: usize,
-    wrongly: usize,
-    largest: usize,
-    looseness: Span,
+    misclassified: usize,
+    max_held_bytes: usize,
+    max_age_excess: Span,
 }
 
 fn drag(seed: u64, faults: Faults, regroup: bool, spare: f64, seconds: u64) -> Run {
@@ -88,19 +88,19 @@
         delays,
         moves: feeds().map(|feed| feed.moves()).sum(),
         slow: slow.len(),
-        wrongly: slow.iter().filter(|id| !bad.contains(id)).count(),
-        largest: fleet
+        misclassified: slow.iter().filter(|id| !bad.contains(id)).count(),
+        max_held_bytes: fleet
             .members
             .iter()
             .filter_map(|id| fleet.net.node(*id))
-            .map(|bed| bed.largest)
+            .map(|bed| bed.max_held_bytes)
             .max()
             .unwrap_or(0),
-        looseness: healthy.iter().map(|bed| bed.looseness).max().unwrap_or_default(),
+        max_age_excess: healthy.iter().map(|bed| bed.max_age_excess).max().unwrap_or_default(),
     }
 }
 
-fn at(sorted: &[u32], part: f64) -> f64 {
+fn quantile(sorted: &[u32], part: f64) -> f64 {
     let index = ((sorted.len() as f64 * part) as usize).min(sorted.len().saturating_sub(1));
     sorted.get(index).map_or(f64::NAN, |value| f64::from(*value) / 1000.0)
 }
@@ -117,29 +117,29 @@
                     Faults::Throttled => "throttled",
                     Faults::Both => "both",
                 };
-                let base = at(&none.delays, 0.99);
+                let base = quantile(&none.delays, 0.99);
                 print!(
                     "budget {spare} loads, {name}, seed {seed}: none p50 {:.0} p99 {base:.0}",
-                    at(&none.delays, 0.5)
+                    quantile(&none.delays, 0.5)
                 );
                 for regroup in [true, false] {
                     let run = drag(seed, faults, regroup, spare, seconds);
-                    let p99 = at(&run.delays, 0.99);
+                    let p99 = quantile(&run.delays, 0.99);
                     print!(
-                        "; {} p50 {:.0} p99 {p99:.0} ({:.2}) p99.9 {:.0} slow {} wrongly {} moves {}",
-                        if regroup { "regrouped" } else { "not" },
-                        at(&run.delays, 0.5),
+                        "; {} p50 {:.0} p99 {p99:.0} ({:.2}) p99.9 {:.0} slow {} misclassified {} moves {}",
+                        if regroup { "regrouped" } else { "not regrouped" },
+                        quantile(&run.delays, 0.5),
                         p99 / base,
-                        at(&run.delays, 0.999),
+                        quantile(&run.delays, 0.999),
                         run.slow,
-                        run.wrongly,
+                        run.misclassified,
                         run.moves
                     );
                     if regroup {
                         print!(
-                            " held {} B, ages looser by {:.0} ms",
-                            run.largest,
-                            run.looseness.as_seconds() * 1e3
+                            " held {} B, ages exceed the true ones by {:.0} ms",
+                            run.max_held_bytes,
+                            run.max_age_excess.as_seconds() * 1e3
                         );
                     }
                 }
@@ -183,7 +183,8 @@
         }
         let part = slow_for as f64 / f64::from(ticks);
         println!(
-            "stops {still} s, goes {goes} s: {turns} stops, {changes} moves in an hour, slow {part:.2} of it"
+            "pauses for {still} s, runs for {goes} s: {turns} pauses, {changes} moves per hour, \
+             slow for {part:.2} of it"
         );
     }
 }
@@ -205,7 +206,7 @@
                 fleet.net.play(Span::seconds(1.0), |_| {});
             }
             let by = |ids: &[MemberId]| -> u64 { ids.iter().filter_map(|id| fleet.net.sent.get(id)).sum() };
-            let a_second = by(&fleet.members) as f64 / members as f64 / 20.0;
+            let per_second = by(&fleet.members) as f64 / members as f64 / 20.0;
             let of_followers = by(&fleet.followers) as f64 / followers as f64 / 20.0;
             let mut delays: Vec<u32> = fleet
                 .net
@@ -216,12 +217,12 @@
                 .collect();
             delays.sort_unstable();
             println!(
-                "{members} members, {followers} followers, each source {}: {a_second:.1} messages/s \
-                 a member, {of_followers:.1} a follower; delay p50 {:.0} p99 {:.0} p99.9 {:.0} ms",
+                "{members} members, {followers} followers, each source {}: {per_second:.1} messages/s \
+                 per member, {of_followers:.1} per follower; delay p50 {:.0} p99 {:.0} p99.9 {:.0} ms",
                 if every > 0 { "one item in 20 s" } else { "silent" },
-                at(&delays, 0.5),
-                at(&delays, 0.99),
-                at(&delays, 0.999),
+                quantile(&delays, 0.5),
+                quantile(&delays, 0.99),
+                quantile(&delays, 0.999),
             );
         }
     }
--- a/crates/fleet/examples/rollout.rs
+++ b/crates/fleet/examples/rollout.rs
@@ -15,45 +15,30 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Harm {
     late: f64,
-    turned_back: f64,
-    written_off: f64,
+    refused: f64,
+    failed: f64,
     hand_offs: f64,
     /// Per second and dispatcher.
-    shut_out: f64,
+    ejected: f64,
 }
 
 const HARMS: [(&str, Harm); 9] = [
-    ("harmless", Harm { late: 0.0, turned_back: 0.0, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 }),
-    (
-        "limit at a tenth",
-        Harm { late: 0.02, turned_back: 0.25, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
-    (
-        "verdicts trusted",
-        Harm { late: 0.03, turned_back: 0.02, written_off: 0.0, hand_offs: 0.1, shut_out: 0.1 },
-    ),
-    ("first error", Harm { late: 0.02, turned_back: 0.08, written_off: 0.01, hand_offs: 0.0, shut_out: 0.2 }),
-    (
-        "turned back +5%",
-        Harm { late: 0.0, turned_back: 0.05, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
-    (
-        "turned back +3%",
-        Harm { late: 0.0, turned_back: 0.03, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
-    ("late +5%", Harm { late: 0.05, turned_back: 0.0, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 }),
-    ("hand-offs +0.2", Harm { late: 0.0, turned_back: 0.0, written_off: 0.0, hand_offs: 0.2, shut_out: 0.0 }),
-    (
-        "late +1% (borne)",
-        Harm { late: 0.01, turned_back: 0.0, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
+    ("harmless", Harm { late: 0.0, refused: 0.0, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("limit at a tenth", Harm { late: 0.02, refused: 0.25, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("verdicts trusted", Harm { late: 0.03, refused: 0.02, failed: 0.0, hand_offs: 0.1, ejected: 0.1 }),
+    ("first error", Harm { late: 0.02, refused: 0.08, failed: 0.01, hand_offs: 0.0, ejected: 0.2 }),
+    ("refused +5%", Harm { late: 0.0, refused: 0.05, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("refused +3%", Harm { late: 0.0, refused: 0.03, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("late +5%", Harm { late: 0.05, refused: 0.0, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("hand-offs +0.2", Harm { late: 0.0, refused: 0.0, failed: 0.0, hand_offs: 0.2, ejected: 0.0 }),
+    ("late +1% (tolerated)", Harm { late: 0.01, refused: 0.0, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
 ];
 
 /// A mean-reverting random walk about 0 with standard deviation 1.
 #[derive(Clone, Copy, Default)]
-struct Course(f64);
+struct RandomWalk(f64);
 
-impl Course {
+impl RandomWalk {
     fn step(&mut self, chance: &mut Pcg64Mcg, seconds: f64) -> f64 {
         let keep = (-1.0 / seconds).exp();
         self.0 = self.0 * keep + normal(chance) * (1.0 - keep * keep).sqrt();
@@ -83,9 +68,9 @@
 struct World {
     chance: Pcg64Mcg,
     second: f64,
-    common: [Course; 2],
-    locations: BTreeMap<LocationId, (Course, Course, f64)>,
-    members: BTreeMap<MemberId, (f64, f64, Course)>,
+    common: [RandomWalk; 2],
+    locations: BTreeMap<LocationId, (RandomWalk, RandomWalk, f64)>,
+    members: BTreeMap<MemberId, (f64, f64, RandomWalk)>,
     fails: f64,
 }
 
@@ -96,7 +81,7 @@
             .iter()
             .map(|(id, _)| {
                 let rate = 40.0 * (0.6 * normal(&mut chance)).exp();
-                (*id, (rate, (0.3 * normal(&mut chance)).exp(), Course::default()))
+                (*id, (rate, (0.3 * normal(&mut chance)).exp(), RandomWalk::default()))
             })
             .collect();
         let second = chance.gen_range(0.0..3600.0);
@@ -139,14 +124,14 @@
                 let p = base * *worse * load.powf(power) * (0.6 * normal(chance) - 0.18).exp() + more;
                 draw(chance, visits as f64 * p.min(1.0)).min(visits)
             };
-            let turned_back = share(0.01, 2.0, harm.turned_back);
-            let written_off = share(0.003, 1.0, harm.written_off);
+            let turned_back = share(0.01, 2.0, harm.refused);
+            let written_off = share(0.003, 1.0, harm.failed);
             let late = share(0.02, 1.5, harm.late + 0.02 * fails);
             let again = share(0.08, 1.0, harm.hand_offs + 0.1 * fails);
             let bad = (turned_back + written_off + late).min(visits);
             // Each dispatcher ejects a failed host within the first seconds.
             let found = if failed > 15.0 { 0.2 } else { 0.0 };
-            let shut_out = draw(chance, 0.004 + found + harm.shut_out);
+            let shut_out = draw(chance, 0.004 + found + harm.ejected);
             let (in_time, hand_offs) = (visits - bad, visits - turned_back + again);
             out.push((*id, Figures { visits, in_time, turned_back, written_off, hand_offs, shut_out }));
         }
@@ -248,7 +233,8 @@
     let mut args = std::env::args().skip(1).filter_map(|arg| arg.parse::<u64>().ok());
     let (runs, first) = (args.next().unwrap_or(200), args.next().unwrap_or(1));
     for (members, locations) in [(24, 4), (9, 3), (3, 3)] {
-        for (day, fails) in [("hosts don't fail", 0.0), ("a host fails a location and 20 min", 1.0 / 1200.0)]
+        for (day, fails) in
+            [("hosts don't fail", 0.0), ("a host failure per location every 20 min", 1.0 / 1200.0)]
         {
             println!("{members} dispatchers in {locations} locations; {day}; holds of 120 s");
             for (name, harm) in HARMS {
@@ -281,8 +267,8 @@
                 print!(", its first part {first_stage}");
                 if let (Some(most), Some(share)) = (seconds.last(), shares.last()) {
                     let (middle, half) = (seconds[seconds.len() / 2], shares[shares.len() / 2]);
-                    print!("; s to the halt {middle} (most {most})");
-                    print!("; share that saw it {half:.4} (most {share:.4})");
+                    print!("; seconds to the halt {middle} (most {most})");
+                    print!("; share with the version {half:.4} (most {share:.4})");
                 }
                 println!();
                 if is_harmless {
--- a/crates/fleet/src/delivery/carrier.rs
+++ b/crates/fleet/src/delivery/carrier.rs
@@ -93,7 +93,7 @@
 impl Carrier {
     /// `last`: the last change that the configuration includes; earlier ones are not carried.
     pub fn new(set: Set, last: ChangeNumber) -> Carrier {
-        let changes = HeldChanges::new(last, set.held_bytes);
+        let changes = HeldChanges::new(last, set.max_held_bytes);
         Carrier {
             set,
             changes,
--- a/crates/fleet/src/delivery/follower.rs
+++ b/crates/fleet/src/delivery/follower.rs
@@ -8,11 +8,12 @@
 
 /// Own stamps that are remembered; an echo of an older one proves nothing.
 const REMEMBERED_STAMPS: usize = 64;
-/// After a pass over all carriers without success the wait doubles, up to this many times [`Set::carrier_timeout`].
-/// Guards against all followers asking at their full rate while every carrier is lost or full.
+/// After a pass over all carriers without success the wait doubles, up to this many times
+/// [`Set::carrier_timeout`]. Guards against all followers asking at their full rate while every carrier is
+/// lost or full.
 const MAX_WAIT_FACTOR: f64 = 8.0;
-/// The fraction of [`Set::carrier_timeout`] within which a carrier has to answer a request. It answers at once, and a
-/// lost request costs less than a carrier that is given up.
+/// The fraction of [`Set::carrier_timeout`] within which a carrier has to answer a request. It answers at
+/// once, and a lost request costs less than a carrier that is given up.
 const ANSWER_FRACTION: f64 = 0.5;
 
 /// A follower's side of the delivery.
@@ -159,8 +160,8 @@
     /// Advances the time up to which all changes are known: the carrier had this process's stamp for
     /// `echo.held` before it sent the message, and `age` before sending it the log had nothing newer.
     fn apply_carrier_proof(&mut self, now: Time, echo: Echo, age: Span) {
-        let Some((_, stamped)) = self.stamps.iter().find(|(stamp, _)| *stamp == echo.stamp) else { return };
-        let sent = (*stamped + echo.held.times(MIN_CLOCK_RATIO)).min(now);
+        let Some((_, sent_at)) = self.stamps.iter().find(|(stamp, _)| *stamp == echo.stamp) else { return };
+        let sent = (*sent_at + echo.held.times(MIN_CLOCK_RATIO)).min(now);
         let at = sent - age;
         if at > self.known_up_to {
             self.last_progress = now;
@@ -177,8 +178,8 @@
     fn note_carrier(&mut self, now: Time, index: usize, stamp: Stamp, was_stalled: bool) {
         if index != self.candidate {
             let takes_over = self.is_carried && index == self.probed_carrier && was_stalled;
-            let left = if takes_over { self.candidate } else { index };
-            self.effects.push_back(Effect::Tell { to: self.carriers[left], said: Said::Unfollow });
+            let replaced = if takes_over { self.candidate } else { index };
+            self.effects.push_back(Effect::Tell { to: self.carriers[replaced], said: Said::Unfollow });
             if !takes_over {
                 return;
             }
@@ -207,7 +208,7 @@
     fn acknowledge(&mut self, now: Time) {
         let Some(to) = self.carriers.get(self.candidate).copied() else { return };
         self.last_sent = now;
-        let echo = self.carrier_stamp.map(|(stamp, came)| Echo { stamp, held: now - came });
+        let echo = self.carrier_stamp.map(|(stamp, received)| Echo { stamp, held: now - received });
         self.send_follow(now, to, echo);
     }
 
--- a/crates/fleet/src/delivery/held.rs
+++ b/crates/fleet/src/delivery/held.rs
@@ -22,7 +22,7 @@
 
 impl HeldChanges {
     pub(super) fn new(before: ChangeNumber, max_bytes: usize) -> HeldChanges {
-        HeldChanges { before, records: VecDeque::new(), bytes: 0, max_bytes: max_bytes }
+        HeldChanges { before, records: VecDeque::new(), bytes: 0, max_bytes }
     }
 
     pub(super) fn newest(&self) -> ChangeNumber {
--- a/crates/fleet/src/delivery/mod.rs
+++ b/crates/fleet/src/delivery/mod.rs
@@ -144,12 +144,12 @@
     /// A follower that has not been heard for this long is dropped.
     pub follower_timeout: Span,
     /// Bytes of changes in a message to one follower, and in one tick to all. A longer record is sent alone.
-    /// With `batch_interval` this bounds the rate at which a follower catches up; the default fits in one Ethernet
-    /// frame.
+    /// With `batch_interval` this bounds the rate at which a follower catches up; the default fits in one
+    /// Ethernet frame.
     pub message_bytes: usize,
     pub round_bytes: usize,
     /// Bytes of changes that a carrier holds.
-    pub held_bytes: usize,
+    pub max_held_bytes: usize,
     /// The maximum number of followers of one carrier.
     pub followers: usize,
 }
@@ -166,7 +166,7 @@
             follower_timeout: Span::millis(10_000),
             message_bytes: 1_400,
             round_bytes: 256 << 10,
-            held_bytes: 8 << 20,
+            max_held_bytes: 8 << 20,
             followers: 1_024,
         }
     }
--- a/crates/fleet/src/feed/carrier.rs
+++ b/crates/fleet/src/feed/carrier.rs
@@ -123,9 +123,9 @@
 
     /// The time after which an unacknowledged frame counts as lost.
     fn resend_timeout(&self, set: &Set) -> Span {
-        let usual = set.min_resend_timeout.max(self.round_trip.map_or(Span::ZERO, |span| span.times(2.0)));
-        let times = if self.class.is_slow { 1 << self.consecutive_timeouts.min(3) } else { 1 };
-        Span(usual.0 * times)
+        let timeout = set.min_resend_timeout.max(self.round_trip.map_or(Span::ZERO, |span| span.times(2.0)));
+        let factor = if self.class.is_slow { 1 << self.consecutive_timeouts.min(3) } else { 1 };
+        Span(timeout.0 * factor)
     }
 
     fn acknowledge(&mut self, now: Time, frame: u64, stamp: Stamp, positions: &[Position]) {
@@ -421,11 +421,11 @@
     fn send(&mut self, now: Time, logs: &Logs, set: &Set, out: &mut VecDeque<Effect>) {
         let mut left = set.round_bytes;
         for slow in [false, true] {
-            let turn = self.next_served[usize::from(slow)];
+            let first = self.next_served[usize::from(slow)];
             let ids: Vec<MemberId> = self
                 .carried
-                .range(turn..)
-                .chain(self.carried.range(..turn))
+                .range(first..)
+                .chain(self.carried.range(..first))
                 .filter(|(_, carried)| carried.class.is_slow == slow)
                 .map(|(id, _)| *id)
                 .collect();
@@ -490,8 +490,8 @@
             (true, None) => self.all_lagging_since = Some(now),
             _ => {}
         }
-        let usual = if group.len() >= 3 { own } else { others_median };
-        let mut baseline = usual.or(others_median).unwrap_or(Span::ZERO);
+        let median = if group.len() >= 3 { own } else { others_median };
+        let mut baseline = median.or(others_median).unwrap_or(Span::ZERO);
         if is_own_cause {
             baseline = baseline.max(own.unwrap_or(Span::ZERO));
         }
@@ -567,8 +567,8 @@
         let reports = since.map_or(0, |since| reports_since(since).count());
         let gives_all_away = reports > 0 && reports >= others.count_with_followers().min(3);
         let (mut own, need) = (self.load(set), self.bytes_per_follower());
-        let least = fresh().map(|(_, load, _)| load.lag).min().unwrap_or(Span::ZERO);
-        let keeps_up = |load: &CarrierLoad| load.lag <= least.times(set.slow_factor) + set.slow_margin;
+        let min_lag = fresh().map(|(_, load, _)| load.lag).min().unwrap_or(Span::ZERO);
+        let keeps_up = |load: &CarrierLoad| load.lag <= min_lag.times(set.slow_factor) + set.slow_margin;
         let fits = || fresh().filter(|(_, load, _)| load.spare_bytes >= need && keeps_up(load));
         let most_spare = || fits().max_by_key(|(id, load, _)| (load.spare_bytes, *id));
         let mut started = 0;
@@ -583,8 +583,8 @@
                 continue;
             }
             // Spare capacity fluctuates, and a slow follower gains little by following it.
-            let stay = Span(set.min_stay.0 * if carried.class.is_slow { 10 } else { 1 });
-            let is_resting = carried.arrived.is_some_and(|at| now - at < stay)
+            let min_stay = Span(set.min_stay.0 * if carried.class.is_slow { 10 } else { 1 });
+            let is_resting = carried.arrived.is_some_and(|at| now - at < min_stay)
                 || carried.last_proposed.is_some_and(|at| now - at < set.proposal_timeout);
             // Limits the moves per round so that the other members' load reports keep up with them.
             if started >= set.moves_per_round
@@ -594,15 +594,15 @@
             }
             let target = if carried.class.is_slow {
                 // Slow followers are gathered at the member that has most of them, while it has capacity.
-                let most = fits()
+                let most_slow = fits()
                     .max_by_key(|(id, load, _)| (load.slow_followers, *id))
                     .filter(|(_, load, _)| load.slow_followers > 0);
-                match most {
+                match most_slow {
                     Some((to, load, _))
                         if (load.slow_followers, *to) > (own.slow_followers, self.own)
                             || own.spare_bytes == 0 =>
                     {
-                        most
+                        most_slow
                     }
                     None if own.spare_bytes == 0 => most_spare(),
                     _ => None,
--- a/crates/fleet/src/feed/mod.rs
+++ b/crates/fleet/src/feed/mod.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowerClass {
     pub is_slow: bool,
-    /// Recent returns to the slow class; each one doubles the time until it is reclassified.
+    /// How often it was slow recently; each time doubles the recovery time.
     pub relapses: u8,
 }
 
@@ -334,8 +334,8 @@
     pub fn size(&self) -> (usize, usize, usize, usize) {
         let (items, bytes) =
             self.logs.values().map(SourceLog::size).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        let (places, flying) = self.carrier.size();
-        (items, bytes, places, flying)
+        let (positions, frames_in_flight) = self.carrier.size();
+        (items, bytes, positions, frames_in_flight)
     }
 
     /// Handles a message; senders that are not listed are ignored.
--- a/crates/fleet/src/feed/settings.rs
+++ b/crates/fleet/src/feed/settings.rs
@@ -121,7 +121,7 @@
 
     /// Upper bound of the bytes that a member holds for this many sources: items with their keys and
     /// overhead, without the allocator's rounding.
-    pub fn most_bytes(&self, sources: usize) -> usize {
+    pub fn max_bytes(&self, sources: usize) -> usize {
         let item = 2 * self.max_key_bytes + self.max_value_bytes + 128;
         sources.min(self.most_sources) * (self.backlog_bytes + self.state_bytes + item)
     }
--- a/crates/fleet/src/rollout/mod.rs
+++ b/crates/fleet/src/rollout/mod.rs
@@ -194,7 +194,7 @@
     halt: Option<Halt>,
     in_force: u64,
     starts: u8,
-    /// The number of the receiver's last window that was received, and the run of its process.
+    /// The run of the receiver's process, and the number of its last window that was received.
     windows_seen: (Incarnation, u64),
     /// Windows with their numbers and the time since each was closed.
     windows: Vec<(u64, Span, WindowFigures)>,
@@ -355,7 +355,8 @@
     waiting_for: Option<String>,
     /// The version and run that this dispatcher could not put in force.
     refused: Option<(u64, u32)>,
-    /// What the dispatcher was last told to put in force; `state.in_force` may still wait for the disk.
+    /// The version the dispatcher was last instructed to put in force; `state.in_force` may still wait for
+    /// the disk.
     active: Id,
     // Own figures.
     open_window: (WindowFigures, Time),
--- a/crates/fleet/src/rollout/register.rs
+++ b/crates/fleet/src/rollout/register.rs
@@ -438,18 +438,18 @@
         self.highest_round += 1;
         let ballot = Ballot { round: self.highest_round, proposer: self.own, incarnation: self.incarnation };
         let empty = BTreeMap::new;
-        let (best, value) = (None, None);
-        let (promises, met, acks) = (empty(), empty(), empty());
+        let (highest_accepted, value) = (None, None);
+        let (promises, incarnations, acceptances) = (empty(), empty(), empty());
         self.attempt = Some(Attempt {
             ballot,
             change,
             started: now,
             last_sent: now,
             promises,
-            highest_accepted: best,
-            incarnations: met,
+            highest_accepted,
+            incarnations,
             value,
-            acceptances: acks,
+            acceptances,
         });
         self.send_attempt(now);
     }
@@ -498,9 +498,9 @@
                     return Some(Step { at, phase: Phase::Full, ..step });
                 }
                 // Skips stages that add no dispatcher, such as after a first part that is the whole location.
-                let has = version.included_dispatchers(&self.listed, step.stage);
+                let have_now = version.included_dispatchers(&self.listed, step.stage);
                 let adds_dispatchers =
-                    |stage: &u16| !version.included_dispatchers(&self.listed, *stage).is_subset(&has);
+                    |stage: &u16| !version.included_dispatchers(&self.listed, *stage).is_subset(&have_now);
                 let stage = (step.stage + 1..version.stages()).find(adds_dispatchers);
                 Some(match stage {
                     Some(stage) => Step { at, stage, ..step },
@@ -554,23 +554,23 @@
         if attempt.valid_answers(&attempt.promises).len() < majority {
             return;
         }
-        let (change, best) =
+        let (change, latest) =
             (attempt.change.clone(), attempt.highest_accepted.map(|(_, step)| step).unwrap_or_default());
-        for id in [best.version, best.base] {
+        for id in [latest.version, latest.base] {
             if id.number > 0 && !self.documents.contains_key(&id) {
                 return self.request_document(from, id);
             }
         }
-        let changed = change.as_ref().and_then(|change| self.apply_change(change, best));
-        if changed.is_none() && change.is_some() {
+        let new_step = change.as_ref().and_then(|change| self.apply_change(change, latest));
+        if new_step.is_none() && change.is_some() {
             self.drop_pending_change();
         }
-        if changed.is_none() && best.at <= self.state.chosen.at {
+        if new_step.is_none() && latest.at <= self.state.chosen.at {
             self.attempt = None;
             return;
         }
         if let Some(attempt) = &mut self.attempt {
-            attempt.value = Some(changed.unwrap_or(best));
+            attempt.value = Some(new_step.unwrap_or(latest));
         }
         self.send_attempt(now);
     }
--- a/crates/fleet/src/rollout/runner.rs
+++ b/crates/fleet/src/rollout/runner.rs
@@ -45,12 +45,12 @@
         }
         for id in to {
             let Some(peer) = self.peers.get(&id) else { continue };
-            let runs = self.runner.is_some_and(|(runner, _)| runner == id);
-            let last = if runs { peer.own_windows_seen } else { u64::MAX - 1 };
+            let is_runner = self.runner.is_some_and(|(runner, _)| runner == id);
+            let last = if is_runner { peer.own_windows_seen } else { u64::MAX - 1 };
             let windows = self
                 .closed_windows
                 .range(last + 1..)
-                .map(|(n, (at, counted))| (*n, now - *at, *counted))
+                .map(|(n, (at, window))| (*n, now - *at, *window))
                 .collect();
             let hello = Hello {
                 incarnation: self.incarnation,
@@ -91,8 +91,8 @@
             self.handle_halt(halt);
         }
         let since = self.window_index(self.step_learned);
-        let (window, keeps) = (self.set.window, self.set.max_windows);
-        let (runs, number, own) =
+        let (window_span, max_windows) = (self.set.window, self.set.max_windows);
+        let (is_running, number, own) =
             (self.running_since.is_some(), self.state.chosen.version.number, self.incarnation);
         let Some(peer) = self.peers.get_mut(&from) else { return };
         if hello.incarnation < peer.incarnation {
@@ -114,26 +114,26 @@
         } else if hello.is_runner {
             peer.own_windows_seen = 0;
         }
-        if runs {
+        if is_running {
             let mut visits = 0;
-            for (n, age, counted) in hello.windows.into_iter().take(keeps[0] + keeps[1]) {
+            for (n, age, window) in hello.windows.into_iter().take(max_windows[0] + max_windows[1]) {
                 if n <= peer.windows_seen || age.0 >= now.0 {
                     continue;
                 }
                 peer.windows_seen = n;
-                let place = (now - age).0 / window.0;
-                let figures = counted.figures.clamped();
-                if place >= since && counted.number == Some(number) {
+                let index = (now - age).0 / window_span.0;
+                let figures = window.figures.clamped();
+                if index >= since && window.number == Some(number) {
                     visits += figures.visits;
                 }
-                peer.windows.insert(place, WindowFigures { figures, ..counted });
+                peer.windows.insert(index, WindowFigures { figures, ..window });
             }
-            prune(&mut peer.windows, since, keeps[0], keeps[1]);
+            prune(&mut peer.windows, since, max_windows[0], max_windows[1]);
             self.stage_visits = self.stage_visits.saturating_add(visits);
         }
         if hello.is_runner && hello.is_able {
-            let known = self.runner.filter(|(_, at)| now - *at < self.set.runner_timeout);
-            if known.is_none_or(|(id, _)| from <= id) {
+            let current = self.runner.filter(|(_, at)| now - *at < self.set.runner_timeout);
+            if current.is_none_or(|(id, _)| from <= id) {
                 self.runner = Some((from, now));
             }
             if self.running_since.is_some() && from < self.own {
@@ -149,16 +149,16 @@
 
     /// Closes the open window once its time is over.
     pub(super) fn close_window(&mut self, now: Time) {
-        let (counted, began) = self.open_window;
-        if now - began < self.set.window {
+        let (window, started) = self.open_window;
+        if now - started < self.set.window {
             return;
         }
-        let middle = began + (now - began).times(0.5);
-        if now - began < self.set.window.times(1.5) {
-            self.closed_windows.insert(self.next_window, (middle, counted));
-            let mine = counted.number == Some(self.state.chosen.version.number);
-            if self.running_since.is_some() && mine && middle >= self.step_learned {
-                self.stage_visits = self.stage_visits.saturating_add(counted.figures.visits);
+        let middle = started + (now - started).times(0.5);
+        if now - started < self.set.window.times(1.5) {
+            self.closed_windows.insert(self.next_window, (middle, window));
+            let is_current_version = window.number == Some(self.state.chosen.version.number);
+            if self.running_since.is_some() && is_current_version && middle >= self.step_learned {
+                self.stage_visits = self.stage_visits.saturating_add(window.figures.visits);
             }
             self.next_window += 1;
             let [before, after] = self.set.max_windows;
@@ -240,11 +240,11 @@
         let with: Vec<MemberId> =
             version.included_dispatchers(&self.listed, step.stage).into_iter().collect();
         let since = self.running_since.unwrap_or(now);
-        let mut without = None;
+        let mut lacks_version = None;
         for id in &with {
             let Some(peer) = self.peers.get(id) else {
                 if self.active != step.version {
-                    without = Some(*id);
+                    lacks_version = Some(*id);
                 }
                 continue;
             };
@@ -262,7 +262,7 @@
                 return self.halt(now, format!("dispatcher {:016x}, which has the version, {why}", id.0));
             }
             if peer.in_force != version.number {
-                without = Some(*id);
+                lacks_version = Some(*id);
             }
         }
         if self.state.starts >= 2 {
@@ -280,7 +280,7 @@
         }
         let visits = self.stage_visits;
         let has_passed = self.has_passed || step.resumed == Some(step.stage);
-        if without.is_none() && visits >= version.plan.visits && has_passed {
+        if lacks_version.is_none() && visits >= version.plan.visits && has_passed {
             if self.halt_if_worse(now, step, &version, true) {
                 return;
             }
@@ -289,7 +289,7 @@
         }
         // A new runner first has to receive the members' windows again.
         if now - self.step_learned.max(since) > version.plan.hold + self.set.stage_overtime {
-            let why = match without {
+            let why = match lacks_version {
                 Some(id) => format!("dispatcher {:016x} has not put the version in force", id.0),
                 None => format!("too few figures: {visits} of {} visits", version.plan.visits),
             };
@@ -313,21 +313,21 @@
     fn compare_figures(&mut self, step: Step, version: &Version, is_last: bool) -> Comparison {
         let since = self.window_index(self.step_learned);
         let before = step.stage.checked_sub(1);
-        let had_before =
+        let have_before =
             before.map(|stage| version.included_dispatchers(&self.listed, stage)).unwrap_or_default();
-        let has = version.included_dispatchers(&self.listed, step.stage);
+        let have_now = version.included_dispatchers(&self.listed, step.stage);
         let mut own: Windows = BTreeMap::new();
-        for (at, counted) in self.closed_windows.values() {
-            own.insert(self.window_index(*at), *counted);
+        for (at, window) in self.closed_windows.values() {
+            own.insert(self.window_index(*at), *window);
         }
         let (mut new, mut old, mut without_version) = (Vec::new(), Vec::new(), Vec::new());
         for id in self.listed.keys() {
             let windows =
                 if *id == self.own { Some(&own) } else { self.peers.get(id).map(|peer| &peer.windows) };
             let Some(windows) = windows else { continue };
-            let group = if had_before.contains(id) {
+            let group = if have_before.contains(id) {
                 &mut old
-            } else if has.contains(id) {
+            } else if have_now.contains(id) {
                 &mut new
             } else {
                 &mut without_version
@@ -338,29 +338,29 @@
         // between count for neither side.
         let first_with_version = |windows: &Windows| {
             let first = windows.range(since..).find(|(_, w)| w.number == Some(version.number));
-            first.map(|(place, _)| *place)
+            first.map(|(index, _)| *index)
         };
         let Some(first) = new.iter().map(|(_, w)| first_with_version(w)).collect::<Option<Vec<u64>>>() else {
             return Comparison::TooFewWindows;
         };
         let Some(first) = first.into_iter().max() else { return Comparison::TooFewWindows };
-        let part = |group: &[(MemberId, &Windows)], is_new: bool| -> Vec<Windows> {
-            let fits = |place: u64, counted: &WindowFigures| match (is_new, place >= first) {
-                (true, true) => counted.number == Some(version.number),
-                (true, false) => place < since && counted.number != Some(version.number),
-                (false, late) => (late || place < since) && counted.number.is_some(),
+        let select = |group: &[(MemberId, &Windows)], is_new: bool| -> Vec<Windows> {
+            let is_compared = |index: u64, window: &WindowFigures| match (is_new, index >= first) {
+                (true, true) => window.number == Some(version.number),
+                (true, false) => index < since && window.number != Some(version.number),
+                (false, late) => (late || index < since) && window.number.is_some(),
             };
             group
                 .iter()
-                .map(|(_, w)| w.iter().filter(|(p, c)| fits(**p, c)).map(|(p, c)| (*p, *c)).collect())
+                .map(|(_, w)| w.iter().filter(|(p, c)| is_compared(**p, c)).map(|(p, c)| (*p, *c)).collect())
                 .collect()
         };
         // Compares with dispatchers without the version, or if all have it, with those that had it before
         // this stage.
-        let against = if without_version.is_empty() { &old } else { &without_version };
-        let (with, without) = (part(&new, true), part(against, false));
+        let reference = if without_version.is_empty() { &old } else { &without_version };
+        let (with, without) = (select(&new, true), select(reference, false));
         let windows = with.iter().map(|w| w.range(first..).count()).max().unwrap_or(0);
-        let last = with.iter().filter_map(|w| w.last_key_value()).map(|(place, _)| *place).max().unwrap_or(0);
+        let last = with.iter().filter_map(|w| w.last_key_value()).map(|(index, _)| *index).max().unwrap_or(0);
         if windows < figures::MIN_WINDOWS_SINCE || (last < self.next_comparison && !is_last) {
             return Comparison::TooFewWindows;
         }
@@ -374,7 +374,9 @@
             self.next_comparison = last + (windows as u64).div_ceil(2);
             // Guards against a short hold time, after which a comparison of few windows would promote a
             // harmful version.
-            self.has_passed = matches!(comparison, Comparison::NotWorse { windows, .. } if windows >= figures::MIN_WINDOWS_TO_PASS);
+            let is_enough = |windows: usize| windows >= figures::MIN_WINDOWS_TO_PASS;
+            self.has_passed =
+                matches!(comparison, Comparison::NotWorse { windows, .. } if is_enough(windows));
         }
         comparison
     }
--- a/crates/fleet/src/rollout/version.rs
+++ b/crates/fleet/src/rollout/version.rs
@@ -23,10 +23,10 @@
     /// One byte per location where all are below 256, as older builds read it; these reject the wide form as
     /// an order that names a location twice.
     pub fn bytes(order: &[LocationId]) -> Vec<u8> {
-        let narrow: Option<Vec<u8>> = order.iter().map(|place| u8::try_from(place.0).ok()).collect();
+        let narrow: Option<Vec<u8>> = order.iter().map(|location| u8::try_from(location.0).ok()).collect();
         narrow.filter(|bytes| !is_wide(bytes)).unwrap_or_else(|| {
-            let places = order.iter().flat_map(|place| place.0.to_le_bytes());
-            WIDE_PREFIX.into_iter().chain(places).collect()
+            let locations = order.iter().flat_map(|location| location.0.to_le_bytes());
+            WIDE_PREFIX.into_iter().chain(locations).collect()
         })
     }
 
@@ -41,13 +41,13 @@
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<LocationId>, D::Error> {
         let bytes = Vec::<u8>::deserialize(from)?;
         if !is_wide(&bytes) {
-            return Ok(bytes.into_iter().map(|place| LocationId(place.into())).collect());
+            return Ok(bytes.into_iter().map(|location| LocationId(location.into())).collect());
         }
-        let places = bytes[WIDE_PREFIX.len()..].chunks(2).map(|place| match place {
+        let locations = bytes[WIDE_PREFIX.len()..].chunks(2).map(|location| match location {
             [low, high] => Ok(LocationId(u16::from_le_bytes([*low, *high]))),
             _ => Err(D::Error::custom("odd number of bytes in the wide form of an order")),
         });
-        places.collect()
+        locations.collect()
     }
 }
 
@@ -117,11 +117,11 @@
     /// Whether a dispatcher has the version in a stage. All dispatchers agree on the first part.
     pub fn includes(&self, listed: &BTreeMap<MemberId, LocationId>, stage: u16, who: MemberId) -> bool {
         let Some(location) = listed.get(&who) else { return false };
-        let Some(place) = self.plan.order.iter().position(|named| named == location) else { return false };
+        let Some(index) = self.plan.order.iter().position(|named| named == location) else { return false };
         if stage > 0 {
-            return place < usize::from(stage);
+            return index < usize::from(stage);
         }
-        place == 0 && self.rank(who) >= self.min_first_part_rank(listed, *location)
+        index == 0 && self.rank(who) >= self.min_first_part_rank(listed, *location)
     }
 
     /// All dispatchers that have the version in a stage, in one pass over the list instead of one per
--- a/crates/fleet/tests/delivery.rs
+++ b/crates/fleet/tests/delivery.rs
@@ -20,21 +20,23 @@
 fn assert_settled(bed: &Bed) {
     let newest = bed.log.newest();
     for id in &bed.followers {
-        let one = bed.network.node(*id).unwrap();
-        assert!(newest - one.last() < 100, "{id:?} has {} of {newest}", one.last());
-        assert!(one.follower().unwrap().carrier().is_some(), "{id:?} has no carrier");
-        assert!(!one.reads_log, "{id:?} reads the log");
+        let process = bed.network.node(*id).unwrap();
+        assert!(newest - process.last() < 100, "{id:?} has {} of {newest}", process.last());
+        assert!(process.follower().unwrap().carrier().is_some(), "{id:?} has no carrier");
+        assert!(!process.reads_log, "{id:?} reads the log");
     }
     let carried: usize =
         bed.carriers.iter().map(|id| bed.network.node(*id).unwrap().carrier().unwrap().followers()).sum();
-    assert_eq!(carried, bed.followers.len(), "each follower has one carrier");
+    assert_eq!(carried, bed.followers.len(), "each follower has process carrier");
 }
 
-/// The greatest time over all followers since when they know all changes.
+/// The greatest age, over all followers, of the time up to which they know all changes.
 fn max_delay(bed: &Bed) -> Span {
     let age = |id: &MemberId| {
-        let one = bed.network.node(*id).unwrap();
-        one.known.map_or(Span::millis(u64::from(u32::MAX)), |known| bed.network.clock(*id).unwrap() - known)
+        let process = bed.network.node(*id).unwrap();
+        process
+            .known
+            .map_or(Span::millis(u64::from(u32::MAX)), |known| bed.network.clock(*id).unwrap() - known)
     };
     bed.followers.iter().map(age).max().unwrap()
 }
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn losses_of_a_tenth_are_made_up_within_the_bound_and_a_second() {
+fn ten_percent_loss_delays_by_at_most_a_second() {
     let mut bed = Bed::new(2, Set::default(), 3, 30);
     bed.network.link.lost = 0.1;
     bed.play(seconds(10.0));
@@ -64,8 +66,8 @@
     assert_settled(&bed);
 }
 
-/// A silent carrier is given up after `carrier_timeout` and another one asked, whose first message has the missed
-/// changes.
+/// A silent carrier is given up after `carrier_timeout` and another one asked, whose first message has the
+/// missed changes.
 #[test]
 fn a_lost_carrier_is_replaced_within_a_second() {
     let mut bed = Bed::new(3, Set::default(), 4, 40);
@@ -82,7 +84,7 @@
 
 /// A carrier that shuts down announces it, so that no follower has to wait for a timeout.
 #[test]
-fn a_carrier_that_leaves_is_replaced_at_once() {
+fn a_carrier_that_shuts_down_is_replaced_at_once() {
     let mut bed = Bed::new(4, Set::default(), 4, 40);
     bed.play(seconds(5.0));
     let leaves = bed.carriers[0];
@@ -141,7 +143,7 @@
 /// Changes that a carrier no longer holds are read from the log.
 #[test]
 fn a_follower_too_far_behind_reads_the_log_first() {
-    let mut bed = Bed::new(7, Set { held_bytes: 8_000, ..Set::default() }, 2, 10);
+    let mut bed = Bed::new(7, Set { max_held_bytes: 8_000, ..Set::default() }, 2, 10);
     bed.play(seconds(5.0));
     let late = bed.followers[0];
     bed.start(late, 1);
@@ -180,7 +182,7 @@
 
 /// Followers beyond a carrier's limit go to other carriers.
 #[test]
-fn a_full_carrier_sends_followers_on() {
+fn a_full_carrier_refuses_further_followers() {
     let mut bed = Bed::new(10, Set { followers: 10, ..Set::default() }, 3, 30);
     bed.play(seconds(10.0));
     assert_settled(&bed);
@@ -191,7 +193,7 @@
 
 /// A crashed follower's place is free again after `follower_timeout`.
 #[test]
-fn a_follower_that_died_is_let_go() {
+fn a_crashed_follower_is_dropped() {
     let mut bed = Bed::new(12, Set::default(), 1, 4);
     bed.play(seconds(3.0));
     let died = bed.followers.pop().unwrap();
@@ -203,7 +205,7 @@
 /// No follower switches carriers while the log itself is unreachable. After 4.5 s 342 changes are missing;
 /// these arrive at 243 per second while 76 are added, so all are delivered after 2.1 s.
 #[test]
-fn a_lost_log_moves_nobody() {
+fn no_follower_moves_while_the_log_is_unreachable() {
     let mut bed = Bed::new(13, Set::default(), 4, 60);
     bed.play(seconds(5.0));
     let carriers = |bed: &Bed| -> Vec<Option<MemberId>> {
@@ -221,12 +223,14 @@
 
 /// Slow followers, with high latency and half of their messages lost, do not delay others.
 #[test]
-fn slow_followers_hold_up_nobody() {
+fn slow_followers_do_not_delay_others() {
     let mut bed = Bed::new(11, Set::default(), 2, 40);
     let slow: Vec<MemberId> = bed.followers[..8].to_vec();
-    for (one, other) in slow.iter().flat_map(|one| bed.carriers.iter().map(move |other| (*one, *other))) {
+    for (process, other) in
+        slow.iter().flat_map(|process| bed.carriers.iter().map(move |other| (*process, *other)))
+    {
         let link = Link { lost: 0.5, twice: 0.0, delay: [Span::millis(200), Span::millis(600)] };
-        bed.network.links.extend([((one, other), link), ((other, one), link)]);
+        bed.network.links.extend([((process, other), link), ((other, process), link)]);
     }
     bed.play(seconds(5.0));
     bed.followers.retain(|id| !slow.contains(id));
@@ -239,7 +243,7 @@
 
 /// Faults of all kinds at random times, then an undisturbed phase.
 fn schedule(seed: u64) {
-    let set = Set { held_bytes: 40_000, followers: 6, ..Set::default() };
+    let set = Set { max_held_bytes: 40_000, followers: 6, ..Set::default() };
     let mut bed = Bed::new(seed, set, 3, 8);
     let chance = |bed: &mut Bed| bed.network.chance.gen::<f64>();
     bed.network.link.lost = 0.2 * chance(&mut bed);
@@ -266,19 +270,19 @@
 
 fn fault(bed: &mut Bed) {
     let ids = bed.ids();
-    let one = ids[bed.network.chance.gen_range(0..ids.len())];
+    let process = ids[bed.network.chance.gen_range(0..ids.len())];
     let other = ids[bed.network.chance.gen_range(0..ids.len())];
     match bed.network.chance.gen_range(0..8) {
-        0 => bed.network.kill(one),
+        0 => bed.network.kill(process),
         1 => {
             let known = bed.network.chance.gen_range(0..=bed.log.newest());
-            bed.start(one, known);
+            bed.start(process, known);
         }
-        2 => bed.network.stop(one, Span::millis(1_500)),
-        3 => drop(bed.network.cut.insert((one, other))),
-        4 => bed.network.cut.extend(ids.iter().map(|id| (*id, one))),
+        2 => bed.network.stop(process, Span::millis(1_500)),
+        3 => drop(bed.network.cut.insert((process, other))),
+        4 => bed.network.cut.extend(ids.iter().map(|id| (*id, process))),
         5 => bed.network.cut.clear(),
-        6 => bed.without_log.push(one),
+        6 => bed.without_log.push(process),
         _ => bed.without_log.clear(),
     }
 }
--- a/crates/fleet/tests/delivery_bed/mod.rs
+++ b/crates/fleet/tests/delivery_bed/mod.rs
@@ -76,9 +76,9 @@
     fn read(&mut self, log: &Log, asked: Time, count: usize) {
         match &mut self.role {
             Role::Carrier(carrier) => {
-                for (place, (_, record)) in log.written[..count].iter().enumerate().skip(self.start as usize)
+                for (index, (_, record)) in log.written[..count].iter().enumerate().skip(self.start as usize)
                 {
-                    carrier.read(ChangeNumber(place as u64 + 1), record.clone());
+                    carrier.read(ChangeNumber(index as u64 + 1), record.clone());
                 }
                 self.start = self.start.max(count as u64);
                 carrier.log_heard(asked);
@@ -91,7 +91,7 @@
         }
     }
 
-    fn take(&mut self, effect: Effect) -> Option<(MemberId, (Incarnation, Said))> {
+    fn apply(&mut self, effect: Effect) -> Option<(MemberId, (Incarnation, Said))> {
         match effect {
             Effect::Tell { to, said: message } => {
                 let bytes = postcard::to_stdvec(&message).unwrap().len();
@@ -136,7 +136,7 @@
                 Role::Carrier(carrier) => carrier.next_effect()?,
                 Role::Follower(follower) => follower.next_effect()?,
             };
-            if let Some(message) = self.take(effect) {
+            if let Some(message) = self.apply(effect) {
                 return Some(message);
             }
         }
@@ -161,14 +161,14 @@
 
 impl Bed {
     pub fn new(seed: u64, set: Set, carriers: usize, followers: usize) -> Bed {
-        let named =
+        let ids =
             |kind: &str, count: usize| (0..count).map(|n| MemberId::of(&format!("{kind}{n}"))).collect();
         let mut bed = Bed {
             network: Network::new(seed, TIMER_INTERVAL),
             log: Log::default(),
             set,
-            carriers: named("carrier", carriers),
-            followers: named("follower", followers),
+            carriers: ids("carrier", carriers),
+            followers: ids("follower", followers),
             without_log: Vec::new(),
             record_bytes: 20,
             changes_per_round: 3.8,
@@ -244,21 +244,21 @@
             if self.network.is_paused(id) {
                 continue;
             }
-            let is_reader = |one: &Process| one.carrier().is_some() || one.reads_log;
+            let is_reader = |process: &Process| process.carrier().is_some() || process.reads_log;
             let reaches = !self.without_log.contains(&id);
             let (log, count) = (&self.log, self.log.at(self.network.now));
-            self.network.call(id, |one, now| {
-                if let Some((asked, count)) = one.pending.take() {
-                    one.read(log, asked, count);
+            self.network.call(id, |process, now| {
+                if let Some((asked, count)) = process.pending.take() {
+                    process.read(log, asked, count);
                 }
-                one.pending = (reaches && is_reader(one)).then_some((now, count));
+                process.pending = (reaches && is_reader(process)).then_some((now, count));
             });
         }
     }
 
     /// Shuts a process down in order.
     pub fn leave(&mut self, id: MemberId) {
-        self.network.call(id, |one, _| match &mut one.role {
+        self.network.call(id, |process, _| match &mut process.role {
             Role::Carrier(carrier) => carrier.leave(),
             Role::Follower(follower) => follower.leave(),
         });
@@ -269,17 +269,21 @@
 /// Checks a follower's changes against the log: all of them are the log's, and none is missing up to the time
 /// it claims to know.
 fn check(network: &Network<Process>, log: &Log, id: MemberId) {
-    let Some((one, clock)) = network.node(id).zip(network.clock(id)) else { return };
-    if one.follower().is_none() {
+    let Some((process, clock)) = network.node(id).zip(network.clock(id)) else { return };
+    if process.follower().is_none() {
         return;
     }
-    let start = one.start as usize;
-    let wanted = &log.written[start..start + one.taken.len()];
-    if let (Some(last), Some((_, wanted))) = (one.taken.last(), wanted.last()) {
+    let start = process.start as usize;
+    let wanted = &log.written[start..start + process.taken.len()];
+    if let (Some(last), Some((_, wanted))) = (process.taken.last(), wanted.last()) {
         assert_eq!(last, wanted, "differs from the log");
     }
-    let Some(known) = one.known else { return };
-    let truly = network.now - (clock - known).times(1.0 / one.rate);
+    let Some(known) = process.known else { return };
+    let truly = network.now - (clock - known).times(1.0 / process.rate);
     let there = log.at(truly - Span(1)) as u64;
-    assert!(one.last() >= there, "{id:?} has {} of the {there} changes it claims to know", one.last());
+    assert!(
+        process.last() >= there,
+        "{id:?} has {} of the {there} changes it claims to know",
+        process.last()
+    );
 }
--- a/crates/fleet/tests/delivery_room.rs
+++ b/crates/fleet/tests/delivery_messages.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_carrier_that_never_heard_the_log_carries_nobody() {
+fn a_carrier_without_an_answer_of_the_log_refuses_followers() {
     let mut carrier = Carrier::new(Set::default(), ChangeNumber(0));
     carrier.heard(NOW, FOLLOWER, Incarnation(1), follow(0, 1));
     let answers = sent(&mut carrier);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_carrier_that_has_not_heard_the_log_for_long_carries_nobody_new() {
+fn a_carrier_with_an_old_answer_of_the_log_refuses_followers() {
     let mut carrier = carrier(3);
     let later = NOW + Set::default().max_log_age + Span(1);
     carrier.heard(later, FOLLOWER, Incarnation(1), follow(0, 1));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn another_log_is_told_so() {
+fn another_log_is_refused() {
     let mut carrier = carrier(3);
     let (log, last, stamp) = (LogId::of("other"), ChangeNumber(0), Stamp(1));
     carrier.heard(NOW, FOLLOWER, Incarnation(1), Said::Follow { log, last, stamp, echo: None });
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_follower_that_started_anew_begins_at_its_own_place() {
+fn a_restarted_follower_begins_at_its_own_position() {
     let mut carrier = carrier(3);
     carrier.heard(NOW, FOLLOWER, Incarnation(1), follow(3, 50));
     assert_eq!(batches(&sent(&mut carrier)), [(3, 0)]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_acknowledgement_that_was_overtaken_sends_nothing_again() {
+fn a_reordered_acknowledgement_causes_no_resend() {
     let mut carrier = carrier(3);
     carrier.heard(NOW, FOLLOWER, Incarnation(1), follow(0, 10));
     assert_eq!(batches(&sent(&mut carrier)), [(0, 3)]);
@@ -98,7 +98,7 @@
 
 /// Unacknowledged changes are resent at increasing intervals.
 #[test]
-fn what_is_not_acknowledged_goes_out_again() {
+fn unacknowledged_changes_are_resent() {
     let mut carrier = carrier(3);
     carrier.heard(NOW, FOLLOWER, Incarnation(1), follow(0, 1));
     assert_eq!(batches(&sent(&mut carrier)), [(0, 3)]);
@@ -115,7 +115,7 @@
 
 /// The bytes of a tick are bounded, and followers that had to wait are first in the next one.
 #[test]
-fn a_round_s_bytes_go_to_followers_in_turn() {
+fn bytes_of_a_tick_go_to_followers_in_turn() {
     let set = Set { message_bytes: 100, round_bytes: 250, ..Set::default() };
     let mut carrier = Carrier::new(set, ChangeNumber(0));
     carrier.log_heard(NOW);
@@ -139,8 +139,8 @@
 
 /// The changes held are bounded, and a follower that lacks dropped ones is refused.
 #[test]
-fn what_is_no_longer_held_is_refused() {
-    let mut carrier = Carrier::new(Set { held_bytes: 1_000, ..Set::default() }, ChangeNumber(0));
+fn a_follower_that_lacks_dropped_changes_is_refused() {
+    let mut carrier = Carrier::new(Set { max_held_bytes: 1_000, ..Set::default() }, ChangeNumber(0));
     carrier.log_heard(NOW);
     (1..=100).for_each(|number| carrier.read(ChangeNumber(number), record(number)));
     assert!(carrier.held_bytes() <= 1_000);
@@ -152,7 +152,7 @@
 
 /// A gap in the log voids the changes held before it, so that no follower gets a sequence with a gap.
 #[test]
-fn past_a_gap_of_the_log_only_what_follows_is_carried() {
+fn only_changes_after_a_gap_of_the_log_are_carried() {
     let mut carrier = carrier(3);
     carrier.read(ChangeNumber(9), record(9));
     carrier.heard(NOW, FOLLOWER, Incarnation(1), follow(3, 1));
@@ -193,7 +193,7 @@
 /// Of two carriers that send, one is told to stop, and its changes are taken nevertheless; while the first
 /// one works it is kept.
 #[test]
-fn a_second_carrier_is_told_to_end_it() {
+fn a_second_carrier_is_told_to_stop() {
     let both = [MemberId(1), MemberId(2)];
     let mut follower = Follower::new(Set::default(), FOLLOWER, &both, ChangeNumber(0), 1, NOW);
     let (first, asked) = sent_by_follower(&mut follower).remove(0);
@@ -208,7 +208,7 @@
 
 /// A carrier that proves nothing is replaced by another one that was probed and answers, and not before that.
 #[test]
-fn a_carrier_that_proves_nothing_is_left_for_one_that_does() {
+fn a_stalled_carrier_is_replaced_by_one_that_answers() {
     let set = Set::default();
     let both = [MemberId(1), MemberId(2)];
     let mut follower = Follower::new(set.clone(), FOLLOWER, &both, ChangeNumber(0), 1, NOW);
@@ -234,7 +234,7 @@
 
 /// No time in the future is reported as known, even if an echo implies it.
 #[test]
-fn nothing_is_known_ahead_of_the_own_clock() {
+fn the_known_time_is_never_ahead_of_the_clock() {
     let one = MemberId(1);
     let mut follower = Follower::new(Set::default(), FOLLOWER, &[one], ChangeNumber(0), 1, NOW);
     let asked = std::iter::from_fn(|| follower.next_effect()).find_map(|effect| match effect {
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -100,9 +100,9 @@
     fleet.net.play(Span::seconds(2.0), |_| {});
     fleet.assert_complete();
     fleet.assert_carried_once();
-    let most = fleet.set.most_bytes(members.len());
+    let limit = fleet.set.max_bytes(members.len());
     for bed in everyone.iter().filter_map(|id| fleet.net.node(*id)) {
-        assert!(bed.largest <= most, "{} bytes held, {most} stated", bed.largest);
+        assert!(bed.max_held_bytes <= limit, "{} bytes held, the limit is {limit}", bed.max_held_bytes);
     }
 }
 
@@ -111,7 +111,7 @@
 #[test_case(1; "second quarter")]
 #[test_case(2; "third quarter")]
 #[test_case(3; "last quarter")]
-fn whatever_fails_every_follower_gets_all_in_order(quarter: u64) {
+fn followers_get_all_items_in_order_under_faults(quarter: u64) {
     let seeds = from_env("FEED_SEEDS").unwrap_or(1200) / 4;
     each_seed(quarter * seeds..(quarter + 1) * seeds, schedule);
 }
@@ -126,12 +126,12 @@
     now: Time,
     feeds: [Option<Feed>; 2],
     follower: Option<Follower>,
-    flying: Vec<(MemberId, MemberId, Said)>,
+    in_transit: Vec<(MemberId, MemberId, Said)>,
     /// The follower's position in A's items, which all have different keys.
-    at: u64,
+    position: u64,
     published: u64,
-    lost: bool,
-    died: bool,
+    has_lost: bool,
+    has_crashed: bool,
 }
 
 impl World {
@@ -146,11 +146,11 @@
             now,
             feeds: [feed(A), feed(B)],
             follower: Some(follower),
-            flying: Vec::new(),
-            at: 0,
+            in_transit: Vec::new(),
+            position: 0,
             published: 0,
-            lost: false,
-            died: false,
+            has_lost: false,
+            has_crashed: false,
         };
         world.publish();
         world.settle(60);
@@ -160,7 +160,7 @@
         for feed in world.feeds.iter_mut().flatten() {
             feed.start_move(now, F, other);
         }
-        world.pull();
+        world.collect_effects();
         world
     }
 
@@ -171,25 +171,25 @@
         }
     }
 
-    fn pull(&mut self) {
+    fn collect_effects(&mut self) {
         for (own, feed) in [A, B].into_iter().zip(&mut self.feeds) {
             while let Some(effect) = feed.as_mut().and_then(Feed::next) {
                 if let Effect::Tell { to, said: message } = effect {
-                    self.flying.push((own, to, message));
+                    self.in_transit.push((own, to, message));
                 }
             }
         }
         while let Some(effect) = self.follower.as_mut().and_then(Follower::next) {
             match effect {
-                Effect::Tell { to, said: message } => self.flying.push((F, to, message)),
+                Effect::Tell { to, said: message } => self.in_transit.push((F, to, message)),
                 Effect::Deliver { number, .. } => {
-                    assert_eq!(number, self.at + 1, "a gap or a repeat");
-                    self.at = number;
+                    assert_eq!(number, self.position + 1, "a gap or a repeat");
+                    self.position = number;
                 }
                 Effect::State { up_to, items, .. } => {
                     let numbers: Vec<u64> = items.iter().map(|item| item.number).collect();
-                    assert!(numbers.into_iter().eq(self.at + 1..=up_to), "an incomplete state");
-                    self.at = up_to;
+                    assert!(numbers.into_iter().eq(self.position + 1..=up_to), "an incomplete state");
+                    self.position = up_to;
                 }
                 Effect::Log(_) => {}
             }
@@ -197,30 +197,30 @@
     }
 
     fn deliver(&mut self, index: usize) {
-        let (from, to, message) = self.flying.remove(index);
+        let (from, to, message) = self.in_transit.remove(index);
         match (to, &mut self.feeds, &mut self.follower) {
             (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.heard(self.now, from, message),
             (F, _, Some(follower)) => follower.heard(self.now, from, message),
             _ => {}
         }
-        self.pull();
+        self.collect_effects();
     }
 
-    fn wake(&mut self, who: MemberId) {
+    fn tick(&mut self, who: MemberId) {
         self.now = self.now + Span::millis(50);
         match (who, &mut self.feeds, &mut self.follower) {
             (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.woken(self.now),
             (F, _, Some(follower)) => follower.woken(self.now),
             _ => {}
         }
-        self.pull();
+        self.collect_effects();
     }
 
     fn settle(&mut self, rounds: usize) {
         for _ in 0..rounds {
             for who in [A, B, F] {
-                self.wake(who);
-                for _ in 0..self.flying.len() {
+                self.tick(who);
+                for _ in 0..self.in_transit.len() {
                     self.deliver(0);
                 }
             }
@@ -235,25 +235,25 @@
             change(&mut world);
             steps.push(world);
         };
-        for index in 0..self.flying.len() {
+        for index in 0..self.in_transit.len() {
             step(&|world| world.deliver(index));
-            if !self.lost {
+            if !self.has_lost {
                 step(&|world| {
-                    world.flying.remove(index);
-                    world.lost = true;
+                    world.in_transit.remove(index);
+                    world.has_lost = true;
                 });
             }
         }
         for who in [A, B, F] {
-            step(&|world| world.wake(who));
+            step(&|world| world.tick(who));
         }
-        if !self.died {
-            step(&|world| (world.feeds[0], world.died) = (None, true));
-            step(&|world| (world.feeds[1], world.died) = (None, true));
+        if !self.has_crashed {
+            step(&|world| (world.feeds[0], world.has_crashed) = (None, true));
+            step(&|world| (world.feeds[1], world.has_crashed) = (None, true));
             step(&|world| {
                 let set = Set { backlog_items: 2, ..Set::default() };
                 world.follower = Some(Follower::new(set, F, Incarnation(2), &[A, B], world.now));
-                (world.at, world.died) = (0, true);
+                (world.position, world.has_crashed) = (0, true);
             });
         }
         steps
@@ -261,11 +261,14 @@
 
     fn fingerprint(&self) -> u64 {
         use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
-        let text = format!("{:?}{:?}{:?}{:?}{}", self.feeds, self.follower, self.flying, self.now, self.at);
-        BuildHasherDefault::<DefaultHasher>::default().hash_one((text, self.lost, self.died))
+        let text = format!(
+            "{:?}{:?}{:?}{:?}{}",
+            self.feeds, self.follower, self.in_transit, self.now, self.position
+        );
+        BuildHasherDefault::<DefaultHasher>::default().hash_one((text, self.has_lost, self.has_crashed))
     }
 
-    fn assert_whole(&self) {
+    fn assert_complete(&self) {
         let carriers = [A, B].into_iter().zip(&self.feeds).filter(|(_, feed)| {
             feed.as_ref().is_some_and(|feed| feed.carried().any(|(carried, _)| carried == F))
         });
@@ -273,9 +276,9 @@
         assert_eq!(carriers, [self.follower.as_ref().unwrap().fence().carrier]);
         let held = |feed: &Feed| feed.size().0 as u64;
         match &self.feeds {
-            [Some(_), _] => assert_eq!(self.at, self.published),
+            [Some(_), _] => assert_eq!(self.position, self.published),
             [_, other] => {
-                assert!(self.at >= other.as_ref().map_or(0, held), "B has more items than it delivered")
+                assert!(self.position >= other.as_ref().map_or(0, held), "B has more items than it delivered")
             }
         }
     }
@@ -284,7 +287,7 @@
 /// Every order of deliveries and timers with one loss and one crash, from an offered move on, for
 /// `FEED_DEPTH` steps.
 #[test]
-fn a_move_with_a_loss_and_a_death_loses_and_repeats_nothing() {
+fn a_move_with_a_loss_and_a_crash_delivers_each_item_once() {
     let mut worlds = vec![World::new()];
     let mut known = HashSet::new();
     let mut count = 0;
@@ -300,7 +303,7 @@
         for world in &worlds {
             let mut world = world.clone();
             world.settle(70);
-            world.assert_whole();
+            world.assert_complete();
         }
     }
     assert!(count > 2000, "{count} worlds");
@@ -332,7 +335,7 @@
 }
 
 #[test]
-fn a_slow_follower_is_grouped_and_comes_back_once_it_keeps_up() {
+fn a_slow_follower_is_reclassified_once_it_keeps_up() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 3, 12);
         run_busy(&mut fleet, 4);
@@ -359,7 +362,7 @@
 }
 
 #[test]
-fn a_member_whose_followers_all_lag_gives_them_away() {
+fn a_member_whose_followers_all_lag_moves_them() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
         run_busy(&mut fleet, 4);
@@ -372,7 +375,7 @@
 }
 
 #[test]
-fn where_all_lag_nobody_moves() {
+fn no_follower_moves_while_all_lag() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
         run_busy(&mut fleet, 4);
@@ -389,10 +392,10 @@
 
 /// Invalid messages change no state.
 #[test]
-fn nonsense_is_passed_over() {
+fn invalid_messages_are_ignored() {
     let now = Time(5_000_000);
     let mut feed = Feed::new(Set::default(), A, Incarnation(9), &[A, B], &[F], 1, now);
-    let most = u64::MAX;
+    let max = u64::MAX;
     let fence = |number, carrier| Fence { incarnation: Incarnation(9), number, carrier };
     let item = |number, age| Item { number, key: vec![1], value: vec![1], hold: Span::seconds(9.0), age };
     let segment = |after, up_to, items| Segment {
@@ -405,39 +408,39 @@
     };
     let echo = Some(Echo { stamp: Stamp { run: Incarnation(9), clock: now.0 - 1000 }, held: Span::ZERO });
     let segments = vec![
-        segment(most, 1, vec![]),
-        segment(0, most, vec![]),
+        segment(max, 1, vec![]),
+        segment(0, max, vec![]),
         segment(0, 2, vec![item(2, Span::ZERO), item(1, Span::ZERO)]),
         segment(0, 1, vec![item(7, Span::ZERO)]),
         segment(0, 1, vec![Item { key: vec![0; 1 << 20], ..item(1, Span::ZERO) }]),
-        segment(0, 1, vec![Item { hold: Span(most), ..item(1, Span::ZERO) }]),
+        segment(0, 1, vec![Item { hold: Span(max), ..item(1, Span::ZERO) }]),
         Segment { source: F, ..segment(0, 1, vec![item(1, Span::ZERO)]) },
     ];
-    let stamp = Stamp { run: Incarnation(most), clock: most };
-    let have = vec![Position { source: F, incarnation: Incarnation(most), number: most }; 4000];
+    let stamp = Stamp { run: Incarnation(max), clock: max };
+    let have = vec![Position { source: F, incarnation: Incarnation(max), number: max }; 4000];
     let (class, follower) = (FollowerClass::default(), MemberId(77));
-    let wrong = [
+    let invalid = [
         Said::Segments { echo, is_answer: true, segments: segments.clone() },
         // Valid, but without a bound on its age.
         Said::Segments {
             echo: None,
             is_answer: true,
-            segments: vec![segment(0, 1, vec![item(1, Span(most))])],
+            segments: vec![segment(0, 1, vec![item(1, Span(max))])],
         },
         Said::Segments {
-            echo: Some(Echo { stamp, held: Span(most) }),
+            echo: Some(Echo { stamp, held: Span(max) }),
             is_answer: false,
-            segments: vec![segment(0, 1, vec![item(1, Span(most))])],
+            segments: vec![segment(0, 1, vec![item(1, Span(max))])],
         },
         Said::Positions { stamp, load: Default::default(), positions: have.clone() },
         Said::Request { stamp, positions: have.clone() },
         Said::OfferMove { follower, fence: fence(1, A), stamp: None, positions: vec![], class },
         Said::OfferMove { follower: F, fence: fence(1, B), stamp: None, positions: vec![], class },
         Said::OfferMove { follower: F, fence: fence(1, A), stamp: None, positions: have, class },
-        Said::MoveAccepted { follower: F, fence: fence(most, B) },
-        Said::MoveRejected { follower: F, fence: fence(most, B) },
+        Said::MoveAccepted { follower: F, fence: fence(max, B) },
+        Said::MoveRejected { follower: F, fence: fence(max, B) },
     ];
-    for message in wrong {
+    for message in invalid {
         for from in [B, F, MemberId(77)] {
             feed.heard(now, from, message.clone());
         }
@@ -445,8 +448,8 @@
     assert_eq!((feed.size(), feed.carried().count()), ((0, 0, 0, 0), 0));
     let mut follower = Follower::new(Set::default(), F, Incarnation(9), &[A, B], now);
     let before = follower.fence();
-    for fence in [fence(most, A), fence(1, F), Fence { incarnation: Incarnation(most), ..fence(1, A) }] {
-        let message = Said::Frame { fence, frame: most, echo, class, segments: segments.clone() };
+    for fence in [fence(max, A), fence(1, F), Fence { incarnation: Incarnation(max), ..fence(1, A) }] {
+        let message = Said::Frame { fence, frame: max, echo, class, segments: segments.clone() };
         follower.heard(now, fence.carrier, message);
         follower.heard(now, A, Said::Moved { fence });
         follower.heard(now, A, Said::SubscribeRejected { fence });
--- a/crates/fleet/tests/feed_bed/mod.rs
+++ b/crates/fleet/tests/feed_bed/mod.rs
@@ -15,50 +15,50 @@
 pub type Ledger = Rc<RefCell<BTreeMap<(MemberId, Incarnation), Vec<(Vec<u8>, Span, Time)>>>>;
 
 /// A member or a follower.
-pub enum Side {
+pub enum Role {
     Member(Feed),
-    Listener(Follower),
+    Follower(Follower),
 }
 
 /// A process on the network with its checks.
 pub struct Bed {
     pub id: MemberId,
-    pub side: Side,
+    pub role: Role,
     pub ledger: Ledger,
     /// True time and own clock at the start, and the clock's rate.
     start: (Time, Time),
     rate: f64,
     /// By source: the position, and the latest number of each key.
     pub at: BTreeMap<MemberId, (Incarnation, u64)>,
-    pub knows: BTreeMap<(MemberId, Vec<u8>), u64>,
+    pub latest: BTreeMap<(MemberId, Vec<u8>), u64>,
     pub states: u64,
     pub delivered: u64,
     /// True delays of items published from this time on.
     pub measure_from: Time,
     pub delays: Vec<u32>,
     /// The greatest amount by which a reported age exceeded the true one.
-    pub looseness: Span,
-    pub largest: usize,
+    pub max_age_excess: Span,
+    pub max_held_bytes: usize,
 }
 
 impl Bed {
     pub fn feed(&self) -> Option<&Feed> {
-        match &self.side {
-            Side::Member(feed) => Some(feed),
-            Side::Listener(_) => None,
+        match &self.role {
+            Role::Member(feed) => Some(feed),
+            Role::Follower(_) => None,
         }
     }
 
     pub fn follower(&self) -> Option<&Follower> {
-        match &self.side {
-            Side::Member(_) => None,
-            Side::Listener(follower) => Some(follower),
+        match &self.role {
+            Role::Member(_) => None,
+            Role::Follower(follower) => Some(follower),
         }
     }
 
     pub fn publish(&mut self, now: Time, key: Vec<u8>, bytes: usize, hold: Span) {
         let at = self.true_time(now);
-        let Side::Member(feed) = &mut self.side else { return };
+        let Role::Member(feed) = &mut self.role else { return };
         let Ok(number) = feed.publish(now, key.clone(), vec![0; bytes], hold) else { return };
         let incarnation = self.at[&self.id].0;
         let mut ledger = self.ledger.borrow_mut();
@@ -71,7 +71,7 @@
         self.start.0 + (now - self.start.1).times(1.0 / self.rate)
     }
 
-    fn came(
+    fn check_item(
         &mut self,
         now: Time,
         source: MemberId,
@@ -86,14 +86,14 @@
         assert_eq!(published, key);
         let true_age = at - *when;
         assert!(age + Span(50) >= true_age, "reported age {age:?} is below the true age {true_age:?}");
-        self.looseness = self.looseness.max(Span(age.0.saturating_sub(true_age.0)));
+        self.max_age_excess = self.max_age_excess.max(Span(age.0.saturating_sub(true_age.0)));
         if *when >= self.measure_from {
             self.delays.push(true_age.0 as u32);
         }
-        self.knows.insert((source, key.to_vec()), number);
+        self.latest.insert((source, key.to_vec()), number);
     }
 
-    fn note(&mut self, now: Time, effect: Effect) {
+    fn check_effect(&mut self, now: Time, effect: Effect) {
         match effect {
             Effect::Deliver { source, incarnation, number, key, age, .. } => {
                 let at = self.at.get(&source).copied().unwrap_or_default();
@@ -102,7 +102,7 @@
                 assert_eq!(number, before + 1, "a gap or a repeat from {source:?}");
                 self.at.insert(source, (incarnation, number));
                 self.delivered += 1;
-                self.came(now, source, incarnation, number, &key, age);
+                self.check_item(now, source, incarnation, number, &key, age);
             }
             Effect::State { source, incarnation, up_to, items } => {
                 let at = self.at.get(&source).copied().unwrap_or_default();
@@ -127,7 +127,7 @@
                 self.at.insert(source, (incarnation, up_to));
                 self.states += 1;
                 for item in items {
-                    self.came(now, source, incarnation, item.number, &item.key, item.age);
+                    self.check_item(now, source, incarnation, item.number, &item.key, item.age);
                 }
             }
             Effect::Log(_) | Effect::Tell { .. } => {}
@@ -139,31 +139,31 @@
     type Said = Said;
 
     fn heard(&mut self, now: Time, from: MemberId, message: Said) {
-        match &mut self.side {
-            Side::Member(feed) => feed.heard(now, from, message),
-            Side::Listener(follower) => follower.heard(now, from, message),
+        match &mut self.role {
+            Role::Member(feed) => feed.heard(now, from, message),
+            Role::Follower(follower) => follower.heard(now, from, message),
         }
     }
 
     fn woken(&mut self, now: Time) {
-        match &mut self.side {
-            Side::Member(feed) => feed.woken(now),
-            Side::Listener(follower) => follower.woken(now),
+        match &mut self.role {
+            Role::Member(feed) => feed.woken(now),
+            Role::Follower(follower) => follower.woken(now),
         }
         if let Some(feed) = self.feed() {
-            self.largest = self.largest.max(feed.size().1);
+            self.max_held_bytes = self.max_held_bytes.max(feed.size().1);
         }
     }
 
     fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
         loop {
-            let effect = match &mut self.side {
-                Side::Member(feed) => feed.next(),
-                Side::Listener(follower) => follower.next(),
+            let effect = match &mut self.role {
+                Role::Member(feed) => feed.next(),
+                Role::Follower(follower) => follower.next(),
             }?;
             match effect {
                 Effect::Tell { to, said: message } => return Some((to, message)),
-                other => self.note(now, other),
+                other => self.check_effect(now, other),
             }
         }
     }
@@ -213,25 +213,25 @@
         let (set, ledger, true_start) = (self.set.clone(), self.ledger.clone(), self.net.now);
         let (members, followers, measure_from) = (&self.members, &self.followers, self.measure_from);
         self.net.start(id, rate, |now| {
-            let side = if members.contains(&id) {
-                Side::Member(Feed::new(set, id, incarnation, members, followers, seed, now))
+            let role = if members.contains(&id) {
+                Role::Member(Feed::new(set, id, incarnation, members, followers, seed, now))
             } else {
-                Side::Listener(Follower::new(set, id, incarnation, members, now))
+                Role::Follower(Follower::new(set, id, incarnation, members, now))
             };
             Bed {
                 id,
-                side,
+                role,
                 ledger,
                 start: (true_start, now),
                 rate,
                 at: BTreeMap::from([(id, (incarnation, 0))]),
-                knows: BTreeMap::new(),
+                latest: BTreeMap::new(),
                 states: 0,
                 delivered: 0,
                 measure_from,
                 delays: Vec::new(),
-                looseness: Span::ZERO,
-                largest: 0,
+                max_age_excess: Span::ZERO,
+                max_held_bytes: 0,
             }
         });
     }
@@ -253,7 +253,7 @@
                 for (number, (key, hold, _)) in items.iter().enumerate() {
                     let replaced = items[number + 1..].iter().any(|(later, ..)| later == key);
                     if !replaced && *hold >= Span::seconds(60.0) {
-                        assert_eq!(bed.knows.get(&(*source, key.clone())), Some(&(number as u64 + 1)));
+                        assert_eq!(bed.latest.get(&(*source, key.clone())), Some(&(number as u64 + 1)));
                     }
                 }
             }
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -310,9 +310,9 @@
 }
 
 #[test]
-fn each_trouble_halts_in_the_first_stage() {
-    type Trouble = fn(&mut Play, MemberId);
-    let troubles: [(&str, Trouble); 4] = [
+fn each_fault_halts_in_the_first_stage() {
+    type Fault = fn(&mut Play, MemberId);
+    let faults: [(&str, Fault); 4] = [
         ("could not be put in force", |_, _| {}),
         ("is unreachable", |p, id| p.kill(id)),
         ("quoted time", |p, id| {
@@ -326,7 +326,7 @@
             }
         }),
     ];
-    for (why, trouble) in troubles {
+    for (why, fault) in faults {
         let mut p = Play::new(7, fleet(8, 2));
         p.play(20.0);
         for (id, _) in p.listed.clone().into_iter().filter(|_| why == "could not be put in force") {
@@ -339,7 +339,7 @@
             listed.keys().copied().filter(|id| start.includes(&listed, 0, *id)).collect();
         p.order(MemberId(1), Order::Start(start)).unwrap();
         p.play(if why == "is unreachable" { 2.0 } else { 0.4 });
-        with.iter().for_each(|id| trouble(&mut p, *id));
+        with.iter().for_each(|id| fault(&mut p, *id));
         p.play(60.0);
         let last = *p.invariants.steps.values().next_back().unwrap();
         assert_eq!((last.stage, last.phase), (0, Phase::Halted), "{why}");
@@ -690,7 +690,7 @@
 }
 
 #[test]
-fn every_order_of_promote_against_halt() {
+fn every_order_of_a_promotion_and_a_halt() {
     let listed = fleet(3, 3);
     let mut first = before_promoting(&listed, 1);
     first.explore();
@@ -713,7 +713,7 @@
 /// Random orders of cases that are too large to explore fully: two promotions, or a promotion against a
 /// rollback, each with a kill.
 #[test]
-fn random_orders_with_two_that_change() {
+fn random_orders_with_two_concurrent_changes() {
     let walks: u64 = std::env::var("ROLLOUT_WALKS").ok().and_then(|walks| walks.parse().ok()).unwrap_or(300);
     // One member promotes, or two do, or one promotes and another rolls back, or one halts and another rolls
     // back.
@@ -767,7 +767,7 @@
 /// A member accepts a rollback with one other, loses the record in a kill, and then hears only the third,
 /// which would halt.
 #[test]
-fn a_member_that_forgot_what_it_accepted_abstains() {
+fn a_member_that_lost_its_record_abstains() {
     let listed = fleet(3, 3);
     let mut world = before_promoting(&listed, 1);
     world.explore();
@@ -822,7 +822,7 @@
 }
 
 #[test]
-fn a_plan_of_places_below_256_is_written_as_it_was() {
+fn a_plan_of_locations_below_256_keeps_its_encoding() {
     for places in [&[][..], &[0], &[1, 0], &[255, 128, 127, 3]] {
         let bytes: Vec<u8> = places.iter().map(|place| *place as u8).collect();
         let written = postcard::to_stdvec(&plan(places)).unwrap();
@@ -832,7 +832,7 @@
 }
 
 #[test]
-fn a_plan_of_places_above_255_is_read_here_and_refused_by_older_builds() {
+fn a_plan_of_locations_above_255_is_rejected_by_older_builds() {
     for places in [&[256][..], &[255, 256], &[1_023, 0, 767, 255], &[0, 0], &[7, 7]] {
         let written = postcard::to_stdvec(&plan(places)).unwrap();
         assert_eq!(postcard::from_bytes::<Plan>(&written).unwrap(), plan(places));
@@ -850,7 +850,7 @@
 
 /// `included_dispatchers` agrees with `includes` for each dispatcher.
 #[test]
-fn all_that_have_a_version_are_those_that_each_say_so() {
+fn included_dispatchers_agrees_with_includes() {
     let mut chance = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..200 {
         let (members, locations) = (chance.gen_range(1..60), chance.gen_range(1..6));
