--- a/crates/fleet/examples/rollout.rs
+++ b/crates/fleet/examples/rollout.rs
@@ -174,7 +174,7 @@
     share: f64,
     why: String,
     /// Messages sent by all members.
-    told: u64,
+    messages: u64,
 }
 
 fn run(seed: u64, members: u64, locations: u64, harm: Harm, fails: f64, hold: f64) -> Outcome {
@@ -223,7 +223,7 @@
         }
     }
     out.share = saw as f64 / all as f64;
-    out.told = net.sent.values().sum::<u64>();
+    out.messages = net.sent.values().sum::<u64>();
     let halts = |id: &MemberId| net.node(*id)?.logs.iter().find(|line| line.contains("halted:")).cloned();
     out.why = net.ids().iter().find_map(halts).unwrap_or_default();
     out
--- a/crates/fleet/src/rollout/figures.rs
+++ b/crates/fleet/src/rollout/figures.rs
@@ -221,7 +221,7 @@
 /// Least windows before the version and since.
 pub const MIN_WINDOWS_BEFORE: usize = 8;
 pub const MIN_WINDOWS_SINCE: usize = 4;
-/// Least windows since the version to find it not worse: fewer would miss most kinds of harm.
+/// Least windows since the version to find it not worse: with fewer, only severe harm would show.
 pub const MIN_WINDOWS_TO_PASS: usize = 2 * MIN_WINDOWS_SINCE;
 
 /// Compares `with`, which have the version since the window `since`, to `without`, which do not have it. If
--- a/crates/fleet/src/rollout/mod.rs
+++ b/crates/fleet/src/rollout/mod.rs
@@ -264,9 +264,12 @@
 /// An operator's order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
+    /// Starts the rollout of a version.
     Start(Version),
     Halt,
+    /// Continues a halted rollout.
     Resume,
+    /// Rolls the latest version back.
     Back,
 }
 
--- a/crates/fleet/src/rollout/register.rs
+++ b/crates/fleet/src/rollout/register.rs
@@ -23,7 +23,7 @@
         self.value.iter().flat_map(|step| [step.version, step.base]).collect()
     }
 
-    /// Whether the attempt becomes void by a halt.
+    /// Whether a halt voids the attempt.
     pub(super) fn is_promoting(&self) -> bool {
         match self.value {
             Some(step) => step.promotes(),
@@ -261,6 +261,7 @@
         }
     }
 
+    /// Asks members that have not answered yet for their state.
     pub(super) fn catch_up(&mut self, now: Time) {
         let Some(answers) = &self.catch_up_answers else { return };
         if now < self.next_catch_up {
@@ -378,6 +379,7 @@
         }
     }
 
+    /// Keeps a halt and stops what it voids.
     fn record_halt(&mut self, halt: Halt) {
         self.state.halt = Some(halt);
         self.is_dirty = true;
@@ -393,6 +395,7 @@
 
     // Proposer.
 
+    /// Postpones the next attempt by a random time, so that two proposers do not keep blocking each other.
     fn back_off(&mut self, now: Time) {
         self.next_attempt_at = now + Span::seconds(self.rng.gen_range(0.3..1.5));
     }
@@ -575,6 +578,7 @@
         self.send_attempt(now);
     }
 
+    /// Gives up the pending change, which no longer fits the latest step.
     fn drop_pending_change(&mut self) {
         if self.is_order_pending {
             self.log(
--- a/crates/fleet/tests/delivery.rs
+++ b/crates/fleet/tests/delivery.rs
@@ -27,7 +27,7 @@
     }
     let carried: usize =
         bed.carriers.iter().map(|id| bed.network.node(*id).unwrap().carrier().unwrap().followers()).sum();
-    assert_eq!(carried, bed.followers.len(), "each follower has process carrier");
+    assert_eq!(carried, bed.followers.len(), "each follower has one carrier");
 }
 
 /// The greatest age, over all followers, of the time up to which they know all changes.
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -453,7 +453,7 @@
             };
             assert!(
                 due.is_none_or(|due| due == status.in_force),
-                "seed {seed}: {id:?} the due version is not in force: {status:?}"
+                "seed {seed}: {id:?}: the due version is not in force: {status:?}"
             );
         }
         *ends.entry(last.phase).or_insert(0) += 1;
