--- a/crates/fleet/examples/feed.rs
+++ b/crates/fleet/examples/feed.rs
@@ -1,9 +1,8 @@
-//! Measures the feed in virtual time on the made network: `cargo run --release -p cherrypass-fleet --example
-//! feed`.
+//! Measures the feed on the simulated network: `cargo run --release -p cherrypass-fleet --example feed`.
 //!
-//! `drag [from] [to] [seconds]`: delay of healthy followers with a fifth of all stopped or throttled, against
-//! none, with and without regrouping. `flap`: moves in an hour of a follower that stops and goes on. `size`:
-//! messages and bytes a member from 3 to 300 members.
+//! `drag [from] [to] [seconds]`: delay of healthy followers while a fifth of all are paused or throttled,
+//! compared with none, with and without regrouping. `flap`: moves per hour of a follower that pauses
+//! repeatedly. `size`: messages and bytes per member, from 3 to 300 members.
 #[path = "../tests/feed_bed/mod.rs"]
 mod feed_bed;
 
@@ -16,7 +15,7 @@
 use std::collections::BTreeSet;
 
 const ROUND: Span = Span::millis(50);
-/// Two items of each of five sources a round, to ten followers a member, with what belongs to them: bytes.
+/// Bytes per round: two items of each of five sources, to ten followers per member, with their overhead.
 const LOAD: usize = 10 * (10 * (2 * 4 + 200 + 128) + 5 * 128);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -31,14 +30,15 @@
     delays: Vec<u32>,
     moves: u64,
     slow: usize,
-    wrongly: usize,
-    largest: usize,
-    looseness: Span,
+    misclassified: usize,
+    max_held_bytes: usize,
+    max_age_excess: Span,
 }
 
 fn drag(seed: u64, faults: Faults, regroup: bool, spare: f64, seconds: u64) -> Run {
     let budget = (LOAD as f64 * spare) as usize;
-    let mut fleet = Fleet::new(seed, Set { budget, regroup, most_followers: 40, ..Set::default() }, 5, 50);
+    let mut fleet =
+        Fleet::new(seed, Set { round_bytes: budget, regroup, max_followers: 40, ..Set::default() }, 5, 50);
     fleet.net.link = Link { lost: 0.01, twice: 0.0, delay: [Span::millis(1), Span::millis(5)] };
     let mut shuffled = fleet.followers.clone();
     shuffled.shuffle(&mut fleet.net.chance);
@@ -88,19 +88,19 @@
         delays,
         moves: feeds().map(|feed| feed.moves()).sum(),
         slow: slow.len(),
-        wrongly: slow.iter().filter(|id| !bad.contains(id)).count(),
-        largest: fleet
+        misclassified: slow.iter().filter(|id| !bad.contains(id)).count(),
+        max_held_bytes: fleet
             .members
             .iter()
             .filter_map(|id| fleet.net.node(*id))
-            .map(|bed| bed.largest)
+            .map(|bed| bed.max_held_bytes)
             .max()
             .unwrap_or(0),
-        looseness: healthy.iter().map(|bed| bed.looseness).max().unwrap_or_default(),
+        max_age_excess: healthy.iter().map(|bed| bed.max_age_excess).max().unwrap_or_default(),
     }
 }
 
-fn at(sorted: &[u32], part: f64) -> f64 {
+fn quantile(sorted: &[u32], part: f64) -> f64 {
     let index = ((sorted.len() as f64 * part) as usize).min(sorted.len().saturating_sub(1));
     sorted.get(index).map_or(f64::NAN, |value| f64::from(*value) / 1000.0)
 }
@@ -117,29 +117,29 @@
                     Faults::Throttled => "throttled",
                     Faults::Both => "both",
                 };
-                let base = at(&none.delays, 0.99);
+                let base = quantile(&none.delays, 0.99);
                 print!(
                     "budget {spare} loads, {name}, seed {seed}: none p50 {:.0} p99 {base:.0}",
-                    at(&none.delays, 0.5)
+                    quantile(&none.delays, 0.5)
                 );
                 for regroup in [true, false] {
                     let run = drag(seed, faults, regroup, spare, seconds);
-                    let p99 = at(&run.delays, 0.99);
+                    let p99 = quantile(&run.delays, 0.99);
                     print!(
-                        "; {} p50 {:.0} p99 {p99:.0} ({:.2}) p99.9 {:.0} slow {} wrongly {} moves {}",
-                        if regroup { "regrouped" } else { "not" },
-                        at(&run.delays, 0.5),
+                        "; {} p50 {:.0} p99 {p99:.0} ({:.2}) p99.9 {:.0} slow {} misclassified {} moves {}",
+                        if regroup { "regrouped" } else { "not regrouped" },
+                        quantile(&run.delays, 0.5),
                         p99 / base,
-                        at(&run.delays, 0.999),
+                        quantile(&run.delays, 0.999),
                         run.slow,
-                        run.wrongly,
+                        run.misclassified,
                         run.moves
                     );
                     if regroup {
                         print!(
-                            " held {} B, ages looser by {:.0} ms",
-                            run.largest,
-                            run.looseness.as_seconds() * 1e3
+                            " held {} B, ages exceed the true ones by {:.0} ms",
+                            run.max_held_bytes,
+                            run.max_age_excess.as_seconds() * 1e3
                         );
                     }
                 }
@@ -149,7 +149,7 @@
     }
 }
 
-/// One of ten followers stops for `still` and goes on for `goes`, again and again, for an hour.
+/// One of ten followers alternates between a pause and running, for an hour.
 fn print_flap() {
     for (still, goes) in
         [(0.5, 2.0), (1.5, 3.0), (3.0, 3.0), (3.0, 15.0), (3.0, 30.0), (3.0, 60.0), (3.0, 400.0)]
@@ -183,7 +183,8 @@
         }
         let part = slow_for as f64 / f64::from(ticks);
         println!(
-            "stops {still} s, goes {goes} s: {turns} stops, {changes} moves in an hour, slow {part:.2} of it"
+            "pauses for {still} s, runs for {goes} s: {turns} pauses, {changes} moves per hour, \
+             slow for {part:.2} of it"
         );
     }
 }
@@ -205,7 +206,7 @@
                 fleet.net.play(Span::seconds(1.0), |_| {});
             }
             let by = |ids: &[MemberId]| -> u64 { ids.iter().filter_map(|id| fleet.net.sent.get(id)).sum() };
-            let a_second = by(&fleet.members) as f64 / members as f64 / 20.0;
+            let per_second = by(&fleet.members) as f64 / members as f64 / 20.0;
             let of_followers = by(&fleet.followers) as f64 / followers as f64 / 20.0;
             let mut delays: Vec<u32> = fleet
                 .net
@@ -216,12 +217,12 @@
                 .collect();
             delays.sort_unstable();
             println!(
-                "{members} members, {followers} followers, each source {}: {a_second:.1} messages/s \
-                 a member, {of_followers:.1} a follower; delay p50 {:.0} p99 {:.0} p99.9 {:.0} ms",
+                "{members} members, {followers} followers, each source {}: {per_second:.1} messages/s \
+                 per member, {of_followers:.1} per follower; delay p50 {:.0} p99 {:.0} p99.9 {:.0} ms",
                 if every > 0 { "one item in 20 s" } else { "silent" },
-                at(&delays, 0.5),
-                at(&delays, 0.99),
-                at(&delays, 0.999),
+                quantile(&delays, 0.5),
+                quantile(&delays, 0.99),
+                quantile(&delays, 0.999),
             );
         }
     }
--- a/crates/fleet/examples/rollout.rs
+++ b/crates/fleet/examples/rollout.rs
@@ -1,6 +1,7 @@
-//! How soon harmful versions halt, and how often harmless ones do, in virtual time on the made network:
-//! `cargo run --release --example rollout [runs] [seed]`. Figures are made: traffic that is uneven, swings
-//! and bursts together, visits of one second that share their fate, hosts that fail for a whole location.
+//! Measures how soon harmful versions are halted, and how often harmless ones are, on the simulated network:
+//! `cargo run --release --example rollout [runs] [seed]`. Figures are generated: uneven load with daily
+//! swings and common bursts, correlated visits within a second, and host failures that affect a whole
+//! location.
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
@@ -10,49 +11,34 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a version does to its dispatchers' visits.
+/// The effect of a version on its dispatchers' visits.
 #[derive(Clone, Copy, Debug, Default)]
 struct Harm {
     late: f64,
-    turned_back: f64,
-    written_off: f64,
+    refused: f64,
+    failed: f64,
     hand_offs: f64,
-    /// A second and dispatcher.
-    shut_out: f64,
+    /// Per second and dispatcher.
+    ejected: f64,
 }
 
 const HARMS: [(&str, Harm); 9] = [
-    ("harmless", Harm { late: 0.0, turned_back: 0.0, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 }),
-    (
-        "limit at a tenth",
-        Harm { late: 0.02, turned_back: 0.25, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
-    (
-        "verdicts trusted",
-        Harm { late: 0.03, turned_back: 0.02, written_off: 0.0, hand_offs: 0.1, shut_out: 0.1 },
-    ),
-    ("first error", Harm { late: 0.02, turned_back: 0.08, written_off: 0.01, hand_offs: 0.0, shut_out: 0.2 }),
-    (
-        "turned back +5%",
-        Harm { late: 0.0, turned_back: 0.05, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
-    (
-        "turned back +3%",
-        Harm { late: 0.0, turned_back: 0.03, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
-    ("late +5%", Harm { late: 0.05, turned_back: 0.0, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 }),
-    ("hand-offs +0.2", Harm { late: 0.0, turned_back: 0.0, written_off: 0.0, hand_offs: 0.2, shut_out: 0.0 }),
-    (
-        "late +1% (borne)",
-        Harm { late: 0.01, turned_back: 0.0, written_off: 0.0, hand_offs: 0.0, shut_out: 0.0 },
-    ),
+    ("harmless", Harm { late: 0.0, refused: 0.0, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("limit at a tenth", Harm { late: 0.02, refused: 0.25, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("verdicts trusted", Harm { late: 0.03, refused: 0.02, failed: 0.0, hand_offs: 0.1, ejected: 0.1 }),
+    ("first error", Harm { late: 0.02, refused: 0.08, failed: 0.01, hand_offs: 0.0, ejected: 0.2 }),
+    ("refused +5%", Harm { late: 0.0, refused: 0.05, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("refused +3%", Harm { late: 0.0, refused: 0.03, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("late +5%", Harm { late: 0.05, refused: 0.0, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
+    ("hand-offs +0.2", Harm { late: 0.0, refused: 0.0, failed: 0.0, hand_offs: 0.2, ejected: 0.0 }),
+    ("late +1% (tolerated)", Harm { late: 0.01, refused: 0.0, failed: 0.0, hand_offs: 0.0, ejected: 0.0 }),
 ];
 
-/// A slow random course about 0, of deviation 1.
+/// A mean-reverting random walk about 0 with standard deviation 1.
 #[derive(Clone, Copy, Default)]
-struct Course(f64);
+struct RandomWalk(f64);
 
-impl Course {
+impl RandomWalk {
     fn step(&mut self, chance: &mut Pcg64Mcg, seconds: f64) -> f64 {
         let keep = (-1.0 / seconds).exp();
         self.0 = self.0 * keep + normal(chance) * (1.0 - keep * keep).sqrt();
@@ -82,9 +68,9 @@
 struct World {
     chance: Pcg64Mcg,
     second: f64,
-    common: [Course; 2],
-    locations: BTreeMap<LocationId, (Course, Course, f64)>,
-    members: BTreeMap<MemberId, (f64, f64, Course)>,
+    common: [RandomWalk; 2],
+    locations: BTreeMap<LocationId, (RandomWalk, RandomWalk, f64)>,
+    members: BTreeMap<MemberId, (f64, f64, RandomWalk)>,
     fails: f64,
 }
 
@@ -95,14 +81,14 @@
             .iter()
             .map(|(id, _)| {
                 let rate = 40.0 * (0.6 * normal(&mut chance)).exp();
-                (*id, (rate, (0.3 * normal(&mut chance)).exp(), Course::default()))
+                (*id, (rate, (0.3 * normal(&mut chance)).exp(), RandomWalk::default()))
             })
             .collect();
         let second = chance.gen_range(0.0..3600.0);
         World { chance, second, common: Default::default(), locations: BTreeMap::new(), members, fails }
     }
 
-    /// One second of all dispatchers; `has` is the version's harm where it is in force.
+    /// The figures of one second of all dispatchers; `has` is the version's effect where it is in force.
     fn second(
         &mut self,
         listed: &[(MemberId, LocationId)],
@@ -110,7 +96,7 @@
     ) -> Vec<(MemberId, Figures)> {
         self.second += 1.0;
         let chance = &mut self.chance;
-        // A day pressed into an hour.
+        // The daily swing, compressed into an hour.
         let swing = 1.0 + 0.4 * (self.second * std::f64::consts::TAU / 3600.0).sin();
         let burst =
             (0.25 * self.common[0].step(chance, 30.0) + 0.15 * self.common[1].step(chance, 5.0)).exp();
@@ -134,18 +120,18 @@
             let harm = has(*id);
             let fails = if failed > 0.0 { 1.0 } else { 0.0 };
             let mut share = |base: f64, power: f64, more: f64| {
-                // Visits of a second share their fate.
+                // Visits within a second are correlated.
                 let p = base * *worse * load.powf(power) * (0.6 * normal(chance) - 0.18).exp() + more;
                 draw(chance, visits as f64 * p.min(1.0)).min(visits)
             };
-            let turned_back = share(0.01, 2.0, harm.turned_back);
-            let written_off = share(0.003, 1.0, harm.written_off);
+            let turned_back = share(0.01, 2.0, harm.refused);
+            let written_off = share(0.003, 1.0, harm.failed);
             let late = share(0.02, 1.5, harm.late + 0.02 * fails);
             let again = share(0.08, 1.0, harm.hand_offs + 0.1 * fails);
             let bad = (turned_back + written_off + late).min(visits);
-            // Each dispatcher finds a failed host out in the first five seconds or so.
+            // Each dispatcher ejects a failed host within the first seconds.
             let found = if failed > 15.0 { 0.2 } else { 0.0 };
-            let shut_out = draw(chance, 0.004 + found + harm.shut_out);
+            let shut_out = draw(chance, 0.004 + found + harm.ejected);
             let (in_time, hand_offs) = (visits - bad, visits - turned_back + again);
             out.push((*id, Figures { visits, in_time, turned_back, written_off, hand_offs, shut_out }));
         }
@@ -161,8 +147,8 @@
 
 impl Node for Member {
     type Said = Said;
-    fn heard(&mut self, now: Time, from: MemberId, said: Said) {
-        self.rollout.heard(now, from, said);
+    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+        self.rollout.heard(now, from, message);
     }
     fn woken(&mut self, now: Time) {
         self.rollout.woken(now);
@@ -170,7 +156,7 @@
     fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
         loop {
             match self.rollout.next()? {
-                Effect::Tell { to, said } => return Some((to, said)),
+                Effect::Tell { to, said: message } => return Some((to, message)),
                 Effect::Keep { ticket, .. } => self.rollout.kept(now, ticket, true),
                 Effect::InForce { number, .. } => self.in_force = number,
                 Effect::Log(line) => self.logs.push(line),
@@ -184,11 +170,11 @@
     stage: u16,
     full: bool,
     seconds: u64,
-    /// Of all visits since the start, those that saw the version.
+    /// The share of visits since the start that were subject to the version.
     share: f64,
     why: String,
-    /// Bytes told a member and second, and the most windows' worth.
-    told: u64,
+    /// Messages sent by all members.
+    messages: u64,
 }
 
 fn run(seed: u64, members: u64, locations: u64, harm: Harm, fails: f64, hold: f64) -> Outcome {
@@ -237,7 +223,7 @@
         }
     }
     out.share = saw as f64 / all as f64;
-    out.told = net.sent.values().sum::<u64>();
+    out.messages = net.sent.values().sum::<u64>();
     let halts = |id: &MemberId| net.node(*id)?.logs.iter().find(|line| line.contains("halted:")).cloned();
     out.why = net.ids().iter().find_map(halts).unwrap_or_default();
     out
@@ -247,7 +233,8 @@
     let mut args = std::env::args().skip(1).filter_map(|arg| arg.parse::<u64>().ok());
     let (runs, first) = (args.next().unwrap_or(200), args.next().unwrap_or(1));
     for (members, locations) in [(24, 4), (9, 3), (3, 3)] {
-        for (day, fails) in [("hosts don't fail", 0.0), ("a host fails a location and 20 min", 1.0 / 1200.0)]
+        for (day, fails) in
+            [("hosts don't fail", 0.0), ("a host failure per location every 20 min", 1.0 / 1200.0)]
         {
             println!("{members} dispatchers in {locations} locations; {day}; holds of 120 s");
             for (name, harm) in HARMS {
@@ -280,8 +267,8 @@
                 print!(", its first part {first_stage}");
                 if let (Some(most), Some(share)) = (seconds.last(), shares.last()) {
                     let (middle, half) = (seconds[seconds.len() / 2], shares[shares.len() / 2]);
-                    print!("; s to the halt {middle} (most {most})");
-                    print!("; share that saw it {half:.4} (most {share:.4})");
+                    print!("; seconds to the halt {middle} (most {most})");
+                    print!("; share with the version {half:.4} (most {share:.4})");
                 }
                 println!();
                 if is_harmless {
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -1,10 +1,11 @@
-//! The feed on the made network: order and completeness under faults, fences, bounds, who is slow.
+//! Tests of the feed on the simulated network: order and completeness under faults, fences, bounds, and slow
+//! followers.
 mod feed_bed;
 
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::feed::{
-    Class, Echo, Effect, Feed, Fence, Follower, Have, Item, Said, Segment, Set, Stamp,
+    Echo, Effect, Feed, Fence, Follower, FollowerClass, Item, Position, Said, Segment, Set, Stamp,
 };
 use cherrypass_fleet::made::Link;
 use feed_bed::Fleet;
@@ -12,7 +13,7 @@
 use std::collections::HashSet;
 use test_case::test_case;
 
-/// Runs a seeded schedule; a failure names its seed.
+/// Runs a schedule for each seed; a failure prints its seed.
 fn each_seed(seeds: std::ops::Range<u64>, play: impl Fn(u64) + std::panic::RefUnwindSafe) {
     for seed in seeds {
         if let Err(cause) = std::panic::catch_unwind(|| play(seed)) {
@@ -22,7 +23,7 @@
     }
 }
 
-fn asked(name: &str) -> Option<u64> {
+fn from_env(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
@@ -33,17 +34,18 @@
         state_items: 48,
         state_bytes: 16 << 10,
         frame_bytes: 1 << 10,
-        window: 2 << 10,
-        most_value: 600,
+        window_bytes: 2 << 10,
+        max_value_bytes: 600,
         slow_after: Span::millis(600),
-        back_after: Span::seconds(2.0),
-        stay: Span::seconds(3.0),
-        gone_after: Span::seconds(8.0),
+        recovery_time: Span::seconds(2.0),
+        min_stay: Span::seconds(3.0),
+        follower_timeout: Span::seconds(8.0),
         ..Set::default()
     }
 }
 
-/// Losses, repeats, changes of order, cuts, stops, deaths and restarts for eight seconds, then quiet.
+/// Loss, duplication, reordering, cuts, pauses, crashes and restarts for eight seconds, then an undisturbed
+/// phase.
 fn schedule(seed: u64) {
     let (members, followers) = (2 + (seed % 3) as usize, 2 + (seed / 3 % 4) as usize);
     let mut fleet = Fleet::new(seed, small(), members, followers);
@@ -98,19 +100,19 @@
     fleet.net.play(Span::seconds(2.0), |_| {});
     fleet.assert_complete();
     fleet.assert_carried_once();
-    let most = fleet.set.most_bytes(members.len());
+    let limit = fleet.set.max_bytes(members.len());
     for bed in everyone.iter().filter_map(|id| fleet.net.node(*id)) {
-        assert!(bed.largest <= most, "{} bytes held, {most} stated", bed.largest);
+        assert!(bed.max_held_bytes <= limit, "{} bytes held, the limit is {limit}", bed.max_held_bytes);
     }
 }
 
-/// `FEED_SEEDS` asks for more of them.
+/// `FEED_SEEDS` sets the number of seeds.
 #[test_case(0; "first quarter")]
 #[test_case(1; "second quarter")]
 #[test_case(2; "third quarter")]
 #[test_case(3; "last quarter")]
-fn whatever_fails_every_follower_gets_all_in_order(quarter: u64) {
-    let seeds = asked("FEED_SEEDS").unwrap_or(1200) / 4;
+fn followers_get_all_items_in_order_under_faults(quarter: u64) {
+    let seeds = from_env("FEED_SEEDS").unwrap_or(1200) / 4;
     each_seed(quarter * seeds..(quarter + 1) * seeds, schedule);
 }
 
@@ -118,22 +120,23 @@
 const B: MemberId = MemberId(2);
 const F: MemberId = MemberId(3);
 
-/// Two members and a follower, with all that is on the way.
+/// Two members and a follower, with all messages in transit.
 #[derive(Clone)]
 struct World {
     now: Time,
     feeds: [Option<Feed>; 2],
     follower: Option<Follower>,
-    flying: Vec<(MemberId, MemberId, Said)>,
-    /// How far the follower is with A's items, which all have keys of their own.
-    at: u64,
+    in_transit: Vec<(MemberId, MemberId, Said)>,
+    /// The follower's position in A's items, which all have different keys.
+    position: u64,
     published: u64,
-    lost: bool,
-    died: bool,
+    has_lost: bool,
+    has_crashed: bool,
 }
 
 impl World {
-    /// A has published, carries the follower and has just proposed it to B.
+    /// The carrier has just offered the follower to the other member; A has published an item before and
+    /// after the follower subscribed.
     fn new() -> World {
         let set = Set { backlog_items: 2, ..Set::default() };
         let now = Time(1_000_000);
@@ -143,11 +146,11 @@
             now,
             feeds: [feed(A), feed(B)],
             follower: Some(follower),
-            flying: Vec::new(),
-            at: 0,
+            in_transit: Vec::new(),
+            position: 0,
             published: 0,
-            lost: false,
-            died: false,
+            has_lost: false,
+            has_crashed: false,
         };
         world.publish();
         world.settle(60);
@@ -155,9 +158,9 @@
         let first = world.follower.as_ref().map(|follower| follower.fence().carrier);
         let (now, other) = (world.now, if first == Some(A) { B } else { A });
         for feed in world.feeds.iter_mut().flatten() {
-            feed.give(now, F, other);
+            feed.start_move(now, F, other);
         }
-        world.pull();
+        world.collect_effects();
         world
     }
 
@@ -168,25 +171,25 @@
         }
     }
 
-    fn pull(&mut self) {
+    fn collect_effects(&mut self) {
         for (own, feed) in [A, B].into_iter().zip(&mut self.feeds) {
             while let Some(effect) = feed.as_mut().and_then(Feed::next) {
-                if let Effect::Tell { to, said } = effect {
-                    self.flying.push((own, to, said));
+                if let Effect::Tell { to, said: message } = effect {
+                    self.in_transit.push((own, to, message));
                 }
             }
         }
         while let Some(effect) = self.follower.as_mut().and_then(Follower::next) {
             match effect {
-                Effect::Tell { to, said } => self.flying.push((F, to, said)),
+                Effect::Tell { to, said: message } => self.in_transit.push((F, to, message)),
                 Effect::Deliver { number, .. } => {
-                    assert_eq!(number, self.at + 1, "a gap or a repeat");
-                    self.at = number;
+                    assert_eq!(number, self.position + 1, "a gap or a repeat");
+                    self.position = number;
                 }
                 Effect::State { up_to, items, .. } => {
                     let numbers: Vec<u64> = items.iter().map(|item| item.number).collect();
-                    assert!(numbers.into_iter().eq(self.at + 1..=up_to), "a state that isn't whole");
-                    self.at = up_to;
+                    assert!(numbers.into_iter().eq(self.position + 1..=up_to), "an incomplete state");
+                    self.position = up_to;
                 }
                 Effect::Log(_) => {}
             }
@@ -194,37 +197,37 @@
     }
 
     fn deliver(&mut self, index: usize) {
-        let (from, to, said) = self.flying.remove(index);
+        let (from, to, message) = self.in_transit.remove(index);
         match (to, &mut self.feeds, &mut self.follower) {
-            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.heard(self.now, from, said),
-            (F, _, Some(follower)) => follower.heard(self.now, from, said),
+            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.heard(self.now, from, message),
+            (F, _, Some(follower)) => follower.heard(self.now, from, message),
             _ => {}
         }
-        self.pull();
+        self.collect_effects();
     }
 
-    fn wake(&mut self, who: MemberId) {
+    fn tick(&mut self, who: MemberId) {
         self.now = self.now + Span::millis(50);
         match (who, &mut self.feeds, &mut self.follower) {
             (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.woken(self.now),
             (F, _, Some(follower)) => follower.woken(self.now),
             _ => {}
         }
-        self.pull();
+        self.collect_effects();
     }
 
     fn settle(&mut self, rounds: usize) {
         for _ in 0..rounds {
             for who in [A, B, F] {
-                self.wake(who);
-                for _ in 0..self.flying.len() {
+                self.tick(who);
+                for _ in 0..self.in_transit.len() {
                     self.deliver(0);
                 }
             }
         }
     }
 
-    /// Every world one step on.
+    /// All successors by one step.
     fn steps(&self) -> Vec<World> {
         let mut steps = Vec::new();
         let mut step = |change: &dyn Fn(&mut World)| {
@@ -232,25 +235,25 @@
             change(&mut world);
             steps.push(world);
         };
-        for index in 0..self.flying.len() {
+        for index in 0..self.in_transit.len() {
             step(&|world| world.deliver(index));
-            if !self.lost {
+            if !self.has_lost {
                 step(&|world| {
-                    world.flying.remove(index);
-                    world.lost = true;
+                    world.in_transit.remove(index);
+                    world.has_lost = true;
                 });
             }
         }
         for who in [A, B, F] {
-            step(&|world| world.wake(who));
+            step(&|world| world.tick(who));
         }
-        if !self.died {
-            step(&|world| (world.feeds[0], world.died) = (None, true));
-            step(&|world| (world.feeds[1], world.died) = (None, true));
+        if !self.has_crashed {
+            step(&|world| (world.feeds[0], world.has_crashed) = (None, true));
+            step(&|world| (world.feeds[1], world.has_crashed) = (None, true));
             step(&|world| {
                 let set = Set { backlog_items: 2, ..Set::default() };
                 world.follower = Some(Follower::new(set, F, Incarnation(2), &[A, B], world.now));
-                (world.at, world.died) = (0, true);
+                (world.position, world.has_crashed) = (0, true);
             });
         }
         steps
@@ -258,11 +261,14 @@
 
     fn fingerprint(&self) -> u64 {
         use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
-        let text = format!("{:?}{:?}{:?}{:?}{}", self.feeds, self.follower, self.flying, self.now, self.at);
-        BuildHasherDefault::<DefaultHasher>::default().hash_one((text, self.lost, self.died))
+        let text = format!(
+            "{:?}{:?}{:?}{:?}{}",
+            self.feeds, self.follower, self.in_transit, self.now, self.position
+        );
+        BuildHasherDefault::<DefaultHasher>::default().hash_one((text, self.has_lost, self.has_crashed))
     }
 
-    fn assert_whole(&self) {
+    fn assert_complete(&self) {
         let carriers = [A, B].into_iter().zip(&self.feeds).filter(|(_, feed)| {
             feed.as_ref().is_some_and(|feed| feed.carried().any(|(carried, _)| carried == F))
         });
@@ -270,20 +276,22 @@
         assert_eq!(carriers, [self.follower.as_ref().unwrap().fence().carrier]);
         let held = |feed: &Feed| feed.size().0 as u64;
         match &self.feeds {
-            [Some(_), _] => assert_eq!(self.at, self.published),
-            [_, other] => assert!(self.at >= other.as_ref().map_or(0, held), "B has more than it gave"),
+            [Some(_), _] => assert_eq!(self.position, self.published),
+            [_, other] => {
+                assert!(self.position >= other.as_ref().map_or(0, held), "B has more items than it delivered")
+            }
         }
     }
 }
 
-/// Every order of deliveries and wakings, a loss and a death, from a proposed move on; `FEED_DEPTH` steps of
-/// it.
+/// Every order of deliveries and timers with one loss and one crash, from an offered move on, for
+/// `FEED_DEPTH` steps.
 #[test]
-fn a_move_with_a_loss_and_a_death_loses_and_repeats_nothing() {
+fn a_move_with_a_loss_and_a_crash_delivers_each_item_once() {
     let mut worlds = vec![World::new()];
     let mut known = HashSet::new();
     let mut count = 0;
-    for _ in 0..asked("FEED_DEPTH").unwrap_or(4) {
+    for _ in 0..from_env("FEED_DEPTH").unwrap_or(4) {
         let mut next = Vec::new();
         for world in worlds.iter().flat_map(World::steps) {
             if known.insert(world.fingerprint()) {
@@ -295,14 +303,14 @@
         for world in &worlds {
             let mut world = world.clone();
             world.settle(70);
-            world.assert_whole();
+            world.assert_complete();
         }
     }
     assert!(count > 2000, "{count} worlds");
 }
 
-/// Plays so long with every source publishing each round.
-fn busy(fleet: &mut Fleet, seconds: u64) {
+/// Runs for some seconds with every source publishing in each round.
+fn run_busy(fleet: &mut Fleet, seconds: u64) {
     for round in 0..seconds * 20 {
         for source in fleet.members.clone() {
             fleet.publish(source, (round % 50) as u32, 100, Span::seconds(30.0));
@@ -311,14 +319,14 @@
     }
 }
 
-/// All followers that count as slow, and how many moves members began.
-fn slow(fleet: &Fleet) -> (Vec<MemberId>, u64) {
+/// All followers classified as slow, and the number of moves that members started.
+fn slow_followers(fleet: &Fleet) -> (Vec<MemberId>, u64) {
     let feeds = || fleet.members.iter().filter_map(|id| fleet.net.node(*id)?.feed());
     let slow = feeds().flat_map(Feed::carried).filter(|(_, slow)| *slow).map(|(id, _)| id);
     (slow.collect(), feeds().map(Feed::moves).sum())
 }
 
-fn lame(fleet: &mut Fleet, pairs: impl IntoIterator<Item = (MemberId, MemberId)>) {
+fn slow_down(fleet: &mut Fleet, pairs: impl IntoIterator<Item = (MemberId, MemberId)>) {
     let link = Link { lost: 0.3, twice: 0.0, delay: [Span::millis(1200), Span::millis(1500)] };
     for (one, other) in pairs {
         fleet.net.links.insert((one, other), link);
@@ -327,25 +335,25 @@
 }
 
 #[test]
-fn a_slow_follower_is_grouped_and_comes_back_once_it_keeps_up() {
+fn a_slow_follower_is_reclassified_once_it_keeps_up() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 3, 12);
-        busy(&mut fleet, 4);
+        run_busy(&mut fleet, 4);
         let (id, members) = (fleet.followers[seed as usize], fleet.members.clone());
-        lame(&mut fleet, members.into_iter().map(|member| (member, id)));
-        busy(&mut fleet, 8);
-        assert_eq!(slow(&fleet).0, [id]);
+        slow_down(&mut fleet, members.into_iter().map(|member| (member, id)));
+        run_busy(&mut fleet, 8);
+        assert_eq!(slow_followers(&fleet).0, [id]);
         fleet.net.links.clear();
-        busy(&mut fleet, 8);
-        assert_eq!(slow(&fleet).0, [id], "back too soon");
-        busy(&mut fleet, 8);
-        assert_eq!(slow(&fleet).0, []);
-        // One that stops and goes on doesn't wander.
+        run_busy(&mut fleet, 8);
+        assert_eq!(slow_followers(&fleet).0, [id], "back too soon");
+        run_busy(&mut fleet, 8);
+        assert_eq!(slow_followers(&fleet).0, []);
+        // A follower that pauses repeatedly is not moved back and forth.
         for _ in 0..10 {
             fleet.net.stop(id, Span::seconds(3.0));
-            busy(&mut fleet, 6);
+            run_busy(&mut fleet, 6);
         }
-        let (found, moves) = slow(&fleet);
+        let (found, moves) = slow_followers(&fleet);
         assert!(found == [id] && moves <= 4, "{found:?} {moves} moves");
         fleet.net.play(Span::seconds(5.0), |_| {});
         fleet.assert_complete();
@@ -354,40 +362,40 @@
 }
 
 #[test]
-fn a_member_whose_followers_all_lag_gives_them_away() {
+fn a_member_whose_followers_all_lag_moves_them() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
-        busy(&mut fleet, 4);
+        run_busy(&mut fleet, 4);
         let (member, followers) = (fleet.members[seed as usize], fleet.followers.clone());
-        lame(&mut fleet, followers.into_iter().map(|id| (member, id)));
-        busy(&mut fleet, 14);
+        slow_down(&mut fleet, followers.into_iter().map(|id| (member, id)));
+        run_busy(&mut fleet, 14);
         let carried = fleet.net.node(member).unwrap().feed().unwrap().carried().count();
-        assert_eq!((slow(&fleet).0, carried), (vec![], 0));
+        assert_eq!((slow_followers(&fleet).0, carried), (vec![], 0));
     });
 }
 
 #[test]
-fn where_all_lag_nobody_moves() {
+fn no_follower_moves_while_all_lag() {
     each_seed(0..4, |seed| {
         let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
-        busy(&mut fleet, 4);
+        run_busy(&mut fleet, 4);
         let pairs = |fleet: &Fleet| -> Vec<(MemberId, MemberId)> {
             let followers = &fleet.followers;
             fleet.members.iter().flat_map(|member| followers.iter().map(|id| (*member, *id))).collect()
         };
         let pairs = pairs(&fleet);
-        lame(&mut fleet, pairs);
-        busy(&mut fleet, 20);
-        assert_eq!(slow(&fleet), (vec![], 0));
+        slow_down(&mut fleet, pairs);
+        run_busy(&mut fleet, 20);
+        assert_eq!(slow_followers(&fleet), (vec![], 0));
     });
 }
 
-/// What no honest peer says changes nothing: no panic, no fence, no place, no memory.
+/// Invalid messages change no state.
 #[test]
-fn nonsense_is_passed_over() {
+fn invalid_messages_are_ignored() {
     let now = Time(5_000_000);
     let mut feed = Feed::new(Set::default(), A, Incarnation(9), &[A, B], &[F], 1, now);
-    let most = u64::MAX;
+    let max = u64::MAX;
     let fence = |number, carrier| Fence { incarnation: Incarnation(9), number, carrier };
     let item = |number, age| Item { number, key: vec![1], value: vec![1], hold: Span::seconds(9.0), age };
     let segment = |after, up_to, items| Segment {
@@ -400,50 +408,54 @@
     };
     let echo = Some(Echo { stamp: Stamp { run: Incarnation(9), clock: now.0 - 1000 }, held: Span::ZERO });
     let segments = vec![
-        segment(most, 1, vec![]),
-        segment(0, most, vec![]),
+        segment(max, 1, vec![]),
+        segment(0, max, vec![]),
         segment(0, 2, vec![item(2, Span::ZERO), item(1, Span::ZERO)]),
         segment(0, 1, vec![item(7, Span::ZERO)]),
         segment(0, 1, vec![Item { key: vec![0; 1 << 20], ..item(1, Span::ZERO) }]),
-        segment(0, 1, vec![Item { hold: Span(most), ..item(1, Span::ZERO) }]),
+        segment(0, 1, vec![Item { hold: Span(max), ..item(1, Span::ZERO) }]),
         Segment { source: F, ..segment(0, 1, vec![item(1, Span::ZERO)]) },
     ];
-    let stamp = Stamp { run: Incarnation(most), clock: most };
-    let have = vec![Have { source: F, incarnation: Incarnation(most), number: most }; 4000];
-    let (class, follower) = (Class::default(), MemberId(77));
-    let wrong = [
-        Said::Items { echo, answer: true, segments: segments.clone() },
-        // Sound, but nothing bounds its age.
-        Said::Items { echo: None, answer: true, segments: vec![segment(0, 1, vec![item(1, Span(most))])] },
-        Said::Items {
-            echo: Some(Echo { stamp, held: Span(most) }),
-            answer: false,
-            segments: vec![segment(0, 1, vec![item(1, Span(most))])],
+    let stamp = Stamp { run: Incarnation(max), clock: max };
+    let have = vec![Position { source: F, incarnation: Incarnation(max), number: max }; 4000];
+    let (class, follower) = (FollowerClass::default(), MemberId(77));
+    let invalid = [
+        Said::Segments { echo, is_answer: true, segments: segments.clone() },
+        // Valid, but without a bound on its age.
+        Said::Segments {
+            echo: None,
+            is_answer: true,
+            segments: vec![segment(0, 1, vec![item(1, Span(max))])],
+        },
+        Said::Segments {
+            echo: Some(Echo { stamp, held: Span(max) }),
+            is_answer: false,
+            segments: vec![segment(0, 1, vec![item(1, Span(max))])],
         },
-        Said::Have { stamp, about: Default::default(), have: have.clone() },
-        Said::Want { stamp, have: have.clone() },
-        Said::Take { follower, fence: fence(1, A), stamp: None, have: vec![], class },
-        Said::Take { follower: F, fence: fence(1, B), stamp: None, have: vec![], class },
-        Said::Take { follower: F, fence: fence(1, A), stamp: None, have, class },
-        Said::Taken { follower: F, fence: fence(most, B) },
-        Said::Full { follower: F, fence: fence(most, B) },
+        Said::Positions { stamp, load: Default::default(), positions: have.clone() },
+        Said::Request { stamp, positions: have.clone() },
+        Said::OfferMove { follower, fence: fence(1, A), stamp: None, positions: vec![], class },
+        Said::OfferMove { follower: F, fence: fence(1, B), stamp: None, positions: vec![], class },
+        Said::OfferMove { follower: F, fence: fence(1, A), stamp: None, positions: have, class },
+        Said::MoveAccepted { follower: F, fence: fence(max, B) },
+        Said::MoveRejected { follower: F, fence: fence(max, B) },
     ];
-    for said in wrong {
+    for message in invalid {
         for from in [B, F, MemberId(77)] {
-            feed.heard(now, from, said.clone());
+            feed.heard(now, from, message.clone());
         }
     }
     assert_eq!((feed.size(), feed.carried().count()), ((0, 0, 0, 0), 0));
     let mut follower = Follower::new(Set::default(), F, Incarnation(9), &[A, B], now);
     let before = follower.fence();
-    for fence in [fence(most, A), fence(1, F), Fence { incarnation: Incarnation(most), ..fence(1, A) }] {
-        let said = Said::Carry { fence, frame: most, echo, class, segments: segments.clone() };
-        follower.heard(now, fence.carrier, said);
+    for fence in [fence(max, A), fence(1, F), Fence { incarnation: Incarnation(max), ..fence(1, A) }] {
+        let message = Said::Frame { fence, frame: max, echo, class, segments: segments.clone() };
+        follower.heard(now, fence.carrier, message);
         follower.heard(now, A, Said::Moved { fence });
-        follower.heard(now, A, Said::Refuse { fence });
+        follower.heard(now, A, Said::SubscribeRejected { fence });
     }
-    let said = Said::Carry { fence: fence(1, A), frame: 1, echo, class, segments };
-    follower.heard(now, A, said);
+    let message = Said::Frame { fence: fence(1, A), frame: 1, echo, class, segments };
+    follower.heard(now, A, message);
     assert_eq!((before.number, follower.fence()), (0, fence(1, A)));
     while let Some(effect) = follower.next() {
         assert!(matches!(effect, Effect::Tell { .. }), "{effect:?}");
--- a/crates/fleet/tests/feed_bed/mod.rs
+++ b/crates/fleet/tests/feed_bed/mod.rs
@@ -1,4 +1,4 @@
-//! Members and followers of a feed on the made network, each watched by a checker of what it hands over.
+//! Members and followers of a feed on the simulated network; everything that one of them delivers is checked.
 #![allow(dead_code)]
 use cherrypass::containers::rendezvous;
 use cherrypass::ids::HostId;
@@ -11,52 +11,54 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// All that was ever published, by run of a source: key, hold, and when in true time.
+/// All items published, by run of a source: key, hold, and true time.
 pub type Ledger = Rc<RefCell<BTreeMap<(MemberId, Incarnation), Vec<(Vec<u8>, Span, Time)>>>>;
 
-pub enum Side {
+/// A member or a follower.
+pub enum Role {
     Member(Feed),
-    Listener(Follower),
+    Follower(Follower),
 }
 
+/// A process on the network with its checks.
 pub struct Bed {
     pub id: MemberId,
-    pub side: Side,
+    pub role: Role,
     pub ledger: Ledger,
-    /// True time and own clock at the start, and how fast the clock goes.
+    /// True time and own clock at the start, and the clock's rate.
     start: (Time, Time),
     rate: f64,
-    /// By source: how far it is, and the number it knows of each key.
+    /// By source: the position, and the latest number of each key.
     pub at: BTreeMap<MemberId, (Incarnation, u64)>,
-    pub knows: BTreeMap<(MemberId, Vec<u8>), u64>,
+    pub latest: BTreeMap<(MemberId, Vec<u8>), u64>,
     pub states: u64,
     pub delivered: u64,
-    /// True delays of what came, from so long after the network's start on.
+    /// True delays of items published from this time on.
     pub measure_from: Time,
     pub delays: Vec<u32>,
-    /// How much longer told ages were than true ones, the worst.
-    pub looseness: Span,
-    pub largest: usize,
+    /// The greatest amount by which a reported age exceeded the true one.
+    pub max_age_excess: Span,
+    pub max_held_bytes: usize,
 }
 
 impl Bed {
     pub fn feed(&self) -> Option<&Feed> {
-        match &self.side {
-            Side::Member(feed) => Some(feed),
-            Side::Listener(_) => None,
+        match &self.role {
+            Role::Member(feed) => Some(feed),
+            Role::Follower(_) => None,
         }
     }
 
     pub fn follower(&self) -> Option<&Follower> {
-        match &self.side {
-            Side::Member(_) => None,
-            Side::Listener(follower) => Some(follower),
+        match &self.role {
+            Role::Member(_) => None,
+            Role::Follower(follower) => Some(follower),
         }
     }
 
     pub fn publish(&mut self, now: Time, key: Vec<u8>, bytes: usize, hold: Span) {
         let at = self.true_time(now);
-        let Side::Member(feed) = &mut self.side else { return };
+        let Role::Member(feed) = &mut self.role else { return };
         let Ok(number) = feed.publish(now, key.clone(), vec![0; bytes], hold) else { return };
         let incarnation = self.at[&self.id].0;
         let mut ledger = self.ledger.borrow_mut();
@@ -69,7 +71,7 @@
         self.start.0 + (now - self.start.1).times(1.0 / self.rate)
     }
 
-    fn came(
+    fn check_item(
         &mut self,
         now: Time,
         source: MemberId,
@@ -83,29 +85,29 @@
         let (published, _, when) = &ledger[&(source, incarnation)][number as usize - 1];
         assert_eq!(published, key);
         let true_age = at - *when;
-        assert!(age + Span(50) >= true_age, "an item of {true_age:?} was told as {age:?} old");
-        self.looseness = self.looseness.max(Span(age.0.saturating_sub(true_age.0)));
+        assert!(age + Span(50) >= true_age, "reported age {age:?} is below the true age {true_age:?}");
+        self.max_age_excess = self.max_age_excess.max(Span(age.0.saturating_sub(true_age.0)));
         if *when >= self.measure_from {
             self.delays.push(true_age.0 as u32);
         }
-        self.knows.insert((source, key.to_vec()), number);
+        self.latest.insert((source, key.to_vec()), number);
     }
 
-    fn note(&mut self, now: Time, effect: Effect) {
+    fn check_effect(&mut self, now: Time, effect: Effect) {
         match effect {
             Effect::Deliver { source, incarnation, number, key, age, .. } => {
                 let at = self.at.get(&source).copied().unwrap_or_default();
                 let before = if at.0 == incarnation { at.1 } else { 0 };
-                assert!(incarnation >= at.0, "an older run's item came after a newer's");
+                assert!(incarnation >= at.0, "an item of an older run arrived after one of a newer run");
                 assert_eq!(number, before + 1, "a gap or a repeat from {source:?}");
                 self.at.insert(source, (incarnation, number));
                 self.delivered += 1;
-                self.came(now, source, incarnation, number, &key, age);
+                self.check_item(now, source, incarnation, number, &key, age);
             }
             Effect::State { source, incarnation, up_to, items } => {
                 let at = self.at.get(&source).copied().unwrap_or_default();
                 let before = if at.0 == incarnation { at.1 } else { 0 };
-                assert!(incarnation >= at.0 && up_to > before, "a state that goes back");
+                assert!(incarnation >= at.0 && up_to > before, "a state that goes backwards");
                 let mut last = before;
                 for item in &items {
                     assert!(item.number > last && item.number <= up_to, "a state out of order");
@@ -125,7 +127,7 @@
                 self.at.insert(source, (incarnation, up_to));
                 self.states += 1;
                 for item in items {
-                    self.came(now, source, incarnation, item.number, &item.key, item.age);
+                    self.check_item(now, source, incarnation, item.number, &item.key, item.age);
                 }
             }
             Effect::Log(_) | Effect::Tell { .. } => {}
@@ -136,32 +138,32 @@
 impl Node for Bed {
     type Said = Said;
 
-    fn heard(&mut self, now: Time, from: MemberId, said: Said) {
-        match &mut self.side {
-            Side::Member(feed) => feed.heard(now, from, said),
-            Side::Listener(follower) => follower.heard(now, from, said),
+    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+        match &mut self.role {
+            Role::Member(feed) => feed.heard(now, from, message),
+            Role::Follower(follower) => follower.heard(now, from, message),
         }
     }
 
     fn woken(&mut self, now: Time) {
-        match &mut self.side {
-            Side::Member(feed) => feed.woken(now),
-            Side::Listener(follower) => follower.woken(now),
+        match &mut self.role {
+            Role::Member(feed) => feed.woken(now),
+            Role::Follower(follower) => follower.woken(now),
         }
         if let Some(feed) = self.feed() {
-            self.largest = self.largest.max(feed.size().1);
+            self.max_held_bytes = self.max_held_bytes.max(feed.size().1);
         }
     }
 
     fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
         loop {
-            let effect = match &mut self.side {
-                Side::Member(feed) => feed.next(),
-                Side::Listener(follower) => follower.next(),
+            let effect = match &mut self.role {
+                Role::Member(feed) => feed.next(),
+                Role::Follower(follower) => follower.next(),
             }?;
             match effect {
-                Effect::Tell { to, said } => return Some((to, said)),
-                other => self.note(now, other),
+                Effect::Tell { to, said: message } => return Some((to, message)),
+                other => self.check_effect(now, other),
             }
         }
     }
@@ -184,7 +186,7 @@
             (0..count).map(|i| MemberId::of(&format!("{kind}{i}"))).collect()
         };
         let members = name("member", members);
-        // Small fleets begin with even groups.
+        // Names are chosen so that small fleets begin with even groups.
         let home = |id: MemberId| {
             let value = |member: &MemberId| rendezvous(id.0, HostId(member.0), 1.0);
             members.iter().copied().max_by(|a, b| value(a).total_cmp(&value(b)))
@@ -202,7 +204,7 @@
         fleet
     }
 
-    /// Starts a member or a follower, or starts it anew.
+    /// Starts or restarts a member or a follower.
     pub fn start(&mut self, id: MemberId) {
         self.runs += 1;
         let incarnation = Incarnation(self.net.now.0 + self.runs);
@@ -211,25 +213,25 @@
         let (set, ledger, true_start) = (self.set.clone(), self.ledger.clone(), self.net.now);
         let (members, followers, measure_from) = (&self.members, &self.followers, self.measure_from);
         self.net.start(id, rate, |now| {
-            let side = if members.contains(&id) {
-                Side::Member(Feed::new(set, id, incarnation, members, followers, seed, now))
+            let role = if members.contains(&id) {
+                Role::Member(Feed::new(set, id, incarnation, members, followers, seed, now))
             } else {
-                Side::Listener(Follower::new(set, id, incarnation, members, now))
+                Role::Follower(Follower::new(set, id, incarnation, members, now))
             };
             Bed {
                 id,
-                side,
+                role,
                 ledger,
                 start: (true_start, now),
                 rate,
                 at: BTreeMap::from([(id, (incarnation, 0))]),
-                knows: BTreeMap::new(),
+                latest: BTreeMap::new(),
                 states: 0,
                 delivered: 0,
                 measure_from,
                 delays: Vec::new(),
-                looseness: Span::ZERO,
-                largest: 0,
+                max_age_excess: Span::ZERO,
+                max_held_bytes: 0,
             }
         });
     }
@@ -238,7 +240,8 @@
         self.net.call(id, |bed, now| bed.publish(now, key.to_le_bytes().to_vec(), bytes, hold));
     }
 
-    /// That everyone who is there has all of every source that is, and the latest of each key that lasts.
+    /// Asserts that every running process has all items of every running source, and the latest unexpired
+    /// item of each key.
     pub fn assert_complete(&self) {
         let ledger = self.ledger.borrow();
         for source in &self.members {
@@ -250,14 +253,14 @@
                 for (number, (key, hold, _)) in items.iter().enumerate() {
                     let replaced = items[number + 1..].iter().any(|(later, ..)| later == key);
                     if !replaced && *hold >= Span::seconds(60.0) {
-                        assert_eq!(bed.knows.get(&(*source, key.clone())), Some(&(number as u64 + 1)));
+                        assert_eq!(bed.latest.get(&(*source, key.clone())), Some(&(number as u64 + 1)));
                     }
                 }
             }
         }
     }
 
-    /// That every follower has one carrier, and no other member believes it carries it.
+    /// Asserts that every follower has one carrier, and no other member carries it.
     pub fn assert_carried_once(&self) {
         for id in &self.followers {
             let Some(follower) = self.net.node(*id).and_then(Bed::follower) else { continue };
