--- a/crates/dispatcher/src/sharing.rs
+++ b/crates/dispatcher/src/sharing.rs
@@ -11,12 +11,14 @@
 use cherrypass::ids::{BandId, HostId, LocationId};
 use cherrypass::settings::Settings;
 use cherrypass::time::{Span, Time, UnixTime};
-use cherrypass_fleet::{house, limits, members, rollout, verdicts};
+use cherrypass_fleet::{limits, members, node, rollout, verdicts};
 use cherrypass_operator::fleet::{self as operator, Fleet, UnprovenCopies};
 use cherrypass_operator::rules::{self, Rules};
 use cherrypass_peers as peers;
 use cherrypass_peers::delivery::{self, Delivered};
-use cherrypass_peers::{ChangeNumber, Figures, Finding, FromFleet, Key, Kind, LogId, Peers, ToFleet, UsedBy};
+use cherrypass_peers::{
+    ChangeNumber, Figures, Finding, FindingKind, FromFleet, LimitKey, LogId, Peers, ToFleet, UsedBy,
+};
 use cherrypass_store::store::Store;
 use crossbeam_channel::{unbounded, Sender};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -69,27 +71,27 @@
     (set.events, set.control, set.form) = (fleet.events.clone(), fleet.control, fleet.message_version);
     (set.every, set.seed) = (fleet.timer_period, config.seed);
     let drain = config.longest().min(MAX_DRAIN);
-    set.rooms = house::Set {
-        members: members::Set { round: fleet.probe_interval, ..members::Set::default() },
-        limits: fleet.limits.as_ref().map(|limits| limits::Set {
+    set.rooms = node::Settings {
+        members: members::Settings { interval: fleet.probe_interval, ..members::Settings::default() },
+        limits: fleet.limits.as_ref().map(|limits| limits::Settings {
             origin: limits.origin,
-            further_per_s: limits.retries_per_s,
-            cold: limits.shares_cold_budgets,
+            retries_per_s: limits.retries_per_s,
+            limits_cold_hosts: limits.shares_cold_budgets,
             lease: limits.lease,
-            floor: limits.floor,
+            floor_fraction: limits.floor,
             drain,
-            ..limits::Set::default()
+            ..limits::Settings::default()
         }),
-        verdicts: fleet.verdicts.as_ref().map(|verdicts| verdicts::Set {
-            hold: verdicts.max_finding_age,
-            tellers: verdicts.min_reporters as u8,
-            part: verdicts.min_reporting_fraction,
+        verdicts: fleet.verdicts.as_ref().map(|verdicts| verdicts::Settings {
+            hold_time: verdicts.max_finding_age,
+            reporters: verdicts.min_reporters as u8,
+            location_fraction: verdicts.min_reporting_fraction,
         }),
         rollout: fleet
             .rollout
             .as_ref()
             .map(|rollout| rollout::Set { window: rollout.comparison_window, ..rollout::Set::default() }),
-        ..house::Set::default()
+        ..node::Settings::default()
     };
     set.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Set {
         carriers: delivery.carriers.clone(),
@@ -136,29 +138,29 @@
     rules: Rules,
     /// The fraction of each limit that this member always has.
     floor: f64,
-    shares: BTreeMap<Key, Share>,
+    shares: BTreeMap<LimitKey, Share>,
     /// Hosts that others report as bad.
     reported_hosts: BTreeMap<HostId, ReportedHost>,
     /// Hosts that others report as restarted, with the listed start that the report refers to.
     restarted_hosts: BTreeMap<HostId, Option<UnixTime>>,
     /// Own findings that the fleet was told, by host and whether the finding is a restart.
-    sent_findings: BTreeMap<(HostId, bool), (Kind, u32, Option<UnixTime>)>,
+    sent_findings: BTreeMap<(HostId, bool), (FindingKind, u32, Option<UnixTime>)>,
     /// The listed start of each host, which identifies its process among members, and the start in the
     /// module's time.
     starts: BTreeMap<HostId, (Option<UnixTime>, Option<Time>)>,
     /// Hosts that the module has ejected, and whether only because of reports of others.
     ejected: BTreeMap<HostId, bool>,
-    recent_demand: BTreeMap<Key, VecDeque<Wanted>>,
+    recent_demand: BTreeMap<LimitKey, VecDeque<Wanted>>,
     next_exchange: Instant,
     exchanges: usize,
     counters: Figures,
 }
 
-fn shared_limit(key: Key) -> Shared {
+fn shared_limit(key: LimitKey) -> Shared {
     match key {
-        Key::Origin => Shared::Origin,
-        Key::Further => Shared::Further,
-        Key::Cold(host) => Shared::Cold(host),
+        LimitKey::Origin => Shared::Origin,
+        LimitKey::Retries => Shared::Further,
+        LimitKey::ColdHost(host) => Shared::Cold(host),
     }
 }
 
@@ -237,19 +239,19 @@
     /// earlier run of this process may have lent its share to others, or its hand-offs may still be using it.
     pub fn begin(&mut self, brain: &mut Brain) {
         let Some(limits) = &self.fleet.limits else { return };
-        let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
+        let totals = [(LimitKey::Origin, limits.origin), (LimitKey::Retries, limits.retries_per_s)];
         let limited = totals.into_iter().filter(|(_, total)| total.is_some());
         limited.for_each(|(key, _)| self.set_initial_share(brain, key, 0.0));
     }
 
     /// Sets the share that applies until the fleet allots one.
-    fn set_initial_share(&mut self, brain: &mut Brain, key: Key, amount: f64) {
+    fn set_initial_share(&mut self, brain: &mut Brain, key: LimitKey, amount: f64) {
         self.shares.entry(key).or_insert(Share { amount, until: Instant::now(), after: amount });
         self.apply_share(brain, key);
     }
 
     /// Passes a share to the module.
-    fn apply_share(&self, brain: &mut Brain, key: Key) {
+    fn apply_share(&self, brain: &mut Brain, key: LimitKey) {
         if let Some(Share { amount, until, after }) = self.shares.get(&key) {
             let scale = self.scale(key);
             brain.allotted(shared_limit(key), scale * amount, module_time(*until), scale * after);
@@ -257,12 +259,12 @@
     }
 
     /// The ratio of a limit by the rules in force to that of the file, by which the fleet allots shares.
-    fn scale(&self, key: Key) -> f64 {
+    fn scale(&self, key: LimitKey) -> f64 {
         let (Some(file), rules) = (&self.fleet.limits, &self.rules.fleet.limits) else { return 1.0 };
         let (new, old) = match key {
-            Key::Origin => (rules.origin, file.origin),
-            Key::Further => (rules.retries_per_s, file.retries_per_s),
-            Key::Cold(_) => (None, None),
+            LimitKey::Origin => (rules.origin, file.origin),
+            LimitKey::Retries => (rules.retries_per_s, file.retries_per_s),
+            LimitKey::ColdHost(_) => (None, None),
         };
         new.zip(old).map_or(1.0, |(new, old)| new / old)
     }
@@ -310,16 +312,16 @@
         match message {
             FromFleet::Part { key, number, amount, until, after } => {
                 // Nothing is kept for hosts that are gone.
-                if matches!(key, Key::Cold(host) if !brain.is_listed(host)) {
+                if matches!(key, LimitKey::ColdHost(host) if !brain.is_listed(host)) {
                     return;
                 }
                 self.shares.insert(key, Share { amount, until, after });
                 self.apply_share(brain, key);
                 (self.send)(ToFleet::Taken { key, number });
             }
-            FromFleet::Hearsay { kind: Kind::Slow, .. } => {}
+            FromFleet::Hearsay { kind: FindingKind::Slow, .. } => {}
             FromFleet::Hearsay { .. } if !self.rules.fleet.verdicts.uses_findings => {}
-            FromFleet::Hearsay { host, since, kind: Kind::JustStarted, until, .. } => {
+            FromFleet::Hearsay { host, since, kind: FindingKind::Restarted, until, .. } => {
                 // Only once per start: a later start in the list takes precedence over repeated reports.
                 if self.restarted_hosts.insert(host, since) != Some(since) {
                     let start = self.start_of(host, since);
@@ -396,7 +398,7 @@
         self.reported_hosts.remove(&host);
         if is_gone {
             self.starts.remove(&host);
-            self.shares.remove(&Key::Cold(host));
+            self.shares.remove(&LimitKey::ColdHost(host));
             self.restarted_hosts.remove(&host);
         }
     }
@@ -404,7 +406,7 @@
     /// Sets the share of a cold host for which the fleet has not allotted one to the floor, which no other
     /// member can have. The fleet may know too many hosts to allot shares for this one.
     fn init_cold_share(&mut self, brain: &mut Brain, host: HostId) {
-        let key = Key::Cold(host);
+        let key = LimitKey::ColdHost(host);
         let shares_cold_budgets = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
         if shares_cold_budgets && !self.shares.contains_key(&key) {
             self.set_initial_share(brain, key, self.floor);
@@ -443,11 +445,13 @@
         let mut current = BTreeMap::new();
         for finding in brain.findings(now) {
             let kind = match finding.what {
-                Found::Anew => Kind::JustStarted,
-                Found::Shut { why: Bad::Silent, .. } | Found::Shut { unreached: true, .. } => Kind::CutOff,
-                Found::Shut { .. } => Kind::ShutOut,
+                Found::Anew => FindingKind::Restarted,
+                Found::Shut { why: Bad::Silent, .. } | Found::Shut { unreached: true, .. } => {
+                    FindingKind::Unreachable
+                }
+                Found::Shut { .. } => FindingKind::Failing,
             };
-            let key = (finding.host, kind == Kind::JustStarted);
+            let key = (finding.host, kind == FindingKind::Restarted);
             let since = self.starts.get(&finding.host).and_then(|known| known.0);
             let content = (kind, finding.evidence, since);
             if self.sent_findings.get(&key) != Some(&content) {
@@ -486,13 +490,13 @@
     /// Sends the demand for each limit, and once a second its usage.
     fn send_demand(&mut self, brain: &mut Brain, now: Time) {
         let Some(limits) = &self.fleet.limits else { return };
-        let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
-        let mut keys: BTreeSet<Key> =
+        let totals = [(LimitKey::Origin, limits.origin), (LimitKey::Retries, limits.retries_per_s)];
+        let mut keys: BTreeSet<LimitKey> =
             totals.into_iter().filter(|(_, total)| total.is_some()).map(|(key, _)| key).collect();
         if limits.shares_cold_budgets {
             let cold: Vec<HostId> = brain.cold(now).collect();
             cold.iter().for_each(|host| self.init_cold_share(brain, *host));
-            keys.extend(cold.into_iter().map(Key::Cold));
+            keys.extend(cold.into_iter().map(LimitKey::ColdHost));
         }
         self.recent_demand.retain(|key, _| keys.contains(key));
         let sends_usage = self.exchanges.is_multiple_of(DEMAND_WINDOW);
@@ -503,10 +507,10 @@
                 recent.pop_front();
             }
             let aggregate = |of: fn(&Wanted) -> f64| match key {
-                Key::Origin => recent.iter().map(of).fold(0.0, f64::max),
+                LimitKey::Origin => recent.iter().map(of).fold(0.0, f64::max),
                 _ => recent.iter().map(of).sum::<f64>() / recent.len() as f64,
             };
-            let max = if matches!(key, Key::Cold(_)) { 1.0 } else { f64::MAX };
+            let max = if matches!(key, LimitKey::ColdHost(_)) { 1.0 } else { f64::MAX };
             (self.send)(ToFleet::Wants { key, amount: aggregate(|one| one.wanted).min(max) });
             if sends_usage {
                 (self.send)(ToFleet::Used { key, amount: aggregate(|one| one.used) });
@@ -629,25 +633,28 @@
         assert_eq!(visits(&mut brain, 0, 5, 1).len(), 0, "no share is allotted yet");
         let until = Instant::now() + Duration::from_millis(60);
         let share = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
-        sharing.take(&mut brain, share(Key::Origin, 3, 6.0, 0.0));
-        sharing.take(&mut brain, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
+        sharing.take(&mut brain, share(LimitKey::Origin, 3, 6.0, 0.0));
+        sharing.take(&mut brain, share(LimitKey::ColdHost(HostId(77)), 4, 1.0, 1.0));
         assert_eq!(visits(&mut brain, 10, 9, 1).len(), 6);
         sharing.round(&mut brain);
         let all: Vec<ToFleet> = sent.try_iter().collect();
-        assert!(all.contains(&ToFleet::Taken { key: Key::Origin, number: 3 }));
+        assert!(all.contains(&ToFleet::Taken { key: LimitKey::Origin, number: 3 }));
         assert!(
-            !all.iter().any(|message| matches!(message, ToFleet::Taken { key: Key::Cold(_), .. })),
+            !all.iter().any(|message| matches!(message, ToFleet::Taken { key: LimitKey::ColdHost(_), .. })),
             "the host is not listed"
         );
-        let demand = |wanted: Key| {
+        let demand = |wanted: LimitKey| {
             let find = |message: &ToFleet| match message {
                 ToFleet::Wants { key, amount } if *key == wanted => Some(*amount),
                 _ => None,
             };
             all.iter().find_map(find)
         };
-        assert!(demand(Key::Origin).unwrap() > 6.0, "demand exceeds the share");
-        assert!(demand(Key::Cold(HostId(1))).is_some() && demand(Key::Cold(HostId(2))).is_none());
+        assert!(demand(LimitKey::Origin).unwrap() > 6.0, "demand exceeds the share");
+        assert!(
+            demand(LimitKey::ColdHost(HostId(1))).is_some()
+                && demand(LimitKey::ColdHost(HostId(2))).is_none()
+        );
         std::thread::sleep(Duration::from_millis(80));
         end(&mut brain, &(0..30).map(|id| (id, ORIGIN)).collect(), |_| false);
         assert_eq!(visits(&mut brain, 30, 4, 1).len(), 0, "the share has expired without a further call");
@@ -657,7 +664,7 @@
     fn rules_change_limits_and_invalid_rules_change_nothing() {
         let (mut brain, mut sharing, sent) = start();
         let until = Instant::now() + Duration::from_secs(9);
-        let key = Key::Origin;
+        let key = LimitKey::Origin;
         sharing.take(&mut brain, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
         let mut rules = |number: u64, text: &str| {
             sharing.take(&mut brain, FromFleet::Rules { number, text: text.into() });
@@ -688,7 +695,7 @@
         // Host 2 is ejected only because of others' reports, and returns when they are withdrawn. Own
         // successes take precedence for 2 s.
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
-        let (kind, weight, age, tellers) = (Kind::ShutOut, 0.5, Span::ZERO, 2);
+        let (kind, weight, age, tellers) = (FindingKind::Failing, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
         sharing.take(&mut brain, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
         sharing.round(&mut brain);
--- a/crates/fleet/examples/limits.rs
+++ b/crates/fleet/examples/limits.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p cherrypass-fleet --example limits [below-one]`
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::limits::{Effect, Key, Limits, Message, Set};
+use cherrypass_fleet::limits::{Effect, LimitKey, Limits, Message, Settings};
 use cherrypass_fleet::made::{Link, Network, Node};
 use std::collections::BTreeMap;
 
@@ -19,12 +19,12 @@
         self.limits.receive(now, from, message);
     }
     fn woken(&mut self, now: Time) {
-        self.limits.set_demand(now, Key::Origin, self.demand);
+        self.limits.set_demand(now, LimitKey::Origin, self.demand);
         self.limits.tick(now);
     }
     fn next(&mut self, now: Time) -> Option<(MemberId, Message)> {
         loop {
-            match self.limits.next()? {
+            match self.limits.next_effect()? {
                 Effect::Send { to, message } => return Some((to, message)),
                 Effect::Allowance { key, .. } => self.limits.confirm_applied(now, key),
                 Effect::Log(_) => {}
@@ -44,14 +44,15 @@
     }
 
     fn with_total(n: usize, seed: u64, lost: f64, total: f64) -> Fleet {
-        let set = Set { origin: Some(total), ..Set::default() };
+        let settings = Settings { origin: Some(total), ..Settings::default() };
         let members: Vec<MemberId> = (0..n).map(|i| MemberId::of(&format!("d{i}"))).collect();
-        let mut network = Network::new(seed, set.round);
+        let mut network = Network::new(seed, settings.interval);
         network.link = Link { lost, twice: lost / 4.0, ..Link::default() };
         for (i, id) in members.iter().enumerate() {
             let rate = 0.99 + 0.02 * (i % 3) as f64 / 2.0;
             network.start(*id, rate, |now| {
-                let limits = Limits::new(set.clone(), *id, Incarnation(1), &members, seed + i as u64, now);
+                let limits =
+                    Limits::new(settings.clone(), *id, Incarnation(1), &members, seed + i as u64, now);
                 Member { limits, demand: 0.0 }
             });
         }
@@ -72,7 +73,7 @@
     fn used(&self, i: usize) -> f64 {
         let id = self.members[i];
         let (Some(member), Some(clock)) = (self.network.node(id), self.network.clock(id)) else { return 0.0 };
-        member.limits.allowance(clock, Key::Origin).at(clock).min(member.demand) / TOTAL
+        member.limits.allowance(clock, LimitKey::Origin).at(clock).min(member.demand) / TOTAL
     }
 
     fn sum(&self) -> f64 {
--- a/crates/fleet/examples/members.rs
+++ b/crates/fleet/examples/members.rs
@@ -7,7 +7,7 @@
 use cherrypass::time::Span;
 use cherrypass_fleet::common::MemberId;
 use cherrypass_fleet::made::Link;
-use cherrypass_fleet::members::Standing;
+use cherrypass_fleet::members::MemberState;
 use node::Fleet;
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
@@ -77,9 +77,9 @@
             for _ in 0..if n < 9 { 1 } else { 3 } {
                 let who = random_member(&mut fleet);
                 fleet.network.kill(who);
-                let one = fleet.until(LONG, |fleet| fleet.count_holding(who, Standing::Dead) > 0);
+                let one = fleet.until(LONG, |fleet| fleet.count_holding(who, MemberState::Dead) > 0);
                 let rest = fleet.until(LONG, |fleet| {
-                    fleet.count_holding(who, Standing::Dead) == fleet.network.ids().len()
+                    fleet.count_holding(who, MemberState::Dead) == fleet.network.ids().len()
                 });
                 match (one, rest) {
                     (Some(one), Some(rest)) => (first.push(one), all.push(one + rest)).1,
@@ -132,21 +132,22 @@
                     fleet.network.cut.extend(back.then_some((id, who)));
                 }
                 let start = fleet.network.now;
-                let is_degraded =
-                    |fleet: &Fleet| fleet.network.node(who).is_some_and(|node| node.members.is_own_trouble());
+                let is_degraded = |fleet: &Fleet| {
+                    fleet.network.node(who).is_some_and(|node| node.members.are_links_degraded())
+                };
                 let (mut own, mut dead) = (None, None);
                 while fleet.network.now - start < SETTLE {
                     fleet.run(Span::millis(25));
                     own = own.or_else(|| is_degraded(&fleet).then_some(fleet.network.now - start));
-                    let all = fleet.count_holding(who, Standing::Dead) == n - 1;
+                    let all = fleet.count_holding(who, MemberState::Dead) == n - 1;
                     dead = dead.or_else(|| all.then_some(fleet.network.now - start));
                     let node = fleet.network.node(who).expect("runs");
-                    before += usize::from(own.is_none() && node.changes_to(Standing::Suspect) > 0);
+                    before += usize::from(own.is_none() && node.changes_to(MemberState::Suspect) > 0);
                 }
                 noticed.extend(own);
                 never += usize::from(own.is_none());
                 declared_dead.extend(dead);
-                declared += fleet.network.node(who).map_or(0, |node| node.changes_to(Standing::Dead));
+                declared += fleet.network.node(who).map_or(0, |node| node.changes_to(MemberState::Dead));
                 fleet.network.cut.clear();
                 healed.extend(fleet.until(LONG, |fleet| fleet.disagreements(&BTreeSet::new()).is_empty()));
                 others += fleet
@@ -156,7 +157,7 @@
                     .filter(|id| **id != who)
                     .filter(|id| {
                         let node = fleet.network.node(**id).expect("runs");
-                        node.changes.iter().any(|&(_, of, standing)| of != who && standing == Standing::Dead)
+                        node.changes.iter().any(|&(_, of, state)| of != who && state == MemberState::Dead)
                     })
                     .count();
             }
@@ -177,7 +178,7 @@
             fleet.run(Span::millis(10_000));
             for id in fleet.network.ids() {
                 let node = fleet.network.node(id).expect("runs");
-                let said = node.changes.iter().filter(|c| c.2 == Standing::Dead).count();
+                let said = node.changes.iter().filter(|c| c.2 == MemberState::Dead).count();
                 if id == who {
                     declared += said
                 } else {
@@ -201,8 +202,10 @@
             fleet.run(LONG);
             for id in &ids {
                 let node = fleet.network.node(*id).expect("runs");
-                (suspected, dead) =
-                    (suspected + node.changes_to(Standing::Suspect), dead + node.changes_to(Standing::Dead));
+                (suspected, dead) = (
+                    suspected + node.changes_to(MemberState::Suspect),
+                    dead + node.changes_to(MemberState::Dead),
+                );
             }
         }
         println!("{n:5} over {} seeds: suspected {suspected}, dead {dead}", seeds(n, 1500));
@@ -227,8 +230,8 @@
             fleet.run(LONG);
             for id in &ids {
                 let node = fleet.network.node(*id).expect("runs");
-                slow[0] += node.changes_to(Standing::Suspect);
-                slow[1] += node.changes_to(Standing::Dead);
+                slow[0] += node.changes_to(MemberState::Suspect);
+                slow[1] += node.changes_to(MemberState::Dead);
                 slow[2] += node.links_degraded.len();
             }
             fleet.network.links.clear();
@@ -265,8 +268,8 @@
             let pairs = one.iter().flat_map(|a| other.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
             fleet.network.cut.extend(pairs);
             let dead = |fleet: &Fleet| {
-                one.iter().all(|id| fleet.count_holding(*id, Standing::Dead) == other.len())
-                    && other.iter().all(|id| fleet.count_holding(*id, Standing::Dead) == one.len())
+                one.iter().all(|id| fleet.count_holding(*id, MemberState::Dead) == other.len())
+                    && other.iter().all(|id| fleet.count_holding(*id, MemberState::Dead) == one.len())
             };
             split.extend(fleet.until(LONG, dead));
             fleet.network.cut.clear();
@@ -293,8 +296,10 @@
             fleet.run(Span::millis(minutes * 60_000));
             for id in fleet.ids() {
                 let node = fleet.network.node(id).expect("runs");
-                (suspected, dead) =
-                    (suspected + node.changes_to(Standing::Suspect), dead + node.changes_to(Standing::Dead));
+                (suspected, dead) = (
+                    suspected + node.changes_to(MemberState::Suspect),
+                    dead + node.changes_to(MemberState::Dead),
+                );
                 degraded += node.links_degraded.iter().filter(|(_, is)| *is).count();
             }
         }
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -8,7 +8,7 @@
 use cherrypass::settings::{Band, ColdStart, Effect as Repeats, Settings};
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::verdicts::{self, Effect, Finding, Kind, Message, UsedBy, Verdicts};
+use cherrypass_fleet::verdicts::{self, Effect, Finding, FindingKind, Message, UsedBy, Verdicts};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -167,7 +167,11 @@
             weight: load / 0.6,
             measured: Measured::default(),
         };
-        let set = verdicts::Set { tellers: case.set.0, part: case.set.1, ..verdicts::Set::default() };
+        let set = verdicts::Settings {
+            reporters: case.set.0,
+            location_fraction: case.set.1,
+            ..verdicts::Settings::default()
+        };
         for of in 0..case.dispatchers as usize {
             let seed = case.seed << 16 | of as u64;
             let (own, run) = (MemberId(of as u64), Incarnation(1));
@@ -394,11 +398,11 @@
         let mut shut = BTreeSet::new();
         for found in one.brain.findings(now) {
             let kind = match found.what {
-                Found::Anew => Kind::JustStarted,
-                Found::Shut { why: Bad::Fails, unreached: false } => Kind::ShutOut,
-                Found::Shut { .. } => Kind::CutOff,
+                Found::Anew => FindingKind::Restarted,
+                Found::Shut { why: Bad::Fails, unreached: false } => FindingKind::Failing,
+                Found::Shut { .. } => FindingKind::Unreachable,
             };
-            shut.extend((kind != Kind::JustStarted).then_some(found.host));
+            shut.extend((kind != FindingKind::Restarted).then_some(found.host));
             let (host, evidence, age) = (found.host, found.evidence, now - found.at);
             let since = found.since.map(|at| Incarnation(at.0));
             one.verdicts.report_finding(now, Finding { host, since, kind, evidence, age });
@@ -415,7 +419,7 @@
 
     fn carry_out_effects(&mut self, of: usize) {
         let now = self.now;
-        while let Some(effect) = self.all[of].verdicts.next() {
+        while let Some(effect) = self.all[of].verdicts.next_effect() {
             if !self.case.shared {
                 continue;
             }
@@ -430,7 +434,7 @@
                 Effect::Verdict { host, since, kind, age, until, .. } => {
                     self.measured.oldest = self.measured.oldest.max(age);
                     let (one, since) = (&mut self.all[of], since.map(|run| Time(run.0)));
-                    let word = if kind == Kind::JustStarted { Word::Anew } else { Word::Bad };
+                    let word = if kind == FindingKind::Restarted { Word::Anew } else { Word::Bad };
                     if word == Word::Bad {
                         one.told.insert(host, (since, until));
                     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod common;
 pub mod delivery;
 pub mod feed;
-pub mod house;
 pub mod limits;
 pub mod made;
 pub mod members;
+pub mod node;
 pub mod rollout;
 pub mod verdicts;
--- a/crates/fleet/src/limits/limit.rs
+++ b/crates/fleet/src/limits/limit.rs
@@ -1,5 +1,5 @@
 //! State of one limit at one member: what it retains and has lent, and the members it borrows from.
-use super::Part;
+use super::Allowance;
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
@@ -75,7 +75,7 @@
     pub in_use_max: f64,
     /// The value that `in_use_max` drops to, and when.
     pub reduction: Option<(f64, Time)>,
-    pub allowance: Option<Part>,
+    pub allowance: Option<Allowance>,
     pub has_new_allowance: bool,
     /// Whether the dispatcher has put the latest allowance into force.
     pub is_applied: bool,
--- a/crates/fleet/src/limits/mod.rs
+++ b/crates/fleet/src/limits/mod.rs
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod limit;
-mod set;
+mod settings;
 use limit::{Borrower, Lease, Lender, Limit, Loan, Request};
-use set::MAX_SPAN;
-pub use set::{Key, Set, SetError, CLOCK_DRIFT};
+use settings::MAX_SPAN;
+pub use settings::{LimitKey, Settings, SettingsError, CLOCK_DRIFT};
 
 /// Fraction of a lease's span, counted from the request, in which the borrower uses it. Covers the drift of
 /// both clocks, and the delay from reading the clock to the hand-off.
@@ -34,14 +34,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Requests `amount`, which replaces what the sender already holds from the receiver.
-    Request { incarnation: Incarnation, serial: u64, key: Key, amount: f64, span: Span },
+    Request { incarnation: Incarnation, serial: u64, key: LimitKey, amount: f64, span: Span },
     /// The answer: `amount` (may be zero) for `span` from the request on. `incarnation` is the requester's.
     /// `wait`: when to request again, where more may be available then. `needs`: the sender uses its own
     /// share up.
     Grant {
         incarnation: Incarnation,
         serial: u64,
-        key: Key,
+        key: LimitKey,
         amount: f64,
         span: Span,
         wait: Option<Span>,
@@ -52,13 +52,13 @@
 /// What the dispatcher may use: `amount` until `until` on its own clock, and `after` from then on, without a
 /// further call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct Allowance {
     pub amount: f64,
     pub until: Time,
     pub after: f64,
 }
 
-impl Part {
+impl Allowance {
     pub fn at(&self, now: Time) -> f64 {
         if now < self.until {
             self.amount
@@ -77,7 +77,7 @@
     },
     /// A new allowance; the caller confirms with `Limits::confirm_applied` once it is in force.
     Allowance {
-        key: Key,
+        key: LimitKey,
         amount: f64,
         until: Time,
         after: f64,
@@ -99,7 +99,7 @@
 /// One member's state of all limits.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    set: Set,
+    settings: Settings,
     incarnation: Incarnation,
     others: BTreeSet<MemberId>,
     dead: BTreeSet<MemberId>,
@@ -109,9 +109,9 @@
     started: Time,
     stepped_down: bool,
     serial: u64,
-    limits: BTreeMap<Key, Limit>,
+    limits: BTreeMap<LimitKey, Limit>,
     /// The key to continue with, where the last round's requests ran out.
-    next_key: Option<Key>,
+    next_key: Option<LimitKey>,
     effects: VecDeque<Effect>,
     /// Rejected messages since the last log line, and the earliest time of the next.
     rejections: (u64, Time),
@@ -121,7 +121,7 @@
 impl Limits {
     /// `listed`: all members, including this one; a member that is not listed may use nothing.
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         incarnation: Incarnation,
         listed: &[MemberId],
@@ -130,15 +130,15 @@
     ) -> Limits {
         let mut others: BTreeSet<MemberId> = listed.iter().copied().collect();
         let share_fraction = if others.remove(&own) { 1.0 / (others.len() + 1) as f64 } else { 0.0 };
-        let set = Set {
-            floor: sanitized(set.floor).min(1.0),
-            lease: set.lease.min(MAX_SPAN),
-            drain: set.drain.min(MAX_SPAN),
-            window: set.window.min(MAX_SPAN),
-            ..set
+        let settings = Settings {
+            floor_fraction: sanitized(settings.floor_fraction).min(1.0),
+            lease: settings.lease.min(MAX_SPAN),
+            drain: settings.drain.min(MAX_SPAN),
+            window: settings.window.min(MAX_SPAN),
+            ..settings
         };
         let mut limits = Limits {
-            set,
+            settings,
             incarnation,
             others,
             dead: BTreeSet::new(),
@@ -153,7 +153,7 @@
             rejections: (0, now),
             disabled_guard: None,
         };
-        for key in [Key::Origin, Key::Further] {
+        for key in [LimitKey::Origin, LimitKey::Retries] {
             if limits.ensure_limit(now, key, true) {
                 limits.update_allowance(now, key);
             }
@@ -168,7 +168,7 @@
     }
 
     /// Sets what this dispatcher would use if it could. Has to be repeated at least every 10 s.
-    pub fn set_demand(&mut self, now: Time, key: Key, amount: f64) {
+    pub fn set_demand(&mut self, now: Time, key: LimitKey, amount: f64) {
         if self.ensure_limit(now, key, true) {
             if let Some(limit) = self.limits.get_mut(&key) {
                 limit.demand = sanitized(amount).min(limit.total);
@@ -180,7 +180,7 @@
     }
 
     /// Confirms that the last allowance returned for this key is in force at the dispatcher.
-    pub fn confirm_applied(&mut self, _now: Time, key: Key) {
+    pub fn confirm_applied(&mut self, _now: Time, key: LimitKey) {
         if let Some(limit) = self.limits.get_mut(&key) {
             limit.is_applied |= !limit.has_new_allowance;
         }
@@ -198,20 +198,20 @@
     /// A newer process runs under the same name: uses and lends nothing from now on.
     pub fn step_down(&mut self, now: Time) {
         self.stepped_down = true;
-        let keys: Vec<Key> = self.limits.keys().copied().collect();
+        let keys: Vec<LimitKey> = self.limits.keys().copied().collect();
         for key in keys {
             self.update_allowance(now, key);
         }
     }
 
     /// What the dispatcher may use. For a key without state, the default.
-    pub fn allowance(&self, now: Time, key: Key) -> Part {
+    pub fn allowance(&self, now: Time, key: LimitKey) -> Allowance {
         let unknown = || {
             let amount = self
-                .set
+                .settings
                 .total(key)
                 .map_or(f64::MAX, |total| self.usable_share(now, key, total * self.share_fraction));
-            Part { amount, until: now, after: amount }
+            Allowance { amount, until: now, after: amount }
         };
         self.limits.get(&key).and_then(|limit| limit.allowance).unwrap_or_else(unknown)
     }
@@ -242,11 +242,11 @@
 
     /// Periodic work: expires leases, updates allowances and sends requests.
     pub fn tick(&mut self, now: Time) {
-        let mut keys: Vec<Key> = self.limits.keys().copied().collect();
+        let mut keys: Vec<LimitKey> = self.limits.keys().copied().collect();
         let first = self.next_key.take().and_then(|next| keys.iter().position(|key| *key >= next));
         keys.rotate_left(first.unwrap_or(0));
-        let lease = self.set.lease;
-        let mut requests = self.set.max_requests as usize;
+        let lease = self.settings.lease;
+        let mut requests = self.settings.max_requests as usize;
         for key in keys {
             if let Some(limit) = self.limits.get_mut(&key) {
                 limit.expire(now, lease);
@@ -274,12 +274,11 @@
     }
 
     /// The next effect to carry out.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         for (key, limit) in &mut self.limits {
             if let (true, Some(allowance)) = (limit.has_new_allowance, limit.allowance) {
                 limit.has_new_allowance = false;
-                let Part { amount, until, after } = allowance;
+                let Allowance { amount, until, after } = allowance;
                 return Some(Effect::Allowance { key: *key, amount, until, after });
             }
         }
@@ -292,38 +291,38 @@
     }
 
     /// When the whole share may be used and lent: every lease of an earlier run has expired by then.
-    fn full_share_from(&self, key: Key) -> Time {
+    fn full_share_from(&self, key: LimitKey) -> Time {
         match self.disabled_guard {
             Some(Guard::StartDelay) => self.started,
-            _ => self.started + self.set.lease + self.set.drain(key),
+            _ => self.started + self.settings.lease + self.settings.drain(key),
         }
     }
 
     /// The usable part of the own share: nothing while hand-offs of an earlier run may still be running, then
     /// the floor, which that run cannot have lent, then all.
-    fn usable_share(&self, now: Time, key: Key, share: f64) -> f64 {
+    fn usable_share(&self, now: Time, key: LimitKey, share: f64) -> f64 {
         if self.stepped_down {
             0.0
         } else if now >= self.full_share_from(key) {
             share
-        } else if now >= self.started + self.set.drain(key) {
-            share * self.set.floor
+        } else if now >= self.started + self.settings.drain(key) {
+            share * self.settings.floor_fraction
         } else {
             0.0
         }
     }
 
     /// Creates the state of a key; false where it is not limited or there are too many cold hosts.
-    fn ensure_limit(&mut self, now: Time, key: Key, is_own_demand: bool) -> bool {
+    fn ensure_limit(&mut self, now: Time, key: LimitKey, is_own_demand: bool) -> bool {
         if self.limits.contains_key(&key) {
             return true;
         }
-        let Some(total) = self.set.total(key) else { return false };
-        let is_cold = |(key, limit): &(&Key, &Limit)| {
-            matches!(key, Key::Cold(_)) && limit.has_own_demand == is_own_demand
+        let Some(total) = self.settings.total(key) else { return false };
+        let is_cold = |(key, limit): &(&LimitKey, &Limit)| {
+            matches!(key, LimitKey::ColdHost(_)) && limit.has_own_demand == is_own_demand
         };
-        if self.limits.iter().filter(is_cold).count() >= self.set.max_cold_hosts
-            && matches!(key, Key::Cold(_))
+        if self.limits.iter().filter(is_cold).count() >= self.settings.max_cold_hosts
+            && matches!(key, LimitKey::ColdHost(_))
         {
             return false;
         }
@@ -354,23 +353,23 @@
     }
 
     /// Whether the state of a key can be dropped: a host that is cold no more, with nothing lent or borrowed.
-    fn is_idle(&self, now: Time, key: Key) -> bool {
+    fn is_idle(&self, now: Time, key: LimitKey) -> bool {
         let Some(limit) = self.limits.get(&key) else { return false };
         let share = limit.total * self.share_fraction;
         let lends = !limit.loans.is_empty() || !limit.borrowers.is_empty();
         let borrows = limit.demand > 0.0 || limit.lenders.values().any(|lender| lender.lease.is_some());
         let is_unrestricted =
             limit.retained >= share && !limit.has_new_allowance && now >= self.full_share_from(key);
-        matches!(key, Key::Cold(_)) && !lends && !borrows && is_unrestricted
+        matches!(key, LimitKey::ColdHost(_)) && !lends && !borrows && is_unrestricted
     }
 
     /// Where shares are less than one hand-off and all members have demand, none could make any. A member
     /// that had none for two lease spans draws whether to collect a whole one or to lend its share, so that
     /// about as many collect as there are hand-offs in the total.
-    fn draw_lot(&mut self, now: Time, key: Key) {
-        let unit = self.set.unit(key);
+    fn draw_lot(&mut self, now: Time, key: LimitKey) {
+        let unit = self.settings.unit(key);
         let (draw, jitter) = (self.rng.gen_range(0.0..1.0), self.rng.gen_range(0.75..1.25));
-        let lease = self.set.lease;
+        let lease = self.settings.lease;
         let Some(limit) = self.limits.get_mut(&key) else { return };
         let share = limit.total * self.share_fraction;
         if share >= unit || limit.total < unit || limit.demand <= 0.0 {
@@ -395,14 +394,15 @@
     }
 
     /// Updates the retained part of the own share, and the allowance that follows from it.
-    fn update_allowance(&mut self, now: Time, key: Key) {
+    fn update_allowance(&mut self, now: Time, key: LimitKey) {
         let Some(share) = self.limits.get(&key).map(|limit| limit.total * self.share_fraction) else {
             return;
         };
         let usable = self.usable_share(now, key, share);
-        let drain = if self.disabled_guard == Some(Guard::Drain) { Span::ZERO } else { self.set.drain(key) };
-        let soon = now + self.set.round.times(3.0);
-        let unit = self.set.unit(key);
+        let drain =
+            if self.disabled_guard == Some(Guard::Drain) { Span::ZERO } else { self.settings.drain(key) };
+        let soon = now + self.settings.interval.times(3.0);
+        let unit = self.settings.unit(key);
         let Some(limit) = self.limits.get_mut(&key) else { return };
         if let Some((level, _)) = limit.reduction.filter(|reduction| now >= reduction.1) {
             limit.in_use_max = level;
@@ -414,7 +414,7 @@
         } else {
             (limit.effective_demand(unit) * DEMAND_HEADROOM).min(share)
         };
-        let goal = demand.max(share * self.set.floor).min(usable).min((share - lent).max(0.0));
+        let goal = demand.max(share * self.settings.floor_fraction).min(usable).min((share - lent).max(0.0));
         if goal > limit.retained || goal < limit.retained - share * MIN_LOAN_FRACTION || usable == 0.0 {
             limit.retained = goal;
         }
@@ -427,13 +427,13 @@
         let after = limit.retained;
         let amount = after + usable().map(|lease| lease.amount).sum::<f64>();
         let until = usable().map(|lease| lease.until).min().unwrap_or(now);
-        let part = Part { amount, until, after };
-        let is_same = |last: &Part| {
+        let allowance = Allowance { amount, until, after };
+        let is_same = |last: &Allowance| {
             (last.amount, last.after) == (amount, after) && (amount == after || last.until == until)
         };
         if !limit.allowance.as_ref().is_some_and(is_same) {
             limit.is_applied &= limit.allowance.is_some_and(|last| last.after == after);
-            limit.allowance = Some(part);
+            limit.allowance = Some(allowance);
             limit.has_new_allowance = true;
         }
         // Reduce first, lend afterwards: a reduction counts only after the dispatcher has confirmed it and
@@ -451,17 +451,18 @@
         from: MemberId,
         incarnation: Incarnation,
         request: Request,
-        key: Key,
+        key: LimitKey,
         span: Span,
     ) {
         let amount = sanitized(request.amount);
-        let span = span.min(self.set.lease);
+        let span = span.min(self.settings.lease);
         if amount <= 0.0 || span == Span::ZERO || !self.ensure_limit(now, key, false) {
             return self.count_rejection(now);
         }
         let full_share_from = self.full_share_from(key);
-        let drain = if self.disabled_guard == Some(Guard::Drain) { Span::ZERO } else { self.set.drain(key) };
-        let lease = self.set.lease;
+        let drain =
+            if self.disabled_guard == Some(Guard::Drain) { Span::ZERO } else { self.settings.drain(key) };
+        let lease = self.settings.lease;
         let Some(limit) = self.limits.get_mut(&key) else { return };
         limit.expire(now, lease);
         let last = limit.borrowers.get(&from).map(|last| (last.incarnation, last.serial));
@@ -470,8 +471,9 @@
         }
         limit.borrowers.insert(from, Borrower { incarnation, serial: request.serial, amount, received: now });
         let share = limit.total * self.share_fraction;
-        let unit = self.set.unit(key);
-        let retained = (limit.effective_demand(unit) * DEMAND_HEADROOM).max(share * self.set.floor);
+        let unit = self.settings.unit(key);
+        let retained =
+            (limit.effective_demand(unit) * DEMAND_HEADROOM).max(share * self.settings.floor_fraction);
         let total = (share - retained).max(0.0);
         let lent = limit.total_lent();
         let lent_to_it = limit.loans.get(&(from, incarnation)).map_or(0.0, Loan::max_amount);
@@ -494,11 +496,11 @@
         } else if fair - given < share * MIN_LOAN_FRACTION {
             None
         } else if total - limit.total_lent() >= share * MIN_LOAN_FRACTION {
-            Some(limit.reduction.map_or(drain, |reduction| reduction.1 - now) + self.set.round)
+            Some(limit.reduction.map_or(drain, |reduction| reduction.1 - now) + self.settings.interval)
         } else {
             // Lent to others; it is divided again as leases expire.
             let ends = limit.loans.values().flat_map(|loan| &loan.entries).map(|entry| entry.0);
-            ends.min().map(|end| (end - now) + self.set.round)
+            ends.min().map(|end| (end - now) + self.settings.interval)
         };
         let serial = request.serial;
         let needs = limit.demand >= share;
@@ -512,13 +514,13 @@
         now: Time,
         from: MemberId,
         serial: u64,
-        key: Key,
+        key: LimitKey,
         amount: f64,
         span: Span,
         wait: Option<Span>,
     ) {
         let jitter = self.rng.gen_range(1.0..1.25);
-        let lease = self.set.lease;
+        let lease = self.settings.lease;
         let Some(limit) = self.limits.get_mut(&key) else { return };
         let Some(lender) = limit.lenders.get_mut(&from) else { return };
         let Some(request) = lender.requests.iter().find(|request| request.serial == serial).cloned() else {
@@ -553,24 +555,24 @@
                 lender.next_request = now + INITIAL_BACKOFF.times(f64::from(1 << lender.failures) * jitter);
             }
         }
-        limit.request_rate = limit.request_rate.clamp(0.2, f64::from(self.set.max_requests_per_key));
+        limit.request_rate = limit.request_rate.clamp(0.2, f64::from(self.settings.max_requests_per_key));
     }
 
     /// Renews leases that are needed, lets others expire and requests further ones. Returns the number of
     /// requests.
-    fn request_leases(&mut self, now: Time, key: Key) -> usize {
+    fn request_leases(&mut self, now: Time, key: LimitKey) -> usize {
         let Some(share) = self.limits.get(&key).map(|limit| limit.total * self.share_fraction) else {
             return 0;
         };
         let usable = self.usable_share(now, key, share);
         let Some(limit) = self.limits.get_mut(&key) else { return 0 };
-        let (least, most) = (share * MIN_LOAN_FRACTION, share * (1.0 - self.set.floor));
+        let (least, most) = (share * MIN_LOAN_FRACTION, share * (1.0 - self.settings.floor_fraction));
         let own = (share - limit.total_lent()).max(0.0).min(usable);
         let held = limit.available() - limit.retained;
-        let wanted = limit.effective_demand(self.set.unit(key));
+        let wanted = limit.effective_demand(self.settings.unit(key));
         let mut short = wanted - own - held;
         limit.request_credit =
-            (limit.request_credit + limit.request_rate).min(f64::from(self.set.max_requests_per_key));
+            (limit.request_credit + limit.request_rate).min(f64::from(self.settings.max_requests_per_key));
         if wanted <= 0.0 {
             return 0;
         }
@@ -603,14 +605,14 @@
         for (_, id, amount) in due {
             if short + amount <= 0.0 {
                 short += amount;
-            } else if requests.len() < self.set.max_requests_per_key as usize {
+            } else if requests.len() < self.settings.max_requests_per_key as usize {
                 let wanted = (amount + short).max(least).min(most);
                 short -= wanted - amount;
                 requests.push((id, wanted));
             }
         }
         let room =
-            (self.set.max_requests_per_key as usize - requests.len()).min(limit.request_credit as usize);
+            (self.settings.max_requests_per_key as usize - requests.len()).min(limit.request_credit as usize);
         if short > least && room > 0 {
             let is_open = |id: &&MemberId| {
                 let is_due = |lender: &Lender| {
@@ -631,7 +633,7 @@
                 requests.push((open[i], wanted));
             }
         }
-        let (span, count) = (self.set.lease, requests.len());
+        let (span, count) = (self.settings.lease, requests.len());
         for (to, amount) in requests {
             self.serial += 1;
             let serial = self.serial;
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use table::Table;
-pub use table::{Claim, Standing};
+pub use table::{Claim, MemberState};
 
 /// Listed members beyond this number are ignored.
 pub const MAX_MEMBERS: usize = 4096;
@@ -41,9 +41,9 @@
 
 /// Settings of the failure detector.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set {
+pub struct Settings {
     /// Interval in which a member probes one other.
-    pub round: Span,
+    pub interval: Span,
     /// Time between two sends of the same probe.
     pub retry_interval: Span,
     /// Lower and upper bound of the mean response time from which timeouts are computed.
@@ -65,13 +65,13 @@
     /// anew.
     pub max_pause: Span,
     /// How far another member's incarnation may be ahead of this one's clock.
-    pub ahead: Span,
+    pub max_incarnation_lead: Span,
 }
 
-impl Default for Set {
-    fn default() -> Set {
-        Set {
-            round: Span::millis(250),
+impl Default for Settings {
+    fn default() -> Settings {
+        Settings {
+            interval: Span::millis(250),
             retry_interval: Span::millis(100),
             mean_response_bounds: [Span::millis(20), Span::millis(500)],
             phi_thresholds: [2.0, 4.0, 8.0, 12.0],
@@ -81,7 +81,7 @@
             dead_probe_rounds: 4,
             sync_rounds: 40,
             max_pause: Span::millis(500),
-            ahead: Span(24 * 3_600_000_000),
+            max_incarnation_lead: Span(24 * 3_600_000_000),
         }
     }
 }
@@ -115,7 +115,7 @@
     }
 }
 
-impl Set {
+impl Settings {
     /// Validates settings, before `Members::new`.
     pub fn check(&self) -> Result<(), SettingsError> {
         let is_valid_interval = |span: Span| (Span::millis(10)..=Span::millis(60_000)).contains(&span);
@@ -123,7 +123,7 @@
         let [first, .., last] = self.phi_thresholds;
         let rules = [
             (
-                is_valid_interval(self.round) && is_valid_interval(self.retry_interval),
+                is_valid_interval(self.interval) && is_valid_interval(self.retry_interval),
                 SettingsError::Intervals,
             ),
             (
@@ -145,11 +145,11 @@
 
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Said {
+pub struct Message {
     /// The sender's claim about itself.
-    pub own: Claim,
+    pub claim: Claim,
     pub body: Body,
-    pub words: Vec<(MemberId, Claim)>,
+    pub claims: Vec<(MemberId, Claim)>,
 }
 
 /// Content of a message, beside the gossiped claims.
@@ -184,7 +184,7 @@
         last: MemberId,
     },
     /// Only the gossiped claims.
-    News,
+    Gossip,
 }
 
 /// An action for the caller to carry out.
@@ -192,11 +192,11 @@
 pub enum Effect {
     Send {
         to: MemberId,
-        message: Said,
+        message: Message,
     },
     Changed {
         who: MemberId,
-        standing: Standing,
+        state: MemberState,
         incarnation: Incarnation,
     },
     /// Whether this member's own links are degraded: most of its probes have no answer.
@@ -239,7 +239,7 @@
 
 /// One member's view of the membership.
 pub struct Members {
-    set: Set,
+    settings: Settings,
     own: usize,
     started: Time,
     last_tick: Time,
@@ -267,14 +267,14 @@
     stepped_down: bool,
     stepped_down_reported: bool,
     last_rejection_logged: Option<Time>,
-    messages: VecDeque<(MemberId, Said)>,
+    messages: VecDeque<(MemberId, Message)>,
     log_lines: VecDeque<String>,
 }
 
 impl Members {
     /// `own` should be listed; otherwise it counts as listed in location 0.
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         incarnation: Incarnation,
         listed: &[(MemberId, LocationId)],
@@ -287,12 +287,12 @@
         all.push((own, location));
         let mut table = Table::new(&all, now);
         let own = table.find(own).unwrap_or_default();
-        table.merge(own, Claim { incarnation, count: 0, standing: Standing::Alive }, true);
+        table.merge(own, Claim { incarnation, refutations: 0, state: MemberState::Alive }, true);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let next_round = now + set.round.times(rng.gen_range(0.0..1.0));
-        let rounds = rng.gen_range(0..set.sync_rounds.max(1));
+        let next_round = now + settings.interval.times(rng.gen_range(0.0..1.0));
+        let rounds = rng.gen_range(0..settings.sync_rounds.max(1));
         Members {
-            set,
+            settings,
             own,
             started: now,
             last_tick: now,
@@ -326,8 +326,8 @@
     }
 
     /// State of a member; `None` if it is not listed.
-    pub fn standing(&self, id: MemberId) -> Option<Standing> {
-        self.table.find(id).map(|i| self.table.claim(i).standing)
+    pub fn state(&self, id: MemberId) -> Option<MemberState> {
+        self.table.find(id).map(|i| self.table.claim(i).state)
     }
 
     /// The newest known incarnation of a member, if any.
@@ -337,7 +337,7 @@
     }
 
     /// Whether this member's own links are degraded.
-    pub fn is_own_trouble(&self) -> bool {
+    pub fn are_links_degraded(&self) -> bool {
         self.links_degraded
     }
 
@@ -345,7 +345,7 @@
     /// is outdated or too far in the future, or this process has stepped down.
     pub fn accept(&mut self, now: Time, from: MemberId, incarnation: Incarnation) -> bool {
         let Some(i) = self.table.find(from).filter(|_| !self.stepped_down) else { return false };
-        let claim = Claim { incarnation, count: 0, standing: Standing::Alive };
+        let claim = Claim { incarnation, refutations: 0, state: MemberState::Alive };
         if !self.is_plausible(now, i, claim) || incarnation < self.table.claim(i).incarnation {
             return false;
         }
@@ -360,18 +360,18 @@
     }
 
     /// Handles a membership message.
-    pub fn receive(&mut self, now: Time, from: MemberId, message: Said) {
+    pub fn receive(&mut self, now: Time, from: MemberId, message: Message) {
         let Some(i) = self.table.find(from).filter(|_| !self.stepped_down) else { return };
-        if !self.accept(now, from, message.own.incarnation) {
+        if !self.accept(now, from, message.claim.incarnation) {
             // Tells an older process under the same name about the newer one.
-            if i != self.own && message.own.incarnation < self.table.claim(i).incarnation {
-                self.send(from, Body::News, Some(i));
+            if i != self.own && message.claim.incarnation < self.table.claim(i).incarnation {
+                self.send(from, Body::Gossip, Some(i));
             }
             return;
         }
-        self.merge_if_plausible(now, i, message.own, true);
+        self.merge_if_plausible(now, i, message.claim, true);
         let gossip = !matches!(message.body, Body::Chunk { .. });
-        for &(who, claim) in message.words.iter().take(MAX_CLAIMS_READ) {
+        for &(who, claim) in message.claims.iter().take(MAX_CLAIMS_READ) {
             if let Some(j) = self.table.find(who) {
                 self.merge_if_plausible(now, j, claim, gossip);
             }
@@ -380,7 +380,7 @@
             return;
         }
         // Prevents two members from answering each other forever, as when both find their links degraded.
-        let mut has_answered = message.body == Body::News;
+        let mut has_answered = message.body == Body::Gossip;
         match message.body {
             Body::Ping { sequence } => {
                 self.send(from, Body::Ack { sequence }, None);
@@ -395,19 +395,19 @@
             Body::DigestMatches => self.is_synced = true,
             Body::Chunk { first, last } => {
                 self.is_synced = true;
-                self.send_newer(from, first, last, &message.words);
+                self.send_newer(from, first, last, &message.claims);
             }
-            Body::News => {}
+            Body::Gossip => {}
         }
         // The sender is not considered alive here: lets it refute that.
-        if !has_answered && !matches!(self.table.claim(i).standing, Standing::Alive | Standing::Left) {
-            self.send(from, Body::News, None);
+        if !has_answered && !matches!(self.table.claim(i).state, MemberState::Alive | MemberState::Left) {
+            self.send(from, Body::Gossip, None);
         }
     }
 
     /// Periodic work: probes, timeouts and suspicions.
     pub fn tick(&mut self, now: Time) {
-        if now - self.last_tick > self.set.max_pause {
+        if now - self.last_tick > self.settings.max_pause {
             self.handle_pause(now);
         }
         self.last_tick = now;
@@ -415,7 +415,7 @@
             return;
         }
         if now >= self.next_round {
-            self.next_round = now.max(self.next_round + self.set.round);
+            self.next_round = now.max(self.next_round + self.settings.interval);
             self.start_round(now);
         }
         self.check_probes(now);
@@ -429,18 +429,21 @@
             return;
         }
         let own = self.table.claim(self.own);
-        self.table.merge(self.own, Claim { count: own.count + 1, standing: Standing::Left, ..own }, true);
+        self.table.merge(
+            self.own,
+            Claim { refutations: own.refutations + 1, state: MemberState::Left, ..own },
+            true,
+        );
         (self.probes, self.relayed_probes) = (Vec::new(), Vec::new());
         self.suspicions.clear();
         self.last_tick = now;
-        for i in self.pick_random(8, &[], |standing| standing == Standing::Alive) {
-            self.send(self.table.entries[i].id, Body::News, Some(self.own));
+        for i in self.pick_random(8, &[], |state| state == MemberState::Alive) {
+            self.send(self.table.entries[i].id, Body::Gossip, Some(self.own));
         }
     }
 
     /// The next effect to carry out; further ones follow after later calls.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         if self.stepped_down {
             self.messages.clear();
             let is_first = !std::mem::replace(&mut self.stepped_down_reported, true);
@@ -450,8 +453,8 @@
             self.links_degraded_reported = self.links_degraded;
             return Some(Effect::LinksDegraded(self.links_degraded));
         }
-        if let Some((who, standing, incarnation)) = self.table.next_change(self.own) {
-            return Some(Effect::Changed { who, standing, incarnation });
+        if let Some((who, state, incarnation)) = self.table.next_change(self.own) {
+            return Some(Effect::Changed { who, state, incarnation });
         }
         if let Some((to, message)) = self.messages.pop_front() {
             return Some(Effect::Send { to, message });
@@ -460,7 +463,7 @@
     }
 
     fn is_inactive(&self) -> bool {
-        self.stepped_down || self.table.claim(self.own).standing == Standing::Left
+        self.stepped_down || self.table.claim(self.own).state == MemberState::Left
     }
 
     fn log(&mut self, line: String) {
@@ -479,9 +482,14 @@
     }
 
     /// Up to `max` random other members that fit.
-    fn pick_random(&mut self, max: usize, excluded: &[usize], fits: impl Fn(Standing) -> bool) -> Vec<usize> {
+    fn pick_random(
+        &mut self,
+        max: usize,
+        excluded: &[usize],
+        fits: impl Fn(MemberState) -> bool,
+    ) -> Vec<usize> {
         let entries = self.table.entries.iter().enumerate();
-        let fit = entries.filter(|(i, e)| *i != self.own && !excluded.contains(i) && fits(e.claim.standing));
+        let fit = entries.filter(|(i, e)| *i != self.own && !excluded.contains(i) && fits(e.claim.state));
         let mut indices: Vec<usize> = fit.map(|(i, _)| i).collect();
         let (picked, _) = indices.partial_shuffle(&mut self.rng, max);
         picked.to_vec()
@@ -490,14 +498,14 @@
     /// Sends a message with gossiped claims, the claim about the receiver where that is not alive, and the
     /// claim about one more member.
     fn send(&mut self, to: MemberId, body: Body, about: Option<usize>) {
-        let times = (f64::from(self.set.gossip_factor) * self.log2_members()).ceil() as u32;
+        let times = (f64::from(self.settings.gossip_factor) * self.log2_members()).ceil() as u32;
         let links_degraded = self.links_degraded;
-        let fits = |standing| !links_degraded || !matches!(standing, Standing::Suspect | Standing::Dead);
+        let fits = |state| !links_degraded || !matches!(state, MemberState::Suspect | MemberState::Dead);
         let mut claims = self.table.next_updates(MAX_GOSSIPED_CLAIMS, times, fits);
-        let receiver = self.table.find(to).filter(|i| self.table.claim(*i).standing != Standing::Alive);
+        let receiver = self.table.find(to).filter(|i| self.table.claim(*i).state != MemberState::Alive);
         for i in receiver.into_iter().chain(about) {
             let claim = (self.table.entries[i].id, self.table.claim(i));
-            if claim.1 != Claim::NONE && fits(claim.1.standing) && !claims.contains(&claim) {
+            if claim.1 != Claim::NONE && fits(claim.1.state) && !claims.contains(&claim) {
                 claims.push(claim);
             }
         }
@@ -506,8 +514,8 @@
 
     fn enqueue(&mut self, to: MemberId, body: Body, claims: Vec<(MemberId, Claim)>) {
         if self.messages.len() < MAX_QUEUED_MESSAGES {
-            let own = self.table.claim(self.own);
-            self.messages.push_back((to, Said { own, body, words: claims }));
+            let claim = self.table.claim(self.own);
+            self.messages.push_back((to, Message { claim, body, claims }));
         }
     }
 
@@ -515,20 +523,20 @@
     /// clock.
     fn is_plausible(&mut self, now: Time, i: usize, claim: Claim) -> bool {
         let clock = self.table.claim(self.own).incarnation.0.saturating_add((now - self.started).0);
-        let newest = clock.saturating_add(self.set.ahead.0);
+        let newest = clock.saturating_add(self.settings.max_incarnation_lead.0);
         if claim.incarnation.0 <= newest
-            && claim.count <= MAX_REFUTATIONS
-            && claim.standing != Standing::Unheard
+            && claim.refutations <= MAX_REFUTATIONS
+            && claim.state != MemberState::Unknown
         {
             return true;
         }
         if self.last_rejection_logged.is_none_or(|at| now - at > Span::millis(10_000)) {
             self.last_rejection_logged = Some(now);
-            let (id, ahead) = (self.table.entries[i].id.0, self.set.ahead.as_seconds());
+            let (id, ahead) = (self.table.entries[i].id.0, self.settings.max_incarnation_lead.as_seconds());
             self.log(format!(
                 "members: ignored a claim about {id:x} with incarnation {} (at most {ahead} s ahead of this clock is \
                  allowed) and count {}; compare the clocks of the machines",
-                claim.incarnation.0, claim.count
+                claim.incarnation.0, claim.refutations
             ));
         }
         false
@@ -544,21 +552,21 @@
         if i == self.own {
             return self.handle_own_claim(now, claim);
         }
-        let before = self.table.claim(i).standing;
+        let before = self.table.claim(i).state;
         if !self.table.merge(i, claim, gossip) {
             return;
         }
-        if before == Standing::Dead && claim.standing == Standing::Alive {
+        if before == MemberState::Dead && claim.state == MemberState::Alive {
             // Possibly one of many, as after a network partition.
             self.extra_syncs = EXTRA_SYNCS;
         }
-        if claim.standing == Standing::Suspect {
+        if claim.state == MemberState::Suspect {
             let next_check = now + self.refutation_time().times(0.5);
             self.suspicions.insert(i, Suspicion { since: now, is_own: false, next_check });
             return;
         }
         self.suspicions.remove(&i);
-        if claim.standing >= Standing::Dead {
+        if claim.state >= MemberState::Dead {
             self.probes.retain(|probe| probe.target != i);
             self.relayed_probes.retain(|probe| probe.target != i);
         }
@@ -569,11 +577,12 @@
         let own = self.table.claim(self.own);
         if claim.incarnation > own.incarnation {
             self.stepped_down = true;
-        } else if claim.incarnation == own.incarnation && claim > own && claim.standing != Standing::Alive {
-            self.table.merge(self.own, Claim { count: claim.count + 1, ..own }, true);
+        } else if claim.incarnation == own.incarnation && claim > own && claim.state != MemberState::Alive {
+            self.table.merge(self.own, Claim { refutations: claim.refutations + 1, ..own }, true);
             // Sent to some members at once, as the time to refute is limited.
-            for i in self.pick_random(self.set.indirect_probes, &[], |standing| standing == Standing::Alive) {
-                self.send(self.table.entries[i].id, Body::News, None);
+            for i in self.pick_random(self.settings.indirect_probes, &[], |state| state == MemberState::Alive)
+            {
+                self.send(self.table.entries[i].id, Body::Gossip, None);
             }
             self.last_heard = now;
         }
@@ -582,24 +591,24 @@
     fn start_round(&mut self, now: Time) {
         self.rounds += 1;
         if !self.is_synced {
-            for i in self.pick_random(self.set.indirect_probes, &[], |_| true) {
+            for i in self.pick_random(self.settings.indirect_probes, &[], |_| true) {
                 self.send_digest(i);
             }
         } else if self.is_sync_due() {
-            for i in self.pick_random(1, &[], |standing| standing == Standing::Alive) {
+            for i in self.pick_random(1, &[], |state| state == MemberState::Alive) {
                 self.send_digest(i);
             }
         }
-        if self.rounds.is_multiple_of(self.set.dead_probe_rounds.max(1)) {
+        if self.rounds.is_multiple_of(self.settings.dead_probe_rounds.max(1)) {
             for i in
-                self.pick_random(1, &[], |standing| !matches!(standing, Standing::Alive | Standing::Suspect))
+                self.pick_random(1, &[], |state| !matches!(state, MemberState::Alive | MemberState::Suspect))
             {
                 let sequence = self.next_sequence();
                 self.send(self.table.entries[i].id, Body::Ping { sequence }, None);
             }
         }
         let Some(target) = self.next_probe_target() else { return };
-        let (sequence, resend_at) = (self.next_sequence(), now + self.set.retry_interval);
+        let (sequence, resend_at) = (self.next_sequence(), now + self.settings.retry_interval);
         let (is_indirect, has_helper_answer, is_reported_silent) = (false, false, false);
         self.probes.push(Probe {
             target,
@@ -617,7 +626,7 @@
     fn is_sync_due(&mut self) -> bool {
         let is_extra = self.extra_syncs > 0 && self.rounds.is_multiple_of(2);
         self.extra_syncs -= u32::from(is_extra);
-        is_extra || self.rounds.is_multiple_of(self.set.sync_rounds.max(1))
+        is_extra || self.rounds.is_multiple_of(self.settings.sync_rounds.max(1))
     }
 
     fn send_digest(&mut self, i: usize) {
@@ -630,11 +639,11 @@
         for _ in 0..2 {
             while let Some(i) = self.probe_queue.pop() {
                 let is_probed = self.probes.iter().any(|probe| probe.target == i);
-                if self.table.claim(i).standing == Standing::Alive && !is_probed {
+                if self.table.claim(i).state == MemberState::Alive && !is_probed {
                     return Some(i);
                 }
             }
-            self.probe_queue = self.pick_random(usize::MAX, &[], |standing| standing == Standing::Alive);
+            self.probe_queue = self.pick_random(usize::MAX, &[], |state| state == MemberState::Alive);
         }
         None
     }
@@ -652,15 +661,15 @@
         let entry = &self.table.entries[probe.target];
         let (id, silence) = (entry.id, now - probe.sent.max(entry.last_heard));
         let [indirect_after, _, suspect_after, abandon_after] = self
-            .set
+            .settings
             .phi_thresholds
-            .map(|phi| self.links.timeout(phi, Some(&entry.response_times), &self.set));
+            .map(|phi| self.links.timeout(phi, Some(&entry.response_times), &self.settings));
         if silence > suspect_after && probe.is_reported_silent {
             self.links.record_outcome(true);
             self.update_links_degraded();
             let claim = self.table.claim(probe.target);
-            if !self.links_degraded && claim.standing == Standing::Alive {
-                self.merge(now, probe.target, claim.with(Standing::Suspect), true);
+            if !self.links_degraded && claim.state == MemberState::Alive {
+                self.merge(now, probe.target, claim.with(MemberState::Suspect), true);
                 let mark_own = |s: &mut Suspicion| (s.is_own, s.next_check) = (true, now);
                 self.suspicions.get_mut(&probe.target).map(mark_own);
             }
@@ -674,10 +683,10 @@
             return false;
         }
         if now >= probe.resend_at {
-            probe.resend_at = now + self.set.retry_interval;
+            probe.resend_at = now + self.settings.retry_interval;
             self.send(id, Body::Ping { sequence: probe.sequence }, None);
             if now - probe.sent > indirect_after {
-                let max = if probe.is_indirect { 1 } else { self.set.indirect_probes };
+                let max = if probe.is_indirect { 1 } else { self.settings.indirect_probes };
                 probe.is_indirect = true;
                 self.probe_through_others(probe.sequence, probe.target, max);
             }
@@ -694,7 +703,7 @@
 
     fn probe_through_others(&mut self, sequence: u32, target_index: usize, max: usize) {
         let target = self.table.entries[target_index].id;
-        for i in self.pick_random(max, &[target_index], |standing| standing == Standing::Alive) {
+        for i in self.pick_random(max, &[target_index], |state| state == MemberState::Alive) {
             self.send(self.table.entries[i].id, Body::PingRequest { sequence, target }, Some(target_index));
         }
     }
@@ -719,7 +728,7 @@
             self.links.record_response(
                 now - probe.sent,
                 &mut self.table.entries[i].response_times,
-                &self.set,
+                &self.settings,
             );
             self.links.record_outcome(true);
             self.update_links_degraded();
@@ -727,7 +736,7 @@
             self.late_probes.iter().position(|&(late, target, _)| target == i && late == sequence)
         {
             let sent = self.late_probes.remove(at).map_or(now, |late| late.2);
-            self.links.record_response(now - sent, &mut self.table.entries[i].response_times, &self.set);
+            self.links.record_response(now - sent, &mut self.table.entries[i].response_times, &self.settings);
         }
         if let Some(at) =
             self.relayed_probes.iter().position(|probe| probe.target == i && probe.sequence == sequence)
@@ -759,7 +768,7 @@
         if self.relayed_probes.len() >= MAX_RELAYED_PROBES || self.relayed_probes.iter().any(is_same) {
             return;
         }
-        let (sequence, resend_at) = (self.next_sequence(), now + self.set.retry_interval);
+        let (sequence, resend_at) = (self.next_sequence(), now + self.settings.retry_interval);
         self.relayed_probes.push(RelayedProbe {
             requester,
             requester_sequence,
@@ -776,8 +785,11 @@
         probes.retain_mut(|probe| {
             let entry = &self.table.entries[probe.target];
             let (target, is_reachable) = (entry.id, entry.last_heard > probe.sent);
-            let timeout =
-                self.links.timeout(self.set.phi_thresholds[1], Some(&entry.response_times), &self.set);
+            let timeout = self.links.timeout(
+                self.settings.phi_thresholds[1],
+                Some(&entry.response_times),
+                &self.settings,
+            );
             if is_reachable || now - probe.sent > timeout {
                 // With degraded links this member's own view of silence is worthless.
                 if is_reachable || !self.links_degraded {
@@ -787,7 +799,7 @@
                 return false;
             }
             if now >= probe.resend_at {
-                probe.resend_at = now + self.set.retry_interval;
+                probe.resend_at = now + self.settings.retry_interval;
                 self.send(target, Body::Ping { sequence: probe.sequence }, None);
             }
             true
@@ -808,7 +820,7 @@
         self.links.record_response(
             now - probe.sent,
             &mut self.table.entries[probe.target].response_times,
-            &self.set,
+            &self.settings,
         );
         self.links.record_outcome(true);
         self.update_links_degraded();
@@ -817,21 +829,21 @@
     /// Time to refute a suspicion: enough for the gossip and the refutation to spread, and at least twice the
     /// timeout of a probe.
     fn refutation_time(&self) -> Span {
-        let [base, doubling] = self.set.suspicion_rounds;
-        let in_rounds = self.set.round.times(base + doubling * self.log2_members());
-        in_rounds.max(self.links.timeout(2.0 * self.set.phi_thresholds[2], None, &self.set))
+        let [base, doubling] = self.settings.suspicion_rounds;
+        let in_rounds = self.settings.interval.times(base + doubling * self.log2_members());
+        in_rounds.max(self.links.timeout(2.0 * self.settings.phi_thresholds[2], None, &self.settings))
     }
 
     /// Probes suspects, and declares those dead that have not refuted in time.
     fn check_suspicions(&mut self, now: Time) {
         let refutation_time = self.refutation_time();
         // Nobody is declared dead while refutations could not arrive.
-        let is_connected = !self.links_degraded && now - self.last_heard <= self.set.round.times(2.0);
+        let is_connected = !self.links_degraded && now - self.last_heard <= self.settings.interval.times(2.0);
         let suspicions = self.suspicions.iter();
         let expired =
             suspicions.filter(|(_, s)| is_connected && now - s.since > refutation_time).map(|(i, _)| *i);
         for i in expired.collect::<Vec<_>>() {
-            self.merge(now, i, self.table.claim(i).with(Standing::Dead), true);
+            self.merge(now, i, self.table.claim(i).with(MemberState::Dead), true);
         }
         let checks: Vec<(usize, bool)> = {
             let due = self
@@ -841,7 +853,8 @@
             due.map(|(i, s)| (*i, s.is_own)).take(MAX_SUSPECT_CHECKS).collect()
         };
         for (i, is_own) in checks {
-            let next = if is_own { self.set.retry_interval.times(2.0) } else { refutation_time.times(0.25) };
+            let next =
+                if is_own { self.settings.retry_interval.times(2.0) } else { refutation_time.times(0.25) };
             self.suspicions.entry(i).and_modify(|s| s.next_check = now + next);
             let sequence = self.next_sequence();
             self.send(self.table.entries[i].id, Body::Ping { sequence }, None);
@@ -896,7 +909,7 @@
         let newer = known.filter(|(id, claim)| theirs.get(id).is_none_or(|theirs| theirs < claim));
         let newer: Vec<_> = newer.take(CHUNK_CLAIMS).collect();
         if !newer.is_empty() {
-            self.enqueue(to, Body::News, newer);
+            self.enqueue(to, Body::Gossip, newer);
         }
     }
 }
--- a/crates/fleet/src/members/links.rs
+++ b/crates/fleet/src/members/links.rs
@@ -1,5 +1,5 @@
 //! Quality of this member's own links: response times, and the fraction of probes without an answer.
-use super::Set;
+use super::Settings;
 use cherrypass::containers::Mean;
 use cherrypass::time::Span;
 use std::collections::VecDeque;
@@ -19,8 +19,8 @@
 
 impl Links {
     /// Records a response, `span` after the first probe.
-    pub fn record_response(&mut self, span: Span, of_member: &mut Mean, set: &Set) {
-        let took = span.as_seconds().min(set.mean_response_bounds[1].as_seconds());
+    pub fn record_response(&mut self, span: Span, of_member: &mut Mean, settings: &Settings) {
+        let took = span.as_seconds().min(settings.mean_response_bounds[1].as_seconds());
         self.response_times.push(took, MEAN_WEIGHTS[0]);
         of_member.push(took, MEAN_WEIGHTS[1]);
     }
@@ -28,9 +28,10 @@
     /// The time without an answer that corresponds to this phi, for exponentially distributed response times.
     /// Uses the larger of the means of all members and of this one, and a long one while there are few
     /// responses.
-    pub fn timeout(&self, phi: f64, of_member: Option<&Mean>, set: &Set) -> Span {
-        let least = set.mean_response_bounds[0].as_seconds();
-        let start = set.mean_response_bounds[1].as_seconds() / f64::from(self.response_times.seen.max(1));
+    pub fn timeout(&self, phi: f64, of_member: Option<&Mean>, settings: &Settings) -> Span {
+        let least = settings.mean_response_bounds[0].as_seconds();
+        let start =
+            settings.mean_response_bounds[1].as_seconds() / f64::from(self.response_times.seen.max(1));
         let of_member = of_member.filter(|mean| mean.seen >= 3).map_or(0.0, |mean| mean.value);
         let mean = self
             .response_times
@@ -38,7 +39,7 @@
             .max(of_member)
             .max(least)
             .max(start)
-            .min(set.mean_response_bounds[1].as_seconds());
+            .min(settings.mean_response_bounds[1].as_seconds());
         Span::seconds(phi * mean * std::f64::consts::LN_10)
     }
 
--- a/crates/fleet/src/members/table.rs
+++ b/crates/fleet/src/members/table.rs
@@ -8,9 +8,9 @@
 
 /// State of a member. Of two claims with the same incarnation and count, the later state in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// Listed, and not heard of yet.
-    Unheard,
+    Unknown,
     Alive,
     Suspect,
     Dead,
@@ -23,16 +23,16 @@
 pub struct Claim {
     pub incarnation: Incarnation,
     /// How often this incarnation has refuted a claim about itself; only raised by the member itself.
-    pub count: u32,
-    pub standing: Standing,
+    pub refutations: u32,
+    pub state: MemberState,
 }
 
 impl Claim {
     pub(super) const NONE: Claim =
-        Claim { incarnation: Incarnation(0), count: 0, standing: Standing::Unheard };
+        Claim { incarnation: Incarnation(0), refutations: 0, state: MemberState::Unknown };
 
-    pub(super) fn with(self, standing: Standing) -> Claim {
-        Claim { standing, ..self }
+    pub(super) fn with(self, state: MemberState) -> Claim {
+        Claim { state, ..self }
     }
 }
 
@@ -47,7 +47,7 @@
     /// How often the newest claim was sent on; `None` once it is no longer gossiped.
     times_sent: Option<u32>,
     /// What was last reported to the caller.
-    reported: (Standing, Incarnation),
+    reported: (MemberState, Incarnation),
 }
 
 /// The listed members, ordered by id.
@@ -62,7 +62,7 @@
     pub fn new(listed: &[(MemberId, LocationId)], now: Time) -> Table {
         let mut entries: Vec<Entry> = Vec::with_capacity(listed.len());
         for &(id, location) in listed {
-            let reported = (Standing::Unheard, Incarnation(0));
+            let reported = (MemberState::Unknown, Incarnation(0));
             let response_times = Mean::default();
             entries.push(Entry {
                 id,
@@ -108,9 +108,9 @@
         &mut self,
         max: usize,
         times: u32,
-        fits: impl Fn(Standing) -> bool,
+        fits: impl Fn(MemberState) -> bool,
     ) -> Vec<(MemberId, Claim)> {
-        let fit = self.gossip.iter().filter(|(_, i)| fits(self.entries[*i].claim.standing));
+        let fit = self.gossip.iter().filter(|(_, i)| fits(self.entries[*i].claim.state));
         let picked: Vec<(u32, usize)> = fit.take(max).copied().collect();
         for &(times_sent, i) in &picked {
             self.gossip.remove(&(times_sent, i));
@@ -121,13 +121,13 @@
     }
 
     /// The next member whose state or incarnation differs from what was reported to the caller.
-    pub fn next_change(&mut self, own: usize) -> Option<(MemberId, Standing, Incarnation)> {
+    pub fn next_change(&mut self, own: usize) -> Option<(MemberId, MemberState, Incarnation)> {
         while let Some(i) = self.changed.pop_first() {
             let entry = &mut self.entries[i];
-            let (standing, incarnation) = (entry.claim.standing, entry.claim.incarnation);
-            if i != own && entry.reported != (standing, incarnation) {
-                entry.reported = (standing, incarnation);
-                return Some((entry.id, standing, incarnation));
+            let (state, incarnation) = (entry.claim.state, entry.claim.incarnation);
+            if i != own && entry.reported != (state, incarnation) {
+                entry.reported = (state, incarnation);
+                return Some((entry.id, state, incarnation));
             }
         }
         None
@@ -137,8 +137,8 @@
     pub fn digest(&self) -> u64 {
         let known = self.entries.iter().filter(|entry| entry.claim != Claim::NONE);
         known.fold(0, |sum, entry| {
-            let Claim { incarnation, count, standing } = entry.claim;
-            let values = [entry.id.0, incarnation.0, u64::from(count), standing as u64];
+            let Claim { incarnation, refutations, state } = entry.claim;
+            let values = [entry.id.0, incarnation.0, u64::from(refutations), state as u64];
             let mix =
                 |hash: u64, value: u64| (hash ^ value).wrapping_mul(0xbf58_476d_1ce4_e5b9).rotate_left(29);
             sum.wrapping_add(values.into_iter().fold(0x9e37_79b9_7f4a_7c15, mix))
--- a/crates/fleet/src/house.rs
+++ b/crates/fleet/src/node.rs
@@ -3,10 +3,10 @@
 //! all of them.
 use crate::common::{Incarnation, MemberId};
 use crate::feed::{self, Feed};
-use crate::limits::{self, Key, Limits};
-use crate::members::{self, Members, Standing};
+use crate::limits::{self, LimitKey, Limits};
+use crate::members::{self, MemberState, Members};
 use crate::rollout::{self, Rollout};
-use crate::verdicts::{self, Finding, Kind, UsedBy, Verdicts};
+use crate::verdicts::{self, Finding, FindingKind, UsedBy, Verdicts};
 use cherrypass::ids::{HostId, LocationId};
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,10 +16,10 @@
 
 /// Settings of all components; one that is `None` is off.
 #[derive(Clone, Debug, Default)]
-pub struct Set {
-    pub members: members::Set,
-    pub limits: Option<limits::Set>,
-    pub verdicts: Option<verdicts::Set>,
+pub struct Settings {
+    pub members: members::Settings,
+    pub limits: Option<limits::Settings>,
+    pub verdicts: Option<verdicts::Settings>,
     /// Only used with verdicts or followers.
     pub feed: feed::Set,
     pub rollout: Option<rollout::Set>,
@@ -28,7 +28,7 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    Members(members::Said),
+    Members(members::Message),
     Limits(limits::Message),
     Feed(feed::Said),
     Rollout(rollout::Said),
@@ -36,75 +36,75 @@
 
 /// Why a message was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Void {
+pub enum Rejection {
     /// The sender is not listed, or is a follower and sent a message that only members send.
-    Unlisted,
+    UnlistedSender,
     /// The sender's run is outdated, or its start is too far in the future.
-    Run,
+    InvalidRun,
     /// The component it is for is off here.
-    Off,
+    ComponentOff,
 }
 
 /// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Tell {
+    Send {
         to: MemberId,
         message: Message,
     },
     /// The dispatcher's allowance of a limit; the caller confirms it once it is in force.
-    Part {
-        key: Key,
+    Allowance {
+        key: LimitKey,
         amount: f64,
         until: Time,
         after: f64,
     },
     /// A verdict on a host from findings of other dispatchers.
-    Hearsay {
+    Verdict {
         host: HostId,
         since: Option<Incarnation>,
-        kind: Kind,
+        kind: FindingKind,
         weight: f64,
         until: Time,
         age: Span,
-        tellers: u8,
+        reporters: u8,
     },
     /// Withdraws a verdict.
     Withdraw {
         host: HostId,
     },
     /// A record to store durably; the caller then reports whether it was stored.
-    Keep {
+    Store {
         ticket: u64,
         record: rollout::Record,
     },
     /// Rules to put into force; the caller reports if it can't use them.
-    InForce {
+    ApplyRules {
         number: u64,
         text: String,
     },
     /// The state or incarnation of a member changed.
-    Changed {
+    MemberChanged {
         who: MemberId,
-        standing: Standing,
+        state: MemberState,
         incarnation: Incarnation,
     },
     /// Whether this dispatcher's own links are degraded.
-    OwnTrouble(bool),
+    LinksDegraded(bool),
     /// A newer process runs under the same name; this one sends nothing more.
     SteppedDown,
     /// An item of the feed was delivered, or a state that replaces all items up to `number`.
-    Delivered {
+    FeedDelivered {
         source: MemberId,
         incarnation: Incarnation,
         number: u64,
-        state: bool,
+        is_state: bool,
     },
     Log(String),
 }
 
 /// One dispatcher as a member of the fleet.
-pub struct Fleet {
+pub struct FleetNode {
     own: MemberId,
     locations: BTreeMap<MemberId, LocationId>,
     followers: Vec<MemberId>,
@@ -117,41 +117,44 @@
     effects: VecDeque<Effect>,
 }
 
-impl Fleet {
+impl FleetNode {
     /// `listed`: all members, including this one. `every`: interval of the periodic timer. `kept`: the
     /// records stored by earlier runs.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         incarnation: Incarnation,
         listed: &[(MemberId, LocationId)],
         followers: &[MemberId],
-        kept: Vec<rollout::Record>,
+        stored: Vec<rollout::Record>,
         every: Span,
         seed: u64,
         now: Time,
-    ) -> Fleet {
+    ) -> FleetNode {
         let ids: Vec<MemberId> = listed.iter().map(|(id, _)| *id).collect();
         let locations: BTreeMap<MemberId, LocationId> = listed.iter().copied().collect();
         let location = locations.get(&own).copied().unwrap_or_default();
-        let limits = set.limits.map(|set| {
-            let set = limits::Set { round: every, ..set };
-            Limits::new(set, own, incarnation, &ids, seed ^ 1, now)
+        let limits = settings.limits.map(|settings| {
+            let settings = limits::Settings { interval: every, ..settings };
+            Limits::new(settings, own, incarnation, &ids, seed ^ 1, now)
         });
-        let needs_feed = set.verdicts.is_some() || !followers.is_empty();
+        let needs_feed = settings.verdicts.is_some() || !followers.is_empty();
         let feed = needs_feed.then(|| {
-            let set = feed::Set { round: every, ..set.feed };
-            Feed::new(set, own, incarnation, &ids, followers, seed ^ 2, now)
+            let settings = feed::Set { round: every, ..settings.feed };
+            Feed::new(settings, own, incarnation, &ids, followers, seed ^ 2, now)
         });
-        let verdicts = set.verdicts.map(|set| Verdicts::new(set, own, location, incarnation, seed ^ 3, now));
-        let rollout =
-            set.rollout.map(|set| Rollout::new(set, own, location, incarnation, listed, kept, seed ^ 4, now));
-        Fleet {
+        let verdicts = settings
+            .verdicts
+            .map(|settings| Verdicts::new(settings, own, location, incarnation, seed ^ 3, now));
+        let rollout = settings.rollout.map(|settings| {
+            Rollout::new(settings, own, location, incarnation, listed, stored, seed ^ 4, now)
+        });
+        FleetNode {
             own,
             locations,
             followers: followers.to_vec(),
-            members: Members::new(set.members, own, incarnation, listed, seed, now),
+            members: Members::new(settings.members, own, incarnation, listed, seed, now),
             limits,
             verdicts,
             feed,
@@ -182,13 +185,13 @@
     }
 
     /// Handles a message. An ignored one changes nothing.
-    pub fn heard(
+    pub fn receive(
         &mut self,
         now: Time,
         from: MemberId,
         incarnation: Incarnation,
         message: Message,
-    ) -> Result<(), Void> {
+    ) -> Result<(), Rejection> {
         if self.stepped_down {
             return Ok(());
         }
@@ -198,17 +201,17 @@
                     feed.heard(now, from, said);
                     Ok(())
                 }
-                _ => Err(Void::Unlisted),
+                _ => Err(Rejection::UnlistedSender),
             };
         }
         let is_current = self.members.accept(now, from, incarnation);
         if let Message::Members(said) = message {
             // Also from an outdated run, which is then told about the newer one.
             self.members.receive(now, from, said);
-            return if is_current { Ok(()) } else { Err(Void::Run) };
+            return if is_current { Ok(()) } else { Err(Rejection::InvalidRun) };
         }
         if !is_current {
-            return Err(Void::Run);
+            return Err(Rejection::InvalidRun);
         }
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.note_incarnation(now, from, incarnation);
@@ -217,13 +220,13 @@
             (Message::Limits(said), Some(limits), ..) => limits.receive(now, from, said),
             (Message::Feed(said), _, Some(feed), _) => feed.heard(now, from, said),
             (Message::Rollout(said), .., Some(rollout)) => rollout.heard(now, from, said),
-            _ => return Err(Void::Off),
+            _ => return Err(Rejection::ComponentOff),
         }
         Ok(())
     }
 
     /// Periodic work of all components.
-    pub fn woken(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         if let Some(limits) = &mut self.limits {
             limits.tick(now);
         }
@@ -252,63 +255,63 @@
     }
 
     /// Sets what the dispatcher would use of a limit if it could; has to be repeated at least every 10 s.
-    pub fn wants(&mut self, now: Time, key: Key, amount: f64) {
+    pub fn set_demand(&mut self, now: Time, key: LimitKey, amount: f64) {
         if let Some(limits) = &mut self.limits {
             limits.set_demand(now, key, amount);
         }
     }
 
     /// Confirms that the last allowance returned for this key is in force.
-    pub fn taken(&mut self, now: Time, key: Key) {
+    pub fn confirm_applied(&mut self, now: Time, key: LimitKey) {
         if let Some(limits) = &mut self.limits {
             limits.confirm_applied(now, key);
         }
     }
 
     /// See `Verdicts::report_finding`.
-    pub fn found(&mut self, now: Time, finding: Finding) {
+    pub fn report_finding(&mut self, now: Time, finding: Finding) {
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.report_finding(now, finding);
         }
     }
 
     /// See `Verdicts::report_recovery`.
-    pub fn cleared(&mut self, now: Time, host: HostId) {
+    pub fn report_recovery(&mut self, now: Time, host: HostId) {
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.report_recovery(now, host);
         }
     }
 
     /// See `Verdicts::set_thresholds`.
-    pub fn weighed(&mut self, now: Time, tellers: u8, part: f64) {
+    pub fn set_verdict_thresholds(&mut self, now: Time, reporters: u8, location_fraction: f64) {
         if let Some(verdicts) = &mut self.verdicts {
-            verdicts.set_thresholds(now, tellers, part);
+            verdicts.set_thresholds(now, reporters, location_fraction);
         }
     }
 
     /// See `Verdicts::refute`.
-    pub fn refuted(&mut self, now: Time, host: HostId) {
+    pub fn refute_verdict(&mut self, now: Time, host: HostId) {
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.refute(now, host);
         }
     }
 
     /// See `Verdicts::update_host`.
-    pub fn listed(&mut self, now: Time, host: HostId, since: Option<Incarnation>, used_by: UsedBy) {
+    pub fn update_host(&mut self, now: Time, host: HostId, since: Option<Incarnation>, used_by: UsedBy) {
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.update_host(now, host, since, used_by);
         }
     }
 
     /// See `Verdicts::remove_host`.
-    pub fn unlisted(&mut self, now: Time, host: HostId) {
+    pub fn remove_host(&mut self, now: Time, host: HostId) {
         if let Some(verdicts) = &mut self.verdicts {
             verdicts.remove_host(now, host);
         }
     }
 
     /// Passes the dispatcher's figures of a period to the rollout.
-    pub fn counted(&mut self, now: Time, figures: rollout::Figures) {
+    pub fn report_figures(&mut self, now: Time, figures: rollout::Figures) {
         if let Some(rollout) = &mut self.rollout {
             rollout.counted(now, figures);
         }
@@ -320,14 +323,14 @@
     }
 
     /// Reports that the rules of this number can't be used.
-    pub fn not_taken(&mut self, now: Time, number: u64, why: &str) {
+    pub fn reject_rules(&mut self, now: Time, number: u64, why: &str) {
         if let Some(rollout) = &mut self.rollout {
             rollout.refused(now, number, why);
         }
     }
 
     /// Reports that a record was stored, or could not be.
-    pub fn kept(&mut self, now: Time, ticket: u64, is_stored: bool) {
+    pub fn confirm_stored(&mut self, now: Time, ticket: u64, is_stored: bool) {
         if let Some(rollout) = &mut self.rollout {
             rollout.kept(now, ticket, is_stored);
         }
@@ -335,7 +338,7 @@
 
     /// The next effect to carry out. `now`: that of the preceding call, as messages contain ages at that
     /// time.
-    pub fn next(&mut self, now: Time) -> Option<Effect> {
+    pub fn next_effect(&mut self, now: Time) -> Option<Effect> {
         loop {
             let effect = self.effects.pop_front().or_else(|| self.next_members_effect(now));
             let effect = effect.or_else(|| self.next_limits_effect());
@@ -344,24 +347,24 @@
             let effect = effect.or_else(|| self.next_rollout_effect())?;
             // After stepping down nothing is sent, so that two processes under one name never both lend and
             // vote.
-            if !(self.stepped_down && matches!(effect, Effect::Tell { .. } | Effect::InForce { .. })) {
+            if !(self.stepped_down && matches!(effect, Effect::Send { .. } | Effect::ApplyRules { .. })) {
                 return Some(effect);
             }
         }
     }
 
     fn next_members_effect(&mut self, now: Time) -> Option<Effect> {
-        Some(match self.members.next()? {
-            members::Effect::Send { to, message } => Effect::Tell { to, message: Message::Members(message) },
-            members::Effect::Changed { who, standing, incarnation } => {
-                self.set_alive(now, who, !matches!(standing, Standing::Dead | Standing::Left));
-                Effect::Changed { who, standing, incarnation }
+        Some(match self.members.next_effect()? {
+            members::Effect::Send { to, message } => Effect::Send { to, message: Message::Members(message) },
+            members::Effect::Changed { who, state, incarnation } => {
+                self.set_alive(now, who, !matches!(state, MemberState::Dead | MemberState::Left));
+                Effect::MemberChanged { who, state, incarnation }
             }
             members::Effect::LinksDegraded(degraded) => {
                 if let Some(verdicts) = &mut self.verdicts {
                     verdicts.set_links_degraded(now, degraded);
                 }
-                Effect::OwnTrouble(degraded)
+                Effect::LinksDegraded(degraded)
             }
             members::Effect::SteppedDown => {
                 self.stepped_down = true;
@@ -390,10 +393,10 @@
     }
 
     fn next_limits_effect(&mut self) -> Option<Effect> {
-        Some(match self.limits.as_mut()?.next()? {
-            limits::Effect::Send { to, message } => Effect::Tell { to, message: Message::Limits(message) },
+        Some(match self.limits.as_mut()?.next_effect()? {
+            limits::Effect::Send { to, message } => Effect::Send { to, message: Message::Limits(message) },
             limits::Effect::Allowance { key, amount, until, after } => {
-                Effect::Part { key, amount, until, after }
+                Effect::Allowance { key, amount, until, after }
             }
             limits::Effect::Log(line) => Effect::Log(line),
         })
@@ -401,16 +404,16 @@
 
     fn next_feed_effect(&mut self, now: Time) -> Option<Effect> {
         Some(match self.feed.as_mut()?.next()? {
-            feed::Effect::Tell { to, said } => Effect::Tell { to, message: Message::Feed(said) },
+            feed::Effect::Tell { to, said } => Effect::Send { to, message: Message::Feed(said) },
             feed::Effect::Deliver { source, incarnation, number, key, value, age } => {
                 self.handle_feed_item(now, source, incarnation, &key, &value, age);
-                Effect::Delivered { source, incarnation, number, state: false }
+                Effect::FeedDelivered { source, incarnation, number, is_state: false }
             }
             feed::Effect::State { source, incarnation, up_to, items } => {
                 for item in items {
                     self.handle_feed_item(now, source, incarnation, &item.key, &item.value, item.age);
                 }
-                Effect::Delivered { source, incarnation, number: up_to, state: true }
+                Effect::FeedDelivered { source, incarnation, number: up_to, is_state: true }
             }
             feed::Effect::Log(line) => Effect::Log(line),
         })
@@ -439,15 +442,15 @@
 
     fn next_verdicts_effect(&mut self, now: Time) -> Option<Effect> {
         loop {
-            return Some(match self.verdicts.as_mut()?.next()? {
+            return Some(match self.verdicts.as_mut()?.next_effect()? {
                 verdicts::Effect::Publish { key, message, ttl } => {
                     match self.publish(now, key, &message, ttl) {
                         Some(line) => Effect::Log(line),
                         None => continue,
                     }
                 }
-                verdicts::Effect::Verdict { host, since, kind, weight, until, age, reporters: tellers } => {
-                    Effect::Hearsay { host, since, kind, weight, until, age, tellers }
+                verdicts::Effect::Verdict { host, since, kind, weight, until, age, reporters } => {
+                    Effect::Verdict { host, since, kind, weight, until, age, reporters }
                 }
                 verdicts::Effect::Withdraw { host } => Effect::Withdraw { host },
                 verdicts::Effect::Log(line) => Effect::Log(line),
@@ -471,9 +474,9 @@
 
     fn next_rollout_effect(&mut self) -> Option<Effect> {
         Some(match self.rollout.as_mut()?.next()? {
-            rollout::Effect::Tell { to, said } => Effect::Tell { to, message: Message::Rollout(said) },
-            rollout::Effect::Keep { ticket, record } => Effect::Keep { ticket, record },
-            rollout::Effect::InForce { number, text } => Effect::InForce { number, text },
+            rollout::Effect::Tell { to, said } => Effect::Send { to, message: Message::Rollout(said) },
+            rollout::Effect::Keep { ticket, record } => Effect::Store { ticket, record },
+            rollout::Effect::InForce { number, text } => Effect::ApplyRules { number, text },
             rollout::Effect::Log(line) => Effect::Log(line),
         })
     }
--- a/crates/fleet/src/verdicts/mod.rs
+++ b/crates/fleet/src/verdicts/mod.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug)]
 struct OwnFinding {
     since: Option<Incarnation>,
-    kind: Kind,
+    kind: FindingKind,
     evidence: u32,
     /// When the latest hand-off supported it.
     evidence_at: Time,
@@ -67,7 +67,7 @@
 struct Report {
     sequence: u64,
     /// `None`: withdrawn, and remembered so that an older message does not undo that.
-    found: Option<(Option<Incarnation>, Kind, u32)>,
+    found: Option<(Option<Incarnation>, FindingKind, u32)>,
     until: Time,
 }
 
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Verdict {
     since: Option<Incarnation>,
-    kind: Kind,
+    kind: FindingKind,
     weight: f64,
     until: Time,
     reporters: u8,
@@ -95,7 +95,7 @@
 
 /// One dispatcher's state of shared verdicts.
 pub struct Verdicts {
-    set: Set,
+    settings: Settings,
     own: MemberId,
     location: LocationId,
     incarnation: Incarnation,
@@ -118,7 +118,7 @@
 
 impl Verdicts {
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         own_location: LocationId,
         incarnation: Incarnation,
@@ -126,7 +126,7 @@
         now: Time,
     ) -> Verdicts {
         Verdicts {
-            set,
+            settings,
             own,
             location: own_location,
             incarnation,
@@ -188,13 +188,14 @@
         let Finding { host, since, kind, evidence, age } = finding;
         let Some(known) = self.hosts.get(&host).filter(|h| h.used_by.includes(self.location)) else { return };
         let at = now - age;
-        let is_stale = age >= self.set.hold || self.links_degraded || at < self.links_degraded_until;
+        let is_stale =
+            age >= self.settings.hold_time || self.links_degraded || at < self.links_degraded_until;
         if known.since != since || evidence == 0 || is_stale {
             return;
         }
         // A restart is published without delay, as it has to arrive before the withdrawal.
         let delay = if known.used_by == UsedBy::All {
-            self.set.hold.times(SHARED_HOST_DELAY_FRACTION)
+            self.settings.hold_time.times(SHARED_HOST_DELAY_FRACTION)
         } else {
             Span::ZERO
         };
@@ -203,14 +204,14 @@
         let fresh = OwnFinding { since, kind, evidence, evidence_at: at, next_publish, is_published: false };
         let finding = self.own_findings.entry((host, kind.topic())).or_insert(fresh);
         if finding.kind != kind {
-            let soon = now + self.set.hold.times(WITHDRAWAL_PAUSE_FRACTION);
+            let soon = now + self.settings.hold_time.times(WITHDRAWAL_PAUSE_FRACTION);
             *finding = OwnFinding {
                 is_published: finding.is_published,
                 next_publish: finding.next_publish.min(soon),
                 ..fresh
             };
         }
-        if kind != Kind::JustStarted {
+        if kind != FindingKind::Restarted {
             finding.evidence_at = finding.evidence_at.max(at);
         }
         finding.evidence = finding.evidence.max(evidence);
@@ -227,11 +228,11 @@
     }
 
     /// Changes how many dispatchers must report the same, and which fraction of the own location's.
-    pub fn set_thresholds(&mut self, now: Time, reporters: u8, part: f64) {
-        if reporters == 0 || !(0.0..=1.0).contains(&part) {
+    pub fn set_thresholds(&mut self, now: Time, reporters: u8, location_fraction: f64) {
+        if reporters == 0 || !(0.0..=1.0).contains(&location_fraction) {
             return;
         }
-        (self.set.tellers, self.set.part) = (reporters, part);
+        (self.settings.reporters, self.settings.location_fraction) = (reporters, location_fraction);
         let hosts: Vec<HostId> = self.hosts.keys().copied().collect();
         hosts.into_iter().for_each(|host| self.reevaluate(now, host));
     }
@@ -239,7 +240,7 @@
     /// Own hand-offs to a host succeeded despite a verdict: reports about it are ignored for the hold time.
     pub fn refute(&mut self, now: Time, host: HostId) {
         if let Some(known) = self.hosts.get_mut(&host) {
-            known.ignored_until = now + self.set.hold;
+            known.ignored_until = now + self.settings.hold_time;
         }
         self.reevaluate(now, host);
     }
@@ -286,7 +287,7 @@
         if from == self.own || is_invalid {
             return;
         }
-        let (hold, usable_age) = (self.set.hold, self.set.usable_age());
+        let (hold_time, usable_age) = (self.settings.hold_time, self.settings.usable_age());
         let (host, topic) = (message.host, message.topic());
         let listed = self.hosts.get(&host).map(|h| (h.since, h.used_by));
         if listed.is_some_and(|(_, used_by)| !used_by.includes(from_location)) {
@@ -301,7 +302,7 @@
             return;
         }
         if known.is_none() && reporter.reports.len() >= MAX_FINDINGS {
-            reporter.discounted_until = now + hold;
+            reporter.discounted_until = now + hold_time;
             self.log(
                 now,
                 format!(
@@ -314,7 +315,7 @@
         let counts = now >= reporter.discounted_until;
         let report = match message.statement {
             Statement::Withdrawn | Statement::Recovered => {
-                Report { sequence: message.sequence, found: None, until: now + hold }
+                Report { sequence: message.sequence, found: None, until: now + hold_time }
             }
             Statement::Found { since, kind, evidence, age: evidence_age } => {
                 // The own clock may run faster than the sender's.
@@ -325,7 +326,7 @@
                 Report {
                     sequence: message.sequence,
                     found,
-                    until: if is_invalid { now + hold } else { until },
+                    until: if is_invalid { now + hold_time } else { until },
                 }
             }
         };
@@ -333,7 +334,7 @@
         if message.statement == Statement::Recovered && counts {
             // Once in the hold time, as a host that fails in part also succeeds at times.
             let known =
-                self.hosts.get_mut(&host).filter(|h| h.recovered_at.is_none_or(|at| now >= at + hold));
+                self.hosts.get_mut(&host).filter(|h| h.recovered_at.is_none_or(|at| now >= at + hold_time));
             known.into_iter().for_each(|known| known.recovered_at = Some(now));
         }
         if self.discount_if_excessive(now, from) {
@@ -344,8 +345,8 @@
 
     /// Periodic work: expires findings, publishes own ones and updates verdicts.
     pub fn tick(&mut self, now: Time) {
-        let hold = self.set.hold;
-        self.own_findings.retain(|_, finding| now < finding.evidence_at + hold);
+        let hold_time = self.settings.hold_time;
+        self.own_findings.retain(|_, finding| now < finding.evidence_at + hold_time);
         self.publish_due(now);
         let mut hosts: Vec<HostId> = self.verdicts.keys().map(|key| key.0).collect();
         let ids: Vec<MemberId> = self.reporters.keys().copied().collect();
@@ -361,8 +362,7 @@
     }
 
     /// The next effect to carry out.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
@@ -399,10 +399,10 @@
         for (key, finding) in due {
             let (since, kind, evidence) = (finding.since, finding.kind, finding.evidence.min(MAX_EVIDENCE));
             let age = now - finding.evidence_at;
-            let pause = self.set.hold.times(REPUBLISH_FRACTION * self.rng.gen_range(0.8..1.0));
+            let pause = self.settings.hold_time.times(REPUBLISH_FRACTION * self.rng.gen_range(0.8..1.0));
             self.own_findings
                 .insert(key, OwnFinding { is_published: true, next_publish: now + pause, ..finding });
-            let left = Span(self.set.hold.0.saturating_sub(age.0));
+            let left = Span(self.settings.hold_time.0.saturating_sub(age.0));
             let known = self.hosts.get_mut(&key.0).filter(|_| key.1 == Topic::Unhealthy);
             known.into_iter().for_each(|known| known.is_published = true);
             self.publish(key, Statement::Found { since, kind, evidence, age }, left);
@@ -411,7 +411,7 @@
 
     /// Withdraws what was published about some hosts, and publishes nothing more about them for a while.
     fn suppress(&mut self, now: Time, applies: impl Fn(&Host) -> bool) {
-        let pause = self.set.hold.times(WITHDRAWAL_PAUSE_FRACTION);
+        let pause = self.settings.hold_time.times(WITHDRAWAL_PAUSE_FRACTION);
         let mut published = Vec::new();
         for (key, finding) in self.own_findings.iter_mut().filter(|(key, _)| key.1 == Topic::Unhealthy) {
             if self.hosts.get(&key.0).is_some_and(&applies) {
@@ -423,12 +423,12 @@
     }
 
     fn withdraw(&mut self, now: Time, host: HostId, statement: Statement) {
-        let pause = self.set.hold.times(WITHDRAWAL_PAUSE_FRACTION);
+        let pause = self.settings.hold_time.times(WITHDRAWAL_PAUSE_FRACTION);
         self.hosts
             .get_mut(&host)
             .into_iter()
             .for_each(|known| (known.publish_after, known.is_published) = (now + pause, false));
-        self.publish((host, Topic::Unhealthy), statement, self.set.hold);
+        self.publish((host, Topic::Unhealthy), statement, self.settings.hold_time);
     }
 
     fn publish(&mut self, (host, topic): (HostId, Topic), statement: Statement, ttl: Span) {
@@ -479,7 +479,7 @@
         if !is_excessive(unhealthy, [self.group_size(caches), self.group_size(UsedBy::All)]) {
             return false;
         }
-        let until = now + self.set.hold;
+        let until = now + self.settings.hold_time;
         self.reporters.get_mut(&who).is_some_and(|t| std::mem::replace(&mut t.discounted_until, until) <= now)
     }
 
@@ -500,7 +500,8 @@
                 (_, None) => false,
                 (None, Some(_)) => topic == Topic::Restarted || self.has_room_for_verdict(host),
                 (Some((_, old)), Some(new)) => {
-                    let is_extended = new.until > old.until + self.set.hold.times(MIN_EXTENSION_FRACTION);
+                    let is_extended =
+                        new.until > old.until + self.settings.hold_time.times(MIN_EXTENSION_FRACTION);
                     let is_different =
                         new.kind != old.kind || new.until < old.until || new.since != old.since;
                     topic == Topic::Unhealthy && (is_different || is_extended)
@@ -511,11 +512,13 @@
                 let order = known.map_or(self.last_order, |known| known.0);
                 self.verdicts.insert(key, (order, new));
                 let Verdict { since, kind, weight, until, reporters } = new;
-                let age = self.set.usable_age();
+                let age = self.settings.usable_age();
                 let age = Span(age.0.saturating_sub((until - now).0));
                 self.effects.push_back(Effect::Verdict { host, since, kind, weight, until, age, reporters });
-                if let Some(known) =
-                    self.hosts.get_mut(&host).filter(|_| matches!(kind, Kind::CutOff | Kind::ShutOut))
+                if let Some(known) = self
+                    .hosts
+                    .get_mut(&host)
+                    .filter(|_| matches!(kind, FindingKind::Unreachable | FindingKind::Failing))
                 {
                     known.recently_out_until = until;
                 }
@@ -548,7 +551,7 @@
             let report = reporter.reports.get(&(host, topic)).filter(|report| now < report.until)?;
             // Findings from before a reported recovery do not count. Dispatchers for which the host still
             // fails publish that again.
-            let since = known.recovered_at.map_or(Time::default(), |at| at + self.set.usable_age());
+            let since = known.recovered_at.map_or(Time::default(), |at| at + self.settings.usable_age());
             if topic == Topic::Unhealthy && report.until <= since {
                 return None;
             }
@@ -566,8 +569,8 @@
         reports.sort_by_key(|report| std::cmp::Reverse(report.0));
         let local_dispatchers =
             self.reporters.values().filter(|t| !t.is_gone && t.location == self.location).count() + 1;
-        let few = usize::from(self.set.tellers);
-        let many = few.max((local_dispatchers as f64 * self.set.part).ceil() as usize);
+        let few = usize::from(self.settings.reporters);
+        let many = few.max((local_dispatchers as f64 * self.settings.location_fraction).ceil() as usize);
         let (kind, enough) = if topic == Topic::Restarted {
             // A host that returns after a verdict is cold, so one report is enough. Otherwise, without enough
             // reports from here, several locations must agree: a single one may have a network fault.
@@ -578,26 +581,26 @@
             if !was_recently_out && local_reports < few && is_one_location && few > 1 {
                 return None;
             }
-            (Kind::JustStarted, if was_recently_out { 1 } else { few })
+            (FindingKind::Restarted, if was_recently_out { 1 } else { few })
         } else {
             // Errors came over working links; silence may be due to the links of those who report it.
-            let errors = reports.iter().filter(|report| report.2 == Kind::ShutOut).count();
-            let worse_than_slow = reports.iter().filter(|report| report.2 != Kind::Slow).count();
+            let errors = reports.iter().filter(|report| report.2 == FindingKind::Failing).count();
+            let worse_than_slow = reports.iter().filter(|report| report.2 != FindingKind::Slow).count();
             let few = if is_shared { many } else { few };
             if errors >= few {
-                reports.retain(|report| report.2 == Kind::ShutOut);
-                (Kind::ShutOut, few)
+                reports.retain(|report| report.2 == FindingKind::Failing);
+                (FindingKind::Failing, few)
             } else if worse_than_slow >= many {
-                reports.retain(|report| report.2 != Kind::Slow);
-                (Kind::CutOff, many)
+                reports.retain(|report| report.2 != FindingKind::Slow);
+                (FindingKind::Unreachable, many)
             } else {
-                (Kind::Slow, many)
+                (FindingKind::Slow, many)
             }
         };
         let until = reports.get(enough - 1)?.0;
         let doubts = reports.iter().map(|report| {
             let (freshness, evidence) =
-                ((report.0 - now).as_seconds() / self.set.hold.as_seconds(), f64::from(report.3));
+                ((report.0 - now).as_seconds() / self.settings.hold_time.as_seconds(), f64::from(report.3));
             1.0 - MAX_REPORT_WEIGHT * freshness * evidence / (evidence + HALF_WEIGHT_EVIDENCE)
         });
         let weight = 1.0 - doubts.product::<f64>();
@@ -634,7 +637,7 @@
     }
 
     fn log(&mut self, now: Time, line: String) {
-        if self.last_logged.is_none_or(|at| now >= at + self.set.hold) {
+        if self.last_logged.is_none_or(|at| now >= at + self.settings.hold_time) {
             self.last_logged = Some(now);
             self.effects.push_back(Effect::Log(line));
         }
--- a/crates/fleet/src/verdicts/types.rs
+++ b/crates/fleet/src/verdicts/types.rs
@@ -6,15 +6,15 @@
 
 /// Kind of a finding about a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum FindingKind {
     /// Answers with errors: the process is faulty, as seen from every location.
-    ShutOut,
+    Failing,
     /// Answers much more slowly than its peers. Not used in other locations: the network may be the cause.
     Slow,
     /// Does not answer, or connections to it fail. Not used in other locations: the network may be the cause.
-    CutOff,
+    Unreachable,
     /// Its process has restarted, and the list does not say so yet.
-    JustStarted,
+    Restarted,
 }
 
 /// What a finding is about. A host may have one finding on each topic.
@@ -24,10 +24,10 @@
     Restarted,
 }
 
-impl Kind {
+impl FindingKind {
     /// The topic of this kind of finding.
     pub fn topic(self) -> Topic {
-        if self == Kind::JustStarted {
+        if self == FindingKind::Restarted {
             Topic::Restarted
         } else {
             Topic::Unhealthy
@@ -36,7 +36,7 @@
 
     /// Whether a finding of this kind holds for all locations.
     pub(super) fn holds_everywhere(self) -> bool {
-        matches!(self, Kind::ShutOut | Kind::JustStarted)
+        matches!(self, FindingKind::Failing | FindingKind::Restarted)
     }
 }
 
@@ -46,7 +46,7 @@
     pub host: HostId,
     /// The run of the host according to the list (its `since` in microseconds).
     pub since: Option<Incarnation>,
-    pub kind: Kind,
+    pub kind: FindingKind,
     /// Number of hand-offs that support it.
     pub evidence: u32,
     /// Age of the latest of them; zero if the finding holds now and the time is not known.
@@ -58,7 +58,7 @@
 pub enum Statement {
     Found {
         since: Option<Incarnation>,
-        kind: Kind,
+        kind: FindingKind,
         evidence: u32,
         /// Age of the evidence when this was sent, by the sender's clock.
         age: Span,
@@ -97,23 +97,23 @@
 
 /// Settings of shared verdicts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set {
+pub struct Settings {
     /// Hold time: findings whose evidence is older, by any member's clock, are not used.
-    pub hold: Span,
+    pub hold_time: Span,
     /// How many dispatchers must report the same, and which fraction of those in the own location.
-    pub tellers: u8,
-    pub part: f64,
+    pub reporters: u8,
+    pub location_fraction: f64,
 }
 
-impl Default for Set {
-    fn default() -> Set {
-        Set { hold: Span::millis(10_000), tellers: 2, part: 0.34 }
+impl Default for Settings {
+    fn default() -> Settings {
+        Settings { hold_time: Span::millis(10_000), reporters: 2, location_fraction: 0.34 }
     }
 }
 
 /// Why settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum SetError {
+pub enum SettingsError {
     #[error("verdicts.hold_ms is outside 1000 to 60000: less expires too early, more is out of date")]
     MaxAge,
     #[error("verdicts.tellers is outside 1 to 64: give 2, or more where a location has many dispatchers")]
@@ -124,32 +124,32 @@
     LocationFraction,
 }
 
-impl SetError {
+impl SettingsError {
     pub fn code(self) -> &'static str {
         match self {
-            SetError::MaxAge => "verdicts-hold",
-            SetError::MinReporters => "verdicts-tellers",
-            SetError::LocationFraction => "verdicts-part",
+            SettingsError::MaxAge => "verdicts-hold",
+            SettingsError::MinReporters => "verdicts-tellers",
+            SettingsError::LocationFraction => "verdicts-part",
         }
     }
 }
 
-impl Set {
+impl Settings {
     /// Validates settings.
-    pub fn check(&self) -> Result<(), SetError> {
-        if !(Span::millis(1_000)..=Span::millis(60_000)).contains(&self.hold) {
-            return Err(SetError::MaxAge);
+    pub fn check(&self) -> Result<(), SettingsError> {
+        if !(Span::millis(1_000)..=Span::millis(60_000)).contains(&self.hold_time) {
+            return Err(SettingsError::MaxAge);
         }
-        if !(1..=64).contains(&self.tellers) {
-            return Err(SetError::MinReporters);
+        if !(1..=64).contains(&self.reporters) {
+            return Err(SettingsError::MinReporters);
         }
-        (0.0..=1.0).contains(&self.part).then_some(()).ok_or(SetError::LocationFraction)
+        (0.0..=1.0).contains(&self.location_fraction).then_some(()).ok_or(SettingsError::LocationFraction)
     }
 
     /// Largest age, by the own clock, at which a finding is used: within the hold time by every member's
     /// clock.
     pub fn usable_age(&self) -> Span {
-        self.hold.times(1.0 / super::MAX_CLOCK_RATIO)
+        self.hold_time.times(1.0 / super::MAX_CLOCK_RATIO)
     }
 }
 
@@ -169,7 +169,7 @@
     Verdict {
         host: HostId,
         since: Option<Incarnation>,
-        kind: Kind,
+        kind: FindingKind,
         weight: f64,
         until: Time,
         age: Span,
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -3,7 +3,7 @@
 use cherrypass::ids::HostId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::limits::{Effect, Guard, Key, Limits, Message, Part, Set};
+use cherrypass_fleet::limits::{Allowance, Effect, Guard, LimitKey, Limits, Message, Settings};
 use cherrypass_fleet::made::{Link, Network, Node};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,19 +14,19 @@
 use std::rc::Rc;
 
 const TOTAL: f64 = 10.0;
-const COLD: Key = Key::Cold(HostId(7));
+const COLD: LimitKey = LimitKey::ColdHost(HostId(7));
 const GUARDS: [Guard; 5] =
     [Guard::StartDelay, Guard::LeaseFromRequest, Guard::ReduceBeforeLending, Guard::Drain, Guard::AllLoans];
 
-fn set() -> Set {
-    Set {
+fn settings() -> Settings {
+    Settings {
         origin: Some(TOTAL),
-        further_per_s: Some(TOTAL),
-        cold: true,
+        retries_per_s: Some(TOTAL),
+        limits_cold_hosts: true,
         lease: Span::millis(1000),
         drain: Span::millis(300),
         window: Span::millis(300),
-        ..Set::default()
+        ..Settings::default()
     }
 }
 
@@ -34,22 +34,22 @@
 #[derive(Clone, Copy, Debug)]
 struct Allowed {
     from: Time,
-    part: Part,
+    allowance: Allowance,
     end: Option<Time>,
 }
 
 /// What each run may have in use. An allowance counts for as long as hand-offs begun under it may be running.
 #[derive(Clone, Debug, Default)]
-struct Uses(BTreeMap<(MemberId, Incarnation, Key), Vec<Allowed>>);
+struct Uses(BTreeMap<(MemberId, Incarnation, LimitKey), Vec<Allowed>>);
 
 impl Uses {
     /// The end of the allowance is in true time.
-    fn add(&mut self, who: (MemberId, Incarnation, Key), from: Time, part: Part) {
+    fn add(&mut self, who: (MemberId, Incarnation, LimitKey), from: Time, allowance: Allowance) {
         let allowed = self.0.entry(who).or_default();
         if let Some(last) = allowed.last_mut() {
             last.end = Some(from);
         }
-        allowed.push(Allowed { from, part, end: None });
+        allowed.push(Allowed { from, allowance, end: None });
     }
 
     fn end_run(&mut self, who: MemberId, at: Time) {
@@ -58,7 +58,7 @@
     }
 
     /// The most that may be in use now: for each run, its greatest allowance within the drain.
-    fn sum(&mut self, now: Time, drain: Span, key: Key) -> f64 {
+    fn sum(&mut self, now: Time, drain: Span, key: LimitKey) -> f64 {
         let since = now - drain;
         self.0.retain(|_, all| {
             all.retain(|one| one.end.is_none_or(|end| end > since));
@@ -66,32 +66,32 @@
         });
         let most = |one: &Allowed| {
             let (first, last) = (one.from.max(since), one.end.unwrap_or(now));
-            let early = if first < one.part.until { one.part.amount } else { 0.0 };
-            early.max(if last >= one.part.until { one.part.after } else { 0.0 })
+            let early = if first < one.allowance.until { one.allowance.amount } else { 0.0 };
+            early.max(if last >= one.allowance.until { one.allowance.after } else { 0.0 })
         };
         let of_key = self.0.iter().filter(|(who, _)| who.2 == key);
         of_key.map(|(_, all)| all.iter().map(most).fold(0.0, f64::max)).sum()
     }
 }
 
-type Applied = Rc<RefCell<Vec<(MemberId, Incarnation, Key, Part, Time)>>>;
+type Applied = Rc<RefCell<Vec<(MemberId, Incarnation, LimitKey, Allowance, Time)>>>;
 
 /// A member and its dispatcher, which applies an allowance at once or in the next round. May be two processes
 /// under one name, as after an operator's mistake.
 struct Member {
     runs: Vec<(Limits, Incarnation)>,
     id: MemberId,
-    demands: BTreeMap<Key, f64>,
+    demands: BTreeMap<LimitKey, f64>,
     applies_late: bool,
-    to_apply: Vec<(usize, Key, Part)>,
+    to_apply: Vec<(usize, LimitKey, Allowance)>,
     applied: Applied,
 }
 
 impl Member {
     fn apply(&mut self, now: Time) {
-        for (run, key, part) in std::mem::take(&mut self.to_apply) {
+        for (run, key, allowance) in std::mem::take(&mut self.to_apply) {
             let (limits, incarnation) = &mut self.runs[run];
-            self.applied.borrow_mut().push((self.id, *incarnation, key, part, now));
+            self.applied.borrow_mut().push((self.id, *incarnation, key, allowance, now));
             limits.confirm_applied(now, key);
         }
     }
@@ -111,12 +111,12 @@
     }
     fn next(&mut self, now: Time) -> Option<(MemberId, Message)> {
         while let Some((run, effect)) =
-            self.runs.iter_mut().enumerate().find_map(|(i, run)| Some((i, run.0.next()?)))
+            self.runs.iter_mut().enumerate().find_map(|(i, run)| Some((i, run.0.next_effect()?)))
         {
             match effect {
                 Effect::Send { to, message } => return Some((to, message)),
                 Effect::Allowance { key, amount, until, after } => {
-                    self.to_apply.push((run, key, Part { amount, until, after }));
+                    self.to_apply.push((run, key, Allowance { amount, until, after }));
                     if !self.applies_late {
                         self.apply(now);
                     }
@@ -136,7 +136,7 @@
     applied: Applied,
     guard: Option<Guard>,
     starts: u64,
-    keys: Vec<Key>,
+    keys: Vec<LimitKey>,
     most: f64,
     applies_late: bool,
     /// The settings of processes started from now on.
@@ -148,11 +148,11 @@
 
 impl Simulation {
     /// One seed in four has shares below one hand-off, which are collected by draw.
-    fn new(seed: u64, n: usize, keys: &[Key], guard: Option<Guard>) -> Simulation {
+    fn new(seed: u64, n: usize, keys: &[LimitKey], guard: Option<Guard>) -> Simulation {
         let total = if seed % 4 == 3 { 1.0 } else { TOTAL };
         let members: Vec<MemberId> = (0..n).map(|i| MemberId::of(&format!("d{i}"))).collect();
         let mut simulation = Simulation {
-            network: Network::new(seed, set().round),
+            network: Network::new(seed, settings().interval),
             rates: BTreeMap::new(),
             members: members.clone(),
             listed: members.clone(),
@@ -199,11 +199,13 @@
         self.starts += 1;
         let (incarnation, seed) = (Incarnation(self.starts), self.network.chance.gen());
         let (listed, guard) = (self.listed.clone(), self.guard);
-        let set = Set { origin: Some(self.total), further_per_s: Some(self.total), ..set() };
-        move |now| (Limits::new(set, id, incarnation, &listed, seed, now).without_guard(guard), incarnation)
+        let settings = Settings { origin: Some(self.total), retries_per_s: Some(self.total), ..settings() };
+        move |now| {
+            (Limits::new(settings, id, incarnation, &listed, seed, now).without_guard(guard), incarnation)
+        }
     }
 
-    fn set_demand(&mut self, id: MemberId, key: Key, demand: f64) {
+    fn set_demand(&mut self, id: MemberId, key: LimitKey, demand: f64) {
         self.network.call(id, |member, _| member.demands.insert(key, demand));
     }
 
@@ -211,14 +213,14 @@
         let Simulation { network, uses, applied, rates, keys, most, unit, .. } = self;
         network.play(span, |network| {
             let changed = !applied.borrow().is_empty();
-            for (id, incarnation, key, part, clock) in applied.borrow_mut().drain(..) {
-                let until = network.now + (part.until - clock).times(1.0 / rates[&id]);
-                uses.add((id, incarnation, key), network.now, Part { until, ..part });
+            for (id, incarnation, key, allowance, clock) in applied.borrow_mut().drain(..) {
+                let until = network.now + (allowance.until - clock).times(1.0 / rates[&id]);
+                uses.add((id, incarnation, key), network.now, Allowance { until, ..allowance });
             }
             if changed {
                 for key in keys.iter() {
                     let unit = if *key == COLD { 1.0 } else { *unit };
-                    *most = most.max(uses.sum(network.now, set().drain, *key) / unit);
+                    *most = most.max(uses.sum(network.now, settings().drain, *key) / unit);
                 }
             }
         });
@@ -228,7 +230,7 @@
 /// Loss, duplicates, reordering, delays of seconds, one-way cuts, pauses longer than a lease, immediate
 /// restarts.
 fn schedule(seed: u64, guard: Option<Guard>) -> f64 {
-    let keys = [Key::Origin, Key::Further, COLD];
+    let keys = [LimitKey::Origin, LimitKey::Retries, COLD];
     let mut simulation = Simulation::new(seed, 2 + seed as usize % 5, &keys[..1 + seed as usize % 3], guard);
     inject_faults(&mut simulation, seed, 25);
     simulation.most
@@ -254,8 +256,8 @@
             _ => {
                 let most = [5, 100, 3000][chance.gen_range(0..3)];
                 let delay = [Span::millis(1), Span::millis(most)];
-                let part = chance.gen_range(0.0..0.3);
-                simulation.network.link = Link { lost: part, twice: part, delay };
+                let rate = chance.gen_range(0.0..0.3);
+                simulation.network.link = Link { lost: rate, twice: rate, delay };
             }
         }
         simulation.run(Span::millis(chance.gen_range(50..1000)));
@@ -285,7 +287,7 @@
     let mut highest = [0.0f64; 3];
     for seed in 0..600 {
         let n = 2 + seed as usize % 4;
-        let mut simulation = Simulation::new(seed, n, &[Key::Origin], None);
+        let mut simulation = Simulation::new(seed, n, &[LimitKey::Origin], None);
         let (id, new) = (simulation.members[0], MemberId::of("new"));
         let kind = seed as usize / 4 % 3;
         let bound = match kind {
@@ -321,14 +323,14 @@
 #[test]
 fn one_of_eight_gets_the_limit_and_all_return_to_their_shares() {
     for seed in (0..20).map(|i| i * 4 + i % 2) {
-        let mut simulation = Simulation::new(seed, 8, &[Key::Origin], None);
+        let mut simulation = Simulation::new(seed, 8, &[LimitKey::Origin], None);
         let members = simulation.members.clone();
         let allowance = |simulation: &Simulation, id: &MemberId| {
             let clock = simulation.network.clock(*id).unwrap();
-            simulation.network.node(*id).unwrap().runs[0].0.allowance(clock, Key::Origin).at(clock)
+            simulation.network.node(*id).unwrap().runs[0].0.allowance(clock, LimitKey::Origin).at(clock)
         };
         simulation.run(Span::millis(2000));
-        simulation.set_demand(members[3], Key::Origin, 9.0 * TOTAL);
+        simulation.set_demand(members[3], LimitKey::Origin, 9.0 * TOTAL);
         simulation.run(Span::millis(1000));
         for _ in 0..100 {
             simulation.run(Span::millis(50));
@@ -338,7 +340,7 @@
                 allowance(&simulation, &members[3])
             );
         }
-        members.iter().for_each(|id| simulation.set_demand(*id, Key::Origin, 9.0 * TOTAL));
+        members.iter().for_each(|id| simulation.set_demand(*id, LimitKey::Origin, 9.0 * TOTAL));
         simulation.run(Span::millis(3000));
         for id in &members {
             let allowance = allowance(&simulation, id);
@@ -351,20 +353,20 @@
 #[test]
 fn invalid_messages_are_rejected() {
     let listed = [MemberId(1), MemberId(2)];
-    let mut limits = Limits::new(set(), listed[0], Incarnation(1), &listed, 1, Time(0));
+    let mut limits = Limits::new(settings(), listed[0], Incarnation(1), &listed, 1, Time(0));
     let now = Time(10_000_000);
     limits.tick(now);
-    let before = limits.allowance(now, Key::Origin);
+    let before = limits.allowance(now, LimitKey::Origin);
     let amounts = [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300];
     for i in 0..5_000 {
-        let (amount, key) = (amounts[i as usize % 5], Key::Cold(HostId(i)));
+        let (amount, key) = (amounts[i as usize % 5], LimitKey::ColdHost(HostId(i)));
         let (incarnation, serial, span) = (Incarnation(i % 2), i, Span(u64::MAX >> (i % 64)));
         let messages = [
             Message::Request { incarnation, serial, key, amount, span },
             Message::Grant {
                 incarnation,
                 serial,
-                key: Key::Origin,
+                key: LimitKey::Origin,
                 amount,
                 span,
                 wait: Some(span),
@@ -376,13 +378,13 @@
         }
     }
     limits.tick(now);
-    let effects = std::iter::from_fn(|| limits.next());
+    let effects = std::iter::from_fn(|| limits.next_effect());
     let allowances: Vec<Effect> =
         effects.filter(|effect| matches!(effect, Effect::Allowance { .. })).collect();
-    assert!(allowances.len() <= 2 + set().max_cold_hosts, "{}", allowances.len());
-    assert_eq!(before.at(now), limits.allowance(now, Key::Origin).at(now));
-    assert!(Set { floor: f64::NAN, ..set() }.check(listed[0], &listed).is_err());
-    assert!(set().check(MemberId(3), &listed).is_err());
+    assert!(allowances.len() <= 2 + settings().max_cold_hosts, "{}", allowances.len());
+    assert_eq!(before.at(now), limits.allowance(now, LimitKey::Origin).at(now));
+    assert!(Settings { floor_fraction: f64::NAN, ..settings() }.check(listed[0], &listed).is_err());
+    assert!(settings().check(MemberId(3), &listed).is_err());
 }
 
 /// All hosts of a fleet are cold at once: all are tracked, the requests of a round are bounded, and every
@@ -390,16 +392,16 @@
 #[test]
 fn a_thousand_cold_hosts_share_the_requests_of_a_round() {
     let listed: Vec<MemberId> = (1..=1_024).map(MemberId).collect();
-    let (set, hosts) = (set(), 1_024);
-    let most = (set.max_requests + set.max_requests_per_key) as usize;
-    let mut limits = Limits::new(set, listed[0], Incarnation(1), &listed, 1, Time(0));
+    let (settings, hosts) = (settings(), 1_024);
+    let most = (settings.max_requests + settings.max_requests_per_key) as usize;
+    let mut limits = Limits::new(settings, listed[0], Incarnation(1), &listed, 1, Time(0));
     let (mut now, mut requested) = (Time(10_000_000), BTreeMap::new());
     for round in 0..40 {
         now = now + Span::millis(50);
-        (0..hosts).for_each(|host| limits.set_demand(now, Key::Cold(HostId(host)), 1.0));
+        (0..hosts).for_each(|host| limits.set_demand(now, LimitKey::ColdHost(HostId(host)), 1.0));
         limits.tick(now);
         let before: usize = requested.values().sum();
-        while let Some(effect) = limits.next() {
+        while let Some(effect) = limits.next_effect() {
             if let Effect::Send { message: Message::Request { key, .. }, .. } = effect {
                 *requested.entry(key).or_insert(0) += 1;
             }
@@ -490,9 +492,9 @@
 
     fn limits(n: usize, i: usize, incarnation: Incarnation, now: Time, guard: Option<Guard>) -> Limits {
         let listed: Vec<MemberId> = (0..n as u64).map(MemberId).collect();
-        let set = Set { round: Span::millis(10), lease: LEASE, drain: DRAIN, ..set() };
+        let settings = Settings { interval: Span::millis(10), lease: LEASE, drain: DRAIN, ..settings() };
         let clock = Time(0) + Span(now.0).times(RATES[i]);
-        Limits::new(set, listed[i], incarnation, &listed, i as u64, clock).without_guard(guard)
+        Limits::new(settings, listed[i], incarnation, &listed, i as u64, clock).without_guard(guard)
     }
 
     fn steps(&self) -> Vec<Step> {
@@ -522,7 +524,7 @@
                     let clock = self.clock(i);
                     let CaseMember { limits, is_paused, demand, .. } = &mut self.members[i];
                     if !*is_paused {
-                        limits.set_demand(clock, Key::Origin, *demand);
+                        limits.set_demand(clock, LimitKey::Origin, *demand);
                         limits.tick(clock);
                         self.pull(i);
                     }
@@ -557,7 +559,7 @@
                 self.members[i].demand = 0.2 * TOTAL - self.members[i].demand;
             }
         }
-        self.most = self.most.max(self.uses.sum(self.now, DRAIN, Key::Origin));
+        self.most = self.most.max(self.uses.sum(self.now, DRAIN, LimitKey::Origin));
     }
 
     fn clock(&self, i: usize) -> Time {
@@ -567,7 +569,7 @@
     fn pull(&mut self, i: usize) {
         let clock = self.clock(i);
         let CaseMember { limits, incarnation, .. } = &mut self.members[i];
-        while let Some(effect) = limits.next() {
+        while let Some(effect) = limits.next_effect() {
             match effect {
                 Effect::Send { to, message } => self.in_flight.push((i, to.0 as usize, message)),
                 Effect::Allowance { key, amount, until, after } => {
@@ -575,7 +577,7 @@
                     self.uses.add(
                         (MemberId(i as u64), *incarnation, key),
                         self.now,
-                        Part { amount, until, after },
+                        Allowance { amount, until, after },
                     );
                     limits.confirm_applied(clock, key);
                 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -6,7 +6,7 @@
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::members::{Body, Claim, Effect, Members, Said, Set, Standing};
+use cherrypass_fleet::members::{Body, Claim, Effect, MemberState, Members, Message, Settings};
 use node::Fleet;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -85,9 +85,9 @@
         assert!(fleet.disagreements(&left).is_empty(), "seed {seed}: agreed, and then no longer");
         for by in fleet.network.ids() {
             let one = fleet.network.node(by).unwrap();
-            let of = one.changes.iter().find(|(_, of, is)| *is == Standing::Dead && healthy.contains(of));
+            let of = one.changes.iter().find(|(_, of, is)| *is == MemberState::Dead && healthy.contains(of));
             assert!(of.is_none(), "seed {seed}: {by:?} declared a healthy member dead, {of:?}");
-            assert!(!one.stepped_down && !one.members.is_own_trouble(), "seed {seed}: {by:?}");
+            assert!(!one.stepped_down && !one.members.are_links_degraded(), "seed {seed}: {by:?}");
         }
     }
 }
@@ -103,17 +103,17 @@
             fleet.network.cut.extend((way != 0).then_some((id, who)));
         }
         let noticed =
-            fleet.until(Span::millis(2_500), |f| f.network.node(who).unwrap().members.is_own_trouble());
+            fleet.until(Span::millis(2_500), |f| f.network.node(who).unwrap().members.are_links_degraded());
         assert!(noticed.is_some(), "seed {seed}: it did not find its own links degraded");
         fleet.run(Span::millis(30_000));
-        let bad = |change: &&(Time, MemberId, Standing)| change.2 > Standing::Alive;
+        let bad = |change: &&(Time, MemberId, MemberState)| change.2 > MemberState::Alive;
         let one = fleet.network.node(who).unwrap();
         assert_eq!(one.changes.iter().find(bad), None, "seed {seed}");
         fleet.network.cut.clear();
         let agreed = fleet.until(AGREEMENT_TIME, |fleet| fleet.disagreements(&BTreeSet::new()).is_empty());
         assert!(agreed.is_some(), "seed {seed}: {:?}", fleet.disagreements(&BTreeSet::new()));
         fleet.run(Span::millis(5_000));
-        assert!(!fleet.network.node(who).unwrap().members.is_own_trouble(), "seed {seed}");
+        assert!(!fleet.network.node(who).unwrap().members.are_links_degraded(), "seed {seed}");
     }
 }
 
@@ -151,7 +151,7 @@
     fleet.run(Span::millis(10_000));
     fleet.network.cut.extend(pairs(&ids, &ids));
     fleet.run(Span::millis(10_000));
-    assert!(ids.iter().all(|id| fleet.network.node(*id).unwrap().members.is_own_trouble()));
+    assert!(ids.iter().all(|id| fleet.network.node(*id).unwrap().members.are_links_degraded()));
     pairs(&ids[..2], &ids[2..]).iter().for_each(|pair| assert!(fleet.network.cut.remove(pair)));
     fleet.network.sent.clear();
     fleet.run(Span::millis(5_000));
@@ -163,59 +163,62 @@
 
 fn member(own: MemberId, incarnation: u64, ids: &[MemberId]) -> Members {
     let listed: Vec<_> = ids.iter().map(|id| (*id, LocationId(0))).collect();
-    Members::new(Set::default(), own, Incarnation(incarnation), &listed, 7, Time(5_000_000))
+    Members::new(Settings::default(), own, Incarnation(incarnation), &listed, 7, Time(5_000_000))
 }
 
-fn alive(incarnation: u64, count: u32) -> Claim {
-    Claim { incarnation: Incarnation(incarnation), count, standing: Standing::Alive }
+fn alive(incarnation: u64, refutations: u32) -> Claim {
+    Claim { incarnation: Incarnation(incarnation), refutations, state: MemberState::Alive }
 }
 
 #[test]
 fn settings_are_checked() {
-    let base = Set::default();
+    let base = Settings::default();
     assert_eq!(base.check(), Ok(()));
     let bad = [
-        (Set { round: Span::ZERO, ..base.clone() }, "members-times"),
-        (Set { mean_response_bounds: [Span::millis(50), Span::millis(20)], ..base.clone() }, "members-gap"),
-        (Set { phi_thresholds: [2.0, 4.0, f64::NAN, 12.0], ..base.clone() }, "members-phi"),
-        (Set { suspicion_rounds: [f64::INFINITY, 0.0], ..base.clone() }, "members-wait"),
-        (Set { max_pause: Span::millis(50), ..base }, "members-still"),
+        (Settings { interval: Span::ZERO, ..base.clone() }, "members-times"),
+        (
+            Settings { mean_response_bounds: [Span::millis(50), Span::millis(20)], ..base.clone() },
+            "members-gap",
+        ),
+        (Settings { phi_thresholds: [2.0, 4.0, f64::NAN, 12.0], ..base.clone() }, "members-phi"),
+        (Settings { suspicion_rounds: [f64::INFINITY, 0.0], ..base.clone() }, "members-wait"),
+        (Settings { max_pause: Span::millis(50), ..base }, "members-still"),
     ];
-    for (set, code) in bad {
-        assert_eq!(set.check().map_err(|error| error.code()), Err(code));
+    for (settings, code) in bad {
+        assert_eq!(settings.check().map_err(|error| error.code()), Err(code));
     }
 }
 
-fn gossip(own: Claim, words: Vec<(MemberId, Claim)>) -> Said {
-    Said { own, body: Body::News, words }
+fn gossip(claim: Claim, claims: Vec<(MemberId, Claim)>) -> Message {
+    Message { claim, body: Body::Gossip, claims }
 }
 
 fn effects(members: &mut Members) -> Vec<Effect> {
-    std::iter::from_fn(|| members.next()).collect()
+    std::iter::from_fn(|| members.next_effect()).collect()
 }
 
 /// Whether the refutation arrives before or after the suspicion.
 #[test]
 fn a_refuted_suspicion_never_turns_to_dead() {
     let [own, by, of, _] = LISTED;
-    let bad = |standing| Claim { standing, ..alive(100, 3) };
+    let bad = |state| Claim { state, ..alive(100, 3) };
     for early in [false, true] {
         let mut members = member(own, 50, &LISTED);
         let mut now = Time(5_000_000);
-        let mut claims = vec![bad(Standing::Suspect), alive(100, 4)];
+        let mut claims = vec![bad(MemberState::Suspect), alive(100, 4)];
         claims[usize::from(early)..].reverse();
         claims.rotate_left(usize::from(early));
-        for claim in claims.into_iter().chain([bad(Standing::Suspect), bad(Standing::Dead)]) {
+        for claim in claims.into_iter().chain([bad(MemberState::Suspect), bad(MemberState::Dead)]) {
             members.receive(now, by, gossip(alive(60, 0), vec![(of, claim)]));
         }
         for _ in 0..600 {
             now = now + Span::millis(50);
-            members.receive(now, by, gossip(alive(60, 0), vec![(of, bad(Standing::Suspect))]));
+            members.receive(now, by, gossip(alive(60, 0), vec![(of, bad(MemberState::Suspect))]));
             members.tick(now);
-            let dead = |e: &Effect| matches!(e, Effect::Changed { standing: Standing::Dead, .. });
+            let dead = |e: &Effect| matches!(e, Effect::Changed { state: MemberState::Dead, .. });
             assert!(!effects(&mut members).iter().any(dead));
         }
-        assert_eq!(members.standing(of), Some(Standing::Alive));
+        assert_eq!(members.state(of), Some(MemberState::Alive));
     }
 }
 
@@ -225,7 +228,7 @@
     let [own, by, of, _] = LISTED;
     for paused in [false, true] {
         let mut members = member(own, 50, &LISTED);
-        let suspect = Claim { standing: Standing::Suspect, ..alive(100, 0) };
+        let suspect = Claim { state: MemberState::Suspect, ..alive(100, 0) };
         members.tick(Time(5_000_000));
         members.receive(Time(5_000_000), by, gossip(alive(60, 0), vec![(of, suspect)]));
         if paused {
@@ -235,9 +238,9 @@
         for at in 1..if paused { 2 } else { 600 } {
             members.tick(Time(5_000_000) + Span::millis(if paused { 20_000 } else { at * 50 }));
         }
-        assert_eq!(members.standing(of), Some(Standing::Suspect), "paused: {paused}");
+        assert_eq!(members.state(of), Some(MemberState::Suspect), "paused: {paused}");
         members.receive(Time(25_100_000), by, gossip(alive(60, 0), vec![(of, alive(100, 1))]));
-        assert_eq!(members.standing(of), Some(Standing::Alive));
+        assert_eq!(members.state(of), Some(MemberState::Alive));
     }
 }
 
@@ -252,13 +255,13 @@
         third.receive(
             now,
             LISTED[2],
-            Said { own: alive(80, 0), body: Body::Ping { sequence }, words: vec![] },
+            Message { claim: alive(80, 0), body: Body::Ping { sequence }, claims: vec![] },
         );
     }
     effects(&mut third);
     assert!(!third.accept(now, own, Incarnation(100)), "a message of the older process is ignored");
     third.receive(now, own, gossip(alive(100, 9), vec![(LISTED[3], alive(80, 0))]));
-    assert_eq!(third.standing(LISTED[3]), Some(Standing::Unheard), "so are its claims");
+    assert_eq!(third.state(LISTED[3]), Some(MemberState::Unknown), "so are its claims");
     assert_eq!(third.incarnation(own), Some(Incarnation(200)));
     for effect in effects(&mut third) {
         if let Effect::Send { to, message } = effect {
@@ -288,14 +291,19 @@
         };
         let false_claim = alive(u64::MAX, 0);
         for round in 0..100 {
-            let mut words = vec![(own, false_claim), (listed[5], false_claim)];
+            let mut claims = vec![(own, false_claim), (listed[5], false_claim)];
             for _ in 0..chance.gen_range(0..2_000) {
-                let ranks =
-                    [Standing::Unheard, Standing::Alive, Standing::Suspect, Standing::Dead, Standing::Left];
-                let standing = ranks[chance.gen_range(0..5)];
+                let ranks = [
+                    MemberState::Unknown,
+                    MemberState::Alive,
+                    MemberState::Suspect,
+                    MemberState::Dead,
+                    MemberState::Left,
+                ];
+                let state = ranks[chance.gen_range(0..5)];
                 let incarnation = Incarnation(arbitrary(&mut chance) & ((1 << 50) - 1));
                 let who = *listed.choose(&mut chance).unwrap_or(&own);
-                words.push((who, Claim { incarnation, count: arbitrary(&mut chance) as u32, standing }));
+                claims.push((who, Claim { incarnation, refutations: arbitrary(&mut chance) as u32, state }));
             }
             let (sequence, target) =
                 (arbitrary(&mut chance) as u32, *listed.choose(&mut chance).unwrap_or(&own));
@@ -307,14 +315,14 @@
                 3 => Body::PingResult { sequence, target, is_reachable: chance.gen() },
                 4 => Body::Digest { digest: arbitrary(&mut chance) },
                 5 => Body::Chunk { first, last },
-                _ => Body::News,
+                _ => Body::Gossip,
             };
             let from = *listed[1..].choose(&mut chance).unwrap_or(&own);
             let own_claim = alive((1 << 50) + round, chance.gen());
-            members.receive(now, from, Said { own: own_claim, body, words });
+            members.receive(now, from, Message { claim: own_claim, body, claims });
             for sequence in 0..if round == 50 { 10_000 } else { 0 } {
                 let body = Body::Ping { sequence };
-                members.receive(now, from, Said { own: own_claim, body, words: Vec::new() });
+                members.receive(now, from, Message { claim: own_claim, body, claims: Vec::new() });
             }
             now = now + Span::millis(chance.gen_range(0..400));
             members.tick(now);
@@ -328,7 +336,7 @@
                 }
             }
         }
-        assert!(members.listed().count() == 1000 && members.standing(MemberId(7)).is_none());
+        assert!(members.listed().count() == 1000 && members.state(MemberId(7)).is_none());
         assert_ne!(members.incarnation(listed[5]), Some(Incarnation(u64::MAX)), "seed {seed}");
     }
 }
--- a/crates/fleet/tests/members/node.rs
+++ b/crates/fleet/tests/members/node.rs
@@ -3,7 +3,7 @@
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::made::{Network, Node};
-use cherrypass_fleet::members::{Effect, Members, Said, Set, Standing};
+use cherrypass_fleet::members::{Effect, MemberState, Members, Message, Settings};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 pub struct Member {
     pub members: Members,
     /// Reported state changes of other members, by its own clock.
-    pub changes: Vec<(Time, MemberId, Standing)>,
+    pub changes: Vec<(Time, MemberId, MemberState)>,
     /// When it found its own links degraded, and when working again.
     pub links_degraded: Vec<(Time, bool)>,
     pub stepped_down: bool,
@@ -19,24 +19,24 @@
 
 impl Member {
     /// How often it reported a change to this state.
-    pub fn changes_to(&self, standing: Standing) -> usize {
-        self.changes.iter().filter(|change| change.2 == standing).count()
+    pub fn changes_to(&self, state: MemberState) -> usize {
+        self.changes.iter().filter(|change| change.2 == state).count()
     }
 }
 
 impl Node for Member {
-    type Said = Said;
-    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+    type Said = Message;
+    fn heard(&mut self, now: Time, from: MemberId, message: Message) {
         self.members.receive(now, from, message);
     }
     fn woken(&mut self, now: Time) {
         self.members.tick(now);
     }
-    fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
+    fn next(&mut self, now: Time) -> Option<(MemberId, Message)> {
         loop {
-            match self.members.next()? {
+            match self.members.next_effect()? {
                 Effect::Send { to, message } => return Some((to, message)),
-                Effect::Changed { who, standing, .. } => self.changes.push((now, who, standing)),
+                Effect::Changed { who, state, .. } => self.changes.push((now, who, state)),
                 Effect::LinksDegraded(degraded) => self.links_degraded.push((now, degraded)),
                 Effect::SteppedDown => self.stepped_down = true,
                 Effect::Log(_) => {}
@@ -67,7 +67,7 @@
         let (seed, rate) = (self.network.chance.gen(), self.network.chance.gen_range(0.99..1.01));
         let (incarnation, listed) = (Incarnation(self.network.now.0), self.listed.clone());
         self.network.start(id, rate, |now| {
-            let members = Members::new(Set::default(), id, incarnation, &listed, seed, now);
+            let members = Members::new(Settings::default(), id, incarnation, &listed, seed, now);
             Member { members, changes: Vec::new(), links_degraded: Vec::new(), stepped_down: false }
         });
     }
@@ -89,26 +89,26 @@
     }
 
     /// How many running members consider `who` to be in this state.
-    pub fn count_holding(&self, who: MemberId, standing: Standing) -> usize {
+    pub fn count_holding(&self, who: MemberId, state: MemberState) -> usize {
         let others = self.network.ids().into_iter().filter(|id| *id != who);
         let nodes = others.filter_map(|id| self.network.node(id));
-        nodes.filter(|node| node.members.standing(who) == Some(standing)).count()
+        nodes.filter(|node| node.members.state(who) == Some(state)).count()
     }
 
     /// Views of running members that differ from the truth: running members are alive, those in `left` have
     /// shut down, the rest are dead.
-    pub fn disagreements(&self, left: &BTreeSet<MemberId>) -> Vec<(MemberId, MemberId, Standing)> {
+    pub fn disagreements(&self, left: &BTreeSet<MemberId>) -> Vec<(MemberId, MemberId, MemberState)> {
         let running: BTreeSet<MemberId> = self.network.ids().into_iter().collect();
         let mut truth = BTreeMap::new();
         for id in self.ids() {
-            let gone = if left.contains(&id) { Standing::Left } else { Standing::Dead };
-            truth.insert(id, if running.contains(&id) { Standing::Alive } else { gone });
+            let gone = if left.contains(&id) { MemberState::Left } else { MemberState::Dead };
+            truth.insert(id, if running.contains(&id) { MemberState::Alive } else { gone });
         }
         let mut found = Vec::new();
         for &by in &running {
             let Some(node) = self.network.node(by) else { continue };
             for (&of, &is) in &truth {
-                let held = node.members.standing(of).unwrap_or(Standing::Unheard);
+                let held = node.members.state(of).unwrap_or(MemberState::Unknown);
                 if held != is && by != of {
                     found.push((by, of, held));
                 }
--- a/crates/fleet/tests/house.rs
+++ b/crates/fleet/tests/node.rs
@@ -2,12 +2,12 @@
 use cherrypass::ids::{HostId, LocationId};
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::house::{Effect, Fleet, Message, Set};
-use cherrypass_fleet::limits::{Key, Part};
+use cherrypass_fleet::limits::{Allowance, LimitKey};
 use cherrypass_fleet::made::{Network, Node};
-use cherrypass_fleet::members::{Body, Claim, Standing};
+use cherrypass_fleet::members::{Body, Claim, MemberState};
+use cherrypass_fleet::node::{Effect, FleetNode, Message, Settings};
 use cherrypass_fleet::rollout::{AfterHalt, Figures, Order, Plan, Record, Version};
-use cherrypass_fleet::verdicts::{Finding, Kind, UsedBy};
+use cherrypass_fleet::verdicts::{Finding, FindingKind, UsedBy};
 use cherrypass_fleet::{limits, members, rollout, verdicts};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,12 +17,12 @@
 
 /// A node with its dispatcher's view, and counters for the checks.
 struct SimulatedNode {
-    fleet: Fleet,
+    fleet_node: FleetNode,
     incarnation: Incarnation,
-    parts: BTreeMap<Key, Part>,
+    allowances: BTreeMap<LimitKey, Allowance>,
     verdicts: BTreeSet<HostId>,
     rules: u64,
-    kept: Vec<Record>,
+    records: Vec<Record>,
     ticks: u64,
     demand: f64,
     max_allowance: f64,
@@ -44,39 +44,39 @@
     type Said = (Incarnation, Message);
 
     fn heard(&mut self, now: Time, from: MemberId, (incarnation, message): Self::Said) {
-        let _ = self.fleet.heard(now, from, incarnation, message);
+        let _ = self.fleet_node.receive(now, from, incarnation, message);
     }
 
     fn woken(&mut self, now: Time) {
         if self.ticks.is_multiple_of(20) {
             let figures = Figures { visits: 100, in_time: 99, hand_offs: 110, ..Figures::default() };
-            self.fleet.counted(now, figures);
-            self.fleet.wants(now, Key::Origin, self.demand);
+            self.fleet_node.report_figures(now, figures);
+            self.fleet_node.set_demand(now, LimitKey::Origin, self.demand);
         }
         self.ticks += 1;
-        self.fleet.woken(now);
+        self.fleet_node.tick(now);
     }
 
     fn next(&mut self, now: Time) -> Option<(MemberId, Self::Said)> {
         loop {
-            match self.fleet.next(now)? {
-                Effect::Tell { to, message } => {
+            match self.fleet_node.next_effect(now)? {
+                Effect::Send { to, message } => {
                     self.longest_message = self.longest_message.max(encoded_len(&message));
                     return Some((to, (self.incarnation, message)));
                 }
-                Effect::Part { key, amount, until, after } => {
+                Effect::Allowance { key, amount, until, after } => {
                     self.max_allowance = self.max_allowance.max(amount);
-                    self.parts.insert(key, Part { amount, until, after });
-                    self.fleet.taken(now, key);
+                    self.allowances.insert(key, Allowance { amount, until, after });
+                    self.fleet_node.confirm_applied(now, key);
                 }
-                Effect::Hearsay { host, .. } => {
+                Effect::Verdict { host, .. } => {
                     self.verdicts.insert(host);
                 }
-                Effect::Keep { ticket, record } => {
-                    self.kept.push(record);
-                    self.fleet.kept(now, ticket, true);
+                Effect::Store { ticket, record } => {
+                    self.records.push(record);
+                    self.fleet_node.confirm_stored(now, ticket, true);
                 }
-                Effect::InForce { number, .. } => self.rules = number,
+                Effect::ApplyRules { number, .. } => self.rules = number,
                 Effect::SteppedDown => self.stepped_down = true,
                 _ => {}
             }
@@ -88,30 +88,36 @@
     (0..most).map(|i| (MemberId::of(&format!("d{i}")), LocationId(i as u16 % 3))).collect()
 }
 
-fn start(network: &mut Network<SimulatedNode>, all: &[(MemberId, LocationId)], i: usize, kept: Vec<Record>) {
+fn start(
+    network: &mut Network<SimulatedNode>,
+    all: &[(MemberId, LocationId)],
+    i: usize,
+    records: Vec<Record>,
+) {
     let (own, incarnation) = (all[i].0, Incarnation(1_700_000_000_000_000 + network.now.0));
-    let set = Set {
-        limits: Some(limits::Set { origin: Some(ORIGIN_LIMIT), ..limits::Set::default() }),
-        verdicts: Some(verdicts::Set::default()),
+    let settings = Settings {
+        limits: Some(limits::Settings { origin: Some(ORIGIN_LIMIT), ..limits::Settings::default() }),
+        verdicts: Some(verdicts::Settings::default()),
         rollout: Some(rollout::Set::default()),
-        ..Set::default()
+        ..Settings::default()
     };
     let (rate, seed) = (network.chance.gen_range(0.995..1.005), network.chance.gen());
     let demand = if i == 0 { ORIGIN_LIMIT } else { 0.1 };
     network.start(own, rate, |now| {
-        let mut fleet = Fleet::new(set, own, incarnation, all, &[], kept.clone(), TICK_INTERVAL, seed, now);
+        let mut fleet_node =
+            FleetNode::new(settings, own, incarnation, all, &[], records.clone(), TICK_INTERVAL, seed, now);
         for host in 0..8 {
-            fleet.listed(now, HostId(host), Some(Incarnation(5)), UsedBy::All);
+            fleet_node.update_host(now, HostId(host), Some(Incarnation(5)), UsedBy::All);
         }
-        let (parts, verdicts, longest_message, max_allowance) = Default::default();
+        let (allowances, verdicts, longest_message, max_allowance) = Default::default();
         let (rules, ticks, stepped_down) = (0, 0, false);
         SimulatedNode {
-            fleet,
+            fleet_node,
             incarnation,
-            parts,
+            allowances,
             verdicts,
             rules,
-            kept,
+            records,
             ticks,
             demand,
             max_allowance,
@@ -123,16 +129,18 @@
 
 fn play(network: &mut Network<SimulatedNode>, seed: u64, seconds: f64) {
     network.play(Span::seconds(seconds), |network| {
-        let part = |id: &MemberId| Some(network.node(*id)?.parts.get(&Key::Origin)?.at(network.clock(*id)?));
-        let sum: f64 = network.ids().iter().filter_map(part).sum();
+        let allowance = |id: &MemberId| {
+            Some(network.node(*id)?.allowances.get(&LimitKey::Origin)?.at(network.clock(*id)?))
+        };
+        let sum: f64 = network.ids().iter().filter_map(allowance).sum();
         assert!(sum <= ORIGIN_LIMIT * (1.0 + 1e-9), "seed {seed}: {sum} at {:?}", network.now);
     });
 }
 
 fn report_finding(network: &mut Network<SimulatedNode>, who: MemberId, host: HostId) {
-    let (since, kind) = (Some(Incarnation(5)), Kind::ShutOut);
+    let (since, kind) = (Some(Incarnation(5)), FindingKind::Failing);
     let finding = Finding { host, since, kind, evidence: 20, age: Span::ZERO };
-    network.call(who, |node, now| node.fleet.found(now, finding));
+    network.call(who, |node, now| node.fleet_node.report_finding(now, finding));
 }
 
 #[test]
@@ -154,7 +162,7 @@
             after_halt: AfterHalt::Stay,
         };
         let order = Order::Start(Version { number: 3, text: "{}".to_owned(), plan });
-        network.call(all[1].0, |node, now| node.fleet.order(now, order)).unwrap().unwrap().unwrap();
+        network.call(all[1].0, |node, now| node.fleet_node.order(now, order)).unwrap().unwrap().unwrap();
         [3, 4, 5].iter().for_each(|i| report_finding(&mut network, all[*i].0, HostId(1)));
         play(&mut network, seed, 6.0);
         for (id, location) in &all {
@@ -167,7 +175,7 @@
         }
         // At the same time the member with the largest allowance is killed, another is cut off and a third is
         // paused.
-        let kept = network.node(all[0].0).unwrap().kept.clone();
+        let records = network.node(all[0].0).unwrap().records.clone();
         network.kill(all[0].0);
         network.stop(all[7].0, Span::seconds(5.0));
         for (id, _) in &all {
@@ -176,29 +184,32 @@
         }
         play(&mut network, seed, 8.0);
         network.cut.clear();
-        start(&mut network, &all, 0, kept);
+        start(&mut network, &all, 0, records);
         play(&mut network, seed, 12.0);
         for (id, _) in &all {
             let node = network.node(*id).unwrap();
-            let alive = |who: &MemberId| node.fleet.members().standing(*who) == Some(Standing::Alive);
+            let alive = |who: &MemberId| node.fleet_node.members().state(*who) == Some(MemberState::Alive);
             assert!(all.iter().all(|(who, _)| alive(who)), "seed {seed}: not all are considered alive");
         }
         assert_eq!(network.node(all[0].0).unwrap().rules, 3, "seed {seed}: rules of the restarted member");
         // A claim that a newer process runs under its name: it sends and uses nothing more.
         let (newer, sender) = (Incarnation(1_700_000_000_000_000 + network.now.0), all[4].0);
-        let own = Claim {
+        let claim = Claim {
             incarnation: network.node(sender).unwrap().incarnation,
-            count: 0,
-            standing: Standing::Alive,
+            refutations: 0,
+            state: MemberState::Alive,
         };
-        let words = vec![(all[2].0, Claim { incarnation: newer, ..own })];
-        let said = Message::Members(members::Said { own, body: Body::News, words });
-        network.call(all[2].0, |node, now| node.heard(now, sender, (own.incarnation, said)));
+        let claims = vec![(all[2].0, Claim { incarnation: newer, ..claim })];
+        let message = Message::Members(members::Message { claim, body: Body::Gossip, claims });
+        network.call(all[2].0, |node, now| node.heard(now, sender, (claim.incarnation, message)));
         let sent = network.sent[&all[2].0];
         play(&mut network, seed, 3.0);
         let (node, clock) = (network.node(all[2].0).unwrap(), network.clock(all[2].0).unwrap());
-        let part = node.parts[&Key::Origin].at(clock);
-        assert!(node.stepped_down && part == 0.0 && network.sent[&all[2].0] == sent, "seed {seed}: {part}");
+        let allowance = node.allowances[&LimitKey::Origin].at(clock);
+        assert!(
+            node.stepped_down && allowance == 0.0 && network.sent[&all[2].0] == sent,
+            "seed {seed}: {allowance}"
+        );
     }
 }
 
--- a/crates/fleet/tests/verdicts.rs
+++ b/crates/fleet/tests/verdicts.rs
@@ -33,7 +33,7 @@
 /// What the caller was told by effects, whose bounds are checked.
 #[derive(Default)]
 struct CallerView {
-    unhealthy: BTreeMap<HostId, (Option<Incarnation>, Kind, Time)>,
+    unhealthy: BTreeMap<HostId, (Option<Incarnation>, FindingKind, Time)>,
     restarted: Vec<HostId>,
     log_lines: usize,
 }
@@ -45,7 +45,7 @@
                 assert!(ttl <= HOLD);
                 return Some(message);
             }
-            Effect::Verdict { host, kind: Kind::JustStarted, .. } => self.restarted.push(host),
+            Effect::Verdict { host, kind: FindingKind::Restarted, .. } => self.restarted.push(host),
             Effect::Verdict { host, since, kind, weight, until, age, reporters } => {
                 assert!(
                     weight > 0.0 && weight < 1.0 && reporters > 0 && age <= HOLD,
@@ -88,7 +88,7 @@
     }
 
     fn next(&mut self, now: Time) -> Option<(MemberId, (Message, Time))> {
-        while let Some(effect) = self.verdicts.next() {
+        while let Some(effect) = self.verdicts.next_effect() {
             let sent = self.true_time(now);
             if let Some(message) = self.view.take(effect) {
                 self.outbox.extend(self.others.iter().map(|to| (*to, (message, sent))));
@@ -107,7 +107,7 @@
     /// The current run of each host, and the run in each member's list.
     since: BTreeMap<HostId, u64>,
     listed: BTreeMap<(MemberId, HostId), u64>,
-    bad: BTreeMap<HostId, Kind>,
+    bad: BTreeMap<HostId, FindingKind>,
     /// When a member last had evidence, in true time, by run of the host.
     evidence: BTreeMap<(MemberId, HostId, u64), Time>,
     /// Which member considers which other dead.
@@ -142,7 +142,7 @@
         let others: Vec<MemberId> = self.members.iter().copied().filter(|other| *other != id).collect();
         let list: Vec<(HostId, u64)> = self.since.iter().map(|(host, since)| (*host, *since)).collect();
         self.network.start(id, rate, |now| {
-            let mut verdicts = Verdicts::new(Set::default(), id, location(id), run, seed ^ id.0, now);
+            let mut verdicts = Verdicts::new(Settings::default(), id, location(id), run, seed ^ id.0, now);
             for (host, since) in &list {
                 verdicts.update_host(now, *host, Some(Incarnation(*since)), used_by(*host));
             }
@@ -159,7 +159,7 @@
         self.dead.retain(|(by, _)| *by != id);
     }
 
-    fn report_finding(&mut self, id: MemberId, host: HostId, kind: Kind) {
+    fn report_finding(&mut self, id: MemberId, host: HostId, kind: FindingKind) {
         let (since, evidence) = (self.listed[&(id, host)], self.chance.gen_range(1..9));
         let age = Span::millis(self.chance.gen_range(0..3_000));
         let rate = self.network.node(id).map_or(1.0, |node| node.start.2);
@@ -193,7 +193,7 @@
         let (who, host) = (self.choose(&members), self.choose(&all));
         match self.chance.gen_range(0..12) {
             0 | 1 => {
-                let kind = self.choose(&[Kind::ShutOut, Kind::CutOff, Kind::Slow]);
+                let kind = self.choose(&[FindingKind::Failing, FindingKind::Unreachable, FindingKind::Slow]);
                 self.bad.insert(host, kind);
             }
             2 => drop(self.bad.remove(&host)),
@@ -225,11 +225,11 @@
             for host in used {
                 let bad = self.bad.get(&host).copied();
                 // Network faults affect one location only.
-                let bad = bad.filter(|kind| *kind == Kind::ShutOut || location(id) == HERE);
+                let bad = bad.filter(|kind| *kind == FindingKind::Failing || location(id) == HERE);
                 let is_wrong = id == faulty_member && self.chance.gen_bool(0.15);
                 match bad {
                     Some(kind) if self.chance.gen_bool(0.5) => self.report_finding(id, host, kind),
-                    None if is_wrong => self.report_finding(id, host, Kind::ShutOut),
+                    None if is_wrong => self.report_finding(id, host, FindingKind::Failing),
                     None if id != faulty_member && self.chance.gen_bool(0.7) => {
                         self.report_recovery(id, host)
                     }
@@ -279,7 +279,7 @@
                 let reporters = self.members.iter().copied().filter(|from| {
                     let Some(at) = self.evidence.get(&(*from, *host, listed)) else { return false };
                     let age = (self.network.now - *at).times(1.005);
-                    let applies = kind == &Kind::ShutOut || location(*from) == location(id);
+                    let applies = kind == &FindingKind::Failing || location(*from) == location(id);
                     let is_alive = *from != id && !self.dead.contains(&(id, *from));
                     is_alive && applies && age <= HOLD
                 });
@@ -332,13 +332,13 @@
 impl SingleDispatcher {
     fn new() -> SingleDispatcher {
         let now = Time(1_000_000);
-        let mut verdicts = Verdicts::new(Set::default(), MemberId(0), HERE, Incarnation(1), 1, now);
+        let mut verdicts = Verdicts::new(Settings::default(), MemberId(0), HERE, Incarnation(1), 1, now);
         hosts().for_each(|host| verdicts.update_host(now, host, Some(Incarnation(1)), used_by(host)));
         (1..14).for_each(|id| verdicts.set_alive(now, MemberId(id), location(MemberId(id)), true));
         SingleDispatcher { verdicts, now, view: CallerView::default(), sequence: 0 }
     }
 
-    fn receive(&mut self, from: u64, host: u64, run: (u64, u64), kind: Option<Kind>) {
+    fn receive(&mut self, from: u64, host: u64, run: (u64, u64), kind: Option<FindingKind>) {
         let (since, age) = (Some(Incarnation(run.1)), Span::ZERO);
         let statement =
             kind.map_or(Statement::Withdrawn, |kind| Statement::Found { since, kind, evidence: 4, age });
@@ -354,12 +354,14 @@
     }
 
     /// Three of the seven dispatchers of this location report it, enough for a verdict.
-    fn receive_from_three(&mut self, host: u64, kind: Kind) {
+    fn receive_from_three(&mut self, host: u64, kind: FindingKind) {
         [2, 4, 6].into_iter().for_each(|from| self.receive(from, host, (1, 1), Some(kind)));
     }
 
     fn take_messages(&mut self) -> Vec<Message> {
-        std::iter::from_fn(|| self.verdicts.next()).filter_map(|effect| self.view.take(effect)).collect()
+        std::iter::from_fn(|| self.verdicts.next_effect())
+            .filter_map(|effect| self.view.take(effect))
+            .collect()
     }
 
     fn unhealthy_hosts(&mut self) -> Vec<u64> {
@@ -373,10 +375,10 @@
 fn a_verdict_lasts_until_reporters_withdraw_die_or_restart() {
     for end in 0..5 {
         let mut dispatcher = SingleDispatcher::new();
-        dispatcher.receive(2, 3, (1, 1), Some(Kind::CutOff));
-        dispatcher.receive(4, 3, (1, 1), Some(Kind::CutOff));
+        dispatcher.receive(2, 3, (1, 1), Some(FindingKind::Unreachable));
+        dispatcher.receive(4, 3, (1, 1), Some(FindingKind::Unreachable));
         assert_eq!(dispatcher.unhealthy_hosts(), [0; 0], "two of seven are less than a third");
-        dispatcher.receive(6, 3, (1, 1), Some(Kind::CutOff));
+        dispatcher.receive(6, 3, (1, 1), Some(FindingKind::Unreachable));
         assert_eq!(dispatcher.unhealthy_hosts(), [3]);
         match end {
             0 => dispatcher.receive(4, 3, (1, 1), None),
@@ -393,10 +395,10 @@
         assert_eq!(dispatcher.unhealthy_hosts(), [0; 0], "end {end}");
         // Messages of the previous run and outdated messages have no effect.
         if end == 2 {
-            dispatcher.receive(4, 3, (1, 1), Some(Kind::CutOff));
+            dispatcher.receive(4, 3, (1, 1), Some(FindingKind::Unreachable));
         }
         dispatcher.sequence = 0;
-        dispatcher.receive(4, 3, (1, 1), Some(Kind::CutOff));
+        dispatcher.receive(4, 3, (1, 1), Some(FindingKind::Unreachable));
         assert_eq!(dispatcher.unhealthy_hosts(), [0; 0], "end {end}, an outdated message");
     }
 }
@@ -404,37 +406,41 @@
 #[test]
 fn errors_need_two_reports_from_anywhere_and_silence_counts_in_its_location() {
     let mut dispatcher = SingleDispatcher::new();
-    [2, 4].into_iter().for_each(|from| dispatcher.receive(from, 3, (1, 1), Some(Kind::ShutOut)));
+    [2, 4].into_iter().for_each(|from| dispatcher.receive(from, 3, (1, 1), Some(FindingKind::Failing)));
     assert_eq!(dispatcher.unhealthy_hosts(), [3]);
     let mut dispatcher = SingleDispatcher::new();
-    [1, 3, 5, 7, 9].into_iter().for_each(|from| dispatcher.receive(from, 17, (1, 1), Some(Kind::CutOff)));
+    [1, 3, 5, 7, 9]
+        .into_iter()
+        .for_each(|from| dispatcher.receive(from, 17, (1, 1), Some(FindingKind::Unreachable)));
     assert_eq!(dispatcher.unhealthy_hosts(), [0; 0], "a network fault of another location");
-    [1, 3, 5].into_iter().for_each(|from| dispatcher.receive(from, 17, (1, 1), Some(Kind::ShutOut)));
+    [1, 3, 5].into_iter().for_each(|from| dispatcher.receive(from, 17, (1, 1), Some(FindingKind::Failing)));
     assert_eq!(dispatcher.unhealthy_hosts(), [17], "errors count from everywhere");
     // Reporters with an unhealthy cache of their own do not count.
-    [1, 3].into_iter().for_each(|from| dispatcher.receive(from, 9, (1, 1), Some(Kind::ShutOut)));
+    [1, 3].into_iter().for_each(|from| dispatcher.receive(from, 9, (1, 1), Some(FindingKind::Failing)));
     assert_eq!(dispatcher.unhealthy_hosts(), [0; 0]);
     [1, 3].into_iter().for_each(|from| dispatcher.receive(from, 9, (1, 1), None));
     assert_eq!(dispatcher.unhealthy_hosts(), [17]);
     // An unhealthy cache here may be the cause of errors of the hosts behind it.
-    dispatcher.receive_from_three(1, Kind::ShutOut);
+    dispatcher.receive_from_three(1, FindingKind::Failing);
     assert_eq!(dispatcher.unhealthy_hosts(), [1]);
 }
 
 #[test]
 fn thresholds_can_change() {
     let mut dispatcher = SingleDispatcher::new();
-    dispatcher.receive(2, 3, (1, 1), Some(Kind::ShutOut));
-    for (tellers, part, bad) in [(1, 0.0, &[3][..]), (0, 0.0, &[3]), (1, f64::NAN, &[3]), (2, 0.25, &[])] {
-        dispatcher.verdicts.set_thresholds(dispatcher.now, tellers, part);
-        assert_eq!(dispatcher.unhealthy_hosts(), bad, "{tellers} {part}");
+    dispatcher.receive(2, 3, (1, 1), Some(FindingKind::Failing));
+    for (reporters, location_fraction, bad) in
+        [(1, 0.0, &[3][..]), (0, 0.0, &[3]), (1, f64::NAN, &[3]), (2, 0.25, &[])]
+    {
+        dispatcher.verdicts.set_thresholds(dispatcher.now, reporters, location_fraction);
+        assert_eq!(dispatcher.unhealthy_hosts(), bad, "{reporters} {location_fraction}");
     }
 }
 
 #[test]
 fn reports_on_an_unlisted_run_wait_for_the_list() {
     let mut dispatcher = SingleDispatcher::new();
-    [2, 4].into_iter().for_each(|from| dispatcher.receive(from, 3, (1, 2), Some(Kind::ShutOut)));
+    [2, 4].into_iter().for_each(|from| dispatcher.receive(from, 3, (1, 2), Some(FindingKind::Failing)));
     assert_eq!(dispatcher.unhealthy_hosts(), [0; 0]);
     dispatcher.verdicts.update_host(dispatcher.now, HostId(3), Some(Incarnation(2)), used_by(HostId(3)));
     assert_eq!(dispatcher.unhealthy_hosts(), [3]);
@@ -445,10 +451,10 @@
 #[test]
 fn one_report_of_a_restart_is_enough_after_a_verdict() {
     let mut dispatcher = SingleDispatcher::new();
-    dispatcher.receive(2, 5, (1, 1), Some(Kind::JustStarted));
+    dispatcher.receive(2, 5, (1, 1), Some(FindingKind::Restarted));
     assert_eq!(dispatcher.view.restarted, []);
-    dispatcher.receive_from_three(3, Kind::CutOff);
-    dispatcher.receive(2, 3, (1, 1), Some(Kind::JustStarted));
+    dispatcher.receive_from_three(3, FindingKind::Unreachable);
+    dispatcher.receive(2, 3, (1, 1), Some(FindingKind::Restarted));
     assert_eq!((&dispatcher.view.restarted[..], dispatcher.view.unhealthy.len()), (&[HostId(3)][..], 1));
     dispatcher.receive(2, 3, (1, 1), None);
     assert_eq!(dispatcher.unhealthy_hosts(), [0; 0]);
@@ -457,11 +463,11 @@
 #[test]
 fn reporters_with_too_many_or_invalid_findings_change_nothing() {
     let mut dispatcher = SingleDispatcher::new();
-    dispatcher.receive_from_three(3, Kind::ShutOut);
+    dispatcher.receive_from_three(3, FindingKind::Failing);
     // One member reports 10,000 findings: memory is bounded, one line is logged, and the reports of others
     // still count.
     for host in 0..10_000 {
-        dispatcher.receive(8, host, (1, 1), Some(Kind::ShutOut));
+        dispatcher.receive(8, host, (1, 1), Some(FindingKind::Failing));
     }
     assert_eq!((dispatcher.unhealthy_hosts(), dispatcher.view.log_lines), (vec![3], 1));
     let message = Message {
@@ -470,7 +476,7 @@
         host: HostId(4),
         statement: Statement::Found {
             since: None,
-            kind: Kind::ShutOut,
+            kind: FindingKind::Failing,
             evidence: u32::MAX,
             age: Span(u64::MAX),
         },
@@ -487,7 +493,7 @@
     assert_eq!(dispatcher.unhealthy_hosts(), [3]);
     // Three members with bad links report four caches each: too many, so none of it counts.
     let mut dispatcher = SingleDispatcher::new();
-    (0..4).for_each(|host| dispatcher.receive_from_three(host, Kind::CutOff));
+    (0..4).for_each(|host| dispatcher.receive_from_three(host, FindingKind::Unreachable));
     assert_eq!(dispatcher.unhealthy_hosts(), [0; 0]);
 }
 
@@ -496,10 +502,10 @@
 fn one_member_may_report_1024_hosts() {
     let mut dispatcher = SingleDispatcher::new();
     for host in (0..1_024).filter(|host| *host != 3) {
-        dispatcher.receive(8, host, (1, 1), Some(Kind::JustStarted));
+        dispatcher.receive(8, host, (1, 1), Some(FindingKind::Restarted));
     }
     assert_eq!(dispatcher.view.log_lines, 0);
-    [2, 8].into_iter().for_each(|from| dispatcher.receive(from, 3, (1, 1), Some(Kind::ShutOut)));
+    [2, 8].into_iter().for_each(|from| dispatcher.receive(from, 3, (1, 1), Some(FindingKind::Failing)));
     assert_eq!(dispatcher.unhealthy_hosts(), [3]);
 }
 
@@ -507,7 +513,7 @@
 fn a_reported_recovery_ends_a_verdict_until_new_findings() {
     let mut dispatcher = SingleDispatcher::new();
     let all = |dispatcher: &mut SingleDispatcher| {
-        [2, 4, 6, 8].map(|from| dispatcher.receive(from, 3, (1, 1), Some(Kind::CutOff)))
+        [2, 4, 6, 8].map(|from| dispatcher.receive(from, 3, (1, 1), Some(FindingKind::Unreachable)))
     };
     all(&mut dispatcher);
     dispatcher.receive(8, 3, (1, 1), None);
@@ -531,7 +537,7 @@
 fn own_findings_are_published_repeated_and_withdrawn_but_not_with_degraded_links() {
     let mut dispatcher = SingleDispatcher::new();
     let finding = |host| {
-        let (since, kind) = (Some(Incarnation(1)), Kind::CutOff);
+        let (since, kind) = (Some(Incarnation(1)), FindingKind::Unreachable);
         Finding { host: HostId(host), since, kind, evidence: 2, age: Span::ZERO }
     };
     let is_withdrawal = |message: &Message| message.statement == Statement::Withdrawn;
--- a/crates/peers/examples/idle.rs
+++ b/crates/peers/examples/idle.rs
@@ -1,7 +1,7 @@
 //! What members of a fleet cost while nothing happens: threads, memory and core time of each, in one process on
 //! loopback. Arguments: how many (9), for how many seconds (30), and `all` for event log and control listener too.
 use cherrypass::ids::LocationId;
-use cherrypass_fleet::{house, limits, rollout, verdicts};
+use cherrypass_fleet::{limits, node, rollout, verdicts};
 use cherrypass_peers::{Member, Peers, Set};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -41,17 +41,17 @@
             set.events = Some(events.clone());
             set.control = Some(std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?);
         }
-        let limits = limits::Set {
+        let limits = limits::Settings {
             origin: Some(40.0),
-            further_per_s: Some(20.0),
-            cold: true,
-            ..limits::Set::default()
+            retries_per_s: Some(20.0),
+            limits_cold_hosts: true,
+            ..limits::Settings::default()
         };
-        set.rooms = house::Set {
+        set.rooms = node::Settings {
             limits: Some(limits),
-            verdicts: Some(verdicts::Set::default()),
+            verdicts: Some(verdicts::Settings::default()),
             rollout: Some(rollout::Set::default()),
-            ..house::Set::default()
+            ..node::Settings::default()
         };
         all.push(Peers::start(set, None, |_| {}, |_| {})?);
     }
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -29,9 +29,9 @@
     #[error("fleet: can't listen for control on {at}: {error}; is another process there?")]
     Control { at: SocketAddr, error: String },
     #[error("fleet.limits: {0}")]
-    Limits(#[from] limits::SetError),
+    Limits(#[from] limits::SettingsError),
     #[error("fleet.{0}")]
-    Verdicts(#[from] verdicts::SetError),
+    Verdicts(#[from] verdicts::SettingsError),
     #[error("fleet: can't write events to {}: {error}; check the path and its rights, or leave `events` out", path.display())]
     Events { path: PathBuf, error: io::Error },
     #[error("fleet: can't start a thread: {0}; check the limits on processes and memory")]
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -23,12 +23,12 @@
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 pub use cherrypass_fleet::delivery::{ChangeNumber, LogId};
-use cherrypass_fleet::house::Fleet;
-pub use cherrypass_fleet::limits::Key;
+pub use cherrypass_fleet::limits::LimitKey;
+use cherrypass_fleet::node::FleetNode;
 use cherrypass_fleet::rollout::Record;
 pub use cherrypass_fleet::rollout::{Figures, Order};
-pub use cherrypass_fleet::verdicts::{Kind, UsedBy};
-use cherrypass_fleet::{feed, house, limits, rollout};
+pub use cherrypass_fleet::verdicts::{FindingKind, UsedBy};
+use cherrypass_fleet::{feed, limits, node, rollout};
 use cherrypass_store::store::Store;
 use clock::Clock;
 use crossbeam_channel::Sender;
@@ -65,7 +65,7 @@
     pub host: HostId,
     /// The host's start as the list gives it, the same at all dispatchers.
     pub since: Option<UnixTime>,
-    pub kind: Kind,
+    pub kind: FindingKind,
     /// Hand-offs that speak for it.
     pub evidence: u32,
     /// How long ago the last of them did; zero where it stands now and no more is known.
@@ -77,17 +77,17 @@
 pub enum ToFleet {
     /// What it would use of a limit if it could; to be told again at least every 10 s while it lasts.
     Wants {
-        key: Key,
+        key: LimitKey,
         amount: f64,
     },
     /// The `FromFleet::Part` of this key and number is in force. Untold, this member lends nothing of what it keeps.
     Taken {
-        key: Key,
+        key: LimitKey,
         number: u64,
     },
     /// The most it used within the last second; for the event log alone.
     Used {
-        key: Key,
+        key: LimitKey,
         amount: f64,
     },
     /// Its own module holds this, by its own hand-offs alone; to be told again as evidence comes.
@@ -136,13 +136,13 @@
 pub enum FromFleet {
     /// Its part of a limit: `amount` until a point in time, from then on `after` without any further call. Answered
     /// by `ToFleet::Taken` with its number once it is in force.
-    Part { key: Key, number: u64, amount: f64, until: Instant, after: f64 },
+    Part { key: LimitKey, number: u64, amount: f64, until: Instant, after: f64 },
     /// Others found a host bad, or that it just started; void from `until` on. `weight` is below 1, own evidence's.
     /// `age`: of the oldest evidence it rests on, at most.
     Hearsay {
         host: HostId,
         since: Option<UnixTime>,
-        kind: Kind,
+        kind: FindingKind,
         weight: f64,
         until: Instant,
         age: Span,
@@ -192,7 +192,7 @@
     /// The periodic timer.
     pub every: Span,
     pub seed: u64,
-    pub rooms: house::Set,
+    pub rooms: node::Settings,
     /// Absent: each reads the change log itself.
     pub delivery: Option<delivery::Set>,
 }
@@ -211,7 +211,7 @@
             form: None,
             every: Span::millis(50),
             seed: 0,
-            rooms: house::Set::default(),
+            rooms: node::Settings::default(),
             delivery: None,
         }
     }
@@ -253,7 +253,7 @@
         let own = MemberId::of(&self.me);
         let ids: Vec<MemberId> = self.members.iter().map(|member| MemberId::of(&member.name)).collect();
         if let Some(limits) = self.rooms.limits.as_ref().filter(|_| ids.contains(&own)) {
-            limits::Set { round: self.every, ..limits.clone() }.check(own, &ids)?;
+            limits::Settings { interval: self.every, ..limits.clone() }.check(own, &ids)?;
         }
         if let Some(verdicts) = &self.rooms.verdicts {
             verdicts.check()?;
@@ -285,12 +285,12 @@
     let events = Events::open(set.events.as_deref(), &set.me, clock, outside.log.clone())?;
     let peers = peers_of(&set, me);
     let seed = set.seed ^ incarnation.0;
-    let ahead = set.rooms.members.ahead;
+    let ahead = set.rooms.members.max_incarnation_lead;
     let now = clock.now();
     let role = match own {
         Some(_) => {
             let (kept, every) = (outside.kept, set.every);
-            Role::Member(Box::new(Fleet::new(
+            Role::Member(Box::new(FleetNode::new(
                 set.rooms,
                 me,
                 incarnation,
