--- a/crates/peers/src/run.rs
+++ b/crates/peers/src/run.rs
@@ -13,10 +13,10 @@
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::delivery::{self, Said};
 use cherrypass_fleet::feed::{self, Follower};
-use cherrypass_fleet::house::{Effect, Fleet, Message, Void};
-use cherrypass_fleet::limits::{Key, Part};
-use cherrypass_fleet::members::Standing;
-use cherrypass_fleet::verdicts::Finding;
+use cherrypass_fleet::limits::{Allowance, LimitKey};
+use cherrypass_fleet::members::MemberState;
+use cherrypass_fleet::node::{Effect, FleetNode, Message, Rejection};
+use cherrypass_fleet::verdicts::{Finding, FindingKind};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
@@ -76,7 +76,7 @@
 
 /// A member has all rooms, a follower only takes the feed, and whoever is in no list has at most the delivery.
 pub enum Role {
-    Member(Box<Fleet>),
+    Member(Box<FleetNode>),
     Follower(Box<Follower>),
     Unlisted,
 }
@@ -106,7 +106,7 @@
     pub waiting: Arc<Waiting>,
     pub refusals: Refusals,
     /// The last part of each limit, and its number while the dispatcher has not answered it.
-    pub parts: BTreeMap<Key, (u64, Part)>,
+    pub parts: BTreeMap<LimitKey, (u64, Allowance)>,
     pub number: u64,
 }
 
@@ -159,11 +159,11 @@
     Some((kind, bytes.ok()?))
 }
 
-pub fn key_name(key: Key) -> String {
+pub fn key_name(key: LimitKey) -> String {
     match key {
-        Key::Origin => "origin".to_owned(),
-        Key::Further => "further".to_owned(),
-        Key::Cold(host) => format!("cold:{}", host_name(host)),
+        LimitKey::Origin => "origin".to_owned(),
+        LimitKey::Retries => "further".to_owned(),
+        LimitKey::ColdHost(host) => format!("cold:{}", host_name(host)),
     }
 }
 
@@ -171,14 +171,35 @@
     format!("{:x}", host.0)
 }
 
-fn gone(standing: Standing) -> &'static str {
-    if standing == Standing::Left {
+fn gone(state: MemberState) -> &'static str {
+    if state == MemberState::Left {
         "has left"
     } else {
         "does not answer anyone any more; look at its process and its network"
     }
 }
 
+/// The text of a member's state in events and in the status.
+fn state_text(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Unknown => "unheard",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
+    }
+}
+
+/// The text of a finding's kind in events.
+fn kind_text(kind: FindingKind) -> &'static str {
+    match kind {
+        FindingKind::Failing => "shutout",
+        FindingKind::Slow => "slow",
+        FindingKind::Unreachable => "cutoff",
+        FindingKind::Restarted => "juststarted",
+    }
+}
+
 fn run_of(since: Option<UnixTime>) -> Option<Incarnation> {
     since.map(|since| Incarnation(since.0))
 }
@@ -228,7 +249,7 @@
 
     pub fn woken(&mut self, now: Time) {
         match &mut self.role {
-            Role::Member(fleet) => fleet.woken(now),
+            Role::Member(fleet) => fleet.tick(now),
             Role::Follower(follower) => follower.woken(now),
             Role::Unlisted => {}
         }
@@ -247,7 +268,7 @@
             }
             Input::Kept { ticket, well } => {
                 if let Role::Member(fleet) = &mut self.role {
-                    fleet.kept(now, ticket, well);
+                    fleet.confirm_stored(now, ticket, well);
                 }
             }
             Input::Control(ask, back) => {
@@ -298,19 +319,19 @@
         if envelope.location.is_some_and(|location| location != LocationByte::of(listed)) {
             self.refuse(now, Refused::Location, who);
         }
-        let heard = match (&mut self.role, message) {
-            (Role::Member(fleet), message) => fleet.heard(now, from, incarnation, message),
+        let result = match (&mut self.role, message) {
+            (Role::Member(fleet), message) => fleet.receive(now, from, incarnation, message),
             (Role::Follower(follower), Message::Feed(said)) => {
                 follower.heard(now, from, said);
                 Ok(())
             }
-            (Role::Follower(_) | Role::Unlisted, _) => Err(Void::Off),
+            (Role::Follower(_) | Role::Unlisted, _) => Err(Rejection::ComponentOff),
         };
-        match heard {
+        match result {
             _ if from == self.me => self.refuse(now, Refused::OwnName, who),
-            Err(Void::Run) => self.refuse(now, Refused::Void, who),
-            Err(Void::Unlisted) => self.refuse(now, Refused::Unlisted, who),
-            Ok(()) | Err(Void::Off) => {
+            Err(Rejection::InvalidRun) => self.refuse(now, Refused::Void, who),
+            Err(Rejection::UnlistedSender) => self.refuse(now, Refused::Unlisted, who),
+            Ok(()) | Err(Rejection::ComponentOff) => {
                 if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.incarnation <= incarnation) {
                     (peer.incarnation, peer.reads) = (incarnation, envelope.reads);
                 }
@@ -356,23 +377,23 @@
         }
         let Role::Member(fleet) = &mut self.role else { return };
         match told {
-            ToFleet::Wants { key, amount } => fleet.wants(now, key, amount),
+            ToFleet::Wants { key, amount } => fleet.set_demand(now, key, amount),
             ToFleet::Taken { key, number } => {
                 // Guards against an answer to an older part: what was lowered since would be lent too early.
                 if self.parts.get(&key).is_some_and(|(last, _)| *last == number) {
-                    fleet.taken(now, key);
+                    fleet.confirm_applied(now, key);
                 }
             }
             ToFleet::Found(crate::Finding { host, since, kind, evidence, age }) => {
-                fleet.found(now, Finding { host, since: run_of(since), kind, evidence, age });
+                fleet.report_finding(now, Finding { host, since: run_of(since), kind, evidence, age });
             }
-            ToFleet::Cleared(host) => fleet.cleared(now, host),
-            ToFleet::Weighed { tellers, part } => fleet.weighed(now, tellers, part),
-            ToFleet::Refuted(host) => fleet.refuted(now, host),
-            ToFleet::Listed { host, since, used_by } => fleet.listed(now, host, run_of(since), used_by),
-            ToFleet::Unlisted(host) => fleet.unlisted(now, host),
-            ToFleet::Counted(figures) => fleet.counted(now, figures),
-            ToFleet::NotTaken { number, why } => fleet.not_taken(now, number, &why),
+            ToFleet::Cleared(host) => fleet.report_recovery(now, host),
+            ToFleet::Weighed { tellers, part } => fleet.set_verdict_thresholds(now, tellers, part),
+            ToFleet::Refuted(host) => fleet.refute_verdict(now, host),
+            ToFleet::Listed { host, since, used_by } => fleet.update_host(now, host, run_of(since), used_by),
+            ToFleet::Unlisted(host) => fleet.remove_host(now, host),
+            ToFleet::Counted(figures) => fleet.report_figures(now, figures),
+            ToFleet::NotTaken { number, why } => fleet.reject_rules(now, number, &why),
             ToFleet::Order(order) => {
                 if let Some(Err(error)) = fleet.order(now, order) {
                     (self.log)(&format!("rollout: the order is not taken ({}): {error}", error.code()));
@@ -401,7 +422,7 @@
         loop {
             match &mut self.role {
                 Role::Member(fleet) => {
-                    let Some(effect) = fleet.next(now) else { break };
+                    let Some(effect) = fleet.next_effect(now) else { break };
                     self.effect(now, effect);
                 }
                 Role::Follower(follower) => {
@@ -440,28 +461,30 @@
 
     fn effect(&mut self, now: Time, effect: Effect) {
         match effect {
-            Effect::Tell { to, message } => self.send(now, to, &message),
-            Effect::Part { key, amount, until, after } => self.part(now, key, Part { amount, until, after }),
-            Effect::Hearsay { host, since, kind, weight, until, age, tellers } => {
+            Effect::Send { to, message } => self.send(now, to, &message),
+            Effect::Allowance { key, amount, until, after } => {
+                self.part(now, key, Allowance { amount, until, after })
+            }
+            Effect::Verdict { host, since, kind, weight, until, age, reporters } => {
                 self.events.note(now, "hearsay", |_| {
-                    let (since, kind) = (since.map(|since| since.0), format!("{kind:?}").to_lowercase());
-                    json!({ "host": host_name(host), "since": since, "kind": kind, "tellers": tellers,
+                    let (since, kind) = (since.map(|since| since.0), kind_text(kind));
+                    json!({ "host": host_name(host), "since": since, "kind": kind, "tellers": reporters,
                             "age_ms": age.0 / 1000, "hold_ms": (until - now).0 / 1000 })
                 });
                 let (since, until) = (since.map(|since| UnixTime(since.0)), self.clock.instant(until));
-                (self.tell)(FromFleet::Hearsay { host, since, kind, weight, until, age, tellers });
+                (self.tell)(FromFleet::Hearsay { host, since, kind, weight, until, age, tellers: reporters });
             }
             Effect::Withdraw { host } => {
                 self.events.note(now, "withdraw", |_| json!({ "host": host_name(host) }));
                 (self.tell)(FromFleet::Withdraw { host });
             }
-            Effect::Keep { ticket, record } => {
+            Effect::Store { ticket, record } => {
                 let own = self.own.clone();
                 self.keeper.keep(&record, move |well| {
                     let _ = own.send(Input::Kept { ticket, well });
                 });
             }
-            Effect::InForce { number, text } => {
+            Effect::ApplyRules { number, text } => {
                 (self.log)(&format!("rollout: rules {number} are in force"));
                 let phase = match &self.role {
                     Role::Member(fleet) => fleet.rollout().map(|rollout| rollout.status().step.phase),
@@ -473,22 +496,18 @@
                 });
                 (self.tell)(FromFleet::Rules { number, text: text.into() });
             }
-            Effect::Changed { who, standing, incarnation } => {
+            Effect::MemberChanged { who, state, incarnation } => {
                 let name = self.name(who);
                 // A suspicion that was refuted is no line: with many members there is always one.
-                let is_there = matches!(standing, Standing::Alive | Standing::Suspect);
+                let is_there = matches!(state, MemberState::Alive | MemberState::Suspect);
                 let peer = self.peers.get_mut(&who);
                 if peer.is_some_and(|peer| std::mem::replace(&mut peer.is_there, is_there) != is_there) {
-                    (self.log)(&format!(
-                        "fleet: {name} {}",
-                        if is_there { "is there" } else { gone(standing) }
-                    ));
+                    (self.log)(&format!("fleet: {name} {}", if is_there { "is there" } else { gone(state) }));
                 }
-                let standing = format!("{standing:?}").to_lowercase();
-                let values = json!({ "who": name, "standing": standing, "sinc": incarnation.0 });
+                let values = json!({ "who": name, "standing": state_text(state), "sinc": incarnation.0 });
                 self.events.note(now, "member", |_| values);
             }
-            Effect::OwnTrouble(trouble) => {
+            Effect::LinksDegraded(trouble) => {
                 (self.log)(if trouble {
                     "fleet: this dispatcher misses answers from most others: its own links are bad; look at its network"
                 } else {
@@ -503,8 +522,8 @@
                 );
                 self.events.note(now, "stepped-down", |_| json!({}));
             }
-            Effect::Delivered { source, incarnation, number, state } => {
-                self.delivered(now, source, incarnation, number, state);
+            Effect::FeedDelivered { source, incarnation, number, is_state } => {
+                self.delivered(now, source, incarnation, number, is_state);
             }
             Effect::Log(line) => (self.log)(&line),
         }
@@ -523,20 +542,29 @@
         }
     }
 
-    fn delivered(&mut self, now: Time, source: MemberId, incarnation: Incarnation, number: u64, state: bool) {
+    fn delivered(
+        &mut self,
+        now: Time,
+        source: MemberId,
+        incarnation: Incarnation,
+        number: u64,
+        is_state: bool,
+    ) {
         if self.events.is_on() {
             let values = json!({ "source": self.name(source), "sinc": incarnation.0, "n": number });
-            self.events.note(now, if state { "state" } else { "deliver" }, |_| values);
+            self.events.note(now, if is_state { "state" } else { "deliver" }, |_| values);
         }
     }
 
-    fn part(&mut self, now: Time, key: Key, part: Part) {
+    fn part(&mut self, now: Time, key: LimitKey, part: Allowance) {
         self.number += 1;
-        let Part { amount, until, after } = part;
+        let Allowance { amount, until, after } = part;
         if self.parts.len() >= PARTS && !self.parts.contains_key(&key) {
             // A cold host that is forgotten here is told anew with its next part.
-            let over =
-                self.parts.iter().find(|(key, (_, part))| matches!(key, Key::Cold(_)) && part.until <= now);
+            let over = self
+                .parts
+                .iter()
+                .find(|(key, (_, part))| matches!(key, LimitKey::ColdHost(_)) && part.until <= now);
             if let Some(over) = over.map(|(key, _)| *key) {
                 self.parts.remove(&over);
             }
@@ -602,10 +630,9 @@
             .members()
             .listed()
             .map(|(id, location)| {
-                let standing =
-                    fleet.members().standing(id).map(|standing| format!("{standing:?}").to_lowercase());
+                let state = fleet.members().state(id).map(state_text);
                 let inc = fleet.members().incarnation(id).map(|incarnation| incarnation.0);
-                json!({ "name": self.name(id), "location": location.0, "standing": standing, "inc": inc })
+                json!({ "name": self.name(id), "location": location.0, "standing": state, "inc": inc })
             })
             .collect();
         let parts = self.parts.iter().map(|(key, (_, part))| {
@@ -631,7 +658,7 @@
         });
         json!({
             "fleet": self.fleet, "me": self.events.me, "inc": self.incarnation.0,
-            "own_trouble": fleet.members().is_own_trouble(), "stepped_down": fleet.has_stepped_down(),
+            "own_trouble": fleet.members().are_links_degraded(), "stepped_down": fleet.has_stepped_down(),
             "refused": self.refusals.count, "members": members, "limits": parts.collect::<Vec<_>>(),
             "feed": feed, "rollout": rollout, "delivery": delivery,
         })
--- a/crates/peers/tests/kept.rs
+++ b/crates/peers/tests/kept.rs
@@ -1,7 +1,7 @@
 //! What the rollout keeps outlasts the process, and a store that takes nothing or loses its end promotes nothing.
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, UnixTime};
-use cherrypass_fleet::{house, rollout};
+use cherrypass_fleet::{node, rollout};
 use cherrypass_peers::{FromFleet, Member, Order, Peers, Set, ToFleet};
 use cherrypass_store::disk::{Disk, Folder};
 use cherrypass_store::engine::Options;
@@ -27,7 +27,7 @@
     let mut set = Set::of("shop", "d1", listen);
     set.members = vec![Member { name: "d1".into(), address: listen, location: LocationId(0) }];
     let rollout = rollout::Set { store_rest: Span::millis(200), ..rollout::Set::default() };
-    set.rooms = house::Set { rollout: Some(rollout), ..house::Set::default() };
+    set.rooms = node::Settings { rollout: Some(rollout), ..node::Settings::default() };
     let (to, rules) = channel();
     let tell = move |what| {
         if let FromFleet::Rules { number, text } = what {
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -2,10 +2,12 @@
 use cherrypass::ids::{HostId, LocationId};
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::members::{Body, Claim, Said, Standing};
-use cherrypass_fleet::{house, limits, rollout, verdicts};
+use cherrypass_fleet::members::{Body, Claim, MemberState, Message};
+use cherrypass_fleet::{limits, node, rollout, verdicts};
 use cherrypass_peers::link::{encode, Envelope, LocationByte};
-use cherrypass_peers::{Finding, Follower, FromFleet, Key, Kind, Member, Peers, Set, ToFleet, UsedBy};
+use cherrypass_peers::{
+    Finding, FindingKind, Follower, FromFleet, LimitKey, Member, Peers, Set, ToFleet, UsedBy,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::io::{Read, Write};
@@ -65,7 +67,7 @@
         let tell = move |what| {
             let mut seen = told.lock().unwrap();
             match what {
-                FromFleet::Part { key: Key::Origin, number, amount, until, after } => {
+                FromFleet::Part { key: LimitKey::Origin, number, amount, until, after } => {
                     seen.parts.push((Instant::now(), number, amount, until, after));
                 }
                 FromFleet::Hearsay { host, since, until, .. } => seen.hearsay.push((host, since, until)),
@@ -126,18 +128,18 @@
     }
 }
 
-fn rooms() -> house::Set {
-    let limits = limits::Set {
+fn rooms() -> node::Settings {
+    let limits = limits::Settings {
         origin: Some(ORIGIN),
         lease: Span::millis(1000),
         drain: Span::millis(300),
-        ..limits::Set::default()
+        ..limits::Settings::default()
     };
-    house::Set {
+    node::Settings {
         limits: Some(limits),
-        verdicts: Some(verdicts::Set::default()),
+        verdicts: Some(verdicts::Settings::default()),
         rollout: Some(rollout::Set::default()),
-        ..house::Set::default()
+        ..node::Settings::default()
     }
 }
 
@@ -162,7 +164,7 @@
 }
 
 fn found(host: HostId) -> ToFleet {
-    let (since, kind) = (Some(UnixTime(5)), Kind::ShutOut);
+    let (since, kind) = (Some(UnixTime(5)), FindingKind::Failing);
     ToFleet::Found(Finding { host, since, kind, evidence: 20, age: Span::ZERO })
 }
 
@@ -189,10 +191,10 @@
     let mut answered = [0; 3];
     until("the first has what the others spare", 10, || {
         for (i, place) in places.iter().enumerate() {
-            place.send(ToFleet::Wants { key: Key::Origin, amount: if i == 0 { ORIGIN } else { 0.0 } });
+            place.send(ToFleet::Wants { key: LimitKey::Origin, amount: if i == 0 { ORIGIN } else { 0.0 } });
             let last = place.seen.lock().unwrap().parts.last().map_or(0, |part| part.1);
             if last != std::mem::replace(&mut answered[i], last) {
-                place.send(ToFleet::Taken { key: Key::Origin, number: last });
+                place.send(ToFleet::Taken { key: LimitKey::Origin, number: last });
             }
         }
         places[0].part_at(Instant::now()) > 0.9 * ORIGIN
@@ -294,10 +296,12 @@
         let (incarnation, kind) = runs[chance.gen_range(0..5)];
         let (fleet, incarnation) = if round % 7 == 0 { ("mall", unix) } else { (fleet, incarnation) };
         // A word that nobody would refute: the third is dead.
-        let dead = Claim { incarnation: Incarnation(9), count: 1, standing: Standing::Dead };
-        let own = Claim { incarnation: Incarnation(incarnation), count: 0, standing: Standing::Alive };
-        let said = Said { own, body: Body::News, words: vec![(MemberId::of("d3"), dead)] };
-        let payload = if kind == 1 && round % 2 == 0 { postcard::to_stdvec(&said).unwrap() } else { noise };
+        let dead = Claim { incarnation: Incarnation(9), refutations: 1, state: MemberState::Dead };
+        let claim =
+            Claim { incarnation: Incarnation(incarnation), refutations: 0, state: MemberState::Alive };
+        let message = Message { claim, body: Body::Gossip, claims: vec![(MemberId::of("d3"), dead)] };
+        let payload =
+            if kind == 1 && round % 2 == 0 { postcard::to_stdvec(&message).unwrap() } else { noise };
         let location = Some(LocationByte(chance.gen_range(0..2)));
         let reads = 2;
         let incarnation = Incarnation(incarnation);
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -7,7 +7,7 @@
 use cherrypass::ids::HostId;
 use cherrypass::time::Span;
 use cherrypass_peers::driven::Driven;
-use cherrypass_peers::{Figures, Finding, FromFleet, Key, Kind, Set, ToFleet, UsedBy};
+use cherrypass_peers::{Figures, Finding, FindingKind, FromFleet, LimitKey, Set, ToFleet, UsedBy};
 use crossbeam_channel::{Receiver, Sender};
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -132,7 +132,7 @@
     fn tell(&mut self) {
         self.rounds += 1;
         let wants = self.thousandth < self.common.wanting.load(Relaxed);
-        for (key, share) in [(Key::Origin, ORIGIN_EACH), (Key::Further, FURTHER_EACH)] {
+        for (key, share) in [(LimitKey::Origin, ORIGIN_EACH), (LimitKey::Retries, FURTHER_EACH)] {
             let amount = if wants { 2.0 * share } else { 0.0 };
             self.driven.told(ToFleet::Wants { key, amount });
         }
@@ -146,7 +146,7 @@
         let finding = Finding {
             host: HostId(host),
             since: None,
-            kind: Kind::ShutOut,
+            kind: FindingKind::Failing,
             evidence: EVIDENCE,
             age: Span::ZERO,
         };
--- a/crates/scale/src/rooms.rs
+++ b/crates/scale/src/rooms.rs
@@ -1,6 +1,6 @@
 //! The rooms as an operators' file with all of them on sets them, in the forms that hollow and real dispatchers take.
 use cherrypass::time::Span;
-use cherrypass_fleet::{house, limits, rollout, verdicts};
+use cherrypass_fleet::{limits, node, rollout, verdicts};
 use serde_json::{json, Value};
 
 /// The fleet's name on the link.
@@ -14,19 +14,19 @@
 pub const EVERY: Span = Span::millis(50);
 
 /// All rooms on, as `sharing::set` of the dispatcher makes them from [`section`].
-pub fn all(members: usize) -> house::Set {
+pub fn all(members: usize) -> node::Settings {
     let drain = LONGEST;
-    house::Set {
-        limits: Some(limits::Set {
+    node::Settings {
+        limits: Some(limits::Settings {
             origin: Some(ORIGIN_EACH * members as f64),
-            further_per_s: Some(FURTHER_EACH * members as f64),
-            cold: true,
+            retries_per_s: Some(FURTHER_EACH * members as f64),
+            limits_cold_hosts: true,
             drain,
-            ..limits::Set::default()
+            ..limits::Settings::default()
         }),
-        verdicts: Some(verdicts::Set::default()),
+        verdicts: Some(verdicts::Settings::default()),
         rollout: Some(rollout::Set::default()),
-        ..house::Set::default()
+        ..node::Settings::default()
     }
 }
 
--- a/crates/scale/src/virtually.rs
+++ b/crates/scale/src/virtually.rs
@@ -8,9 +8,9 @@
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::feed;
-use cherrypass_fleet::house::{Effect, Fleet, Message, Set};
-use cherrypass_fleet::limits::Key;
+use cherrypass_fleet::limits::LimitKey;
 use cherrypass_fleet::made::{Network, Node};
+use cherrypass_fleet::node::{Effect, FleetNode, Message, Settings};
 use cherrypass_fleet::rollout::Figures;
 use cherrypass_fleet::verdicts::UsedBy;
 use cherrypass_peers::link::{self, Envelope};
@@ -48,17 +48,17 @@
     pub seconds: f64,
 }
 
-fn set(form: &Form) -> Set {
+fn set(form: &Form) -> Settings {
     let (rooms, all) = (form.rooms, rooms::all(form.size));
     let feed = feed::Set::default();
     let most_sources = form.feed_sources.unwrap_or(feed.most_sources);
     let is_on = |one: Rooms| rooms == one || rooms == Rooms::All;
-    Set {
+    Settings {
         limits: all.limits.filter(|_| is_on(Rooms::Limits)),
         verdicts: all.verdicts.filter(|_| is_on(Rooms::Verdicts)),
         rollout: all.rollout.filter(|_| is_on(Rooms::Rollout)),
         feed: feed::Set { most_sources, ..feed },
-        ..Set::default()
+        ..Settings::default()
     }
 }
 
@@ -72,7 +72,7 @@
 }
 
 struct Place {
-    fleet: Fleet,
+    fleet: FleetNode,
     own: MemberId,
     location: LocationId,
     incarnation: Incarnation,
@@ -113,30 +113,32 @@
     fn heard(&mut self, now: Time, from: MemberId, said: Said) {
         self.count(1, &said);
         let message = Arc::unwrap_or_clone(said.message);
-        let _ = self.fleet.heard(now, from, said.incarnation, message);
+        let _ = self.fleet.receive(now, from, said.incarnation, message);
     }
 
     fn woken(&mut self, now: Time) {
         self.wakes += 1;
         if self.wakes.is_multiple_of(TELLS) {
-            [Key::Origin, Key::Further].into_iter().for_each(|key| self.fleet.wants(now, key, 0.0));
+            [LimitKey::Origin, LimitKey::Retries]
+                .into_iter()
+                .for_each(|key| self.fleet.set_demand(now, key, 0.0));
         }
         if self.wakes.is_multiple_of(TELLS * A_SECOND) {
-            self.fleet.counted(now, Figures::default());
+            self.fleet.report_figures(now, Figures::default());
         }
-        self.fleet.woken(now);
+        self.fleet.tick(now);
     }
 
     fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
         loop {
-            match self.fleet.next(now)? {
-                Effect::Tell { to, message } => {
+            match self.fleet.next_effect(now)? {
+                Effect::Send { to, message } => {
                     let said = self.said(message);
                     self.count(0, &said);
                     return Some((to, said));
                 }
-                Effect::Part { key, .. } => self.fleet.taken(now, key),
-                Effect::Keep { ticket, .. } => self.fleet.kept(now, ticket, true),
+                Effect::Allowance { key, .. } => self.fleet.confirm_applied(now, key),
+                Effect::Store { ticket, .. } => self.fleet.confirm_stored(now, ticket, true),
                 _ => {}
             }
         }
@@ -172,8 +174,8 @@
         let set = set(form);
         network.start(own, rate, |now| {
             let mut fleet =
-                Fleet::new(set, own, incarnation, &listed, &[], Vec::new(), rooms::EVERY, seed, now);
-            (0..HOSTS).for_each(|host| fleet.listed(now, HostId(host), None, UsedBy::All));
+                FleetNode::new(set, own, incarnation, &listed, &[], Vec::new(), rooms::EVERY, seed, now);
+            (0..HOSTS).for_each(|host| fleet.update_host(now, HostId(host), None, UsedBy::All));
             Place { fleet, own, location, incarnation, counted: ByKind::default(), wakes: 0 }
         });
     }
