--- a/crates/dispatcher/src/sharing.rs
+++ b/crates/dispatcher/src/sharing.rs
@@ -87,20 +87,20 @@
             reporters: verdicts.min_reporters as u8,
             location_fraction: verdicts.min_reporting_fraction,
         }),
-        rollout: fleet
-            .rollout
-            .as_ref()
-            .map(|rollout| rollout::Set { window: rollout.comparison_window, ..rollout::Set::default() }),
+        rollout: fleet.rollout.as_ref().map(|rollout| rollout::Settings {
+            window: rollout.comparison_window,
+            ..rollout::Settings::default()
+        }),
         ..node::Settings::default()
     };
     set.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Set {
         carriers: delivery.carriers.clone(),
         last: ChangeNumber::default(),
-        room: cherrypass_fleet::delivery::Set {
+        room: cherrypass_fleet::delivery::Settings {
             log: LogId::of(&delivery.log),
-            followers: delivery.followers_per_carrier as usize,
-            fallback: delivery.fallback_after,
-            ..cherrypass_fleet::delivery::Set::default()
+            max_followers: delivery.followers_per_carrier as usize,
+            fallback_delay: delivery.fallback_after,
+            ..cherrypass_fleet::delivery::Settings::default()
         },
     });
     set.check()?;
@@ -478,7 +478,7 @@
         for (host, by_report) in
             ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
         {
-            self.counters.shut_out += u64::from(!self.ejected.contains_key(host));
+            self.counters.ejected += u64::from(!self.ejected.contains_key(host));
             (self.send)(ToFleet::Shut { host: *host, told: *by_report });
         }
         for host in self.ejected.keys().filter(|host| !ejected.contains_key(host)) {
@@ -532,13 +532,13 @@
     /// Counts a visit that was refused.
     pub fn turned_back(&mut self) {
         self.counters.visits += 1;
-        self.counters.turned_back += 1;
+        self.counters.refused += 1;
     }
 
     /// Counts a visit that failed.
     pub fn written_off(&mut self) {
         self.counters.visits += 1;
-        self.counters.written_off += 1;
+        self.counters.failed += 1;
     }
 }
 
--- a/crates/fleet/examples/feed.rs
+++ b/crates/fleet/examples/feed.rs
@@ -8,8 +8,8 @@
 
 use cherrypass::time::Span;
 use cherrypass_fleet::common::MemberId;
-use cherrypass_fleet::feed::Set;
-use cherrypass_fleet::made::Link;
+use cherrypass_fleet::feed::Settings;
+use cherrypass_fleet::simulation::Link;
 use feed_bed::{Bed, Fleet};
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
@@ -37,11 +37,16 @@
 
 fn drag(seed: u64, faults: Faults, regroup: bool, spare: f64, seconds: u64) -> Run {
     let budget = (LOAD as f64 * spare) as usize;
-    let mut fleet =
-        Fleet::new(seed, Set { round_bytes: budget, regroup, max_followers: 40, ..Set::default() }, 5, 50);
-    fleet.net.link = Link { lost: 0.01, twice: 0.0, delay: [Span::millis(1), Span::millis(5)] };
+    let mut fleet = Fleet::new(
+        seed,
+        Settings { round_bytes: budget, regroup, max_followers: 40, ..Settings::default() },
+        5,
+        50,
+    );
+    fleet.net.link =
+        Link { loss_rate: 0.01, duplication_rate: 0.0, delay: [Span::millis(1), Span::millis(5)] };
     let mut shuffled = fleet.followers.clone();
-    shuffled.shuffle(&mut fleet.net.chance);
+    shuffled.shuffle(&mut fleet.net.rng);
     let count = if faults == Faults::None { 0 } else { 10 };
     let bad: BTreeSet<MemberId> = shuffled[..10].iter().copied().collect();
     for round in 0..seconds * 20 {
@@ -65,17 +70,21 @@
         if round == 20 * 20 {
             for (i, id) in bad.iter().take(count).enumerate() {
                 if faults == Faults::Stopped || faults == Faults::Both && i % 2 == 0 {
-                    fleet.net.stop(*id, Span::seconds(1e5));
+                    fleet.net.pause(*id, Span::seconds(1e5));
                     continue;
                 }
-                let slow = Link { lost: 0.7, twice: 0.0, delay: [Span::millis(100), Span::millis(400)] };
+                let slow = Link {
+                    loss_rate: 0.7,
+                    duplication_rate: 0.0,
+                    delay: [Span::millis(100), Span::millis(400)],
+                };
                 for member in &fleet.members {
                     fleet.net.links.insert((*member, *id), slow);
                     fleet.net.links.insert((*id, *member), slow);
                 }
             }
         }
-        fleet.net.play(ROUND, |_| {});
+        fleet.net.run(ROUND, |_| {});
     }
     let healthy: Vec<&Bed> =
         fleet.followers.iter().filter(|id| !bad.contains(id)).filter_map(|id| fleet.net.node(*id)).collect();
@@ -83,10 +92,10 @@
     delays.sort_unstable();
     let feeds = || fleet.members.iter().filter_map(|id| fleet.net.node(*id)).filter_map(|bed| bed.feed());
     let slow: Vec<MemberId> =
-        feeds().flat_map(|feed| feed.carried()).filter(|one| one.1).map(|one| one.0).collect();
+        feeds().flat_map(|feed| feed.carried_followers()).filter(|one| one.1).map(|one| one.0).collect();
     Run {
         delays,
-        moves: feeds().map(|feed| feed.moves()).sum(),
+        moves: feeds().map(|feed| feed.completed_moves()).sum(),
         slow: slow.len(),
         misclassified: slow.iter().filter(|id| !bad.contains(id)).count(),
         max_held_bytes: fleet
@@ -154,7 +163,7 @@
     for (still, goes) in
         [(0.5, 2.0), (1.5, 3.0), (3.0, 3.0), (3.0, 15.0), (3.0, 30.0), (3.0, 60.0), (3.0, 400.0)]
     {
-        let mut fleet = Fleet::new(1, Set::default(), 3, 10);
+        let mut fleet = Fleet::new(1, Settings::default(), 3, 10);
         let id = fleet.followers[0];
         let (mut changes, mut fence, mut slow_for, mut ticks) = (0, None, 0, 0);
         let (mut began, mut turns) = (fleet.net.now + Span::seconds(goes), 0);
@@ -165,13 +174,13 @@
                 }
             }
             if fleet.net.now >= began {
-                fleet.net.stop(id, Span::seconds(still));
+                fleet.net.pause(id, Span::seconds(still));
                 began = fleet.net.now + Span::seconds(still + goes);
                 turns += 1;
             }
-            fleet.net.play(Span::millis(200), |_| {});
+            fleet.net.run(Span::millis(200), |_| {});
             let feeds = fleet.members.iter().filter_map(|member| fleet.net.node(*member)?.feed());
-            let carried = feeds.flat_map(|feed| feed.carried().map(|one| (one, feed.about())));
+            let carried = feeds.flat_map(|feed| feed.carried_followers().map(|one| (one, feed.load())));
             let slow = carried.filter(|((carried, slow), _)| *carried == id && *slow).count();
             slow_for += usize::from(slow > 0);
             ticks += 1;
@@ -192,10 +201,10 @@
 fn print_size() {
     for (members, followers) in [(3, 30), (10, 100), (30, 300), (100, 300), (300, 300)] {
         for every in [0_u32, 20] {
-            let mut fleet = Fleet::new(1, Set::default(), members, followers);
-            fleet.net.link.lost = 0.01;
-            fleet.net.play(Span::seconds(15.0), |_| {});
-            fleet.net.sent.clear();
+            let mut fleet = Fleet::new(1, Settings::default(), members, followers);
+            fleet.net.link.loss_rate = 0.01;
+            fleet.net.run(Span::seconds(15.0), |_| {});
+            fleet.net.sent_messages.clear();
             let sources = fleet.members.clone();
             for tick in 0..20_u32 {
                 for (i, source) in sources.iter().enumerate() {
@@ -203,9 +212,11 @@
                         fleet.publish(*source, tick, 200, Span::seconds(10.0));
                     }
                 }
-                fleet.net.play(Span::seconds(1.0), |_| {});
+                fleet.net.run(Span::seconds(1.0), |_| {});
             }
-            let by = |ids: &[MemberId]| -> u64 { ids.iter().filter_map(|id| fleet.net.sent.get(id)).sum() };
+            let by = |ids: &[MemberId]| -> u64 {
+                ids.iter().filter_map(|id| fleet.net.sent_messages.get(id)).sum()
+            };
             let per_second = by(&fleet.members) as f64 / members as f64 / 20.0;
             let of_followers = by(&fleet.followers) as f64 / followers as f64 / 20.0;
             let mut delays: Vec<u32> = fleet
--- a/crates/fleet/examples/limits.rs
+++ b/crates/fleet/examples/limits.rs
@@ -3,7 +3,7 @@
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::limits::{Effect, LimitKey, Limits, Message, Settings};
-use cherrypass_fleet::made::{Link, Network, Node};
+use cherrypass_fleet::simulation::{Link, Network, Node};
 use std::collections::BTreeMap;
 
 const TOTAL: f64 = 1000.0;
@@ -14,15 +14,15 @@
 }
 
 impl Node for Member {
-    type Said = Message;
-    fn heard(&mut self, now: Time, from: MemberId, message: Message) {
+    type Message = Message;
+    fn receive(&mut self, now: Time, from: MemberId, message: Message) {
         self.limits.receive(now, from, message);
     }
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         self.limits.set_demand(now, LimitKey::Origin, self.demand);
         self.limits.tick(now);
     }
-    fn next(&mut self, now: Time) -> Option<(MemberId, Message)> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, Message)> {
         loop {
             match self.limits.next_effect()? {
                 Effect::Send { to, message } => return Some((to, message)),
@@ -39,15 +39,15 @@
 }
 
 impl Fleet {
-    fn new(n: usize, seed: u64, lost: f64) -> Fleet {
-        Fleet::with_total(n, seed, lost, TOTAL)
+    fn new(n: usize, seed: u64, loss_rate: f64) -> Fleet {
+        Fleet::with_total(n, seed, loss_rate, TOTAL)
     }
 
-    fn with_total(n: usize, seed: u64, lost: f64, total: f64) -> Fleet {
+    fn with_total(n: usize, seed: u64, loss_rate: f64, total: f64) -> Fleet {
         let settings = Settings { origin: Some(total), ..Settings::default() };
         let members: Vec<MemberId> = (0..n).map(|i| MemberId::of(&format!("d{i}"))).collect();
         let mut network = Network::new(seed, settings.interval);
-        network.link = Link { lost, twice: lost / 4.0, ..Link::default() };
+        network.link = Link { loss_rate, duplication_rate: loss_rate / 4.0, ..Link::default() };
         for (i, id) in members.iter().enumerate() {
             let rate = 0.99 + 0.02 * (i % 3) as f64 / 2.0;
             network.start(*id, rate, |now| {
@@ -57,7 +57,7 @@
             });
         }
         let mut fleet = Fleet { network, members };
-        fleet.play(5.0);
+        fleet.run(5.0);
         fleet
     }
 
@@ -65,8 +65,8 @@
         self.network.call(self.members[i], |member, _| member.demand = demand);
     }
 
-    fn play(&mut self, seconds: f64) {
-        self.network.play(Span::seconds(seconds), |_| {});
+    fn run(&mut self, seconds: f64) {
+        self.network.run(Span::seconds(seconds), |_| {});
     }
 
     /// What a member may use now and has demand for, as a fraction of the limit.
@@ -87,20 +87,20 @@
             if self.sum() >= used {
                 return Some((self.network.now - start).as_seconds());
             }
-            self.play(0.01);
+            self.run(0.01);
         }
         None
     }
 
     /// Messages per second: maximum and mean over the members; and the least that was in use meanwhile.
     fn messages(&mut self, seconds: f64) -> (f64, f64, f64) {
-        self.network.sent = BTreeMap::new();
+        self.network.sent_messages = BTreeMap::new();
         let mut least = f64::MAX;
         for _ in 0..(seconds * 100.0) as usize {
-            self.play(0.01);
+            self.run(0.01);
             least = least.min(self.sum());
         }
-        let sent: Vec<f64> = self.network.sent.values().map(|sent| *sent as f64 / seconds).collect();
+        let sent: Vec<f64> = self.network.sent_messages.values().map(|sent| *sent as f64 / seconds).collect();
         let (most, sum) = (sent.iter().copied().fold(0.0, f64::max), sent.iter().sum::<f64>());
         (most, sum / self.members.len() as f64, least)
     }
@@ -123,20 +123,20 @@
         "one has all demand | n | lost | to 0.95 | least in use after | most messages/s | mean messages/s"
     );
     for n in [3, 8, 30, 100, 300] {
-        for lost in [0.0, 0.2] {
+        for loss_rate in [0.0, 0.2] {
             let seeds = if n < 100 { 20 } else { 5 };
             let (mut times, mut messages) = (Vec::new(), (0.0f64, 0.0f64, f64::MAX));
             for seed in 0..seeds {
-                let mut fleet = Fleet::new(n, seed, lost);
+                let mut fleet = Fleet::new(n, seed, loss_rate);
                 fleet.set_demand(0, TOTAL);
                 times.push(fleet.until(0.95));
-                fleet.play(5.0);
+                fleet.run(5.0);
                 let (most, mean, least) = fleet.messages(10.0);
                 messages = (messages.0.max(most), messages.1.max(mean), messages.2.min(least));
             }
             let (most, mean, least) = messages;
             println!(
-                "| {n} | {lost} | {} | {least:.3} | {most:.0} | {mean:.1} |",
+                "| {n} | {loss_rate} | {} | {least:.3} | {most:.0} | {mean:.1} |",
                 median_and_worst(&mut times)
             );
         }
@@ -147,7 +147,7 @@
             .map(|seed| {
                 let mut fleet = Fleet::new(n, seed, 0.0);
                 fleet.set_demand(0, TOTAL);
-                fleet.play(20.0);
+                fleet.run(20.0);
                 fleet.set_demand(0, 0.0);
                 fleet.set_demand(1, TOTAL);
                 fleet.until(0.95)
@@ -159,17 +159,17 @@
     for n in [8, 30, 100, 300] {
         let mut fleet = Fleet::new(n, 1, 0.0);
         fleet.set_demand(0, TOTAL);
-        fleet.play(20.0);
+        fleet.run(20.0);
         (0..n).for_each(|i| fleet.set_demand(i, TOTAL));
         let start = fleet.network.now;
         let after = loop {
-            fleet.play(0.05);
+            fleet.run(0.05);
             let passed = (fleet.network.now - start).as_seconds();
             if passed > 60.0 || (0..n).all(|i| fleet.used(i) * n as f64 > 0.9) {
                 break passed;
             }
         };
-        fleet.play(10.0);
+        fleet.run(10.0);
         let (_, mean, _) = fleet.messages(10.0);
         let shares: Vec<f64> = (0..n).map(|i| fleet.used(i) * n as f64).collect();
         let (least, most) =
@@ -181,7 +181,7 @@
         let mut fleet = Fleet::new(n, 1, 0.0);
         (0..n / 2).for_each(|i| fleet.set_demand(i, 2.0 * TOTAL / n as f64));
         let mut time = [fleet.until(0.95)];
-        fleet.play(10.0);
+        fleet.run(10.0);
         let (_, mean, least) = fleet.messages(10.0);
         println!("| {n} | {} | {least:.3} | {mean:.1} |", median_and_worst(&mut time));
     }
@@ -197,12 +197,12 @@
     {
         let mut fleet = Fleet::with_total(n, 1, 0.0, total);
         (0..demanding).for_each(|i| fleet.set_demand(i, if demanding == 1 { 9.0 } else { 1.0 }));
-        fleet.play(60.0);
-        fleet.network.sent = BTreeMap::new();
+        fleet.run(60.0);
+        fleet.network.sent_messages = BTreeMap::new();
         let most = total.min(if demanding == 1 { 9.0 } else { demanding as f64 });
         let (mut used, mut without, mut longest) = (0.0, vec![0.0f64; demanding], 0.0f64);
         for _ in 0..1200 {
-            fleet.play(0.1);
+            fleet.run(0.1);
             for (i, without) in without.iter_mut().enumerate() {
                 let hand_offs = (fleet.used(i) * TOTAL + 1e-9).floor();
                 used += hand_offs / most / 1200.0;
@@ -210,7 +210,7 @@
                 longest = longest.max(*without);
             }
         }
-        let sent = fleet.network.sent.values().sum::<u64>() as f64 / 120.0 / n as f64;
+        let sent = fleet.network.sent_messages.values().sum::<u64>() as f64 / 120.0 / n as f64;
         println!("| {n} | {total} | {demanding} | {used:.2} | {longest:.0} | {sent:.1} |");
     }
 }
--- a/crates/fleet/examples/members.rs
+++ b/crates/fleet/examples/members.rs
@@ -6,8 +6,8 @@
 
 use cherrypass::time::Span;
 use cherrypass_fleet::common::MemberId;
-use cherrypass_fleet::made::Link;
 use cherrypass_fleet::members::MemberState;
+use cherrypass_fleet::simulation::Link;
 use node::Fleet;
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
@@ -60,19 +60,19 @@
 
 fn random_member(fleet: &mut Fleet) -> MemberId {
     let ids = fleet.network.ids();
-    *ids.choose(&mut fleet.network.chance).expect("members run")
+    *ids.choose(&mut fleet.network.rng).expect("members run")
 }
 
-fn deaths(lost: f64) {
+fn deaths(loss_rate: f64) {
     println!(
         "\nA death, {:.0}% lost: seconds p50 / p99 / worst (deaths) until the first and until all members declare it dead",
-        lost * 100.0
+        loss_rate * 100.0
     );
     for n in SIZES.into_iter().filter(|n| is_selected_size(*n)) {
         let (mut first, mut all, mut unknown) = (Vec::new(), Vec::new(), 0);
         for seed in 0..seeds(n, 6000) {
             let mut fleet = Fleet::new(seed, n);
-            fleet.network.link.lost = lost;
+            fleet.network.link.loss_rate = loss_rate;
             fleet.run(SETTLE);
             for _ in 0..if n < 9 { 1 } else { 3 } {
                 let who = random_member(&mut fleet);
@@ -99,16 +99,16 @@
     println!("\nMessages per second and member: mean, most");
     for n in SIZES.into_iter().filter(|n| is_selected_size(*n)) {
         let mut said = String::new();
-        for lost in [0.0, 0.2] {
+        for loss_rate in [0.0, 0.2] {
             let mut fleet = Fleet::new(1, n);
-            fleet.network.link.lost = lost;
+            fleet.network.link.loss_rate = loss_rate;
             fleet.run(SETTLE);
-            fleet.network.sent.clear();
+            fleet.network.sent_messages.clear();
             fleet.run(Span::millis(30_000));
-            let sent: Vec<u64> = fleet.network.sent.values().copied().collect();
+            let sent: Vec<u64> = fleet.network.sent_messages.values().copied().collect();
             let mean = sent.iter().sum::<u64>() as f64 / n as f64 / 30.0;
             let most = sent.iter().max().copied().unwrap_or(0) as f64 / 30.0;
-            said += &format!("  {:.0}% lost: {mean:.1}, {most:.1}", lost * 100.0);
+            said += &format!("  {:.0}% lost: {mean:.1}, {most:.1}", loss_rate * 100.0);
         }
         println!("{n:5}{said}");
     }
@@ -172,7 +172,7 @@
             let mut fleet = Fleet::new(seed, n);
             fleet.run(Span::millis(10_000));
             let who = random_member(&mut fleet);
-            fleet.network.stop(who, Span::millis(3_000));
+            fleet.network.pause(who, Span::millis(3_000));
             fleet.run(Span::millis(3_000));
             healed.extend(fleet.until(LONG, |fleet| fleet.disagreements(&BTreeSet::new()).is_empty()));
             fleet.run(Span::millis(10_000));
@@ -288,11 +288,11 @@
 /// Twenty percent loss, and nobody dies.
 fn loss() {
     println!("\n20% lost, all running: suspicions, declared dead, links degraded, in sum over all members");
-    for (n, minutes, seeds) in LOSSES.into_iter().filter(|play| is_selected_size(play.0)) {
+    for (n, minutes, seeds) in LOSSES.into_iter().filter(|case| is_selected_size(case.0)) {
         let (mut suspected, mut dead, mut degraded) = (0, 0, 0);
         for seed in 0..seeds {
             let mut fleet = Fleet::new(seed, n);
-            fleet.network.link.lost = 0.2;
+            fleet.network.link.loss_rate = 0.2;
             fleet.run(Span::millis(minutes * 60_000));
             for id in fleet.ids() {
                 let node = fleet.network.node(id).expect("runs");
--- a/crates/fleet/examples/rollout.rs
+++ b/crates/fleet/examples/rollout.rs
@@ -5,8 +5,8 @@
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::made::{Network, Node};
 use cherrypass_fleet::rollout::*;
+use cherrypass_fleet::simulation::{Network, Node};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,24 +39,24 @@
 struct RandomWalk(f64);
 
 impl RandomWalk {
-    fn step(&mut self, chance: &mut Pcg64Mcg, seconds: f64) -> f64 {
+    fn step(&mut self, rng: &mut Pcg64Mcg, seconds: f64) -> f64 {
         let keep = (-1.0 / seconds).exp();
-        self.0 = self.0 * keep + normal(chance) * (1.0 - keep * keep).sqrt();
+        self.0 = self.0 * keep + normal(rng) * (1.0 - keep * keep).sqrt();
         self.0
     }
 }
 
-fn normal(chance: &mut Pcg64Mcg) -> f64 {
-    let (a, b): (f64, f64) = (chance.gen_range(1e-12..1.0), chance.gen_range(0.0..1.0));
+fn normal(rng: &mut Pcg64Mcg) -> f64 {
+    let (a, b): (f64, f64) = (rng.gen_range(1e-12..1.0), rng.gen_range(0.0..1.0));
     (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos()
 }
 
-fn draw(chance: &mut Pcg64Mcg, mean: f64) -> u64 {
+fn draw(rng: &mut Pcg64Mcg, mean: f64) -> u64 {
     if mean > 30.0 {
-        return (mean + mean.sqrt() * normal(chance)).max(0.0).round() as u64;
+        return (mean + mean.sqrt() * normal(rng)).max(0.0).round() as u64;
     }
     let (mut left, mut n) = ((-mean).exp(), 0);
-    let mut u: f64 = chance.gen_range(0.0..1.0);
+    let mut u: f64 = rng.gen_range(0.0..1.0);
     while u > left && n < 200 {
         u -= left;
         n += 1;
@@ -66,7 +66,7 @@
 }
 
 struct World {
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     second: f64,
     common: [RandomWalk; 2],
     locations: BTreeMap<LocationId, (RandomWalk, RandomWalk, f64)>,
@@ -76,16 +76,16 @@
 
 impl World {
     fn new(seed: u64, listed: &[(MemberId, LocationId)], fails: f64) -> World {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let members = listed
             .iter()
             .map(|(id, _)| {
-                let rate = 40.0 * (0.6 * normal(&mut chance)).exp();
-                (*id, (rate, (0.3 * normal(&mut chance)).exp(), RandomWalk::default()))
+                let rate = 40.0 * (0.6 * normal(&mut rng)).exp();
+                (*id, (rate, (0.3 * normal(&mut rng)).exp(), RandomWalk::default()))
             })
             .collect();
-        let second = chance.gen_range(0.0..3600.0);
-        World { chance, second, common: Default::default(), locations: BTreeMap::new(), members, fails }
+        let second = rng.gen_range(0.0..3600.0);
+        World { rng, second, common: Default::default(), locations: BTreeMap::new(), members, fails }
     }
 
     /// The figures of one second of all dispatchers; `has` is the version's effect where it is in force.
@@ -95,45 +95,44 @@
         has: impl Fn(MemberId) -> Harm,
     ) -> Vec<(MemberId, Figures)> {
         self.second += 1.0;
-        let chance = &mut self.chance;
+        let rng = &mut self.rng;
         // The daily swing, compressed into an hour.
         let swing = 1.0 + 0.4 * (self.second * std::f64::consts::TAU / 3600.0).sin();
-        let burst =
-            (0.25 * self.common[0].step(chance, 30.0) + 0.15 * self.common[1].step(chance, 5.0)).exp();
+        let burst = (0.25 * self.common[0].step(rng, 30.0) + 0.15 * self.common[1].step(rng, 5.0)).exp();
         for (_, location) in listed {
             self.locations.entry(*location).or_default();
         }
         for (slow, quick, failed) in self.locations.values_mut() {
-            slow.step(chance, 60.0);
-            quick.step(chance, 8.0);
+            slow.step(rng, 60.0);
+            quick.step(rng, 8.0);
             *failed = (*failed - 1.0).max(0.0);
-            if chance.gen_bool(self.fails) {
+            if rng.gen_bool(self.fails) {
                 *failed = 20.0;
             }
         }
         let mut out = Vec::new();
         for (id, location) in listed {
-            let (slow, quick, failed) = self.locations[location];
+            let (slow, quick, outage) = self.locations[location];
             let Some((rate, worse, own)) = self.members.get_mut(id) else { continue };
-            let load = swing * burst * (0.08 * slow.0 + 0.05 * quick.0 + 0.1 * own.step(chance, 15.0)).exp();
-            let visits = draw(chance, *rate * load);
+            let load = swing * burst * (0.08 * slow.0 + 0.05 * quick.0 + 0.1 * own.step(rng, 15.0)).exp();
+            let visits = draw(rng, *rate * load);
             let harm = has(*id);
-            let fails = if failed > 0.0 { 1.0 } else { 0.0 };
+            let fails = if outage > 0.0 { 1.0 } else { 0.0 };
             let mut share = |base: f64, power: f64, more: f64| {
                 // Visits within a second are correlated.
-                let p = base * *worse * load.powf(power) * (0.6 * normal(chance) - 0.18).exp() + more;
-                draw(chance, visits as f64 * p.min(1.0)).min(visits)
+                let p = base * *worse * load.powf(power) * (0.6 * normal(rng) - 0.18).exp() + more;
+                draw(rng, visits as f64 * p.min(1.0)).min(visits)
             };
-            let turned_back = share(0.01, 2.0, harm.refused);
-            let written_off = share(0.003, 1.0, harm.failed);
+            let refused = share(0.01, 2.0, harm.refused);
+            let failed = share(0.003, 1.0, harm.failed);
             let late = share(0.02, 1.5, harm.late + 0.02 * fails);
             let again = share(0.08, 1.0, harm.hand_offs + 0.1 * fails);
-            let bad = (turned_back + written_off + late).min(visits);
+            let bad = (refused + failed + late).min(visits);
             // Each dispatcher ejects a failed host within the first seconds.
-            let found = if failed > 15.0 { 0.2 } else { 0.0 };
-            let shut_out = draw(chance, 0.004 + found + harm.ejected);
-            let (in_time, hand_offs) = (visits - bad, visits - turned_back + again);
-            out.push((*id, Figures { visits, in_time, turned_back, written_off, hand_offs, shut_out }));
+            let found = if outage > 15.0 { 0.2 } else { 0.0 };
+            let ejected = draw(rng, 0.004 + found + harm.ejected);
+            let (in_time, hand_offs) = (visits - bad, visits - refused + again);
+            out.push((*id, Figures { visits, in_time, refused, failed, hand_offs, ejected }));
         }
         out
     }
@@ -146,18 +145,18 @@
 }
 
 impl Node for Member {
-    type Said = Said;
-    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
-        self.rollout.heard(now, from, message);
+    type Message = RolloutMessage;
+    fn receive(&mut self, now: Time, from: MemberId, message: RolloutMessage) {
+        self.rollout.receive(now, from, message);
     }
-    fn woken(&mut self, now: Time) {
-        self.rollout.woken(now);
+    fn tick(&mut self, now: Time) {
+        self.rollout.tick(now);
     }
-    fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, RolloutMessage)> {
         loop {
-            match self.rollout.next()? {
-                Effect::Tell { to, said: message } => return Some((to, message)),
-                Effect::Keep { ticket, .. } => self.rollout.kept(now, ticket, true),
+            match self.rollout.next_effect()? {
+                Effect::Send { to, message } => return Some((to, message)),
+                Effect::Keep { ticket, .. } => self.rollout.record_written(now, ticket, true),
                 Effect::InForce { number, .. } => self.in_force = number,
                 Effect::Log(line) => self.logs.push(line),
             }
@@ -182,11 +181,11 @@
         (0..members).map(|i| (MemberId(i + 1), LocationId((i % locations) as u16))).collect();
     let mut net: Network<Member> = Network::new(seed, Span::millis(250));
     for (id, location) in listed.clone() {
-        let rate = net.chance.gen_range(0.995..1.005);
+        let rate = net.rng.gen_range(0.995..1.005);
         let (seed, listed) = (seed ^ id.0 << 32, listed.clone());
         net.start(id, rate, |now| {
             let rollout =
-                Rollout::new(Set::default(), id, location, Incarnation(1), &listed, vec![], seed, now);
+                Rollout::new(Settings::default(), id, location, Incarnation(1), &listed, vec![], seed, now);
             Member { rollout, in_force: 0, logs: Vec::new() }
         });
     }
@@ -201,7 +200,7 @@
             let started = net.call(MemberId(1), |m, now| m.rollout.order(now, Order::Start(version)));
             assert!(matches!(started, Some(Ok(()))), "{started:?}");
         }
-        net.play(Span::seconds(1.0), |_| {});
+        net.run(Span::seconds(1.0), |_| {});
         let with: BTreeSet<MemberId> =
             net.ids().into_iter().filter(|id| net.node(*id).is_some_and(|m| m.in_force == 1)).collect();
         let has = |id: MemberId| with.contains(&id);
@@ -211,7 +210,7 @@
                 all += figures.visits;
                 saw += if has(id) { figures.visits } else { 0 };
             }
-            net.call(id, |member, now| member.rollout.counted(now, figures));
+            net.call(id, |member, now| member.rollout.add_figures(now, figures));
         }
         let status = net.node(MemberId(1)).map(|m| m.rollout.status());
         let Some(status) = status.filter(|status| status.step.at > 0) else { continue };
@@ -223,7 +222,7 @@
         }
     }
     out.share = saw as f64 / all as f64;
-    out.messages = net.sent.values().sum::<u64>();
+    out.messages = net.sent_messages.values().sum::<u64>();
     let halts = |id: &MemberId| net.node(*id)?.logs.iter().find(|line| line.contains("halted:")).cloned();
     out.why = net.ids().iter().find_map(halts).unwrap_or_default();
     out
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -100,7 +100,7 @@
     messages: u64,
 }
 
-struct Play {
+struct Simulation {
     case: Case,
     now: Time,
     events: BTreeMap<(Time, u64), Event>,
@@ -153,10 +153,10 @@
     (1..=CACHES).map(HostId)
 }
 
-impl Play {
-    fn new(case: Case) -> Play {
+impl Simulation {
+    fn new(case: Case) -> Simulation {
         let load = f64::from(case.dispatchers) * case.visits_a_second / CACHES as f64 * SENDING_SECONDS;
-        let mut play = Play {
+        let mut simulation = Simulation {
             case,
             now: START,
             events: BTreeMap::new(),
@@ -188,7 +188,7 @@
             };
             let parents = (11..11 + PARENTS).map(HostId);
             let hosts: Vec<_> = caches().chain(parents).chain([ORIGIN]).collect();
-            let list: Vec<_> = hosts.iter().map(|host| play.listing(*host, Time(1))).collect();
+            let list: Vec<_> = hosts.iter().map(|host| simulation.listing(*host, Time(1))).collect();
             one.brain.listed(START, &list, true);
             for host in hosts {
                 let used_by = if host.0 <= CACHES { UsedBy::Location(LocationId(0)) } else { UsedBy::All };
@@ -198,15 +198,15 @@
                 one.verdicts.set_alive(START, MemberId(other as u64), LocationId(0), true);
             }
             let first = Span::seconds(one.arrivals.gen_range(0.0..1.0 / case.visits_a_second));
-            play.put(START + first, Event::Arrives(of));
-            play.put(START + Span(10_000 * of as u64 / 31), Event::Round(of));
-            play.put(START + Span(50_000 * of as u64 / 31), Event::Tick(of));
-            play.all.push(one);
+            simulation.put(START + first, Event::Arrives(of));
+            simulation.put(START + Span(10_000 * of as u64 / 31), Event::Round(of));
+            simulation.put(START + Span(50_000 * of as u64 / 31), Event::Tick(of));
+            simulation.all.push(one);
         }
         if case.fault == Fault::Restarts {
-            play.put(START + RESTARTED + LIST_DELAY, Event::Listed);
+            simulation.put(START + RESTARTED + LIST_DELAY, Event::Listed);
         }
-        play
+        simulation
     }
 
     fn listing(&self, host: HostId, since: Time) -> Listing {
@@ -341,18 +341,18 @@
         self.measured.to_cold.extend(cold.then_some(now));
         one.out.insert((visit, number), now);
         // Seeded by the visit, for the same outcomes with and without sharing.
-        let mut chance = Pcg64Mcg::seed_from_u64(
+        let mut rng = Pcg64Mcg::seed_from_u64(
             self.case.seed ^ (of as u64) << 40 ^ u64::from(visit.0) << 4 ^ u64::from(number),
         );
         let object = ObjectId(u64::from(visit.0) % 97);
         let held = fill.is_none_or(|f| f.source == host) || !self.held.insert((host, object));
-        let quick = Span::seconds(chance.gen_range(0.5..1.5) * SENDING_SECONDS);
-        let at_once = Span::seconds(chance.gen_range(0.004..0.02));
+        let quick = Span::seconds(rng.gen_range(0.5..1.5) * SENDING_SECONDS);
+        let at_once = Span::seconds(rng.gen_range(0.004..0.02));
         let fails = match fault {
-            _ if one.bad_link && now >= START + FAULT_START && chance.gen_bool(0.9) => {
+            _ if one.bad_link && now >= START + FAULT_START && rng.gen_bool(0.9) => {
                 Some((Outcome::TimedOut, Span::millis(3_900)))
             }
-            Fault::HalfErrors if faulty => chance.gen_bool(0.5).then_some((Outcome::Error, at_once)),
+            Fault::HalfErrors if faulty => rng.gen_bool(0.5).then_some((Outcome::Error, at_once)),
             Fault::Errors | Fault::ErrorsForAWhile if faulty => Some((Outcome::Error, at_once)),
             Fault::Hangs | Fault::HangsForAWhile if faulty => Some((Outcome::TimedOut, Span::millis(3_900))),
             _ if faulty => Some((Outcome::ConnectFailed, Span(500))),
@@ -491,9 +491,9 @@
             for seed in 1..=seeds {
                 for shared in [false, true] {
                     let case = Case { fault, dispatchers, visits_a_second: rate, seed, shared, set };
-                    let play = Play::new(case);
-                    let weight = play.weight;
-                    let measured = play.run();
+                    let simulation = Simulation::new(case);
+                    let weight = simulation.weight;
+                    let measured = simulation.run();
                     let place = usize::from(shared);
                     last[place] += measured.out.values().max().copied().unwrap_or(Span::ZERO).as_seconds()
                         / seeds as f64;
--- a/crates/fleet/src/delivery/carrier.rs
+++ b/crates/fleet/src/delivery/carrier.rs
@@ -1,6 +1,8 @@
 //! The carrier: reads the change log and passes its changes on to followers.
 use super::held::HeldChanges;
-use super::{ChangeNumber, Echo, Effect, LogId, Reason, Record, Said, Set, Stamp, MAX_CLOCK_RATIO};
+use super::{
+    ChangeNumber, DeliveryMessage, Echo, Effect, LogId, Reason, Record, Settings, Stamp, MAX_CLOCK_RATIO,
+};
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
@@ -43,9 +45,10 @@
     }
 
     /// Refills by one full message per batch, up to a burst.
-    fn refill_allowance(&mut self, now: Time, set: &Set) {
-        let message = set.message_bytes as f64;
-        let earned = message * (now - self.allowance_updated).as_seconds() / set.batch_interval.as_seconds();
+    fn refill_allowance(&mut self, now: Time, settings: &Settings) {
+        let message = settings.message_bytes as f64;
+        let earned =
+            message * (now - self.allowance_updated).as_seconds() / settings.batch_interval.as_seconds();
         self.allowance_bytes = (self.allowance_bytes + earned).min(BURST_MESSAGES * message);
         self.allowance_updated = now;
     }
@@ -79,7 +82,7 @@
 
 /// A carrier's side of the delivery.
 pub struct Carrier {
-    set: Set,
+    settings: Settings,
     changes: HeldChanges,
     /// The latest time at which the log had nothing newer than what is held.
     log_known_at: Option<Time>,
@@ -92,10 +95,10 @@
 
 impl Carrier {
     /// `last`: the last change that the configuration includes; earlier ones are not carried.
-    pub fn new(set: Set, last: ChangeNumber) -> Carrier {
-        let changes = HeldChanges::new(last, set.max_held_bytes);
+    pub fn new(settings: Settings, last: ChangeNumber) -> Carrier {
+        let changes = HeldChanges::new(last, settings.max_held_bytes);
         Carrier {
-            set,
+            settings,
             changes,
             log_known_at: None,
             followers: BTreeMap::new(),
@@ -131,34 +134,36 @@
     }
 
     /// Adds a change that was read from the log.
-    pub fn read(&mut self, number: ChangeNumber, record: Record) {
+    pub fn add_change(&mut self, number: ChangeNumber, record: Record) {
         self.changes.push(number, record);
     }
 
     /// Notes a complete answer of the log: at `asked` the log had nothing newer than the changes read.
-    pub fn log_heard(&mut self, asked: Time) {
+    pub fn note_log_answer(&mut self, asked: Time) {
         self.log_known_at = self.log_known_at.max(Some(asked));
     }
 
     /// Handles a follower's message.
-    pub fn heard(&mut self, now: Time, from: MemberId, incarnation: Incarnation, message: Said) {
+    pub fn receive(&mut self, now: Time, from: MemberId, incarnation: Incarnation, message: DeliveryMessage) {
         match message {
-            Said::Follow { log, last, stamp, echo } => {
+            DeliveryMessage::Follow { log, last, stamp, echo } => {
                 if let Err(reason) = self.handle_follow(now, from, incarnation, log, last, (stamp, echo)) {
                     self.refuse(from, reason);
                 }
             }
-            Said::Unfollow => {
+            DeliveryMessage::Unfollow => {
                 self.followers.remove(&from);
             }
-            Said::Changes { .. } | Said::NotCarried { .. } | Said::Leaving => {}
+            DeliveryMessage::Changes { .. }
+            | DeliveryMessage::NotCarried { .. }
+            | DeliveryMessage::Leaving => {}
         }
     }
 
     fn refuse(&mut self, to: MemberId, reason: Reason) {
-        let (log, retry_after) = (self.set.log, self.set.carrier_timeout);
-        let message = Said::NotCarried { log, reason, retry_after };
-        self.effects.push_back(Effect::Tell { to, said: message });
+        let (log, retry_after) = (self.settings.log, self.settings.carrier_timeout);
+        let message = DeliveryMessage::NotCarried { log, reason, retry_after };
+        self.effects.push_back(Effect::Send { to, message });
     }
 
     fn handle_follow(
@@ -170,7 +175,7 @@
         last: ChangeNumber,
         (stamp, echo): (Stamp, Option<Echo>),
     ) -> Result<(), Reason> {
-        if log != self.set.log {
+        if log != self.settings.log {
             return Err(Reason::OtherLog);
         }
         let existing = self.followers.get(&from);
@@ -188,7 +193,7 @@
             return Ok(());
         }
         (state.last_heard, state.stamp, state.stamp_received) = (now, stamp, now);
-        state.acknowledge(now, last, echo, self.set.batch_interval);
+        state.acknowledge(now, last, echo, self.settings.batch_interval);
         if is_new {
             self.send_changes(now, from);
         }
@@ -197,17 +202,17 @@
 
     /// Whether one more follower can be carried.
     fn check_capacity(&self, now: Time, follower: MemberId) -> Result<(), Reason> {
-        if self.followers.len() >= self.set.followers && !self.followers.contains_key(&follower) {
+        if self.followers.len() >= self.settings.max_followers && !self.followers.contains_key(&follower) {
             return Err(Reason::Full);
         }
         match self.log_known_at {
-            Some(known) if now - known <= self.set.max_log_age => Ok(()),
+            Some(known) if now - known <= self.settings.max_log_age => Ok(()),
             _ => Err(Reason::Stale),
         }
     }
 
     fn new_follower(&self, now: Time, incarnation: Incarnation, last: ChangeNumber) -> FollowerState {
-        let resend_after = self.set.batch_interval.times(RESEND_BATCHES);
+        let resend_after = self.settings.batch_interval.times(RESEND_BATCHES);
         FollowerState {
             incarnation,
             acknowledged: last,
@@ -220,7 +225,7 @@
             stamp_received: now,
             resend_at: now + resend_after,
             resend_timeout: resend_after,
-            allowance_bytes: BURST_MESSAGES * self.set.message_bytes as f64,
+            allowance_bytes: BURST_MESSAGES * self.settings.message_bytes as f64,
             allowance_updated: now,
             sent_messages: VecDeque::new(),
         }
@@ -228,19 +233,19 @@
 
     /// The periodic timer. Serves followers in turn, beginning with those for whom the bytes of the last tick
     /// did not suffice.
-    pub fn woken(&mut self, now: Time) {
-        let timeout = self.set.follower_timeout;
+    pub fn tick(&mut self, now: Time) {
+        let timeout = self.settings.follower_timeout;
         self.followers.retain(|_, state| now - state.last_heard <= timeout);
         let first = self.next_served.take();
         let order = self.followers.keys().filter(|id| Some(**id) >= first);
         let order = order.chain(self.followers.keys().filter(|id| Some(**id) < first));
         let order: Vec<MemberId> = order.copied().collect();
-        let mut bytes_left = self.set.round_bytes;
+        let mut bytes_left = self.settings.round_bytes;
         for id in order {
             if !self.is_due(now, id) {
                 continue;
             }
-            if bytes_left < self.set.message_bytes {
+            if bytes_left < self.settings.message_bytes {
                 self.next_served = self.next_served.or(Some(id));
                 continue;
             }
@@ -249,21 +254,21 @@
     }
 
     fn is_due(&mut self, now: Time, id: MemberId) -> bool {
-        let (newest, set) = (self.changes.newest(), &self.set);
+        let (newest, settings) = (self.changes.newest(), &self.settings);
         let Some(state) = self.followers.get_mut(&id) else { return false };
         state.check_for_losses(now);
-        state.refill_allowance(now, set);
+        state.refill_allowance(now, settings);
         // Changes that did not fit into the last message do not wait for the next batch.
-        let may_send = state.has_more || now - state.last_sent_changes >= set.batch_interval;
-        let is_allowed = state.allowance_bytes >= set.message_bytes as f64;
-        now - state.last_sent >= set.heartbeat || state.is_behind(newest) && may_send && is_allowed
+        let may_send = state.has_more || now - state.last_sent_changes >= settings.batch_interval;
+        let is_allowed = state.allowance_bytes >= settings.message_bytes as f64;
+        now - state.last_sent >= settings.heartbeat || state.is_behind(newest) && may_send && is_allowed
     }
 
     /// Sends the changes a follower lacks, or a message that there are none; returns the bytes of the
     /// changes.
     fn send_changes(&mut self, now: Time, to: MemberId) -> usize {
         let Some(state) = self.followers.get_mut(&to) else { return 0 };
-        let Some(records) = self.changes.after(state.sent, self.set.message_bytes) else {
+        let Some(records) = self.changes.after(state.sent, self.settings.message_bytes) else {
             // A follower that is ahead waits until this carrier has caught up.
             if state.sent <= self.changes.newest() {
                 self.followers.remove(&to);
@@ -285,8 +290,8 @@
         if state.sent_messages.len() > REMEMBERED_MESSAGES {
             state.sent_messages.pop_front();
         }
-        let message = Said::Changes {
-            log: self.set.log,
+        let message = DeliveryMessage::Changes {
+            log: self.settings.log,
             after,
             records,
             newest: self.changes.newest(),
@@ -294,14 +299,14 @@
             stamp: self.last_stamp,
             echo: Echo { stamp: state.stamp, held: now - state.stamp_received },
         };
-        self.effects.push_back(Effect::Tell { to, said: message });
+        self.effects.push_back(Effect::Send { to, message });
         bytes
     }
 
     /// Announces the shutdown of this process to all followers.
-    pub fn leave(&mut self) {
+    pub fn shut_down(&mut self) {
         for to in std::mem::take(&mut self.followers).into_keys() {
-            self.effects.push_back(Effect::Tell { to, said: Said::Leaving });
+            self.effects.push_back(Effect::Send { to, message: DeliveryMessage::Leaving });
         }
     }
 }
--- a/crates/fleet/src/delivery/follower.rs
+++ b/crates/fleet/src/delivery/follower.rs
@@ -1,5 +1,5 @@
 //! The follower: receives the change log's changes from a carrier and reads the log itself if there is none.
-use super::{ChangeNumber, Echo, Effect, Reason, Record, Said, Set, Stamp, MIN_CLOCK_RATIO};
+use super::{ChangeNumber, DeliveryMessage, Echo, Effect, Reason, Record, Settings, Stamp, MIN_CLOCK_RATIO};
 use crate::common::{rendezvous_order, MemberId};
 use cherrypass::time::{Span, Time};
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,7 @@
 
 /// A follower's side of the delivery.
 pub struct Follower {
-    set: Set,
+    settings: Settings,
     /// All carriers, in the order in which this follower asks them.
     carriers: Vec<MemberId>,
     /// The index of the carrier, or of the one that is asked.
@@ -52,7 +52,7 @@
 impl Follower {
     /// `last`: the last change that is known at the start.
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         carriers: &[MemberId],
         last: ChangeNumber,
@@ -79,7 +79,7 @@
             read_log_at: now,
             rng: Pcg64Mcg::seed_from_u64(seed),
             effects: VecDeque::new(),
-            set,
+            settings,
         };
         follower.postpone_log_reading(now);
         follower.ask_candidate(now);
@@ -108,7 +108,7 @@
 
     /// Notes that this process has read the log itself up to `last`; `asked`: when the request was sent, if
     /// its answer was complete.
-    pub fn read(&mut self, last: ChangeNumber, asked: Option<Time>) {
+    pub fn note_log_read(&mut self, last: ChangeNumber, asked: Option<Time>) {
         self.last = self.last.max(last);
         if let Some(asked) = asked.filter(|_| last >= self.last) {
             self.advance_known_up_to(asked);
@@ -123,10 +123,12 @@
     }
 
     /// Handles a message; senders that are no carriers are ignored.
-    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+    pub fn receive(&mut self, now: Time, from: MemberId, message: DeliveryMessage) {
         let Some(index) = self.carriers.iter().position(|carrier| *carrier == from) else { return };
         match message {
-            Said::Changes { log, after, records, newest, age, stamp, echo } if log == self.set.log => {
+            DeliveryMessage::Changes { log, after, records, newest, age, stamp, echo }
+                if log == self.settings.log =>
+            {
                 // Evaluated before this message, which may be the first one in a while with anything new.
                 let was_stalled = self.is_stalled(now);
                 let (before, has_all) = (self.last, self.deliver_new(after, records));
@@ -138,8 +140,10 @@
                 }
                 self.note_carrier(now, index, stamp, was_stalled);
             }
-            Said::NotCarried { reason, .. } if index == self.candidate => self.handle_refusal(now, reason),
-            Said::Leaving if index == self.candidate => self.ask_next_candidate(now),
+            DeliveryMessage::NotCarried { reason, .. } if index == self.candidate => {
+                self.handle_refusal(now, reason)
+            }
+            DeliveryMessage::Leaving if index == self.candidate => self.ask_next_candidate(now),
             _ => {}
         }
     }
@@ -167,7 +171,7 @@
             self.last_progress = now;
         }
         self.advance_known_up_to(at);
-        if now - at <= self.set.max_log_age {
+        if now - at <= self.settings.max_log_age {
             self.postpone_log_reading(now);
             self.set_reads_log(false);
         }
@@ -179,7 +183,8 @@
         if index != self.candidate {
             let takes_over = self.is_carried && index == self.probed_carrier && was_stalled;
             let replaced = if takes_over { self.candidate } else { index };
-            self.effects.push_back(Effect::Tell { to: self.carriers[replaced], said: Said::Unfollow });
+            self.effects
+                .push_back(Effect::Send { to: self.carriers[replaced], message: DeliveryMessage::Unfollow });
             if !takes_over {
                 return;
             }
@@ -195,7 +200,7 @@
         if reason == Reason::NotHeld {
             // Spreads the followers that lack the change over this span.
             self.read_log_at =
-                self.read_log_at.min(now + self.set.carrier_timeout.times(self.rng.gen_range(0.0..1.0)));
+                self.read_log_at.min(now + self.settings.carrier_timeout.times(self.rng.gen_range(0.0..1.0)));
         }
         if reason == Reason::OtherLog {
             let carrier = self.carriers[self.candidate].0;
@@ -219,8 +224,8 @@
         if self.stamps.len() > REMEMBERED_STAMPS {
             self.stamps.pop_front();
         }
-        let message = Said::Follow { log: self.set.log, last: self.last, stamp, echo };
-        self.effects.push_back(Effect::Tell { to, said: message });
+        let message = DeliveryMessage::Follow { log: self.settings.log, last: self.last, stamp, echo };
+        self.effects.push_back(Effect::Send { to, message });
     }
 
     fn ask_candidate(&mut self, now: Time) {
@@ -249,14 +254,14 @@
 
     /// How long the candidate has to answer, or until the next pass begins.
     fn answer_timeout(&self) -> Span {
-        self.set.carrier_timeout.times(match self.has_tried_all() {
+        self.settings.carrier_timeout.times(match self.has_tried_all() {
             true => 2.0_f64.powi(self.failed_passes).min(MAX_WAIT_FACTOR),
             false => ANSWER_FRACTION,
         })
     }
 
     fn postpone_log_reading(&mut self, now: Time) {
-        self.read_log_at = now + self.set.fallback.times(self.rng.gen_range(1.0..2.0));
+        self.read_log_at = now + self.settings.fallback_delay.times(self.rng.gen_range(1.0..2.0));
     }
 
     fn set_reads_log(&mut self, reads: bool) {
@@ -267,25 +272,25 @@
     }
 
     /// The periodic timer.
-    pub fn woken(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         if now >= self.read_log_at {
             self.set_reads_log(true);
         }
-        if self.is_carried && self.is_stalled(now) && now - self.last_probe > self.set.max_log_age {
+        if self.is_carried && self.is_stalled(now) && now - self.last_probe > self.settings.max_log_age {
             self.probe_another(now);
         }
-        if self.is_carried && now - self.last_heard > self.set.carrier_timeout {
+        if self.is_carried && now - self.last_heard > self.settings.carrier_timeout {
             self.leave_carrier(now);
         } else if !self.is_carried && now - self.last_asked > self.answer_timeout() {
             self.handle_timeout(now);
-        } else if self.is_carried && now - self.last_sent >= self.set.heartbeat {
+        } else if self.is_carried && now - self.last_sent >= self.settings.heartbeat {
             self.acknowledge(now);
         }
     }
 
     /// Whether the carrier has delivered and proved nothing new for long.
     fn is_stalled(&self, now: Time) -> bool {
-        now - self.last_progress.max(self.last_asked) > self.set.max_log_age + self.set.max_log_age
+        now - self.last_progress.max(self.last_asked) > self.settings.max_log_age + self.settings.max_log_age
     }
 
     /// Asks the other carriers one after another while the present one stays. Guards against followers that
@@ -303,7 +308,7 @@
 
     fn leave_carrier(&mut self, now: Time) {
         let to = self.carriers[self.candidate];
-        self.effects.push_back(Effect::Tell { to, said: Said::Unfollow });
+        self.effects.push_back(Effect::Send { to, message: DeliveryMessage::Unfollow });
         self.ask_next_candidate(now);
     }
 
@@ -317,9 +322,9 @@
     }
 
     /// Announces the shutdown of this process to the carrier.
-    pub fn leave(&mut self) {
+    pub fn shut_down(&mut self) {
         if let Some(to) = self.carrier() {
-            self.effects.push_back(Effect::Tell { to, said: Said::Unfollow });
+            self.effects.push_back(Effect::Send { to, message: DeliveryMessage::Unfollow });
         }
     }
 }
--- a/crates/fleet/src/delivery/mod.rs
+++ b/crates/fleet/src/delivery/mod.rs
@@ -68,7 +68,7 @@
 /// A message of the delivery. Encoded by position (postcard): the order of variants and fields must not
 /// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
+pub enum DeliveryMessage {
     /// A follower asks to be carried, or acknowledges all changes up to `last`.
     Follow { log: LogId, last: ChangeNumber, stamp: Stamp, echo: Option<Echo> },
     /// The changes after `after`, in order; none where there is nothing new. `newest` is the last one that
@@ -107,9 +107,9 @@
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Tell {
+    Send {
         to: MemberId,
-        said: Said,
+        message: DeliveryMessage,
     },
     /// At a follower: apply the changes from `first` on, in order.
     Deliver {
@@ -126,7 +126,7 @@
 
 /// Settings of the delivery; the same for all carriers and followers of a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set {
+pub struct Settings {
     pub log: LogId,
     /// The least time between two messages with changes to one follower.
     pub batch_interval: Span,
@@ -136,7 +136,7 @@
     pub carrier_timeout: Span,
     /// A follower without proof from a carrier for this long reads the log itself; up to as long again at
     /// random, so that followers that lose their carriers do not all read the log at once.
-    pub fallback: Span,
+    pub fallback_delay: Span,
     /// A carrier without an answer of the log for this long accepts no new follower. A follower whose carrier
     /// proves nothing looks for another one after twice as long: by then, if the log itself is lost, all
     /// carriers refuse it.
@@ -151,23 +151,23 @@
     /// Bytes of changes that a carrier holds.
     pub max_held_bytes: usize,
     /// The maximum number of followers of one carrier.
-    pub followers: usize,
+    pub max_followers: usize,
 }
 
-impl Default for Set {
-    fn default() -> Set {
-        Set {
+impl Default for Settings {
+    fn default() -> Settings {
+        Settings {
             log: LogId::default(),
             batch_interval: Span::millis(250),
             heartbeat: Span::millis(250),
             carrier_timeout: Span::millis(800),
-            fallback: Span::millis(5_000),
+            fallback_delay: Span::millis(5_000),
             max_log_age: Span::millis(1_000),
             follower_timeout: Span::millis(10_000),
             message_bytes: 1_400,
             round_bytes: 256 << 10,
             max_held_bytes: 8 << 20,
-            followers: 1_024,
+            max_followers: 1_024,
         }
     }
 }
--- a/crates/fleet/src/feed/carrier.rs
+++ b/crates/fleet/src/feed/carrier.rs
@@ -1,7 +1,7 @@
 //! The followers that a member carries: what is sent to each and when, which of them are slow, and which are
 //! moved to another member.
 use super::log::SourceLog;
-use super::{CarrierLoad, Echo, Effect, Fence, FollowerClass, Position, Said, Set, Stamp};
+use super::{CarrierLoad, Echo, Effect, FeedMessage, Fence, FollowerClass, Position, Settings, Stamp};
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
@@ -122,8 +122,9 @@
     }
 
     /// The time after which an unacknowledged frame counts as lost.
-    fn resend_timeout(&self, set: &Set) -> Span {
-        let timeout = set.min_resend_timeout.max(self.round_trip.map_or(Span::ZERO, |span| span.times(2.0)));
+    fn resend_timeout(&self, settings: &Settings) -> Span {
+        let timeout =
+            settings.min_resend_timeout.max(self.round_trip.map_or(Span::ZERO, |span| span.times(2.0)));
         let factor = if self.class.is_slow { 1 << self.consecutive_timeouts.min(3) } else { 1 };
         Span(timeout.0 * factor)
     }
@@ -171,14 +172,14 @@
     }
 
     /// The next frame with items that it lacks, and the bytes of these.
-    fn next_frame(&mut self, now: Time, logs: &Logs, set: &Set) -> Option<(Said, usize)> {
-        if self.frames_in_flight.front().is_some_and(|(_, _, at)| now - *at > self.resend_timeout(set)) {
+    fn next_frame(&mut self, now: Time, logs: &Logs, settings: &Settings) -> Option<(FeedMessage, usize)> {
+        if self.frames_in_flight.front().is_some_and(|(_, _, at)| now - *at > self.resend_timeout(settings)) {
             self.consecutive_timeouts = self.consecutive_timeouts.saturating_add(1);
             self.frames_in_flight.clear();
             self.positions.values_mut().for_each(SourcePosition::rewind);
         }
         let bytes_in_flight: usize = self.frames_in_flight.iter().map(|(_, bytes, _)| bytes).sum();
-        let window = if self.class.is_slow { set.slow_window_bytes } else { set.window_bytes };
+        let window = if self.class.is_slow { settings.slow_window_bytes } else { settings.window_bytes };
         // After a timeout a slow follower is probed with a single frame.
         let window = if self.class.is_slow && self.consecutive_timeouts > 0 { 1 } else { window };
         if bytes_in_flight >= window
@@ -189,11 +190,11 @@
         }
         let (mut bytes, mut segments) = (0, Vec::new());
         for (source, log) in logs {
-            if segments.len() >= set.max_segments || bytes >= set.frame_bytes {
+            if segments.len() >= settings.max_segments || bytes >= settings.frame_bytes {
                 break;
             }
             let Some((sent, _)) = self.sent_and_acked(*source, log) else { continue };
-            let bytes_left = set.frame_bytes - bytes;
+            let bytes_left = settings.frame_bytes - bytes;
             let Some((segment, cost)) = log.segment(now, *source, sent, bytes_left) else { continue };
             // The first item of a frame may exceed the bound; a further one may not.
             if bytes > 0 && cost > bytes_left {
@@ -217,11 +218,11 @@
     }
 
     /// A frame of the given segments; without any it is a heartbeat.
-    fn build_frame(&mut self, now: Time, segments: Vec<super::Segment>) -> Said {
+    fn build_frame(&mut self, now: Time, segments: Vec<super::Segment>) -> FeedMessage {
         self.last_frame += 1;
         self.last_sent = now;
         let echo = self.stamp.map(|(stamp, at)| Echo { stamp, held: now - at });
-        Said::Frame { fence: self.fence, frame: self.last_frame, echo, class: self.class, segments }
+        FeedMessage::Frame { fence: self.fence, frame: self.last_frame, echo, class: self.class, segments }
     }
 }
 
@@ -271,10 +272,10 @@
         }
     }
 
-    pub fn load(&self, set: &Set) -> CarrierLoad {
+    pub fn load(&self, settings: &Settings) -> CarrierLoad {
         let slow = self.carried.values().filter(|carried| carried.class.is_slow).count();
-        let has_places = self.carried.len() < set.max_followers;
-        let spare = set.round_bytes as f64
+        let has_places = self.carried.len() < settings.max_followers;
+        let spare = settings.round_bytes as f64
             - self.mean_round_bytes
             - slow as f64 * f64::from(self.bytes_per_follower());
         let spare_bytes = if has_places { spare.max(0.0) as u32 } else { 0 };
@@ -308,21 +309,24 @@
         &mut self,
         now: Time,
         from: MemberId,
-        message: Said,
-        set: &Set,
+        message: FeedMessage,
+        settings: &Settings,
         out: &mut VecDeque<Effect>,
     ) {
         match message {
-            Said::Subscribe { fence, stamp, class, positions } if fence.carrier == self.own => {
-                if positions.len() > set.most_sources {
+            FeedMessage::Subscribe { fence, stamp, class, positions } if fence.carrier == self.own => {
+                if positions.len() > settings.max_sources {
                     return;
                 }
                 let known = self.carried.get(&from);
                 if known.is_some_and(|known| known.fence >= fence) {
                     return;
                 }
-                if known.is_none() && self.carried.len() >= set.max_followers {
-                    out.push_back(Effect::Tell { to: from, said: Said::SubscribeRejected { fence } });
+                if known.is_none() && self.carried.len() >= settings.max_followers {
+                    out.push_back(Effect::Send {
+                        to: from,
+                        message: FeedMessage::SubscribeRejected { fence },
+                    });
                     return;
                 }
                 let mut carried = CarriedFollower::new(now, fence, &positions, class);
@@ -330,14 +334,14 @@
                 carried.arrived = class.is_slow.then_some(now);
                 self.carried.insert(from, carried);
             }
-            Said::Ack { fence, frame, stamp, positions } => {
+            FeedMessage::Ack { fence, frame, stamp, positions } => {
                 let Some(carried) = self.carried.get_mut(&from) else { return };
-                if carried.fence == fence && positions.len() <= set.most_sources {
+                if carried.fence == fence && positions.len() <= settings.max_sources {
                     carried.acknowledge(now, frame, stamp, &positions);
                 }
             }
             // Another member carries it under a newer fence.
-            Said::CarriedElsewhere { fence }
+            FeedMessage::CarriedElsewhere { fence }
                 if self.carried.get(&from).is_some_and(|known| known.fence < fence) =>
             {
                 self.carried.remove(&from);
@@ -351,20 +355,22 @@
         &mut self,
         now: Time,
         from: MemberId,
-        message: Said,
-        set: &Set,
+        message: FeedMessage,
+        settings: &Settings,
         out: &mut VecDeque<Effect>,
     ) {
         match message {
-            Said::OfferMove { follower, fence, stamp, positions, class } if fence.carrier == self.own => {
-                if positions.len() > set.most_sources {
+            FeedMessage::OfferMove { follower, fence, stamp, positions, class }
+                if fence.carrier == self.own =>
+            {
+                if positions.len() > settings.max_sources {
                     return;
                 }
                 let known = self.carried.get(&follower).map(|known| known.fence);
-                let has_places = self.carried.len() < set.max_followers;
+                let has_places = self.carried.len() < settings.max_followers;
                 let message = match known {
-                    Some(known) if known >= fence => Said::MoveAccepted { follower, fence },
-                    None if !has_places => Said::MoveRejected { follower, fence },
+                    Some(known) if known >= fence => FeedMessage::MoveAccepted { follower, fence },
+                    None if !has_places => FeedMessage::MoveRejected { follower, fence },
                     _ => {
                         let mut carried = CarriedFollower::new(now, fence, &positions, class);
                         // The time for which the other member held the stamp is left out; this only loosens
@@ -372,20 +378,20 @@
                         carried.stamp = stamp.map(|stamp| (stamp, now));
                         carried.arrived = Some(now);
                         self.carried.insert(follower, carried);
-                        Said::MoveAccepted { follower, fence }
+                        FeedMessage::MoveAccepted { follower, fence }
                     }
                 };
-                out.push_back(Effect::Tell { to: from, said: message });
+                out.push_back(Effect::Send { to: from, message });
             }
-            Said::MoveAccepted { follower, fence } if fence.carrier == from => {
+            FeedMessage::MoveAccepted { follower, fence } if fence.carrier == from => {
                 let proposed = self.carried.get(&follower).and_then(|carried| carried.proposal);
                 if proposed.is_some_and(|proposal| proposal.fence == fence) {
                     self.carried.remove(&follower);
                     self.moves += 1;
-                    out.push_back(Effect::Tell { to: follower, said: Said::Moved { fence } });
+                    out.push_back(Effect::Send { to: follower, message: FeedMessage::Moved { fence } });
                 }
             }
-            Said::MoveRejected { follower, fence } => {
+            FeedMessage::MoveRejected { follower, fence } => {
                 if let Some(carried) = self.carried.get_mut(&follower) {
                     if carried.proposal.is_some_and(|proposal| proposal.fence == fence) {
                         carried.proposal = None;
@@ -401,25 +407,25 @@
         now: Time,
         logs: &Logs,
         others: &OtherCarriers,
-        set: &Set,
+        settings: &Settings,
         out: &mut VecDeque<Effect>,
     ) {
         // After a pause of this process the lags are its own doing and not the followers'.
-        if now - self.last_tick > Span(set.round.0 * 4) {
-            self.lag_ignored_until = now + set.slow_after;
+        if now - self.last_tick > Span(settings.interval.0 * 4) {
+            self.lag_ignored_until = now + settings.slow_after;
         }
         self.last_tick = now;
-        self.carried.retain(|_, carried| now - carried.last_heard <= set.follower_timeout);
-        if set.regroup {
-            self.classify(now, logs, others, set);
-            self.propose_moves(now, others, set, out);
+        self.carried.retain(|_, carried| now - carried.last_heard <= settings.follower_timeout);
+        if settings.regroup {
+            self.classify(now, logs, others, settings);
+            self.propose_moves(now, others, settings, out);
         }
-        self.send(now, logs, set, out);
+        self.send(now, logs, settings, out);
     }
 
     /// Sends frames within the round's budget, to regular followers first.
-    fn send(&mut self, now: Time, logs: &Logs, set: &Set, out: &mut VecDeque<Effect>) {
-        let mut left = set.round_bytes;
+    fn send(&mut self, now: Time, logs: &Logs, settings: &Settings, out: &mut VecDeque<Effect>) {
+        let mut left = settings.round_bytes;
         for slow in [false, true] {
             let first = self.next_served[usize::from(slow)];
             let ids: Vec<MemberId> = self
@@ -432,9 +438,9 @@
             for id in ids {
                 let Some(carried) = self.carried.get_mut(&id) else { continue };
                 while left > 0 {
-                    let Some((message, bytes)) = carried.next_frame(now, logs, set) else { break };
+                    let Some((message, bytes)) = carried.next_frame(now, logs, settings) else { break };
                     left = left.saturating_sub(bytes);
-                    out.push_back(Effect::Tell { to: id, said: message });
+                    out.push_back(Effect::Send { to: id, message });
                 }
                 if left == 0 {
                     self.next_served[usize::from(slow)] = id;
@@ -442,13 +448,14 @@
                 }
             }
             if !slow {
-                self.mean_round_bytes += ((set.round_bytes - left) as f64 - self.mean_round_bytes) / 20.0;
+                self.mean_round_bytes +=
+                    ((settings.round_bytes - left) as f64 - self.mean_round_bytes) / 20.0;
             }
         }
         for (id, carried) in
-            self.carried.iter_mut().filter(|(_, carried)| now - carried.last_sent >= set.heartbeat)
+            self.carried.iter_mut().filter(|(_, carried)| now - carried.last_sent >= settings.heartbeat)
         {
-            out.push_back(Effect::Tell { to: *id, said: carried.build_frame(now, Vec::new()) });
+            out.push_back(Effect::Send { to: *id, message: carried.build_frame(now, Vec::new()) });
         }
     }
 
@@ -458,7 +465,7 @@
     }
 
     /// Classifies followers as slow or regular by their lag compared with the others'.
-    fn classify(&mut self, now: Time, logs: &Logs, others: &OtherCarriers, set: &Set) {
+    fn classify(&mut self, now: Time, logs: &Logs, others: &OtherCarriers, settings: &Settings) {
         let lags: BTreeMap<MemberId, Span> =
             self.carried.iter().map(|(id, carried)| (*id, carried.lag(now, logs))).collect();
         let mut group: Vec<Span> = self
@@ -470,7 +477,7 @@
         group.sort();
         let own = lower_median(&group);
         self.followers_lag = own.unwrap_or(Span::ZERO) + others.own_lag;
-        let limit = |usual: Span| usual.times(set.slow_factor) + set.slow_margin;
+        let limit = |usual: Span| usual.times(settings.slow_factor) + settings.slow_margin;
         // Reports from before this member's followers began to lag say nothing about the present.
         let reported_lags = |after: Time| {
             let fresh = others.loads.iter().filter(|(_, load, at)| load.followers > 0 && *at >= after);
@@ -478,7 +485,7 @@
             lags.sort();
             (lags.len(), lower_median(&lags))
         };
-        let others_median = reported_lags(now - set.report_lifetime).1;
+        let others_median = reported_lags(now - settings.report_lifetime).1;
         // The number of members whose newer reports are needed.
         let needed = others.count_with_followers().clamp(1, 3);
         let is_own_cause = others_median.is_some_and(|others_median| {
@@ -503,7 +510,8 @@
                 carried.lagging_since = carried.lagging_since.or(Some(now));
             } else {
                 carried.lagging_since = None;
-                if Span(lag.0 * 2) <= limit(baseline) && now - carried.last_heard <= Span(set.heartbeat.0 * 3)
+                if Span(lag.0 * 2) <= limit(baseline)
+                    && now - carried.last_heard <= Span(settings.heartbeat.0 * 3)
                 {
                     carried.keeping_up_since = carried.keeping_up_since.or(Some(now));
                 } else {
@@ -512,8 +520,8 @@
             }
             let lagging_for = carried.lagging_since.map_or(Span::ZERO, |since| now - since);
             let keeping_up_for = carried.keeping_up_since.map_or(Span::ZERO, |since| now - since);
-            let recovery_time =
-                Span(set.recovery_time.0 << carried.class.relapses.min(16)).min(set.max_recovery_time);
+            let recovery_time = Span(settings.recovery_time.0 << carried.class.relapses.min(16))
+                .min(settings.max_recovery_time);
             // One or two followers are too few to compare; the other members' reports decide then.
             let is_confirmed = || {
                 group.len() >= 3
@@ -523,7 +531,8 @@
                             && others_median.is_some_and(|others_median| lag > limit(others_median))
                     })
             };
-            if !carried.class.is_slow && !is_own_cause && lagging_for >= set.slow_after && is_confirmed() {
+            if !carried.class.is_slow && !is_own_cause && lagging_for >= settings.slow_after && is_confirmed()
+            {
                 carried.class.is_slow = true;
                 carried.proposal = None;
                 has_new_slow = true;
@@ -535,7 +544,7 @@
                 carried.keeping_up_since = None;
             } else if !carried.class.is_slow
                 && carried.class.relapses > 0
-                && keeping_up_for >= Span(set.max_recovery_time.0 * 2)
+                && keeping_up_for >= Span(settings.max_recovery_time.0 * 2)
             {
                 carried.class.relapses -= 1;
                 carried.keeping_up_since = None;
@@ -549,7 +558,7 @@
                 .for_each(|carried| carried.lagging_since = None);
         }
         self.all_lagging_since = self.all_lagging_since.filter(|since| {
-            let is_recent = now - *since < set.carrier_lag_time;
+            let is_recent = now - *since < settings.carrier_lag_time;
             let (count, since_then) = reported_lags(*since);
             is_recent
                 || count < needed
@@ -559,35 +568,42 @@
 
     /// Offers followers to other members: slow ones to where most slow ones are, all of them if this member's
     /// own links are the cause of their lag, and recovered ones to the member with the most spare bytes.
-    fn propose_moves(&mut self, now: Time, others: &OtherCarriers, set: &Set, out: &mut VecDeque<Effect>) {
-        let fresh = || others.loads.iter().filter(|(_, _, at)| now - *at <= set.report_lifetime);
-        let since = self.all_lagging_since.filter(|since| now - *since >= set.carrier_lag_time);
+    fn propose_moves(
+        &mut self,
+        now: Time,
+        others: &OtherCarriers,
+        settings: &Settings,
+        out: &mut VecDeque<Effect>,
+    ) {
+        let fresh = || others.loads.iter().filter(|(_, _, at)| now - *at <= settings.report_lifetime);
+        let since = self.all_lagging_since.filter(|since| now - *since >= settings.carrier_lag_time);
         let reports_since =
             |since: Time| others.loads.iter().filter(move |(_, load, at)| load.followers > 0 && *at >= since);
         let reports = since.map_or(0, |since| reports_since(since).count());
         let gives_all_away = reports > 0 && reports >= others.count_with_followers().min(3);
-        let (mut own, need) = (self.load(set), self.bytes_per_follower());
+        let (mut own, need) = (self.load(settings), self.bytes_per_follower());
         let min_lag = fresh().map(|(_, load, _)| load.lag).min().unwrap_or(Span::ZERO);
-        let keeps_up = |load: &CarrierLoad| load.lag <= min_lag.times(set.slow_factor) + set.slow_margin;
+        let keeps_up =
+            |load: &CarrierLoad| load.lag <= min_lag.times(settings.slow_factor) + settings.slow_margin;
         let fits = || fresh().filter(|(_, load, _)| load.spare_bytes >= need && keeps_up(load));
         let most_spare = || fits().max_by_key(|(id, load, _)| (load.spare_bytes, *id));
         let mut started = 0;
         for (id, carried) in &mut self.carried {
             if let Some(proposal) = &mut carried.proposal {
-                if now - proposal.started > set.proposal_timeout {
+                if now - proposal.started > settings.proposal_timeout {
                     carried.proposal = None;
-                } else if now - proposal.last_sent >= set.retry_interval {
+                } else if now - proposal.last_sent >= settings.retry_interval {
                     proposal.last_sent = now;
                     out.push_back(move_offer(*id, carried));
                 }
                 continue;
             }
             // Spare capacity fluctuates, and a slow follower gains little by following it.
-            let min_stay = Span(set.min_stay.0 * if carried.class.is_slow { 10 } else { 1 });
+            let min_stay = Span(settings.min_stay.0 * if carried.class.is_slow { 10 } else { 1 });
             let is_resting = carried.arrived.is_some_and(|at| now - at < min_stay)
-                || carried.last_proposed.is_some_and(|at| now - at < set.proposal_timeout);
+                || carried.last_proposed.is_some_and(|at| now - at < settings.proposal_timeout);
             // Limits the moves per round so that the other members' load reports keep up with them.
-            if started >= set.moves_per_round
+            if started >= settings.moves_per_round
                 || is_resting && !(carried.needs_placement && carried.last_proposed.is_none())
             {
                 continue;
@@ -633,14 +649,14 @@
         number: position.acked,
     };
     let fence = carried.proposal.map_or(carried.fence, |proposal| proposal.fence);
-    let message = Said::OfferMove {
+    let message = FeedMessage::OfferMove {
         follower,
         fence,
         stamp: carried.stamp.map(|stamp| stamp.0),
         positions: carried.positions.iter().map(reached).collect(),
         class: carried.class,
     };
-    Effect::Tell { to: fence.carrier, said: message }
+    Effect::Send { to: fence.carrier, message }
 }
 
 fn lower_median(sorted: &[Span]) -> Option<Span> {
--- a/crates/fleet/src/feed/follower.rs
+++ b/crates/fleet/src/feed/follower.rs
@@ -1,7 +1,7 @@
 //! A process that follows the feed without being a member: it subscribes to a carrier and acknowledges
 //! frames.
 use super::log::SegmentCheck;
-use super::{Effect, Fence, FollowerClass, Position, Said, Segment, Set, Stamp};
+use super::{Effect, FeedMessage, Fence, FollowerClass, Position, Segment, Settings, Stamp};
 use crate::common::{rendezvous_order, Incarnation, MemberId};
 use cherrypass::containers::Mean;
 use cherrypass::time::{Span, Time};
@@ -13,7 +13,7 @@
 /// A follower's side of the feed.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    set: Set,
+    settings: Settings,
     positions: BTreeMap<MemberId, Position>,
     members: BTreeSet<MemberId>,
     carrier_order: Vec<MemberId>,
@@ -37,7 +37,7 @@
 
 impl Follower {
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         incarnation: Incarnation,
         members: &[MemberId],
@@ -46,7 +46,7 @@
         let order = rendezvous_order(own, members.iter().copied());
         let first = order.first().copied().unwrap_or(own);
         Follower {
-            set,
+            settings,
             positions: BTreeMap::new(),
             members: order.iter().copied().collect(),
             carrier_order: order,
@@ -67,8 +67,7 @@
     }
 
     /// The next effect. Call until there is none after each call.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.out.pop_front()
     }
 
@@ -82,26 +81,30 @@
     }
 
     /// The periodic timer, called every `Set::round`.
-    pub fn woken(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         // After a pause of this process it is unknown whether the carrier was silent.
-        if now - self.last_tick > self.set.orphan_after {
+        if now - self.last_tick > self.settings.orphan_after {
             self.last_heard = self.last_heard.max(now);
         }
         self.last_tick = now;
-        let silence_limit =
-            Span::seconds(self.mean_gap.value * self.set.orphan_gap_factor).min(self.set.max_orphan_time);
-        let is_silent = now - self.last_heard > silence_limit.max(self.set.orphan_after);
-        if (!self.is_carried || is_silent) && now - self.last_asked >= self.set.retry_interval {
+        let silence_limit = Span::seconds(self.mean_gap.value * self.settings.orphan_gap_factor)
+            .min(self.settings.max_orphan_time);
+        let is_silent = now - self.last_heard > silence_limit.max(self.settings.orphan_after);
+        if (!self.is_carried || is_silent) && now - self.last_asked >= self.settings.retry_interval {
             self.subscribe(now);
         }
-        if self.is_carried && (self.is_ack_due || now - self.last_acked >= self.set.heartbeat) {
+        if self.is_carried && (self.is_ack_due || now - self.last_acked >= self.settings.heartbeat) {
             self.last_acked = now;
             self.is_ack_due = false;
             let sources = std::mem::take(&mut self.sources_to_ack);
             let positions = sources.iter().filter_map(|source| self.positions.get(source)).copied().collect();
-            let message =
-                Said::Ack { fence: self.fence, frame: self.last_frame, stamp: self.stamp(now), positions };
-            self.out.push_back(Effect::Tell { to: self.fence.carrier, said: message });
+            let message = FeedMessage::Ack {
+                fence: self.fence,
+                frame: self.last_frame,
+                stamp: self.stamp(now),
+                positions,
+            };
+            self.out.push_back(Effect::Send { to: self.fence.carrier, message });
         }
     }
 
@@ -120,9 +123,14 @@
         self.adopt_fence(Fence { number: self.fence.number + 1, carrier, ..self.fence });
         self.last_asked = now;
         let positions = self.positions.values().copied().collect();
-        self.out.push_back(Effect::Tell {
+        self.out.push_back(Effect::Send {
             to: carrier,
-            said: Said::Subscribe { fence: self.fence, stamp: self.stamp(now), class: self.class, positions },
+            message: FeedMessage::Subscribe {
+                fence: self.fence,
+                stamp: self.stamp(now),
+                class: self.class,
+                positions,
+            },
         });
     }
 
@@ -137,15 +145,15 @@
     }
 
     /// Handles a message; senders that are no members are ignored.
-    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+    pub fn receive(&mut self, now: Time, from: MemberId, message: FeedMessage) {
         if !self.members.contains(&from) {
             return;
         }
         match message {
-            Said::Frame { fence, frame, echo, class, segments } => {
+            FeedMessage::Frame { fence, frame, echo, class, segments } => {
                 if fence.carrier != from || !self.accepts_fence(fence) {
-                    let message = Said::CarriedElsewhere { fence: self.fence };
-                    self.out.push_back(Effect::Tell { to: from, said: message });
+                    let message = FeedMessage::CarriedElsewhere { fence: self.fence };
+                    self.out.push_back(Effect::Send { to: from, message });
                     return;
                 }
                 if fence != self.fence {
@@ -154,7 +162,7 @@
                 self.is_carried = true;
                 self.next_candidate = 0;
                 self.mean_gap.push(
-                    (now - self.last_heard).as_seconds().min(self.set.max_orphan_time.as_seconds()),
+                    (now - self.last_heard).as_seconds().min(self.settings.max_orphan_time.as_seconds()),
                     0.1,
                 );
                 self.last_heard = now;
@@ -167,16 +175,16 @@
                     self.is_ack_due = true;
                     return;
                 };
-                for segment in segments.into_iter().take(self.set.max_segments) {
+                for segment in segments.into_iter().take(self.settings.max_segments) {
                     self.apply_segment(segment, transit);
                 }
             }
-            Said::Moved { fence } if self.accepts_fence(fence) && fence != self.fence => {
+            FeedMessage::Moved { fence } if self.accepts_fence(fence) && fence != self.fence => {
                 self.adopt_fence(fence);
                 // The new carrier has `orphan_after` to send its first frame.
-                self.last_asked = now + self.set.orphan_after;
+                self.last_asked = now + self.settings.orphan_after;
             }
-            Said::SubscribeRejected { fence }
+            FeedMessage::SubscribeRejected { fence }
                 if fence == self.fence && fence.carrier == from && !self.is_carried =>
             {
                 // Asks the next member at the next tick, or after a pause once all have refused.
@@ -202,7 +210,7 @@
             return;
         }
         let at = self.positions.get(&source).copied();
-        match segment.check_against(&self.set, at, transit) {
+        match segment.check_against(&self.settings, at, transit) {
             SegmentCheck::Invalid => return,
             SegmentCheck::Known | SegmentCheck::Gap => {}
             SegmentCheck::New { items, is_complete } => {
--- a/crates/fleet/src/feed/log.rs
+++ b/crates/fleet/src/feed/log.rs
@@ -1,6 +1,6 @@
 //! The items held of one source: its newest items without a gap, and of the older ones the latest item of
 //! each key.
-use super::{Position, Set};
+use super::{Position, Settings};
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
 }
 
 impl Segment {
-    fn is_valid(&self, set: &Set) -> bool {
+    fn is_valid(&self, settings: &Settings) -> bool {
         let mut last = self.after;
         self.after < self.up_to
             && self.up_to <= self.head
@@ -74,13 +74,18 @@
             && self.items.iter().all(|item| {
                 let is_ascending = item.number > last && item.number <= self.up_to;
                 last = item.number;
-                is_ascending && set.accepts(&item.key, &item.value) && item.hold <= MAX_HOLD
+                is_ascending && settings.accepts(&item.key, &item.value) && item.hold <= MAX_HOLD
             })
     }
 
     /// `transit`: upper bound on the time that its message was on the way.
-    pub(super) fn check_against(self, set: &Set, at: Option<Position>, transit: Span) -> SegmentCheck {
-        if !self.is_valid(set) {
+    pub(super) fn check_against(
+        self,
+        settings: &Settings,
+        at: Option<Position>,
+        transit: Span,
+    ) -> SegmentCheck {
+        if !self.is_valid(settings) {
             return SegmentCheck::Invalid;
         }
         let position = match at {
@@ -184,11 +189,11 @@
 
     /// Whether with this item the latest items of all keys fit into half the state bound; the other half is
     /// for replaced items that a member still holds until it receives their replacements.
-    pub fn fits(&self, set: &Set, item: &Item) -> bool {
+    pub fn fits(&self, settings: &Settings, item: &Item) -> bool {
         let live = self.latest.iter().filter(|(key, _)| **key != item.key);
         let costs = live.filter_map(|(_, number)| self.items.get(number)).map(|kept| kept.item.cost());
         let (count, bytes) = costs.fold((1, item.cost()), |sum, cost| (sum.0 + 1, sum.1 + cost));
-        2 * count <= set.state_items && 2 * bytes <= set.state_bytes
+        2 * count <= settings.state_items && 2 * bytes <= settings.state_bytes
     }
 
     fn remove_item(&mut self, number: u64) {
@@ -200,7 +205,14 @@
     }
 
     /// Appends new items up to a number; `is_complete`: without a missing number.
-    pub fn append(&mut self, now: Time, items: Vec<Item>, up_to: u64, is_complete: bool, set: &Set) {
+    pub fn append(
+        &mut self,
+        now: Time,
+        items: Vec<Item>,
+        up_to: u64,
+        is_complete: bool,
+        settings: &Settings,
+    ) {
         for item in items {
             let (number, cost) = (item.number, item.cost());
             self.bytes += cost;
@@ -212,7 +224,7 @@
             }
             if is_complete {
                 self.up_to = number;
-                self.trim(now, set);
+                self.trim(now, settings);
             }
         }
         self.up_to = up_to;
@@ -226,15 +238,15 @@
             }
         }
         self.last_received = now;
-        self.trim(now, set);
+        self.trim(now, settings);
     }
 
     /// Enforces the bounds.
-    pub fn trim(&mut self, now: Time, set: &Set) {
+    pub fn trim(&mut self, now: Time, settings: &Settings) {
         while let Some(first) = self.items.get(&(self.complete_after + 1)) {
             let is_expired = first.is_expired(now);
-            let is_over_count = self.up_to - self.complete_after > set.backlog_items as u64;
-            if !(is_expired || is_over_count || self.complete_bytes > set.backlog_bytes) {
+            let is_over_count = self.up_to - self.complete_after > settings.backlog_items as u64;
+            if !(is_expired || is_over_count || self.complete_bytes > settings.backlog_bytes) {
                 break;
             }
             self.complete_after += 1;
@@ -243,7 +255,7 @@
                 self.remove_item(self.complete_after);
             }
         }
-        while self.exceeds_state_bounds(set) {
+        while self.exceeds_state_bounds(settings) {
             let older = self.items.range(..=self.complete_after);
             let elapsed_fraction =
                 |kept: &StoredItem| kept.age(now).as_seconds() / kept.item.hold.as_seconds().max(1e-6);
@@ -263,18 +275,18 @@
         }
     }
 
-    fn exceeds_state_bounds(&self, set: &Set) -> bool {
+    fn exceeds_state_bounds(&self, settings: &Settings) -> bool {
         let older = self.items.len() as u64 - (self.up_to - self.complete_after);
-        older > set.state_items as u64 || self.bytes - self.complete_bytes > set.state_bytes
+        older > settings.state_items as u64 || self.bytes - self.complete_bytes > settings.state_bytes
     }
 
     /// Drops expired items.
-    pub fn expire(&mut self, now: Time, set: &Set) {
+    pub fn expire(&mut self, now: Time, settings: &Settings) {
         let expired = self.items.range(..=self.complete_after).filter(|(_, kept)| kept.is_expired(now));
         for number in expired.map(|(number, _)| *number).collect::<Vec<_>>() {
             self.remove_item(number);
         }
-        self.trim(now, set);
+        self.trim(now, settings);
     }
 
     /// The items after a number, at least one and otherwise at most `max_bytes` bytes, with their cost.
--- a/crates/fleet/src/feed/mod.rs
+++ b/crates/fleet/src/feed/mod.rs
@@ -22,7 +22,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
-pub use settings::Set;
+pub use settings::Settings;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Why an item was not published.
@@ -84,7 +84,7 @@
 
 /// A message of the feed. Encoded by position (postcard): the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
+pub enum FeedMessage {
     // Between members.
     /// The positions of the sender; only the sources it names are compared.
     Positions { stamp: Stamp, load: CarrierLoad, positions: Vec<Position> },
@@ -123,9 +123,9 @@
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Tell {
+    Send {
         to: MemberId,
-        said: Said,
+        message: FeedMessage,
     },
     /// Deliver the next item of a source. `age` is an upper bound.
     Deliver {
@@ -198,7 +198,7 @@
 /// A member's side of the feed: source, receiver and carrier.
 #[derive(Clone, Debug)]
 pub struct Feed {
-    set: Set,
+    settings: Settings,
     own: MemberId,
     incarnation: Incarnation,
     peers: BTreeMap<MemberId, Peer>,
@@ -229,7 +229,7 @@
     /// `members`: all listed members (at most `Set::most_sources`), with or without this one. `followers`:
     /// those that may subscribe.
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         incarnation: Incarnation,
         members: &[MemberId],
@@ -238,7 +238,7 @@
         now: Time,
     ) -> Feed {
         let peers: BTreeMap<MemberId, Peer> = (members.iter().filter(|id| **id != own))
-            .take(set.most_sources - 1)
+            .take(settings.max_sources - 1)
             .map(|id| (*id, Peer::default()))
             .collect();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -253,7 +253,7 @@
             missing: BTreeMap::new(),
             last_request: None,
             request_attempts: 0,
-            repair_bytes_left: set.repair_bytes,
+            repair_bytes_left: settings.repair_bytes,
             pushed_up_to: 0,
             updated_sources: BTreeSet::new(),
             next_peer: 0,
@@ -264,14 +264,14 @@
             last_expiry: now,
             rng,
             out: VecDeque::new(),
-            set,
+            settings,
         }
     }
 
     #[allow(clippy::should_implement_trait)]
     /// The next effect. Call until there is none after each call and before the next one: ages in messages
     /// are relative to the time of the call.
-    pub fn next(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.out.pop_front()
     }
 
@@ -284,23 +284,23 @@
         value: Vec<u8>,
         hold: Span,
     ) -> Result<u64, PublishError> {
-        if !self.set.accepts(&key, &value) {
+        if !self.settings.accepts(&key, &value) {
             return Err(PublishError::TooLarge { key: key.len(), value: value.len() });
         }
         let Some(log) = self.logs.get_mut(&self.own) else { return Err(PublishError::Full) };
         let hold = hold.min(log::MAX_HOLD);
         let number = log.up_to + 1;
         let item = Item { number, key, value, hold, age: Span::ZERO };
-        log.expire(now, &self.set);
-        if !log.fits(&self.set, &item) {
+        log.expire(now, &self.settings);
+        if !log.fits(&self.settings, &item) {
             return Err(PublishError::Full);
         }
-        log.append(now, vec![item], number, true, &self.set);
+        log.append(now, vec![item], number, true, &self.settings);
         Ok(number)
     }
 
     /// Another member's status, from the failure detector.
-    pub fn standing(&mut self, _now: Time, who: MemberId, alive: bool) {
+    pub fn set_member_alive(&mut self, _now: Time, who: MemberId, alive: bool) {
         if let Some(peer) = self.peers.get_mut(&who) {
             peer.is_dead = !alive;
         }
@@ -316,17 +316,17 @@
     }
 
     /// The followers carried here, and whether each is classified as slow.
-    pub fn carried(&self) -> impl Iterator<Item = (MemberId, bool)> + '_ {
+    pub fn carried_followers(&self) -> impl Iterator<Item = (MemberId, bool)> + '_ {
         self.carrier.carried()
     }
 
     /// This member's load as a carrier.
-    pub fn about(&self) -> CarrierLoad {
-        self.carrier.load(&self.set)
+    pub fn load(&self) -> CarrierLoad {
+        self.carrier.load(&self.settings)
     }
 
     /// Number of moves started here and accepted by another member.
-    pub fn moves(&self) -> u64 {
+    pub fn completed_moves(&self) -> u64 {
         self.carrier.moves
     }
 
@@ -339,16 +339,16 @@
     }
 
     /// Handles a message; senders that are not listed are ignored.
-    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+    pub fn receive(&mut self, now: Time, from: MemberId, message: FeedMessage) {
         if self.peers.contains_key(&from) {
             self.handle_member(now, from, message);
         } else if self.followers.contains(&from) {
-            self.carrier.handle_follower(now, from, message, &self.set, &mut self.out);
+            self.carrier.handle_follower(now, from, message, &self.settings, &mut self.out);
         }
     }
 
-    fn handle_member(&mut self, now: Time, from: MemberId, message: Said) {
-        if let Said::Positions { stamp, .. } | Said::Request { stamp, .. } = &message {
+    fn handle_member(&mut self, now: Time, from: MemberId, message: FeedMessage) {
+        if let FeedMessage::Positions { stamp, .. } | FeedMessage::Request { stamp, .. } = &message {
             let Some(peer) = self.peers.get_mut(&from) else { return };
             // A delayed stamp must not replace a newer one: the echo of an older stamp gives a looser bound.
             if peer.stamp.is_none_or(|(known, _)| known < *stamp) {
@@ -356,7 +356,9 @@
             }
         }
         match message {
-            Said::Positions { load, positions, .. } if positions.len() <= self.set.most_sources => {
+            FeedMessage::Positions { load, positions, .. }
+                if positions.len() <= self.settings.max_sources =>
+            {
                 if let Some(peer) = self.peers.get_mut(&from) {
                     peer.load = Some((load, now));
                 }
@@ -375,18 +377,18 @@
                 }
                 self.request_missing(now, from, false);
             }
-            Said::Request { positions, .. } if positions.len() <= self.set.most_sources => {
+            FeedMessage::Request { positions, .. } if positions.len() <= self.settings.max_sources => {
                 self.answer_request(now, from, &positions)
             }
-            Said::Segments { echo, is_answer: answer, segments } => {
+            FeedMessage::Segments { echo, is_answer: answer, segments } => {
                 let transit = echo.and_then(|echo| echo.transit(now, self.incarnation));
-                for segment in segments.into_iter().take(self.set.max_segments) {
+                for segment in segments.into_iter().take(self.settings.max_segments) {
                     self.apply_segment(now, from, segment, transit);
                 }
                 self.request_missing(now, from, answer);
             }
-            Said::OfferMove { follower, .. } if !self.followers.contains(&follower) => {}
-            message => self.carrier.handle_member(now, from, message, &self.set, &mut self.out),
+            FeedMessage::OfferMove { follower, .. } if !self.followers.contains(&follower) => {}
+            message => self.carrier.handle_member(now, from, message, &self.settings, &mut self.out),
         }
     }
 
@@ -421,7 +423,7 @@
         }
         let (up_to, head) = (segment.up_to, segment.head);
         let at = self.position_of(source);
-        let check = segment.check_against(&self.set, at, transit.unwrap_or(Span::ZERO));
+        let check = segment.check_against(&self.settings, at, transit.unwrap_or(Span::ZERO));
         match check {
             SegmentCheck::Invalid | SegmentCheck::Known => return,
             SegmentCheck::New { items, is_complete } if transit.is_some() => {
@@ -432,7 +434,7 @@
                 let delivered = log.delivered_up_to;
                 log.delivered_up_to = delivered.max(up_to);
                 let mut fresh = items.clone();
-                log.append(now, items, up_to, is_complete, &self.set);
+                log.append(now, items, up_to, is_complete, &self.settings);
                 self.updated_sources.insert(source);
                 if up_to > delivered {
                     fresh.retain(|item| item.number > delivered);
@@ -453,36 +455,37 @@
     /// once.
     fn request_missing(&mut self, now: Time, to: MemberId, has_answer: bool) {
         let logs = &self.logs;
-        let lifetime = self.set.report_lifetime;
+        let lifetime = self.settings.report_lifetime;
         self.missing.retain(|source, missing| {
             let at = logs.get(source).map(|log| (log.incarnation, log.up_to));
             now - missing.last_reported <= lifetime
                 && at.is_none_or(|at| at < (missing.incarnation, missing.number))
         });
-        let is_request_pending = self.last_request.is_some_and(|at| now - at < Span(self.set.round.0 * 3));
+        let is_request_pending =
+            self.last_request.is_some_and(|at| now - at < Span(self.settings.interval.0 * 3));
         if self.missing.is_empty() {
             self.last_request = None;
             self.request_attempts = 0;
         } else if has_answer || !is_request_pending {
             self.last_request = Some(now);
-            let positions = self.missing.iter().take(self.set.max_segments).map(|(source, missing)| {
+            let positions = self.missing.iter().take(self.settings.max_segments).map(|(source, missing)| {
                 self.position_of(*source).unwrap_or(Position {
                     source: *source,
                     incarnation: missing.incarnation,
                     number: 0,
                 })
             });
-            let message = Said::Request { stamp: self.stamp(now), positions: positions.collect() };
-            self.out.push_back(Effect::Tell { to, said: message });
+            let message = FeedMessage::Request { stamp: self.stamp(now), positions: positions.collect() };
+            self.out.push_back(Effect::Send { to, message });
         }
     }
 
     /// Answers a request within this round's repair budget.
     fn answer_request(&mut self, now: Time, to: MemberId, positions: &[Position]) {
         let (mut segments, mut bytes) = (Vec::new(), 0);
-        let max_bytes = self.set.frame_bytes.min(self.repair_bytes_left);
+        let max_bytes = self.settings.frame_bytes.min(self.repair_bytes_left);
         for position in positions {
-            if segments.len() >= self.set.max_segments || bytes >= max_bytes {
+            if segments.len() >= self.settings.max_segments || bytes >= max_bytes {
                 break;
             }
             let Some(log) =
@@ -505,17 +508,20 @@
         }
         self.repair_bytes_left = self.repair_bytes_left.saturating_sub(bytes);
         let echo = self.peers.get(&to).and_then(|peer| peer.echo(now));
-        self.out.push_back(Effect::Tell { to, said: Said::Segments { echo, is_answer: true, segments } });
+        self.out.push_back(Effect::Send {
+            to,
+            message: FeedMessage::Segments { echo, is_answer: true, segments },
+        });
     }
 
     fn send_positions(&mut self, now: Time, to: MemberId, positions: Vec<Position>) {
-        let message = Said::Positions { stamp: self.stamp(now), load: self.about(), positions };
-        self.out.push_back(Effect::Tell { to, said: message });
+        let message = FeedMessage::Positions { stamp: self.stamp(now), load: self.load(), positions };
+        self.out.push_back(Effect::Send { to, message });
     }
 
     /// The periodic timer, called every `Set::round`.
-    pub fn woken(&mut self, now: Time) {
-        self.repair_bytes_left = self.set.repair_bytes;
+    pub fn tick(&mut self, now: Time) {
+        self.repair_bytes_left = self.settings.repair_bytes;
         self.push_own_items(now);
         self.report_positions(now);
         if !self.missing.is_empty() {
@@ -531,7 +537,7 @@
         if now - self.last_expiry >= Span::seconds(1.0) {
             self.last_expiry = now;
             for log in self.logs.values_mut() {
-                log.expire(now, &self.set);
+                log.expire(now, &self.settings);
             }
         }
         let loads: Vec<_> = self
@@ -539,28 +545,32 @@
             .iter()
             .filter(|(_, peer)| !peer.is_dead)
             .filter_map(|(id, peer)| peer.load.map(|(load, at)| (*id, load, at)))
-            .filter(|(.., at)| now - *at <= self.set.report_lifetime)
+            .filter(|(.., at)| now - *at <= self.settings.report_lifetime)
             .collect();
         // Numbers that no member has reported for a while no longer exist anywhere.
-        let lately = Span(self.set.heartbeat.0 * 6);
+        let lately = Span(self.settings.heartbeat.0 * 6);
         let counts = |missing: &&Missing| missing.is_confirmed && now - missing.last_reported <= lately;
         let own_lag = self.missing.values().filter(counts).map(|missing| now - missing.since).max();
         let own_lag = own_lag.unwrap_or(Span::ZERO);
         let others = OtherCarriers { loads: &loads, own_lag };
-        self.carrier.tick(now, &self.logs, &others, &self.set, &mut self.out);
+        self.carrier.tick(now, &self.logs, &others, &self.settings, &mut self.out);
     }
 
     /// Sends own items published since the last round to all members.
     fn push_own_items(&mut self, now: Time) {
         let Some(log) = self.logs.get(&self.own) else { return };
-        let Some((segment, _)) = log.segment(now, self.own, self.pushed_up_to, self.set.frame_bytes) else {
+        let Some((segment, _)) = log.segment(now, self.own, self.pushed_up_to, self.settings.frame_bytes)
+        else {
             return;
         };
         self.pushed_up_to = segment.up_to;
         for (to, peer) in self.peers.iter().filter(|(_, peer)| !peer.is_dead) {
-            let message =
-                Said::Segments { echo: peer.echo(now), is_answer: false, segments: vec![segment.clone()] };
-            self.out.push_back(Effect::Tell { to: *to, said: message });
+            let message = FeedMessage::Segments {
+                echo: peer.echo(now),
+                is_answer: false,
+                segments: vec![segment.clone()],
+            };
+            self.out.push_back(Effect::Send { to: *to, message });
         }
     }
 
@@ -579,9 +589,9 @@
                 self.send_positions(now, to, updated.clone());
             }
         }
-        let is_full_report = now - self.last_full_report >= self.set.report_interval;
-        self.stamp_credit +=
-            self.peer_order.len() as f64 * self.set.round.as_seconds() / self.set.stamp_interval.as_seconds();
+        let is_full_report = now - self.last_full_report >= self.settings.report_interval;
+        self.stamp_credit += self.peer_order.len() as f64 * self.settings.interval.as_seconds()
+            / self.settings.stamp_interval.as_seconds();
         self.stamp_credit = self.stamp_credit.min(self.peer_order.len() as f64);
         let mut reports = (self.stamp_credit as usize).max(usize::from(is_full_report));
         let mut positions: Vec<Position> = Vec::new();
--- a/crates/fleet/src/feed/settings.rs
+++ b/crates/fleet/src/feed/settings.rs
@@ -3,10 +3,10 @@
 
 /// Settings of the feed; the same for all members and followers of a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set {
+pub struct Settings {
     /// The interval of the periodic timer. A source's new items are sent once a round, and so are a carrier's
     /// frames.
-    pub round: Span,
+    pub interval: Span,
     /// Per source: bounds of the newest items, which are held without a gap,
     pub backlog_items: usize,
     pub backlog_bytes: usize,
@@ -21,7 +21,7 @@
     pub max_segments: usize,
     /// Number of members, including this one. A message names each with its run and number, and must fit into
     /// one datagram.
-    pub most_sources: usize,
+    pub max_sources: usize,
     /// Bytes a member sends to all followers in a round.
     pub round_bytes: usize,
     /// Bytes a member sends in a round to members that lack items.
@@ -71,10 +71,10 @@
     pub regroup: bool,
 }
 
-impl Default for Set {
-    fn default() -> Set {
-        Set {
-            round: Span::millis(50),
+impl Default for Settings {
+    fn default() -> Settings {
+        Settings {
+            interval: Span::millis(50),
             backlog_items: 256,
             backlog_bytes: 32 << 10,
             state_items: 512,
@@ -83,7 +83,7 @@
             max_value_bytes: 16 << 10,
             frame_bytes: 8 << 10,
             max_segments: 64,
-            most_sources: 1_024,
+            max_sources: 1_024,
             round_bytes: 256 << 10,
             repair_bytes: 64 << 10,
             window_bytes: 32 << 10,
@@ -113,7 +113,7 @@
     }
 }
 
-impl Set {
+impl Settings {
     /// Whether an item's key and value are within the bounds.
     pub(super) fn accepts(&self, key: &[u8], value: &[u8]) -> bool {
         key.len() <= self.max_key_bytes && value.len() <= self.max_value_bytes
@@ -123,6 +123,6 @@
     /// overhead, without the allocator's rounding.
     pub fn max_bytes(&self, sources: usize) -> usize {
         let item = 2 * self.max_key_bytes + self.max_value_bytes + 128;
-        sources.min(self.most_sources) * (self.backlog_bytes + self.state_bytes + item)
+        sources.min(self.max_sources) * (self.backlog_bytes + self.state_bytes + item)
     }
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -21,8 +21,8 @@
     pub limits: Option<limits::Settings>,
     pub verdicts: Option<verdicts::Settings>,
     /// Only used with verdicts or followers.
-    pub feed: feed::Set,
-    pub rollout: Option<rollout::Set>,
+    pub feed: feed::Settings,
+    pub rollout: Option<rollout::Settings>,
 }
 
 /// A message between members.
@@ -30,8 +30,8 @@
 pub enum Message {
     Members(members::Message),
     Limits(limits::Message),
-    Feed(feed::Said),
-    Rollout(rollout::Said),
+    Feed(feed::FeedMessage),
+    Rollout(rollout::RolloutMessage),
 }
 
 /// Why a message was ignored.
@@ -141,7 +141,7 @@
         });
         let needs_feed = settings.verdicts.is_some() || !followers.is_empty();
         let feed = needs_feed.then(|| {
-            let settings = feed::Set { round: every, ..settings.feed };
+            let settings = feed::Settings { interval: every, ..settings.feed };
             Feed::new(settings, own, incarnation, &ids, followers, seed ^ 2, now)
         });
         let verdicts = settings
@@ -197,17 +197,17 @@
         }
         if !self.locations.contains_key(&from) {
             return match (message, &mut self.feed) {
-                (Message::Feed(said), Some(feed)) if self.followers.contains(&from) => {
-                    feed.heard(now, from, said);
+                (Message::Feed(message), Some(feed)) if self.followers.contains(&from) => {
+                    feed.receive(now, from, message);
                     Ok(())
                 }
                 _ => Err(Rejection::UnlistedSender),
             };
         }
         let is_current = self.members.accept(now, from, incarnation);
-        if let Message::Members(said) = message {
+        if let Message::Members(message) = message {
             // Also from an outdated run, which is then told about the newer one.
-            self.members.receive(now, from, said);
+            self.members.receive(now, from, message);
             return if is_current { Ok(()) } else { Err(Rejection::InvalidRun) };
         }
         if !is_current {
@@ -217,9 +217,9 @@
             verdicts.note_incarnation(now, from, incarnation);
         }
         match (message, &mut self.limits, &mut self.feed, &mut self.rollout) {
-            (Message::Limits(said), Some(limits), ..) => limits.receive(now, from, said),
-            (Message::Feed(said), _, Some(feed), _) => feed.heard(now, from, said),
-            (Message::Rollout(said), .., Some(rollout)) => rollout.heard(now, from, said),
+            (Message::Limits(message), Some(limits), ..) => limits.receive(now, from, message),
+            (Message::Feed(message), _, Some(feed), _) => feed.receive(now, from, message),
+            (Message::Rollout(message), .., Some(rollout)) => rollout.receive(now, from, message),
             _ => return Err(Rejection::ComponentOff),
         }
         Ok(())
@@ -242,10 +242,10 @@
             self.effects.push_back(effect);
         }
         if let Some(feed) = &mut self.feed {
-            feed.woken(now);
+            feed.tick(now);
         }
         if let Some(rollout) = &mut self.rollout {
-            rollout.woken(now);
+            rollout.tick(now);
         }
     }
 
@@ -313,26 +313,26 @@
     /// Passes the dispatcher's figures of a period to the rollout.
     pub fn report_figures(&mut self, now: Time, figures: rollout::Figures) {
         if let Some(rollout) = &mut self.rollout {
-            rollout.counted(now, figures);
+            rollout.add_figures(now, figures);
         }
     }
 
     /// Carries out an operator's order; `None` if the rollout is off.
-    pub fn order(&mut self, now: Time, order: rollout::Order) -> Option<Result<(), rollout::Error>> {
+    pub fn order(&mut self, now: Time, order: rollout::Order) -> Option<Result<(), rollout::OrderError>> {
         Some(self.rollout.as_mut()?.order(now, order))
     }
 
     /// Reports that the rules of this number can't be used.
     pub fn reject_rules(&mut self, now: Time, number: u64, why: &str) {
         if let Some(rollout) = &mut self.rollout {
-            rollout.refused(now, number, why);
+            rollout.version_rejected(now, number, why);
         }
     }
 
     /// Reports that a record was stored, or could not be.
     pub fn confirm_stored(&mut self, now: Time, ticket: u64, is_stored: bool) {
         if let Some(rollout) = &mut self.rollout {
-            rollout.kept(now, ticket, is_stored);
+            rollout.record_written(now, ticket, is_stored);
         }
     }
 
@@ -382,13 +382,13 @@
             limits.set_alive(now, who, alive);
         }
         if let Some(feed) = &mut self.feed {
-            feed.standing(now, who, alive);
+            feed.set_member_alive(now, who, alive);
         }
         if let (Some(verdicts), Some(location)) = (&mut self.verdicts, self.locations.get(&who)) {
             verdicts.set_alive(now, who, *location, alive);
         }
         if let Some(rollout) = &mut self.rollout {
-            rollout.standing(now, who, alive);
+            rollout.set_member_alive(now, who, alive);
         }
     }
 
@@ -403,8 +403,8 @@
     }
 
     fn next_feed_effect(&mut self, now: Time) -> Option<Effect> {
-        Some(match self.feed.as_mut()?.next()? {
-            feed::Effect::Tell { to, said } => Effect::Send { to, message: Message::Feed(said) },
+        Some(match self.feed.as_mut()?.next_effect()? {
+            feed::Effect::Send { to, message } => Effect::Send { to, message: Message::Feed(message) },
             feed::Effect::Deliver { source, incarnation, number, key, value, age } => {
                 self.handle_feed_item(now, source, incarnation, &key, &value, age);
                 Effect::FeedDelivered { source, incarnation, number, is_state: false }
@@ -473,8 +473,8 @@
     }
 
     fn next_rollout_effect(&mut self) -> Option<Effect> {
-        Some(match self.rollout.as_mut()?.next()? {
-            rollout::Effect::Tell { to, said } => Effect::Send { to, message: Message::Rollout(said) },
+        Some(match self.rollout.as_mut()?.next_effect()? {
+            rollout::Effect::Send { to, message } => Effect::Send { to, message: Message::Rollout(message) },
             rollout::Effect::Keep { ticket, record } => Effect::Store { ticket, record },
             rollout::Effect::InForce { number, text } => Effect::ApplyRules { number, text },
             rollout::Effect::Log(line) => Effect::Log(line),
--- a/crates/fleet/src/rollout/figures.rs
+++ b/crates/fleet/src/rollout/figures.rs
@@ -15,11 +15,11 @@
     pub visits: u64,
     /// Served within their quoted time.
     pub in_time: u64,
-    pub turned_back: u64,
-    pub written_off: u64,
+    pub refused: u64,
+    pub failed: u64,
     pub hand_offs: u64,
     /// Hosts that were newly ejected.
-    pub shut_out: u64,
+    pub ejected: u64,
 }
 
 impl Figures {
@@ -27,20 +27,20 @@
     pub fn add(&mut self, more: Figures) {
         self.visits = self.visits.saturating_add(more.visits);
         self.in_time = self.in_time.saturating_add(more.in_time);
-        self.turned_back = self.turned_back.saturating_add(more.turned_back);
-        self.written_off = self.written_off.saturating_add(more.written_off);
+        self.refused = self.refused.saturating_add(more.refused);
+        self.failed = self.failed.saturating_add(more.failed);
         self.hand_offs = self.hand_offs.saturating_add(more.hand_offs);
-        self.shut_out = self.shut_out.saturating_add(more.shut_out);
+        self.ejected = self.ejected.saturating_add(more.ejected);
     }
 
     /// Limits counts received from another member to plausible values: no part exceeds the whole.
     pub fn clamped(mut self) -> Figures {
         self.visits = self.visits.min(1_000_000_000);
-        for part in [&mut self.in_time, &mut self.turned_back, &mut self.written_off] {
+        for part in [&mut self.in_time, &mut self.refused, &mut self.failed] {
             *part = (*part).min(self.visits);
         }
         self.hand_offs = self.hand_offs.min(self.visits.saturating_mul(100));
-        self.shut_out = self.shut_out.min(10_000);
+        self.ejected = self.ejected.min(10_000);
         self
     }
 
@@ -49,10 +49,10 @@
         let share = |part: u64| part as f64 / self.visits.max(1) as f64;
         match measure {
             Measure::Late => 1.0 - share(self.in_time),
-            Measure::Refused => share(self.turned_back),
-            Measure::Failed => share(self.written_off),
+            Measure::Refused => share(self.refused),
+            Measure::Failed => share(self.failed),
             Measure::HandOffs => share(self.hand_offs),
-            Measure::Ejected => self.shut_out as f64,
+            Measure::Ejected => self.ejected as f64,
         }
     }
 }
--- a/crates/fleet/src/rollout/mod.rs
+++ b/crates/fleet/src/rollout/mod.rs
@@ -20,7 +20,7 @@
 mod version;
 
 pub use figures::{compare, p_value, prune, Comparison, Figures, Measure, WindowFigures, Windows};
-pub use version::{AfterHalt, Error, Id, Plan, Version};
+pub use version::{AfterHalt, OrderError, Plan, Version, VersionId};
 
 use crate::common::{Incarnation, MemberId};
 use cherrypass::ids::LocationId;
@@ -34,7 +34,7 @@
 
 /// The largest number of members: a message names each of them with its run and must fit into one datagram. A
 /// fleet with more is refused when it is set up.
-pub const MEMBERS: usize = 1_024;
+pub const MAX_MEMBERS: usize = 1_024;
 /// Longest reason of a halt, in characters.
 const MAX_REASON_CHARS: usize = 160;
 /// A ballot or step number that is this far ahead is rejected as invalid.
@@ -42,7 +42,7 @@
 
 /// Settings of the rollout.
 #[derive(Clone, Debug)]
-pub struct Set {
+pub struct Settings {
     /// How often members send their status.
     pub hello_interval: Span,
     /// A member with the version that has not been heard for this long causes a halt.
@@ -71,9 +71,9 @@
     pub store_rest: Span,
 }
 
-impl Default for Set {
-    fn default() -> Set {
-        Set {
+impl Default for Settings {
+    fn default() -> Settings {
+        Settings {
             hello_interval: Span::seconds(1.0),
             silence_limit: Span::seconds(10.0),
             runner_timeout: Span::seconds(5.0),
@@ -110,9 +110,9 @@
 pub struct Step {
     /// Counts the changes of the step.
     pub at: u64,
-    pub version: Id,
+    pub version: VersionId,
     /// The version that was in force everywhere before.
-    pub base: Id,
+    pub base: VersionId,
     /// Counts resumes; a halt applies to one run.
     pub run: u32,
     /// 0: a part of the first location; k: the first k locations.
@@ -170,8 +170,8 @@
     pub chosen: Step,
     pub halt: Option<Halt>,
     /// The latest runs of members that caught up after a start: answers of earlier runs are void.
-    pub met: BTreeMap<MemberId, Incarnation>,
-    pub in_force: Id,
+    pub incarnations: BTreeMap<MemberId, Incarnation>,
+    pub in_force: VersionId,
     /// Restarts of the process since it put the version in force.
     pub starts: u8,
 }
@@ -203,18 +203,18 @@
 /// A message between members. Encoded by position (postcard): the order of variants and fields must not
 /// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
+pub enum RolloutMessage {
     Hello(Box<Hello>),
     /// Requests a document.
-    RequestDocument(Id),
+    RequestDocument(VersionId),
     Document(Version),
     /// Asks for the receiver's state, after a start.
-    Catch(Incarnation),
+    CatchUp(Incarnation),
     /// The answer to `Catch`.
-    Caught {
+    CatchUpAnswer {
         to: Incarnation,
         /// Whether the sender has caught up itself.
-        sure: bool,
+        has_caught_up: bool,
         state: Box<State>,
     },
     /// Asks for a promise not to accept lower ballots.
@@ -223,14 +223,14 @@
         ballot: Ballot,
         incarnation: Incarnation,
         accepted: Option<(Ballot, Step)>,
-        met: BTreeMap<MemberId, Incarnation>,
+        incarnations: BTreeMap<MemberId, Incarnation>,
     },
     /// Asks to accept a step.
     Accept(Ballot, Step),
     Accepted {
         ballot: Ballot,
         incarnation: Incarnation,
-        met: BTreeMap<MemberId, Incarnation>,
+        incarnations: BTreeMap<MemberId, Incarnation>,
     },
     /// Rejects a ballot because of a higher one or of a halt.
     Refuse {
@@ -243,9 +243,9 @@
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Tell {
+    Send {
         to: MemberId,
-        said: Said,
+        message: RolloutMessage,
     },
     /// Write and sync a record, then call `kept` with the ticket. There is one at a time.
     Keep {
@@ -278,30 +278,30 @@
 pub struct Status {
     pub step: Step,
     /// The step this member accepted and does not know to be chosen: it may still be, halted or not.
-    pub may_come: Option<Step>,
+    pub unconfirmed_step: Option<Step>,
     pub stages: u16,
     pub halt: Option<Halt>,
     pub in_force: u64,
     /// The member that runs the rollout, as far as known here.
     pub runner: Option<MemberId>,
     /// Whether this member takes part: it has caught up and its store can be written.
-    pub able: bool,
+    pub is_able: bool,
     /// What an order or the next stage waits for, in one line; at most 8 members are named.
-    pub waits: Option<String>,
+    pub waiting_for: Option<String>,
 }
 
 /// What is done once the state is on disk.
 #[derive(Clone, Debug)]
 enum Deferred {
-    Send(MemberId, Said),
+    Send(MemberId, RolloutMessage),
     Ack { to: MemberId, ballot: Ballot, step: Step },
-    InForce(Id),
+    InForce(VersionId),
 }
 
 /// A change of the step.
 #[derive(Clone, Debug, PartialEq)]
 enum Change {
-    Start(Id),
+    Start(VersionId),
     /// From this step to the next stage.
     Promote(Step),
     Halt(Halt),
@@ -312,18 +312,18 @@
 /// A member's part in the rollout.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    set: Set,
+    settings: Settings,
     own: MemberId,
     incarnation: Incarnation,
     listed: BTreeMap<MemberId, LocationId>,
     rng: Pcg64Mcg,
     state: State,
-    documents: BTreeMap<Id, Version>,
+    documents: BTreeMap<VersionId, Version>,
     // Disk.
-    unsaved_documents: Vec<Id>,
+    unsaved_documents: Vec<VersionId>,
     is_dirty: bool,
     /// The ticket being written, with the document's id, and what waits for this record and for the next one.
-    record_in_flight: Option<(u64, Option<Id>)>,
+    record_in_flight: Option<(u64, Option<VersionId>)>,
     awaiting_record: Vec<Deferred>,
     awaiting_next_record: Vec<Deferred>,
     is_store_ok: bool,
@@ -339,7 +339,7 @@
     is_order_pending: bool,
     highest_round: u64,
     next_attempt_at: Time,
-    requested_documents: BTreeSet<Id>,
+    requested_documents: BTreeSet<VersionId>,
     // The runner, and what members report to it.
     peers: BTreeMap<MemberId, Peer>,
     runner: Option<(MemberId, Time)>,
@@ -360,13 +360,13 @@
     refused: Option<(u64, u32)>,
     /// The version the dispatcher was last instructed to put in force; `state.in_force` may still wait for
     /// the disk.
-    active: Id,
+    active: VersionId,
     // Own figures.
     open_window: (WindowFigures, Time),
     closed_windows: BTreeMap<u64, (Time, WindowFigures)>,
     next_window: u64,
     stage_first_window: u64,
-    inbox: VecDeque<Said>,
+    inbox: VecDeque<RolloutMessage>,
     effects: VecDeque<Effect>,
 }
 
@@ -375,7 +375,7 @@
     /// store, in any order.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        set: Set,
+        settings: Settings,
         own: MemberId,
         own_location: LocationId,
         incarnation: Incarnation,
@@ -384,7 +384,7 @@
         seed: u64,
         now: Time,
     ) -> Rollout {
-        let mut listed: BTreeMap<MemberId, LocationId> = members.iter().copied().take(MEMBERS).collect();
+        let mut listed: BTreeMap<MemberId, LocationId> = members.iter().copied().take(MAX_MEMBERS).collect();
         listed.insert(own, own_location);
         let (mut state, mut documents) = (State::default(), BTreeMap::new());
         for record in kept {
@@ -397,12 +397,13 @@
             }
         }
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let take_over_at = now + set.runner_timeout + set.runner_timeout.times(rng.gen_range(0.0..1.0));
+        let take_over_at =
+            now + settings.runner_timeout + settings.runner_timeout.times(rng.gen_range(0.0..1.0));
         let mut rollout = Rollout {
             peers: listed.keys().filter(|id| **id != own).map(|id| (*id, Peer::default())).collect(),
             highest_round: state.promised.round,
             open_window: (WindowFigures::default(), now),
-            set,
+            settings,
             own,
             incarnation,
             listed,
@@ -436,7 +437,7 @@
             has_passed: false,
             waiting_for: None,
             refused: None,
-            active: Id::default(),
+            active: VersionId::default(),
             closed_windows: BTreeMap::new(),
             next_window: 1,
             stage_first_window: 1,
@@ -457,12 +458,12 @@
     }
 
     /// Handles an operator's order. It completes once the members it needs have answered: see `status`.
-    pub fn order(&mut self, now: Time, order: Order) -> Result<(), Error> {
+    pub fn order(&mut self, now: Time, order: Order) -> Result<(), OrderError> {
         let step = self.latest();
         let number = step.version.number;
         if order == Order::Halt {
             if self.rolling_step().is_none() {
-                return Err(Error::NothingUnderWay);
+                return Err(OrderError::NothingUnderWay);
             }
             self.halt(now, "ordered".to_owned());
             self.flush(now);
@@ -471,17 +472,17 @@
         if let Order::Start(version) = &order {
             version.check(&self.listed)?;
             if version.number <= number {
-                return Err(Error::Older { given: version.number, last: number });
+                return Err(OrderError::Older { given: version.number, last: number });
             }
         }
         let change = match order {
             Order::Start(_) if !matches!(step.phase, Phase::Full | Phase::Back) => {
-                return Err(Error::VersionUnderWay(number))
+                return Err(OrderError::VersionUnderWay(number))
             }
-            Order::Resume if step.phase != Phase::Halted => return Err(Error::NotHalted(number)),
-            Order::Back if number == 0 || step.phase == Phase::Back => return Err(Error::NoWayBack),
-            _ if !self.is_store_ok => return Err(Error::StoreUnavailable),
-            _ if self.catch_up_answers.is_some() => return Err(Error::NotCaughtUp),
+            Order::Resume if step.phase != Phase::Halted => return Err(OrderError::NotHalted(number)),
+            Order::Back if number == 0 || step.phase == Phase::Back => return Err(OrderError::NoWayBack),
+            _ if !self.is_store_ok => return Err(OrderError::StoreUnavailable),
+            _ if self.catch_up_answers.is_some() => return Err(OrderError::NotCaughtUp),
             Order::Start(version) => {
                 let id = version.id();
                 self.documents.insert(id, version);
@@ -499,19 +500,19 @@
     }
 
     /// Adds this dispatcher's counts of the last second.
-    pub fn counted(&mut self, now: Time, figures: Figures) {
+    pub fn add_figures(&mut self, now: Time, figures: Figures) {
         self.open_window.0.figures.add(figures.clamped());
         self.close_window(now);
     }
 
     /// The version could not be put in force; the one before stays. Counts as a halt.
-    pub fn refused(&mut self, now: Time, number: u64, why: &str) {
+    pub fn version_rejected(&mut self, now: Time, number: u64, why: &str) {
         if self.active.number != number || number == 0 {
             return;
         }
         let step = self.state.chosen;
         self.refused = Some((number, step.run));
-        let fallback = if step.base.number == number { Id::default() } else { step.base };
+        let fallback = if step.base.number == number { VersionId::default() } else { step.base };
         let why: String = why.chars().filter(|c| !c.is_control()).take(MAX_REASON_CHARS).collect();
         self.log(format!(
             "rules {number} could not be put in force, {} stay in force: {why}",
@@ -529,7 +530,7 @@
     }
 
     /// Handles a message of another member.
-    pub fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+    pub fn receive(&mut self, now: Time, from: MemberId, message: RolloutMessage) {
         if from != self.own && self.listed.contains_key(&from) {
             self.handle(now, from, message);
             self.flush(now);
@@ -537,14 +538,14 @@
     }
 
     /// Another member's status, from the failure detector.
-    pub fn standing(&mut self, _now: Time, who: MemberId, alive: bool) {
+    pub fn set_member_alive(&mut self, _now: Time, who: MemberId, alive: bool) {
         if let Some(peer) = self.peers.get_mut(&who) {
             peer.is_dead = !alive;
         }
     }
 
     /// The record is on disk (`is_written`), or could not be written.
-    pub fn kept(&mut self, now: Time, ticket: u64, is_written: bool) {
+    pub fn record_written(&mut self, now: Time, ticket: u64, is_written: bool) {
         let Some((_, document)) = self.record_in_flight.take_if(|(out, _)| *out == ticket) else { return };
         if !is_written {
             if self.is_store_ok {
@@ -554,7 +555,7 @@
                 );
             }
             self.is_store_ok = false;
-            self.store_retry_at = now + self.set.store_rest;
+            self.store_retry_at = now + self.settings.store_rest;
             let unwritten = std::mem::take(&mut self.awaiting_record);
             self.awaiting_next_record.extend(unwritten);
             self.awaiting_next_record.retain(|deferred| matches!(deferred, Deferred::InForce(_)));
@@ -577,7 +578,7 @@
     }
 
     /// The periodic timer.
-    pub fn woken(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         self.close_window(now);
         self.catch_up(now);
         self.drive_attempt(now);
@@ -587,8 +588,7 @@
     }
 
     /// The next effect. Call until there is none after each call.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
@@ -597,13 +597,17 @@
         let step = self.state.chosen;
         Status {
             step,
-            may_come: self.state.accepted.map(|(_, step)| step).filter(|accepted| accepted.at > step.at),
+            unconfirmed_step: self
+                .state
+                .accepted
+                .map(|(_, step)| step)
+                .filter(|accepted| accepted.at > step.at),
             stages: self.documents.get(&step.version).map_or(0, Version::stages),
             halt: self.state.halt.clone().filter(|halt| (halt.number, halt.run) == step.key()),
             in_force: self.active.number,
             runner: self.running_since.map(|_| self.own).or(self.runner.map(|(id, _)| id)),
-            able: self.is_able(),
-            waits: self.waiting_for.clone(),
+            is_able: self.is_able(),
+            waiting_for: self.waiting_for.clone(),
         }
     }
 
@@ -645,11 +649,11 @@
     }
 
     /// Sends a message; those to this member itself are queued.
-    fn send(&mut self, to: MemberId, message: Said) {
+    fn send(&mut self, to: MemberId, message: RolloutMessage) {
         if to == self.own {
             self.inbox.push_back(message);
         } else {
-            self.effects.push_back(Effect::Tell { to, said: message });
+            self.effects.push_back(Effect::Send { to, message });
         }
     }
 
@@ -696,15 +700,15 @@
                 let message = if is_refused {
                     self.refusal(ballot)
                 } else {
-                    let met = self.state.met.clone();
-                    Said::Accepted { ballot, incarnation: self.incarnation, met }
+                    let incarnations = self.state.incarnations.clone();
+                    RolloutMessage::Accepted { ballot, incarnation: self.incarnation, incarnations }
                 };
                 self.send(to, message);
             }
         }
     }
 
-    fn put_in_force(&mut self, id: Id) {
+    fn put_in_force(&mut self, id: VersionId) {
         let text = self.documents.get(&id).map(|version| version.text.clone());
         if id.number == 0 || text.is_some() {
             let (number, text) = (id.number, text.unwrap_or_default());
--- a/crates/fleet/src/rollout/register.rs
+++ b/crates/fleet/src/rollout/register.rs
@@ -19,7 +19,7 @@
 
 impl Attempt {
     /// The versions that the proposed step names.
-    pub(super) fn named_versions(&self) -> Vec<Id> {
+    pub(super) fn named_versions(&self) -> Vec<VersionId> {
         self.value.iter().flat_map(|step| [step.version, step.base]).collect()
     }
 
@@ -36,7 +36,7 @@
     /// one still counts on it.
     fn valid_answers(&self, answers: &BTreeMap<MemberId, Incarnation>) -> BTreeSet<MemberId> {
         let current =
-            |id: &MemberId, inc: &Incarnation| self.incarnations.get(id).is_none_or(|met| met <= inc);
+            |id: &MemberId, inc: &Incarnation| self.incarnations.get(id).is_none_or(|known| known <= inc);
         answers.iter().filter(|(id, inc)| current(id, inc)).map(|(id, _)| *id).collect()
     }
 }
@@ -70,31 +70,31 @@
 
 impl Rollout {
     /// Handles a message of a member, or of this one to itself.
-    pub(super) fn handle(&mut self, now: Time, from: MemberId, message: Said) {
+    pub(super) fn handle(&mut self, now: Time, from: MemberId, message: RolloutMessage) {
         match message {
-            Said::Hello(hello) => self.handle_hello(now, from, *hello),
-            Said::RequestDocument(id) => {
+            RolloutMessage::Hello(hello) => self.handle_hello(now, from, *hello),
+            RolloutMessage::RequestDocument(id) => {
                 if let Some(version) = self.documents.get(&id) {
-                    let message = Said::Document(version.clone());
+                    let message = RolloutMessage::Document(version.clone());
                     self.send(from, message);
                 }
             }
-            Said::Document(version) => self.handle_document(now, version),
-            Said::Catch(incarnation) => self.handle_catch_up(from, incarnation),
-            Said::Caught { to, sure, state } => {
+            RolloutMessage::Document(version) => self.handle_document(now, version),
+            RolloutMessage::CatchUp(incarnation) => self.handle_catch_up(from, incarnation),
+            RolloutMessage::CatchUpAnswer { to, has_caught_up, state } => {
                 if to == self.incarnation {
-                    self.handle_catch_up_answer(now, from, sure, *state);
+                    self.handle_catch_up_answer(now, from, has_caught_up, *state);
                 }
             }
-            Said::Prepare(ballot) => self.handle_prepare(from, ballot),
-            Said::Accept(ballot, step) => self.handle_accept(from, ballot, step),
-            Said::Promise { ballot, incarnation, accepted, met } => {
-                self.handle_promise(now, from, ballot, incarnation, accepted, met);
+            RolloutMessage::Prepare(ballot) => self.handle_prepare(from, ballot),
+            RolloutMessage::Accept(ballot, step) => self.handle_accept(from, ballot, step),
+            RolloutMessage::Promise { ballot, incarnation, accepted, incarnations } => {
+                self.handle_promise(now, from, ballot, incarnation, accepted, incarnations);
             }
-            Said::Accepted { ballot, incarnation, met } => {
-                self.handle_accepted(now, from, ballot, incarnation, met)
+            RolloutMessage::Accepted { ballot, incarnation, incarnations } => {
+                self.handle_accepted(now, from, ballot, incarnation, incarnations)
             }
-            Said::Refuse { ballot, higher, halt } => {
+            RolloutMessage::Refuse { ballot, higher, halt } => {
                 if let Some(halt) = halt {
                     self.handle_halt(halt);
                 }
@@ -111,8 +111,8 @@
 
     // Acceptor.
 
-    pub(super) fn refusal(&self, ballot: Ballot) -> Said {
-        Said::Refuse { ballot, higher: self.state.promised, halt: self.state.halt.clone() }
+    pub(super) fn refusal(&self, ballot: Ballot) -> RolloutMessage {
+        RolloutMessage::Refuse { ballot, higher: self.state.promised, halt: self.state.halt.clone() }
     }
 
     /// Whether the ballot's round is too far ahead to be valid.
@@ -132,16 +132,16 @@
         self.highest_round = self.highest_round.max(ballot.round);
         self.state.promised = ballot;
         self.is_dirty = true;
-        let (accepted, met) = (self.state.accepted, self.state.met.clone());
+        let (accepted, incarnations) = (self.state.accepted, self.state.incarnations.clone());
         self.answer_after_record(
             from,
-            Said::Promise { ballot, incarnation: self.incarnation, accepted, met },
+            RolloutMessage::Promise { ballot, incarnation: self.incarnation, accepted, incarnations },
         );
     }
 
     /// Sends an answer after the next record: a promise is on disk before it is given.
-    fn answer_after_record(&mut self, to: MemberId, message: Said) {
-        if self.awaiting_next_record.len() < 4 * MEMBERS {
+    fn answer_after_record(&mut self, to: MemberId, message: RolloutMessage) {
+        if self.awaiting_next_record.len() < 4 * MAX_MEMBERS {
             self.awaiting_next_record.push(Deferred::Send(to, message));
         }
     }
@@ -165,18 +165,18 @@
         self.state.promised = ballot;
         self.state.accepted = Some((ballot, step));
         self.is_dirty = true;
-        if self.awaiting_next_record.len() < 4 * MEMBERS {
+        if self.awaiting_next_record.len() < 4 * MAX_MEMBERS {
             self.awaiting_next_record.push(Deferred::Ack { to: from, ballot, step });
         }
         self.prune_documents();
     }
 
-    fn request_document(&mut self, from: MemberId, id: Id) {
+    fn request_document(&mut self, from: MemberId, id: VersionId) {
         if self.requested_documents.len() >= 8 {
             self.requested_documents.clear();
         }
         self.requested_documents.insert(id);
-        self.send(from, Said::RequestDocument(id));
+        self.send(from, RolloutMessage::RequestDocument(id));
     }
 
     fn handle_document(&mut self, now: Time, version: Version) {
@@ -199,22 +199,25 @@
     // Catching up.
 
     fn handle_catch_up(&mut self, from: MemberId, incarnation: Incarnation) {
-        let met = self.state.met.entry(from).or_default();
-        if *met < incarnation {
-            *met = incarnation;
+        let known = self.state.incarnations.entry(from).or_default();
+        if *known < incarnation {
+            *known = incarnation;
             self.is_dirty = true;
         }
-        if *met != incarnation {
+        if *known != incarnation {
             return;
         }
-        let sure = self.is_able();
+        let has_caught_up = self.is_able();
         let mut state = self.state.clone();
         // The version in force belongs to this member alone.
-        state.in_force = Id::default();
-        self.answer_after_record(from, Said::Caught { to: incarnation, sure, state: Box::new(state) });
+        state.in_force = VersionId::default();
+        self.answer_after_record(
+            from,
+            RolloutMessage::CatchUpAnswer { to: incarnation, has_caught_up, state: Box::new(state) },
+        );
     }
 
-    fn handle_catch_up_answer(&mut self, now: Time, from: MemberId, sure: bool, state: State) {
+    fn handle_catch_up_answer(&mut self, now: Time, from: MemberId, has_caught_up: bool, state: State) {
         if self.catch_up_answers.is_none() {
             return;
         }
@@ -225,10 +228,10 @@
         if state.accepted.map(|(ballot, _)| ballot) > self.state.accepted.map(|(ballot, _)| ballot) {
             self.state.accepted = state.accepted;
         }
-        merge_incarnations(&mut self.state.met, &self.listed, &state.met);
+        merge_incarnations(&mut self.state.incarnations, &self.listed, &state.incarnations);
         self.is_dirty = true;
         if let Some(answers) = &mut self.catch_up_answers {
-            answers.insert(from, sure);
+            answers.insert(from, has_caught_up);
         }
         if state.chosen.at > self.state.chosen.at {
             self.learn_step(now, from, state.chosen);
@@ -253,8 +256,8 @@
         let Some(answers) = &self.catch_up_answers else { return };
         let all = self.listed.len();
         let enough = all - self.majority() + 1;
-        let sure = answers.values().filter(|sure| **sure).count();
-        if sure >= enough || answers.len() + 1 >= all.min(enough + self.set.max_faulty_stores) {
+        let caught_up = answers.values().filter(|has_caught_up| **has_caught_up).count();
+        if caught_up >= enough || answers.len() + 1 >= all.min(enough + self.settings.max_faulty_stores) {
             self.catch_up_answers = None;
             self.is_dirty = true;
             self.apply_chosen_step(now);
@@ -267,11 +270,11 @@
         if now < self.next_catch_up {
             return;
         }
-        self.next_catch_up = now + self.set.hello_interval;
+        self.next_catch_up = now + self.settings.hello_interval;
         let left: Vec<MemberId> = self.peers.keys().filter(|id| !answers.contains_key(id)).copied().collect();
         let first = self.rng.gen_range(0..left.len().max(1));
         for id in left.iter().cycle().skip(first).take(left.len().min(32)) {
-            self.send(*id, Said::Catch(self.incarnation));
+            self.send(*id, RolloutMessage::CatchUp(self.incarnation));
         }
     }
 
@@ -406,7 +409,7 @@
             self.attempt = None;
             return;
         }
-        if self.pending_change.as_ref().is_some_and(|(_, since)| now - *since > self.set.order_timeout) {
+        if self.pending_change.as_ref().is_some_and(|(_, since)| now - *since > self.settings.order_timeout) {
             if self.is_order_pending {
                 let waiting_for = self.waiting_for.clone().unwrap_or_default();
                 self.log(format!("rollout: an order timed out: {waiting_for}"));
@@ -424,11 +427,11 @@
                 return;
             }
         };
-        if now - started > self.set.attempt_timeout {
+        if now - started > self.settings.attempt_timeout {
             self.waiting_for = self.describe_unanswered();
             self.attempt = None;
             self.back_off(now);
-        } else if now - last_sent >= self.set.resend_interval {
+        } else if now - last_sent >= self.settings.resend_interval {
             self.send_attempt(now);
         }
     }
@@ -462,8 +465,8 @@
         attempt.last_sent = now;
         let ballot = attempt.ballot;
         let (answered, message) = match attempt.value {
-            None => (&attempt.promises, Said::Prepare(ballot)),
-            Some(step) => (&attempt.acceptances, Said::Accept(ballot, step)),
+            None => (&attempt.promises, RolloutMessage::Prepare(ballot)),
+            Some(step) => (&attempt.acceptances, RolloutMessage::Accept(ballot, step)),
         };
         // A step is on the proposer's own disk before it is sent to others.
         let may_send_to_others = attempt.value.is_none() || answered.contains_key(&self.own);
@@ -542,14 +545,14 @@
         ballot: Ballot,
         incarnation: Incarnation,
         accepted: Option<(Ballot, Step)>,
-        met: BTreeMap<MemberId, Incarnation>,
+        incarnations: BTreeMap<MemberId, Incarnation>,
     ) {
         let majority = self.majority();
         let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else { return };
         if attempt.value.is_some() {
             return;
         }
-        merge_incarnations(&mut attempt.incarnations, &self.listed, &met);
+        merge_incarnations(&mut attempt.incarnations, &self.listed, &incarnations);
         attempt.promises.insert(from, incarnation);
         if accepted.map(|(ballot, _)| ballot) > attempt.highest_accepted.map(|(ballot, _)| ballot) {
             attempt.highest_accepted = accepted;
@@ -593,7 +596,7 @@
         if !step.promotes() {
             return BTreeSet::new();
         }
-        if self.set.promotion_needs_all || step.phase == Phase::Full {
+        if self.settings.promotion_needs_all || step.phase == Phase::Full {
             return self.listed.keys().copied().collect();
         }
         let version = self.documents.get(&step.version);
@@ -622,12 +625,12 @@
         from: MemberId,
         ballot: Ballot,
         incarnation: Incarnation,
-        met: BTreeMap<MemberId, Incarnation>,
+        incarnations: BTreeMap<MemberId, Incarnation>,
     ) {
         let own = self.own;
         let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else { return };
         let Some(step) = attempt.value else { return };
-        merge_incarnations(&mut attempt.incarnations, &self.listed, &met);
+        merge_incarnations(&mut attempt.incarnations, &self.listed, &incarnations);
         attempt.acceptances.insert(from, incarnation);
         let valid = attempt.valid_answers(&attempt.acceptances);
         let promises = attempt.valid_answers(&attempt.promises).len();
--- a/crates/fleet/src/rollout/runner.rs
+++ b/crates/fleet/src/rollout/runner.rs
@@ -32,7 +32,7 @@
         if now < self.next_hello {
             return;
         }
-        self.next_hello = now + self.set.hello_interval;
+        self.next_hello = now + self.settings.hello_interval;
         let step = self.state.chosen;
         let is_halter = self.state.halt.as_ref().is_some_and(|halt| halt.by == self.own)
             && self.rolling_step().is_some_and(|step| self.is_halted(&step));
@@ -63,7 +63,7 @@
                 windows_seen: (peer.incarnation, peer.windows_seen),
                 windows,
             };
-            self.send(id, Said::Hello(Box::new(hello)));
+            self.send(id, RolloutMessage::Hello(Box::new(hello)));
         }
     }
 
@@ -72,8 +72,8 @@
     /// fleet in which no member ever hears the majority that a runner needs.
     fn further_hello_targets(&mut self) -> Vec<MemberId> {
         let others: Vec<MemberId> = self.peers.keys().copied().collect();
-        let rounds =
-            self.set.silence_limit.as_seconds() / self.set.hello_interval.as_seconds() * HELLO_ROUND_FRACTION;
+        let rounds = self.settings.silence_limit.as_seconds() / self.settings.hello_interval.as_seconds()
+            * HELLO_ROUND_FRACTION;
         let share = (others.len() as f64 / rounds).ceil() as usize;
         if self.runner.is_some() || share <= MIN_HELLO_TARGETS {
             let count = MIN_HELLO_TARGETS.min(others.len());
@@ -91,7 +91,7 @@
             self.handle_halt(halt);
         }
         let since = self.window_index(self.step_learned);
-        let (window_span, max_windows) = (self.set.window, self.set.max_windows);
+        let (window_span, max_windows) = (self.settings.window, self.settings.max_windows);
         let (is_running, number, own) =
             (self.running_since.is_some(), self.state.chosen.version.number, self.incarnation);
         let Some(peer) = self.peers.get_mut(&from) else { return };
@@ -132,7 +132,7 @@
             self.stage_visits = self.stage_visits.saturating_add(visits);
         }
         if hello.is_runner && hello.is_able {
-            let current = self.runner.filter(|(_, at)| now - *at < self.set.runner_timeout);
+            let current = self.runner.filter(|(_, at)| now - *at < self.settings.runner_timeout);
             if current.is_none_or(|(id, _)| from <= id) {
                 self.runner = Some((from, now));
             }
@@ -144,24 +144,24 @@
 
     /// The index of the window that contains a time.
     fn window_index(&self, at: Time) -> u64 {
-        at.0 / self.set.window.0
+        at.0 / self.settings.window.0
     }
 
     /// Closes the open window once its time is over.
     pub(super) fn close_window(&mut self, now: Time) {
         let (window, started) = self.open_window;
-        if now - started < self.set.window {
+        if now - started < self.settings.window {
             return;
         }
         let middle = started + (now - started).times(0.5);
-        if now - started < self.set.window.times(1.5) {
+        if now - started < self.settings.window.times(1.5) {
             self.closed_windows.insert(self.next_window, (middle, window));
             let is_current_version = window.number == Some(self.state.chosen.version.number);
             if self.running_since.is_some() && is_current_version && middle >= self.step_learned {
                 self.stage_visits = self.stage_visits.saturating_add(window.figures.visits);
             }
             self.next_window += 1;
-            let [before, after] = self.set.max_windows;
+            let [before, after] = self.settings.max_windows;
             prune(&mut self.closed_windows, self.stage_first_window, before, after);
         }
         self.open_window =
@@ -176,27 +176,28 @@
 
     fn step_down(&mut self, now: Time) {
         self.running_since = None;
-        self.take_over_at = now + self.set.runner_timeout;
+        self.take_over_at = now + self.settings.runner_timeout;
         if !self.is_order_pending {
             (self.pending_change, self.attempt) = (None, None);
         }
     }
 
     fn hears_majority(&self, now: Time) -> bool {
-        let heard = |peer: &Peer| peer.last_heard.is_some_and(|at| now - at <= self.set.silence_limit);
+        let heard = |peer: &Peer| peer.last_heard.is_some_and(|at| now - at <= self.settings.silence_limit);
         self.peers.values().filter(|peer| heard(peer)).count() + 1 >= self.majority()
     }
 
     pub(super) fn drive_rollout(&mut self, now: Time) {
-        let has_runner = self.runner.is_some_and(|(_, at)| now - at < self.set.runner_timeout);
+        let has_runner = self.runner.is_some_and(|(_, at)| now - at < self.settings.runner_timeout);
         // Guards against halts by a runner that hears nobody because of its own link.
         if self.running_since.is_some() && !(self.is_able() && self.hears_majority(now)) {
             return self.step_down(now);
         }
         if self.running_since.is_none() {
             if has_runner || !self.is_able() || !self.hears_majority(now) {
-                self.take_over_at =
-                    self.take_over_at.max(now + self.set.runner_timeout.times(self.rng.gen_range(0.1..0.5)));
+                self.take_over_at = self
+                    .take_over_at
+                    .max(now + self.settings.runner_timeout.times(self.rng.gen_range(0.1..0.5)));
                 return;
             }
             if now < self.take_over_at {
@@ -251,7 +252,7 @@
             let silent = now - peer.last_heard.unwrap_or(since).max(since);
             let why = if peer.is_dead {
                 Some("died")
-            } else if silent > self.set.silence_limit {
+            } else if silent > self.settings.silence_limit {
                 Some("is unreachable")
             } else if peer.starts.max(peer.restarts) >= 2 {
                 Some("was restarted twice")
@@ -288,7 +289,7 @@
             return;
         }
         // A new runner first has to receive the members' windows again.
-        if now - self.step_learned.max(since) > version.plan.hold + self.set.stage_overtime {
+        if now - self.step_learned.max(since) > version.plan.hold + self.settings.stage_overtime {
             let why = match lacks_version {
                 Some(id) => format!("dispatcher {:016x} has not put the version in force", id.0),
                 None => format!("too few figures: {visits} of {} visits", version.plan.visits),
@@ -365,7 +366,7 @@
             return Comparison::TooFewWindows;
         }
         let k = f64::from(self.comparisons + 1);
-        let alpha = self.set.false_halt_rate / f64::from(version.stages()) / (k * (k + 1.0));
+        let alpha = self.settings.false_halt_rate / f64::from(version.stages()) / (k * (k + 1.0));
         let with: Vec<&Windows> = with.iter().collect();
         let without: Vec<&Windows> = without.iter().collect();
         let comparison = compare(&with, &without, first, alpha);
--- a/crates/fleet/src/rollout/version.rs
+++ b/crates/fleet/src/rollout/version.rs
@@ -53,7 +53,7 @@
 
 /// Identifies a version. Numbers start at 1; 0 stands for the rules of the operators' file alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct VersionId {
     pub number: u64,
     /// Hash of the whole document, which distinguishes two documents with the same number.
     pub digest: u64,
@@ -96,7 +96,7 @@
 
 impl Version {
     /// The version's number and digest.
-    pub fn id(&self) -> Id {
+    pub fn id(&self) -> VersionId {
         let mut hasher = FnvHasher::default();
         hasher.write_u64(self.number);
         hasher.write_usize(self.text.len());
@@ -106,7 +106,7 @@
         hasher.write_u64(self.plan.hold.0);
         hasher.write_u64(self.plan.visits);
         hasher.write_u8(u8::from(self.plan.after_halt == AfterHalt::Back));
-        Id { number: self.number, digest: hasher.finish() }
+        VersionId { number: self.number, digest: hasher.finish() }
     }
 
     /// The number of stages: a part of the first location, then location by location.
@@ -158,32 +158,32 @@
     }
 
     /// Checks a version against the listed dispatchers.
-    pub fn check(&self, listed: &BTreeMap<MemberId, LocationId>) -> Result<(), Error> {
+    pub fn check(&self, listed: &BTreeMap<MemberId, LocationId>) -> Result<(), OrderError> {
         let plan = &self.plan;
         if self.number == 0 || self.number == u64::MAX {
-            return Err(Error::Number(self.number));
+            return Err(OrderError::Number(self.number));
         }
         if self.text.len() > MAX_TEXT_BYTES {
-            return Err(Error::TextTooLong { bytes: self.text.len() });
+            return Err(OrderError::TextTooLong { bytes: self.text.len() });
         }
         if !(1..=1000).contains(&plan.first) {
-            return Err(Error::FirstPart(plan.first));
+            return Err(OrderError::FirstPart(plan.first));
         }
         if !(Span::seconds(1.0)..=Span::seconds(7.0 * 86_400.0)).contains(&plan.hold) {
-            return Err(Error::Hold(plan.hold.as_seconds()));
+            return Err(OrderError::Hold(plan.hold.as_seconds()));
         }
         let there: BTreeSet<LocationId> = listed.values().copied().collect();
         let mut named = BTreeSet::new();
         for location in &plan.order {
             if !there.contains(location) {
-                return Err(Error::UnknownLocation(location.0));
+                return Err(OrderError::UnknownLocation(location.0));
             }
             if !named.insert(*location) {
-                return Err(Error::LocationTwice(location.0));
+                return Err(OrderError::LocationTwice(location.0));
             }
         }
         match there.difference(&named).next() {
-            Some(location) => Err(Error::LocationMissing(location.0)),
+            Some(location) => Err(OrderError::LocationMissing(location.0)),
             None => Ok(()),
         }
     }
@@ -191,7 +191,7 @@
 
 /// Why an order was rejected; nothing in force has changed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Error {
+pub enum OrderError {
     #[error("number {0} can't be used: number versions from 1")]
     Number(u64),
     #[error("number {given} is not above {last}, the last version rolled out: give it a higher number")]
@@ -224,24 +224,24 @@
     NotCaughtUp,
 }
 
-impl Error {
+impl OrderError {
     /// The error code, for scripts.
     pub fn code(&self) -> &'static str {
         match self {
-            Error::Number(_) => "rollout-number",
-            Error::Older { .. } => "rollout-older",
-            Error::TextTooLong { .. } => "rollout-long",
-            Error::FirstPart(_) => "rollout-first",
-            Error::Hold(_) => "rollout-hold",
-            Error::UnknownLocation(_) => "rollout-location",
-            Error::LocationTwice(_) => "rollout-twice",
-            Error::LocationMissing(_) => "rollout-missing",
-            Error::VersionUnderWay(_) => "rollout-busy",
-            Error::NothingUnderWay => "rollout-nothing",
-            Error::NotHalted(_) => "rollout-not-halted",
-            Error::NoWayBack => "rollout-no-way-back",
-            Error::StoreUnavailable => "rollout-store",
-            Error::NotCaughtUp => "rollout-catching",
+            OrderError::Number(_) => "rollout-number",
+            OrderError::Older { .. } => "rollout-older",
+            OrderError::TextTooLong { .. } => "rollout-long",
+            OrderError::FirstPart(_) => "rollout-first",
+            OrderError::Hold(_) => "rollout-hold",
+            OrderError::UnknownLocation(_) => "rollout-location",
+            OrderError::LocationTwice(_) => "rollout-twice",
+            OrderError::LocationMissing(_) => "rollout-missing",
+            OrderError::VersionUnderWay(_) => "rollout-busy",
+            OrderError::NothingUnderWay => "rollout-nothing",
+            OrderError::NotHalted(_) => "rollout-not-halted",
+            OrderError::NoWayBack => "rollout-no-way-back",
+            OrderError::StoreUnavailable => "rollout-store",
+            OrderError::NotCaughtUp => "rollout-catching",
         }
     }
 }
--- a/crates/fleet/src/made.rs
+++ b/crates/fleet/src/simulation.rs
@@ -8,28 +8,28 @@
 
 /// A member as the network drives it. Times are of the member's own clock.
 pub trait Node {
-    type Said: Clone;
+    type Message: Clone;
     /// Receives a message.
-    fn heard(&mut self, now: Time, from: MemberId, message: Self::Said);
+    fn receive(&mut self, now: Time, from: MemberId, message: Self::Message);
     /// The periodic timer.
-    fn woken(&mut self, now: Time);
+    fn tick(&mut self, now: Time);
     /// The next message to send; the node handles other effects itself.
-    fn next(&mut self, now: Time) -> Option<(MemberId, Self::Said)>;
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, Self::Message)>;
 }
 
 /// The faults of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
     /// The fractions of messages that are lost and that arrive twice.
-    pub lost: f64,
-    pub twice: f64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
     /// Least and greatest transit time; a range also reorders messages.
     pub delay: [Span; 2],
 }
 
 impl Default for Link {
     fn default() -> Link {
-        Link { lost: 0.0, twice: 0.0, delay: [Span::millis(1), Span::millis(5)] }
+        Link { loss_rate: 0.0, duplication_rate: 0.0, delay: [Span::millis(1), Span::millis(5)] }
     }
 }
 
@@ -58,17 +58,17 @@
 /// Members and links. The network's own time is the true time.
 pub struct Network<N: Node> {
     pub now: Time,
-    pub chance: Pcg64Mcg,
+    pub rng: Pcg64Mcg,
     /// The default link, and links of single directions (from, to).
     pub link: Link,
     pub links: BTreeMap<(MemberId, MemberId), Link>,
     /// Directions in which all messages are lost.
     pub cut: BTreeSet<(MemberId, MemberId)>,
     /// Number of messages sent, by sender.
-    pub sent: BTreeMap<MemberId, u64>,
+    pub sent_messages: BTreeMap<MemberId, u64>,
     timer_interval: Span,
     members: BTreeMap<MemberId, Member<N>>,
-    events: BTreeMap<(Time, u64), Event<N::Said>>,
+    events: BTreeMap<(Time, u64), Event<N::Message>>,
     next_event: u64,
 }
 
@@ -77,11 +77,11 @@
     pub fn new(seed: u64, timer_interval: Span) -> Network<N> {
         Network {
             now: Time(1_000_000),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             link: Link::default(),
             links: BTreeMap::new(),
             cut: BTreeSet::new(),
-            sent: BTreeMap::new(),
+            sent_messages: BTreeMap::new(),
             timer_interval,
             members: BTreeMap::new(),
             events: BTreeMap::new(),
@@ -96,7 +96,7 @@
         let member =
             Member { node: node(clock_origin.1), starts, clock_rate, clock_origin, paused_until: None };
         self.members.insert(id, member);
-        let first_timer = self.timer_interval.times(self.chance.gen_range(0.0..1.0));
+        let first_timer = self.timer_interval.times(self.rng.gen_range(0.0..1.0));
         self.schedule(self.now + first_timer, Event::Timer(id, starts));
         self.send_pending(id);
     }
@@ -107,7 +107,7 @@
     }
 
     /// Pauses a member; messages to it wait.
-    pub fn stop(&mut self, id: MemberId, span: Span) {
+    pub fn pause(&mut self, id: MemberId, span: Span) {
         if let Some(member) = self.members.get_mut(&id) {
             member.paused_until = Some(self.now + span);
         }
@@ -143,7 +143,7 @@
     }
 
     /// Runs for a span of true time; `look` is called after each event.
-    pub fn play(&mut self, span: Span, mut look: impl FnMut(&mut Network<N>)) {
+    pub fn run(&mut self, span: Span, mut look: impl FnMut(&mut Network<N>)) {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) {
             self.now = entry.key().0;
@@ -166,10 +166,10 @@
                         continue;
                     }
                     self.schedule(self.now + self.timer_interval, Event::Timer(id, starts));
-                    self.call(id, |node, now| node.woken(now));
+                    self.call(id, |node, now| node.tick(now));
                 }
                 Event::Arrival { from, to, message } => {
-                    self.call(to, |node, now| node.heard(now, from, message));
+                    self.call(to, |node, now| node.receive(now, from, message));
                 }
             }
             look(self);
@@ -182,29 +182,29 @@
         loop {
             let Some(member) = self.members.get_mut(&id) else { return };
             let clock = member.clock(self.now);
-            let Some((to, message)) = member.node.next(clock) else { return };
-            *self.sent.entry(id).or_default() += 1;
+            let Some((to, message)) = member.node.next_message(clock) else { return };
+            *self.sent_messages.entry(id).or_default() += 1;
             self.send(id, to, message);
         }
     }
 
-    fn send(&mut self, from: MemberId, to: MemberId, message: N::Said) {
+    fn send(&mut self, from: MemberId, to: MemberId, message: N::Message) {
         let link = self.links.get(&(from, to)).copied().unwrap_or(self.link);
-        if self.cut.contains(&(from, to)) || self.chance.gen_bool(link.lost) {
+        if self.cut.contains(&(from, to)) || self.rng.gen_bool(link.loss_rate) {
             return;
         }
-        if self.chance.gen_bool(link.twice) {
+        if self.rng.gen_bool(link.duplication_rate) {
             self.schedule_arrival(link, from, to, message.clone());
         }
         self.schedule_arrival(link, from, to, message);
     }
 
-    fn schedule_arrival(&mut self, link: Link, from: MemberId, to: MemberId, message: N::Said) {
-        let delay = Span(self.chance.gen_range(link.delay[0].0..=link.delay[1].0));
+    fn schedule_arrival(&mut self, link: Link, from: MemberId, to: MemberId, message: N::Message) {
+        let delay = Span(self.rng.gen_range(link.delay[0].0..=link.delay[1].0));
         self.schedule(self.now + delay, Event::Arrival { from, to, message });
     }
 
-    fn schedule(&mut self, at: Time, event: Event<N::Said>) {
+    fn schedule(&mut self, at: Time, event: Event<N::Message>) {
         self.next_event += 1;
         self.events.insert((at, self.next_event), event);
     }
--- a/crates/fleet/tests/delivery_bed/mod.rs
+++ b/crates/fleet/tests/delivery_bed/mod.rs
@@ -3,8 +3,10 @@
 //! know.
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::delivery::{Carrier, ChangeNumber, Effect, Follower, Record, Said, Set};
-use cherrypass_fleet::made::{Network, Node};
+use cherrypass_fleet::delivery::{
+    Carrier, ChangeNumber, DeliveryMessage, Effect, Follower, Record, Settings,
+};
+use cherrypass_fleet::simulation::{Network, Node};
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -78,22 +80,22 @@
             Role::Carrier(carrier) => {
                 for (index, (_, record)) in log.written[..count].iter().enumerate().skip(self.start as usize)
                 {
-                    carrier.read(ChangeNumber(index as u64 + 1), record.clone());
+                    carrier.add_change(ChangeNumber(index as u64 + 1), record.clone());
                 }
                 self.start = self.start.max(count as u64);
-                carrier.log_heard(asked);
+                carrier.note_log_answer(asked);
             }
             Role::Follower(follower) => {
                 let last = (self.start as usize + self.taken.len()).min(count);
                 self.taken.extend(log.written[last..count].iter().map(|(_, record)| record.clone()));
-                follower.read(ChangeNumber(count as u64), Some(asked));
+                follower.note_log_read(ChangeNumber(count as u64), Some(asked));
             }
         }
     }
 
-    fn apply(&mut self, effect: Effect) -> Option<(MemberId, (Incarnation, Said))> {
+    fn apply(&mut self, effect: Effect) -> Option<(MemberId, (Incarnation, DeliveryMessage))> {
         match effect {
-            Effect::Tell { to, said: message } => {
+            Effect::Send { to, message } => {
                 let bytes = postcard::to_stdvec(&message).unwrap().len();
                 self.longest_message = self.longest_message.max(bytes);
                 return Some((to, (self.incarnation, message)));
@@ -114,23 +116,23 @@
 }
 
 impl Node for Process {
-    type Said = (Incarnation, Said);
+    type Message = (Incarnation, DeliveryMessage);
 
-    fn heard(&mut self, now: Time, from: MemberId, (incarnation, message): (Incarnation, Said)) {
+    fn receive(&mut self, now: Time, from: MemberId, (incarnation, message): (Incarnation, DeliveryMessage)) {
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.heard(now, from, incarnation, message),
-            Role::Follower(follower) => follower.heard(now, from, message),
+            Role::Carrier(carrier) => carrier.receive(now, from, incarnation, message),
+            Role::Follower(follower) => follower.receive(now, from, message),
         }
     }
 
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.woken(now),
-            Role::Follower(follower) => follower.woken(now),
+            Role::Carrier(carrier) => carrier.tick(now),
+            Role::Follower(follower) => follower.tick(now),
         }
     }
 
-    fn next(&mut self, _: Time) -> Option<(MemberId, Self::Said)> {
+    fn next_message(&mut self, _: Time) -> Option<(MemberId, Self::Message)> {
         loop {
             let effect = match &mut self.role {
                 Role::Carrier(carrier) => carrier.next_effect()?,
@@ -147,7 +149,7 @@
 pub struct Bed {
     pub network: Network<Process>,
     pub log: Log,
-    pub set: Set,
+    pub settings: Settings,
     pub carriers: Vec<MemberId>,
     pub followers: Vec<MemberId>,
     /// Processes that can't reach the log.
@@ -160,13 +162,13 @@
 }
 
 impl Bed {
-    pub fn new(seed: u64, set: Set, carriers: usize, followers: usize) -> Bed {
+    pub fn new(seed: u64, settings: Settings, carriers: usize, followers: usize) -> Bed {
         let ids =
             |kind: &str, count: usize| (0..count).map(|n| MemberId::of(&format!("{kind}{n}"))).collect();
         let mut bed = Bed {
             network: Network::new(seed, TIMER_INTERVAL),
             log: Log::default(),
-            set,
+            settings,
             carriers: ids("carrier", carriers),
             followers: ids("follower", followers),
             without_log: Vec::new(),
@@ -189,14 +191,15 @@
     pub fn start(&mut self, id: MemberId, known: u64) {
         let run = self.runs.entry(id).or_default();
         *run += 1;
-        let (incarnation, set, carriers) = (Incarnation(*run), self.set.clone(), self.carriers.clone());
+        let (incarnation, settings, carriers) =
+            (Incarnation(*run), self.settings.clone(), self.carriers.clone());
         let is_carrier = carriers.contains(&id);
-        let (rate, seed) = (self.network.chance.gen_range(0.99..1.01), self.network.chance.gen());
+        let (rate, seed) = (self.network.rng.gen_range(0.99..1.01), self.network.rng.gen());
         self.network.start(id, rate, |now| {
             let last = ChangeNumber(known);
             let role = match is_carrier {
-                true => Role::Carrier(Box::new(Carrier::new(set, last))),
-                false => Role::Follower(Box::new(Follower::new(set, id, &carriers, last, seed, now))),
+                true => Role::Carrier(Box::new(Carrier::new(settings, last))),
+                false => Role::Follower(Box::new(Follower::new(settings, id, &carriers, last, seed, now))),
             };
             Process {
                 role,
@@ -214,13 +217,13 @@
 
     /// Runs for a span while the log grows. A reader sends a request each round and gets the answer in the
     /// next one.
-    pub fn play(&mut self, span: Span) {
+    pub fn run(&mut self, span: Span) {
         let end = self.network.now + span;
         while self.network.now < end {
             self.grow();
             self.read_log();
             let log = &self.log;
-            self.network.play(TIMER_INTERVAL, |_| {});
+            self.network.run(TIMER_INTERVAL, |_| {});
             for id in self.followers.iter().chain(&self.carriers) {
                 check(&self.network, log, *id);
             }
@@ -232,7 +235,7 @@
         while self.pending_changes >= 1.0 {
             self.pending_changes -= 1.0;
             let mut record = vec![0; self.record_bytes];
-            self.network.chance.fill(&mut record[..]);
+            self.network.rng.fill(&mut record[..]);
             let number = self.log.newest() + 1;
             record[..8].copy_from_slice(&number.to_le_bytes());
             self.log.write(self.network.now, record.into());
@@ -259,8 +262,8 @@
     /// Shuts a process down in order.
     pub fn leave(&mut self, id: MemberId) {
         self.network.call(id, |process, _| match &mut process.role {
-            Role::Carrier(carrier) => carrier.leave(),
-            Role::Follower(follower) => follower.leave(),
+            Role::Carrier(carrier) => carrier.shut_down(),
+            Role::Follower(follower) => follower.shut_down(),
         });
         self.network.kill(id);
     }
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -5,18 +5,18 @@
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::feed::{
-    Echo, Effect, Feed, Fence, Follower, FollowerClass, Item, Position, Said, Segment, Set, Stamp,
+    Echo, Effect, Feed, FeedMessage, Fence, Follower, FollowerClass, Item, Position, Segment, Settings, Stamp,
 };
-use cherrypass_fleet::made::Link;
+use cherrypass_fleet::simulation::Link;
 use feed_bed::Fleet;
 use rand::Rng;
 use std::collections::HashSet;
 use test_case::test_case;
 
 /// Runs a schedule for each seed; a failure prints its seed.
-fn each_seed(seeds: std::ops::Range<u64>, play: impl Fn(u64) + std::panic::RefUnwindSafe) {
+fn each_seed(seeds: std::ops::Range<u64>, run: impl Fn(u64) + std::panic::RefUnwindSafe) {
     for seed in seeds {
-        if let Err(cause) = std::panic::catch_unwind(|| play(seed)) {
+        if let Err(cause) = std::panic::catch_unwind(|| run(seed)) {
             eprintln!("seed {seed}");
             std::panic::resume_unwind(cause);
         }
@@ -27,8 +27,8 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-fn small() -> Set {
-    Set {
+fn small() -> Settings {
+    Settings {
         backlog_items: 12,
         backlog_bytes: 4 << 10,
         state_items: 48,
@@ -40,7 +40,7 @@
         recovery_time: Span::seconds(2.0),
         min_stay: Span::seconds(3.0),
         follower_timeout: Span::seconds(8.0),
-        ..Set::default()
+        ..Settings::default()
     }
 }
 
@@ -51,17 +51,17 @@
     let mut fleet = Fleet::new(seed, small(), members, followers);
     let (members, followers) = (fleet.members.clone(), fleet.followers.clone());
     let everyone: Vec<_> = members.iter().chain(&followers).copied().collect();
-    fleet.net.link = Link { lost: 0.15, twice: 0.1, delay: [Span::millis(1), Span::millis(120)] };
+    fleet.net.link =
+        Link { loss_rate: 0.15, duplication_rate: 0.1, delay: [Span::millis(1), Span::millis(120)] };
     let mut down = Vec::new();
     for _ in 0..40 {
-        let chance = &mut fleet.net.chance;
+        let rng = &mut fleet.net.rng;
         let (id, other) =
-            (everyone[chance.gen_range(0..everyone.len())], everyone[chance.gen_range(0..everyone.len())]);
-        let (source, fault) = (members[chance.gen_range(0..members.len())], chance.gen_range(0..18));
-        let (items, key, bytes) =
-            (chance.gen_range(0..12), chance.gen_range(0..20), chance.gen_range(0..600));
-        let hold = Span::seconds(if chance.gen_bool(0.3) { 2.0 } else { 1000.0 });
-        let span = Span::millis(chance.gen_range(100..4000));
+            (everyone[rng.gen_range(0..everyone.len())], everyone[rng.gen_range(0..everyone.len())]);
+        let (source, fault) = (members[rng.gen_range(0..members.len())], rng.gen_range(0..18));
+        let (items, key, bytes) = (rng.gen_range(0..12), rng.gen_range(0..20), rng.gen_range(0..600));
+        let hold = Span::seconds(if rng.gen_bool(0.3) { 2.0 } else { 1000.0 });
+        let span = Span::millis(rng.gen_range(100..4000));
         for item in 0..items {
             fleet.publish(source, (key + item) % 20, bytes, hold);
         }
@@ -76,31 +76,35 @@
                 }
             }
             3 => fleet.start(id),
-            4 | 5 => fleet.net.stop(id, span),
+            4 | 5 => fleet.net.pause(id, span),
             6 | 7 => {
                 fleet.net.cut.insert((id, other));
             }
             8..=10 => fleet.net.cut.clear(),
             11 => {
-                let slow = Link { lost: 0.7, twice: 0.1, delay: [Span::millis(300), Span::millis(2000)] };
+                let slow = Link {
+                    loss_rate: 0.7,
+                    duplication_rate: 0.1,
+                    delay: [Span::millis(300), Span::millis(2000)],
+                };
                 fleet.net.links.insert((id, other), slow);
             }
             _ => {}
         }
-        fleet.net.play(Span::millis(200), |_| {});
+        fleet.net.run(Span::millis(200), |_| {});
     }
     fleet.net.cut.clear();
     fleet.net.links.clear();
-    fleet.net.link.lost = 0.05;
+    fleet.net.link.loss_rate = 0.05;
     for id in down {
         fleet.start(id);
     }
-    fleet.net.play(Span::seconds(14.0), |_| {});
-    fleet.net.link.lost = 0.0;
-    fleet.net.play(Span::seconds(2.0), |_| {});
+    fleet.net.run(Span::seconds(14.0), |_| {});
+    fleet.net.link.loss_rate = 0.0;
+    fleet.net.run(Span::seconds(2.0), |_| {});
     fleet.assert_complete();
     fleet.assert_carried_once();
-    let limit = fleet.set.max_bytes(members.len());
+    let limit = fleet.settings.max_bytes(members.len());
     for bed in everyone.iter().filter_map(|id| fleet.net.node(*id)) {
         assert!(bed.max_held_bytes <= limit, "{} bytes held, the limit is {limit}", bed.max_held_bytes);
     }
@@ -126,7 +130,7 @@
     now: Time,
     feeds: [Option<Feed>; 2],
     follower: Option<Follower>,
-    in_transit: Vec<(MemberId, MemberId, Said)>,
+    in_transit: Vec<(MemberId, MemberId, FeedMessage)>,
     /// The follower's position in A's items, which all have different keys.
     position: u64,
     published: u64,
@@ -138,10 +142,10 @@
     /// The carrier has just offered the follower to the other member; A has published an item before and
     /// after the follower subscribed.
     fn new() -> World {
-        let set = Set { backlog_items: 2, ..Set::default() };
+        let settings = Settings { backlog_items: 2, ..Settings::default() };
         let now = Time(1_000_000);
-        let feed = |own| Some(Feed::new(set.clone(), own, Incarnation(1), &[A, B], &[F], own.0, now));
-        let follower = Follower::new(set.clone(), F, Incarnation(1), &[A, B], now);
+        let feed = |own| Some(Feed::new(settings.clone(), own, Incarnation(1), &[A, B], &[F], own.0, now));
+        let follower = Follower::new(settings.clone(), F, Incarnation(1), &[A, B], now);
         let mut world = World {
             now,
             feeds: [feed(A), feed(B)],
@@ -173,15 +177,15 @@
 
     fn collect_effects(&mut self) {
         for (own, feed) in [A, B].into_iter().zip(&mut self.feeds) {
-            while let Some(effect) = feed.as_mut().and_then(Feed::next) {
-                if let Effect::Tell { to, said: message } = effect {
+            while let Some(effect) = feed.as_mut().and_then(Feed::next_effect) {
+                if let Effect::Send { to, message } = effect {
                     self.in_transit.push((own, to, message));
                 }
             }
         }
-        while let Some(effect) = self.follower.as_mut().and_then(Follower::next) {
+        while let Some(effect) = self.follower.as_mut().and_then(Follower::next_effect) {
             match effect {
-                Effect::Tell { to, said: message } => self.in_transit.push((F, to, message)),
+                Effect::Send { to, message } => self.in_transit.push((F, to, message)),
                 Effect::Deliver { number, .. } => {
                     assert_eq!(number, self.position + 1, "a gap or a repeat");
                     self.position = number;
@@ -199,8 +203,8 @@
     fn deliver(&mut self, index: usize) {
         let (from, to, message) = self.in_transit.remove(index);
         match (to, &mut self.feeds, &mut self.follower) {
-            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.heard(self.now, from, message),
-            (F, _, Some(follower)) => follower.heard(self.now, from, message),
+            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.receive(self.now, from, message),
+            (F, _, Some(follower)) => follower.receive(self.now, from, message),
             _ => {}
         }
         self.collect_effects();
@@ -209,8 +213,8 @@
     fn tick(&mut self, who: MemberId) {
         self.now = self.now + Span::millis(50);
         match (who, &mut self.feeds, &mut self.follower) {
-            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.woken(self.now),
-            (F, _, Some(follower)) => follower.woken(self.now),
+            (A, [Some(feed), _], _) | (B, [_, Some(feed)], _) => feed.tick(self.now),
+            (F, _, Some(follower)) => follower.tick(self.now),
             _ => {}
         }
         self.collect_effects();
@@ -251,8 +255,8 @@
             step(&|world| (world.feeds[0], world.has_crashed) = (None, true));
             step(&|world| (world.feeds[1], world.has_crashed) = (None, true));
             step(&|world| {
-                let set = Set { backlog_items: 2, ..Set::default() };
-                world.follower = Some(Follower::new(set, F, Incarnation(2), &[A, B], world.now));
+                let settings = Settings { backlog_items: 2, ..Settings::default() };
+                world.follower = Some(Follower::new(settings, F, Incarnation(2), &[A, B], world.now));
                 (world.position, world.has_crashed) = (0, true);
             });
         }
@@ -270,7 +274,7 @@
 
     fn assert_complete(&self) {
         let carriers = [A, B].into_iter().zip(&self.feeds).filter(|(_, feed)| {
-            feed.as_ref().is_some_and(|feed| feed.carried().any(|(carried, _)| carried == F))
+            feed.as_ref().is_some_and(|feed| feed.carried_followers().any(|(carried, _)| carried == F))
         });
         let carriers: Vec<MemberId> = carriers.map(|(own, _)| own).collect();
         assert_eq!(carriers, [self.follower.as_ref().unwrap().fence().carrier]);
@@ -315,19 +319,20 @@
         for source in fleet.members.clone() {
             fleet.publish(source, (round % 50) as u32, 100, Span::seconds(30.0));
         }
-        fleet.net.play(Span::millis(50), |_| {});
+        fleet.net.run(Span::millis(50), |_| {});
     }
 }
 
 /// All followers classified as slow, and the number of moves that members started.
 fn slow_followers(fleet: &Fleet) -> (Vec<MemberId>, u64) {
     let feeds = || fleet.members.iter().filter_map(|id| fleet.net.node(*id)?.feed());
-    let slow = feeds().flat_map(Feed::carried).filter(|(_, slow)| *slow).map(|(id, _)| id);
-    (slow.collect(), feeds().map(Feed::moves).sum())
+    let slow = feeds().flat_map(Feed::carried_followers).filter(|(_, slow)| *slow).map(|(id, _)| id);
+    (slow.collect(), feeds().map(Feed::completed_moves).sum())
 }
 
 fn slow_down(fleet: &mut Fleet, pairs: impl IntoIterator<Item = (MemberId, MemberId)>) {
-    let link = Link { lost: 0.3, twice: 0.0, delay: [Span::millis(1200), Span::millis(1500)] };
+    let link =
+        Link { loss_rate: 0.3, duplication_rate: 0.0, delay: [Span::millis(1200), Span::millis(1500)] };
     for (one, other) in pairs {
         fleet.net.links.insert((one, other), link);
         fleet.net.links.insert((other, one), link);
@@ -337,7 +342,7 @@
 #[test]
 fn a_slow_follower_is_reclassified_once_it_keeps_up() {
     each_seed(0..4, |seed| {
-        let mut fleet = Fleet::new(seed, Set::default(), 3, 12);
+        let mut fleet = Fleet::new(seed, Settings::default(), 3, 12);
         run_busy(&mut fleet, 4);
         let (id, members) = (fleet.followers[seed as usize], fleet.members.clone());
         slow_down(&mut fleet, members.into_iter().map(|member| (member, id)));
@@ -350,12 +355,12 @@
         assert_eq!(slow_followers(&fleet).0, []);
         // A follower that pauses repeatedly is not moved back and forth.
         for _ in 0..10 {
-            fleet.net.stop(id, Span::seconds(3.0));
+            fleet.net.pause(id, Span::seconds(3.0));
             run_busy(&mut fleet, 6);
         }
         let (found, moves) = slow_followers(&fleet);
         assert!(found == [id] && moves <= 4, "{found:?} {moves} moves");
-        fleet.net.play(Span::seconds(5.0), |_| {});
+        fleet.net.run(Span::seconds(5.0), |_| {});
         fleet.assert_complete();
         fleet.assert_carried_once();
     });
@@ -364,12 +369,12 @@
 #[test]
 fn a_member_whose_followers_all_lag_moves_them() {
     each_seed(0..4, |seed| {
-        let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
+        let mut fleet = Fleet::new(seed, Settings::default(), 4, 16);
         run_busy(&mut fleet, 4);
         let (member, followers) = (fleet.members[seed as usize], fleet.followers.clone());
         slow_down(&mut fleet, followers.into_iter().map(|id| (member, id)));
         run_busy(&mut fleet, 14);
-        let carried = fleet.net.node(member).unwrap().feed().unwrap().carried().count();
+        let carried = fleet.net.node(member).unwrap().feed().unwrap().carried_followers().count();
         assert_eq!((slow_followers(&fleet).0, carried), (vec![], 0));
     });
 }
@@ -377,7 +382,7 @@
 #[test]
 fn no_follower_moves_while_all_lag() {
     each_seed(0..4, |seed| {
-        let mut fleet = Fleet::new(seed, Set::default(), 4, 16);
+        let mut fleet = Fleet::new(seed, Settings::default(), 4, 16);
         run_busy(&mut fleet, 4);
         let pairs = |fleet: &Fleet| -> Vec<(MemberId, MemberId)> {
             let followers = &fleet.followers;
@@ -394,7 +399,7 @@
 #[test]
 fn invalid_messages_are_ignored() {
     let now = Time(5_000_000);
-    let mut feed = Feed::new(Set::default(), A, Incarnation(9), &[A, B], &[F], 1, now);
+    let mut feed = Feed::new(Settings::default(), A, Incarnation(9), &[A, B], &[F], 1, now);
     let max = u64::MAX;
     let fence = |number, carrier| Fence { incarnation: Incarnation(9), number, carrier };
     let item = |number, age| Item { number, key: vec![1], value: vec![1], hold: Span::seconds(9.0), age };
@@ -420,44 +425,44 @@
     let have = vec![Position { source: F, incarnation: Incarnation(max), number: max }; 4000];
     let (class, follower) = (FollowerClass::default(), MemberId(77));
     let invalid = [
-        Said::Segments { echo, is_answer: true, segments: segments.clone() },
+        FeedMessage::Segments { echo, is_answer: true, segments: segments.clone() },
         // Valid, but without a bound on its age.
-        Said::Segments {
+        FeedMessage::Segments {
             echo: None,
             is_answer: true,
             segments: vec![segment(0, 1, vec![item(1, Span(max))])],
         },
-        Said::Segments {
+        FeedMessage::Segments {
             echo: Some(Echo { stamp, held: Span(max) }),
             is_answer: false,
             segments: vec![segment(0, 1, vec![item(1, Span(max))])],
         },
-        Said::Positions { stamp, load: Default::default(), positions: have.clone() },
-        Said::Request { stamp, positions: have.clone() },
-        Said::OfferMove { follower, fence: fence(1, A), stamp: None, positions: vec![], class },
-        Said::OfferMove { follower: F, fence: fence(1, B), stamp: None, positions: vec![], class },
-        Said::OfferMove { follower: F, fence: fence(1, A), stamp: None, positions: have, class },
-        Said::MoveAccepted { follower: F, fence: fence(max, B) },
-        Said::MoveRejected { follower: F, fence: fence(max, B) },
+        FeedMessage::Positions { stamp, load: Default::default(), positions: have.clone() },
+        FeedMessage::Request { stamp, positions: have.clone() },
+        FeedMessage::OfferMove { follower, fence: fence(1, A), stamp: None, positions: vec![], class },
+        FeedMessage::OfferMove { follower: F, fence: fence(1, B), stamp: None, positions: vec![], class },
+        FeedMessage::OfferMove { follower: F, fence: fence(1, A), stamp: None, positions: have, class },
+        FeedMessage::MoveAccepted { follower: F, fence: fence(max, B) },
+        FeedMessage::MoveRejected { follower: F, fence: fence(max, B) },
     ];
     for message in invalid {
         for from in [B, F, MemberId(77)] {
-            feed.heard(now, from, message.clone());
+            feed.receive(now, from, message.clone());
         }
     }
-    assert_eq!((feed.size(), feed.carried().count()), ((0, 0, 0, 0), 0));
-    let mut follower = Follower::new(Set::default(), F, Incarnation(9), &[A, B], now);
+    assert_eq!((feed.size(), feed.carried_followers().count()), ((0, 0, 0, 0), 0));
+    let mut follower = Follower::new(Settings::default(), F, Incarnation(9), &[A, B], now);
     let before = follower.fence();
     for fence in [fence(max, A), fence(1, F), Fence { incarnation: Incarnation(max), ..fence(1, A) }] {
-        let message = Said::Frame { fence, frame: max, echo, class, segments: segments.clone() };
-        follower.heard(now, fence.carrier, message);
-        follower.heard(now, A, Said::Moved { fence });
-        follower.heard(now, A, Said::SubscribeRejected { fence });
+        let message = FeedMessage::Frame { fence, frame: max, echo, class, segments: segments.clone() };
+        follower.receive(now, fence.carrier, message);
+        follower.receive(now, A, FeedMessage::Moved { fence });
+        follower.receive(now, A, FeedMessage::SubscribeRejected { fence });
     }
-    let message = Said::Frame { fence: fence(1, A), frame: 1, echo, class, segments };
-    follower.heard(now, A, message);
+    let message = FeedMessage::Frame { fence: fence(1, A), frame: 1, echo, class, segments };
+    follower.receive(now, A, message);
     assert_eq!((before.number, follower.fence()), (0, fence(1, A)));
-    while let Some(effect) = follower.next() {
-        assert!(matches!(effect, Effect::Tell { .. }), "{effect:?}");
+    while let Some(effect) = follower.next_effect() {
+        assert!(matches!(effect, Effect::Send { .. }), "{effect:?}");
     }
 }
--- a/crates/fleet/tests/feed_bed/mod.rs
+++ b/crates/fleet/tests/feed_bed/mod.rs
@@ -4,8 +4,8 @@
 use cherrypass::ids::HostId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::feed::{Effect, Feed, Follower, Said, Set};
-use cherrypass_fleet::made::{Network, Node};
+use cherrypass_fleet::feed::{Effect, Feed, FeedMessage, Follower, Settings};
+use cherrypass_fleet::simulation::{Network, Node};
 use rand::Rng;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -130,39 +130,39 @@
                     self.check_item(now, source, incarnation, item.number, &item.key, item.age);
                 }
             }
-            Effect::Log(_) | Effect::Tell { .. } => {}
+            Effect::Log(_) | Effect::Send { .. } => {}
         }
     }
 }
 
 impl Node for Bed {
-    type Said = Said;
+    type Message = FeedMessage;
 
-    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
+    fn receive(&mut self, now: Time, from: MemberId, message: FeedMessage) {
         match &mut self.role {
-            Role::Member(feed) => feed.heard(now, from, message),
-            Role::Follower(follower) => follower.heard(now, from, message),
+            Role::Member(feed) => feed.receive(now, from, message),
+            Role::Follower(follower) => follower.receive(now, from, message),
         }
     }
 
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         match &mut self.role {
-            Role::Member(feed) => feed.woken(now),
-            Role::Follower(follower) => follower.woken(now),
+            Role::Member(feed) => feed.tick(now),
+            Role::Follower(follower) => follower.tick(now),
         }
         if let Some(feed) = self.feed() {
             self.max_held_bytes = self.max_held_bytes.max(feed.size().1);
         }
     }
 
-    fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, FeedMessage)> {
         loop {
             let effect = match &mut self.role {
-                Role::Member(feed) => feed.next(),
-                Role::Follower(follower) => follower.next(),
+                Role::Member(feed) => feed.next_effect(),
+                Role::Follower(follower) => follower.next_effect(),
             }?;
             match effect {
-                Effect::Tell { to, said: message } => return Some((to, message)),
+                Effect::Send { to, message } => return Some((to, message)),
                 other => self.check_effect(now, other),
             }
         }
@@ -171,7 +171,7 @@
 
 pub struct Fleet {
     pub net: Network<Bed>,
-    pub set: Set,
+    pub settings: Settings,
     pub members: Vec<MemberId>,
     pub followers: Vec<MemberId>,
     pub ledger: Ledger,
@@ -180,8 +180,8 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, set: Set, members: usize, followers: usize) -> Fleet {
-        let net = Network::new(seed, set.round);
+    pub fn new(seed: u64, settings: Settings, members: usize, followers: usize) -> Fleet {
+        let net = Network::new(seed, settings.interval);
         let name = |kind: &str, count: usize| -> Vec<MemberId> {
             (0..count).map(|i| MemberId::of(&format!("{kind}{i}"))).collect()
         };
@@ -196,8 +196,15 @@
             names.take(100).find(|id| members.len() > 10 || home(*id) == Some(members[i % members.len()]))
         };
         let followers = (0..followers).filter_map(even).collect();
-        let mut fleet =
-            Fleet { net, set, members, followers, ledger: Ledger::default(), runs: 0, measure_from: Time(0) };
+        let mut fleet = Fleet {
+            net,
+            settings,
+            members,
+            followers,
+            ledger: Ledger::default(),
+            runs: 0,
+            measure_from: Time(0),
+        };
         for id in fleet.members.clone().into_iter().chain(fleet.followers.clone()) {
             fleet.start(id);
         }
@@ -208,15 +215,15 @@
     pub fn start(&mut self, id: MemberId) {
         self.runs += 1;
         let incarnation = Incarnation(self.net.now.0 + self.runs);
-        let rate = self.net.chance.gen_range(0.995..1.005);
-        let seed = self.net.chance.gen();
-        let (set, ledger, true_start) = (self.set.clone(), self.ledger.clone(), self.net.now);
+        let rate = self.net.rng.gen_range(0.995..1.005);
+        let seed = self.net.rng.gen();
+        let (settings, ledger, true_start) = (self.settings.clone(), self.ledger.clone(), self.net.now);
         let (members, followers, measure_from) = (&self.members, &self.followers, self.measure_from);
         self.net.start(id, rate, |now| {
             let role = if members.contains(&id) {
-                Role::Member(Feed::new(set, id, incarnation, members, followers, seed, now))
+                Role::Member(Feed::new(settings, id, incarnation, members, followers, seed, now))
             } else {
-                Role::Follower(Follower::new(set, id, incarnation, members, now))
+                Role::Follower(Follower::new(settings, id, incarnation, members, now))
             };
             Bed {
                 id,
@@ -267,7 +274,7 @@
             let carriers: Vec<MemberId> = (self.members.iter())
                 .filter_map(|member| self.net.node(*member))
                 .filter(|bed| {
-                    bed.feed().is_some_and(|feed| feed.carried().any(|(carried, _)| carried == *id))
+                    bed.feed().is_some_and(|feed| feed.carried_followers().any(|(carried, _)| carried == *id))
                 })
                 .map(|bed| bed.id)
                 .collect();
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -4,7 +4,7 @@
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::limits::{Allowance, Effect, Guard, LimitKey, Limits, Message, Settings};
-use cherrypass_fleet::made::{Link, Network, Node};
+use cherrypass_fleet::simulation::{Link, Network, Node};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
@@ -98,18 +98,18 @@
 }
 
 impl Node for Member {
-    type Said = Message;
-    fn heard(&mut self, now: Time, from: MemberId, message: Message) {
+    type Message = Message;
+    fn receive(&mut self, now: Time, from: MemberId, message: Message) {
         self.runs.iter_mut().for_each(|run| run.0.receive(now, from, message.clone()));
     }
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         self.apply(now);
         for (limits, _) in &mut self.runs {
             self.demands.iter().for_each(|(key, demand)| limits.set_demand(now, *key, *demand));
             limits.tick(now);
         }
     }
-    fn next(&mut self, now: Time) -> Option<(MemberId, Message)> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, Message)> {
         while let Some((run, effect)) =
             self.runs.iter_mut().enumerate().find_map(|(i, run)| Some((i, run.0.next_effect()?)))
         {
@@ -167,8 +167,8 @@
             applies_late: seed % 2 == 1,
         };
         for id in members {
-            let rates = [0.99, 1.01, simulation.network.chance.gen_range(0.99..=1.01)];
-            let rate = rates[simulation.network.chance.gen_range(0..3)];
+            let rates = [0.99, 1.01, simulation.network.rng.gen_range(0.99..=1.01)];
+            let rate = rates[simulation.network.rng.gen_range(0..3)];
             simulation.rates.insert(id, rate);
             simulation.start(id);
         }
@@ -197,7 +197,7 @@
 
     fn limits(&mut self, id: MemberId) -> impl FnOnce(Time) -> (Limits, Incarnation) {
         self.starts += 1;
-        let (incarnation, seed) = (Incarnation(self.starts), self.network.chance.gen());
+        let (incarnation, seed) = (Incarnation(self.starts), self.network.rng.gen());
         let (listed, guard) = (self.listed.clone(), self.guard);
         let settings = Settings { origin: Some(self.total), retries_per_s: Some(self.total), ..settings() };
         move |now| {
@@ -211,7 +211,7 @@
 
     fn run(&mut self, span: Span) {
         let Simulation { network, uses, applied, rates, keys, most, unit, .. } = self;
-        network.play(span, |network| {
+        network.run(span, |network| {
             let changed = !applied.borrow().is_empty();
             for (id, incarnation, key, allowance, clock) in applied.borrow_mut().drain(..) {
                 let until = network.now + (allowance.until - clock).times(1.0 / rates[&id]);
@@ -238,29 +238,29 @@
 
 fn inject_faults(simulation: &mut Simulation, seed: u64, steps: usize) {
     let n = simulation.members.len();
-    let mut chance = Pcg64Mcg::seed_from_u64(!seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(!seed);
     for _ in 0..steps {
-        let id = simulation.members[chance.gen_range(0..n)];
-        let other = simulation.members[chance.gen_range(0..n)];
-        match chance.gen_range(0..10) {
+        let id = simulation.members[rng.gen_range(0..n)];
+        let other = simulation.members[rng.gen_range(0..n)];
+        match rng.gen_range(0..10) {
             0..=3 => {
-                let key = simulation.keys[chance.gen_range(0..simulation.keys.len())];
-                let demand = [0.0, 0.1, 1.0 / n as f64, 0.6, 1.0, 9.0][chance.gen_range(0..6)];
+                let key = simulation.keys[rng.gen_range(0..simulation.keys.len())];
+                let demand = [0.0, 0.1, 1.0 / n as f64, 0.6, 1.0, 9.0][rng.gen_range(0..6)];
                 let unit = if key == COLD { 1.0 } else { simulation.unit };
                 simulation.set_demand(id, key, demand * unit);
             }
             4 => drop(simulation.network.cut.insert((id, other))),
             5 => simulation.network.cut.clear(),
-            6 => simulation.network.stop(id, Span::millis(chance.gen_range(100..3000))),
+            6 => simulation.network.pause(id, Span::millis(rng.gen_range(100..3000))),
             7 => simulation.start(id),
             _ => {
-                let most = [5, 100, 3000][chance.gen_range(0..3)];
+                let most = [5, 100, 3000][rng.gen_range(0..3)];
                 let delay = [Span::millis(1), Span::millis(most)];
-                let rate = chance.gen_range(0.0..0.3);
-                simulation.network.link = Link { lost: rate, twice: rate, delay };
+                let rate = rng.gen_range(0.0..0.3);
+                simulation.network.link = Link { loss_rate: rate, duplication_rate: rate, delay };
             }
         }
-        simulation.run(Span::millis(chance.gen_range(50..1000)));
+        simulation.run(Span::millis(rng.gen_range(50..1000)));
     }
 }
 
