--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -31,13 +31,13 @@
         let (faulty, healthy) = ids.split_at(n / 3);
         let mut left = BTreeSet::new();
         let mut single = (ids[0], ids[0]);
-        fleet.network.link.lost = *[0.0, 0.1, 0.2].choose(&mut fleet.network.chance).unwrap();
-        fleet.network.link.twice = 0.05;
-        fleet.network.link.delay[1] = Span::millis(fleet.network.chance.gen_range(2..100));
+        fleet.network.link.loss_rate = *[0.0, 0.1, 0.2].choose(&mut fleet.network.rng).unwrap();
+        fleet.network.link.duplication_rate = 0.05;
+        fleet.network.link.delay[1] = Span::millis(fleet.network.rng.gen_range(2..100));
         for _ in 0..n.min(40) {
-            let who = *faulty.choose(&mut fleet.network.chance).unwrap();
+            let who = *faulty.choose(&mut fleet.network.rng).unwrap();
             let runs = fleet.network.ids().contains(&who);
-            match fleet.network.chance.gen_range(0..8) {
+            match fleet.network.rng.gen_range(0..8) {
                 0 => fleet.network.kill(who),
                 1 if runs => {
                     fleet.network.cut.clear();
@@ -51,11 +51,11 @@
                     left.remove(&who);
                 }
                 4 if runs => {
-                    let span = Span::millis(fleet.network.chance.gen_range(100..5_000));
-                    fleet.network.stop(who, span);
+                    let span = Span::millis(fleet.network.rng.gen_range(100..5_000));
+                    fleet.network.pause(who, span);
                 }
                 5 => {
-                    let way = fleet.network.chance.gen_range(0..3);
+                    let way = fleet.network.rng.gen_range(0..3);
                     let others = ids.iter().filter(|id| **id != who);
                     let pairs = others.flat_map(|id| [(who, *id), (*id, who)].into_iter().enumerate());
                     let pairs = pairs.filter(|(at, _)| way == 2 || way == *at).map(|(_, pair)| pair);
@@ -64,12 +64,12 @@
                 6 => fleet.network.cut.clear(),
                 _ => {
                     fleet.network.cut.remove(&single);
-                    let mut one = || *ids.choose(&mut fleet.network.chance).unwrap();
+                    let mut one = || *ids.choose(&mut fleet.network.rng).unwrap();
                     single = (one(), one());
                     fleet.network.cut.insert(single);
                 }
             }
-            let span = Span::millis(fleet.network.chance.gen_range(50..1_500));
+            let span = Span::millis(fleet.network.rng.gen_range(50..1_500));
             fleet.run(span);
         }
         fleet.network.cut.clear();
@@ -153,9 +153,9 @@
     fleet.run(Span::millis(10_000));
     assert!(ids.iter().all(|id| fleet.network.node(*id).unwrap().members.are_links_degraded()));
     pairs(&ids[..2], &ids[2..]).iter().for_each(|pair| assert!(fleet.network.cut.remove(pair)));
-    fleet.network.sent.clear();
+    fleet.network.sent_messages.clear();
     fleet.run(Span::millis(5_000));
-    let most = fleet.network.sent.values().max().copied().unwrap_or(0);
+    let most = fleet.network.sent_messages.values().max().copied().unwrap_or(0);
     assert!(most < 500, "{most} messages in 5 s");
 }
 
@@ -282,17 +282,17 @@
     let listed: Vec<MemberId> = (0..1000).map(|i| MemberId(u64::MAX - i * 3)).collect();
     let own = listed[0];
     for seed in 0..3 {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut members = member(own, 1 << 50, &listed);
         let mut now = Time(5_000_000);
-        let arbitrary = |chance: &mut Pcg64Mcg| {
-            let shift = chance.gen_range(0..64);
-            chance.gen::<u64>() >> shift
+        let arbitrary = |rng: &mut Pcg64Mcg| {
+            let shift = rng.gen_range(0..64);
+            rng.gen::<u64>() >> shift
         };
         let false_claim = alive(u64::MAX, 0);
         for round in 0..100 {
             let mut claims = vec![(own, false_claim), (listed[5], false_claim)];
-            for _ in 0..chance.gen_range(0..2_000) {
+            for _ in 0..rng.gen_range(0..2_000) {
                 let ranks = [
                     MemberState::Unknown,
                     MemberState::Alive,
@@ -300,31 +300,30 @@
                     MemberState::Dead,
                     MemberState::Left,
                 ];
-                let state = ranks[chance.gen_range(0..5)];
-                let incarnation = Incarnation(arbitrary(&mut chance) & ((1 << 50) - 1));
-                let who = *listed.choose(&mut chance).unwrap_or(&own);
-                claims.push((who, Claim { incarnation, refutations: arbitrary(&mut chance) as u32, state }));
+                let state = ranks[rng.gen_range(0..5)];
+                let incarnation = Incarnation(arbitrary(&mut rng) & ((1 << 50) - 1));
+                let who = *listed.choose(&mut rng).unwrap_or(&own);
+                claims.push((who, Claim { incarnation, refutations: arbitrary(&mut rng) as u32, state }));
             }
-            let (sequence, target) =
-                (arbitrary(&mut chance) as u32, *listed.choose(&mut chance).unwrap_or(&own));
-            let (first, last) = (MemberId(arbitrary(&mut chance)), MemberId(u64::MAX));
+            let (sequence, target) = (arbitrary(&mut rng) as u32, *listed.choose(&mut rng).unwrap_or(&own));
+            let (first, last) = (MemberId(arbitrary(&mut rng)), MemberId(u64::MAX));
             let body = match round % 7 {
                 0 => Body::Ping { sequence },
                 1 => Body::Ack { sequence },
                 2 => Body::PingRequest { sequence, target },
-                3 => Body::PingResult { sequence, target, is_reachable: chance.gen() },
-                4 => Body::Digest { digest: arbitrary(&mut chance) },
+                3 => Body::PingResult { sequence, target, is_reachable: rng.gen() },
+                4 => Body::Digest { digest: arbitrary(&mut rng) },
                 5 => Body::Chunk { first, last },
                 _ => Body::Gossip,
             };
-            let from = *listed[1..].choose(&mut chance).unwrap_or(&own);
-            let own_claim = alive((1 << 50) + round, chance.gen());
+            let from = *listed[1..].choose(&mut rng).unwrap_or(&own);
+            let own_claim = alive((1 << 50) + round, rng.gen());
             members.receive(now, from, Message { claim: own_claim, body, claims });
             for sequence in 0..if round == 50 { 10_000 } else { 0 } {
                 let body = Body::Ping { sequence };
                 members.receive(now, from, Message { claim: own_claim, body, claims: Vec::new() });
             }
-            now = now + Span::millis(chance.gen_range(0..400));
+            now = now + Span::millis(rng.gen_range(0..400));
             members.tick(now);
             let effects = effects(&mut members);
             assert!(effects.len() <= 8_192 + listed.len() + 64 + 1, "seed {seed}: {} effects", effects.len());
--- a/crates/fleet/tests/members/node.rs
+++ b/crates/fleet/tests/members/node.rs
@@ -2,8 +2,8 @@
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::made::{Network, Node};
 use cherrypass_fleet::members::{Effect, MemberState, Members, Message, Settings};
+use cherrypass_fleet::simulation::{Network, Node};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,14 +25,14 @@
 }
 
 impl Node for Member {
-    type Said = Message;
-    fn heard(&mut self, now: Time, from: MemberId, message: Message) {
+    type Message = Message;
+    fn receive(&mut self, now: Time, from: MemberId, message: Message) {
         self.members.receive(now, from, message);
     }
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         self.members.tick(now);
     }
-    fn next(&mut self, now: Time) -> Option<(MemberId, Message)> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, Message)> {
         loop {
             match self.members.next_effect()? {
                 Effect::Send { to, message } => return Some((to, message)),
@@ -64,7 +64,7 @@
     }
 
     pub fn start(&mut self, id: MemberId) {
-        let (seed, rate) = (self.network.chance.gen(), self.network.chance.gen_range(0.99..1.01));
+        let (seed, rate) = (self.network.rng.gen(), self.network.rng.gen_range(0.99..1.01));
         let (incarnation, listed) = (Incarnation(self.network.now.0), self.listed.clone());
         self.network.start(id, rate, |now| {
             let members = Members::new(Settings::default(), id, incarnation, &listed, seed, now);
@@ -73,7 +73,7 @@
     }
 
     pub fn run(&mut self, span: Span) {
-        self.network.play(span, |_| {});
+        self.network.run(span, |_| {});
     }
 
     /// Runs until the condition holds, and returns how long that took; `None` if it does not within `limit`.
--- a/crates/fleet/tests/node.rs
+++ b/crates/fleet/tests/node.rs
@@ -3,10 +3,10 @@
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::limits::{Allowance, LimitKey};
-use cherrypass_fleet::made::{Network, Node};
 use cherrypass_fleet::members::{Body, Claim, MemberState};
 use cherrypass_fleet::node::{Effect, FleetNode, Message, Settings};
 use cherrypass_fleet::rollout::{AfterHalt, Figures, Order, Plan, Record, Version};
+use cherrypass_fleet::simulation::{Network, Node};
 use cherrypass_fleet::verdicts::{Finding, FindingKind, UsedBy};
 use cherrypass_fleet::{limits, members, rollout, verdicts};
 use rand::Rng;
@@ -32,22 +32,22 @@
 
 fn encoded_len(message: &Message) -> usize {
     let bytes = match message {
-        Message::Members(said) => postcard::to_stdvec(said),
-        Message::Limits(said) => postcard::to_stdvec(said),
-        Message::Feed(said) => postcard::to_stdvec(said),
-        Message::Rollout(said) => postcard::to_stdvec(said),
+        Message::Members(message) => postcard::to_stdvec(message),
+        Message::Limits(message) => postcard::to_stdvec(message),
+        Message::Feed(message) => postcard::to_stdvec(message),
+        Message::Rollout(message) => postcard::to_stdvec(message),
     };
     bytes.unwrap().len()
 }
 
 impl Node for SimulatedNode {
-    type Said = (Incarnation, Message);
+    type Message = (Incarnation, Message);
 
-    fn heard(&mut self, now: Time, from: MemberId, (incarnation, message): Self::Said) {
+    fn receive(&mut self, now: Time, from: MemberId, (incarnation, message): Self::Message) {
         let _ = self.fleet_node.receive(now, from, incarnation, message);
     }
 
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         if self.ticks.is_multiple_of(20) {
             let figures = Figures { visits: 100, in_time: 99, hand_offs: 110, ..Figures::default() };
             self.fleet_node.report_figures(now, figures);
@@ -57,7 +57,7 @@
         self.fleet_node.tick(now);
     }
 
-    fn next(&mut self, now: Time) -> Option<(MemberId, Self::Said)> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, Self::Message)> {
         loop {
             match self.fleet_node.next_effect(now)? {
                 Effect::Send { to, message } => {
@@ -98,10 +98,10 @@
     let settings = Settings {
         limits: Some(limits::Settings { origin: Some(ORIGIN_LIMIT), ..limits::Settings::default() }),
         verdicts: Some(verdicts::Settings::default()),
-        rollout: Some(rollout::Set::default()),
+        rollout: Some(rollout::Settings::default()),
         ..Settings::default()
     };
-    let (rate, seed) = (network.chance.gen_range(0.995..1.005), network.chance.gen());
+    let (rate, seed) = (network.rng.gen_range(0.995..1.005), network.rng.gen());
     let demand = if i == 0 { ORIGIN_LIMIT } else { 0.1 };
     network.start(own, rate, |now| {
         let mut fleet_node =
@@ -127,8 +127,8 @@
     });
 }
 
-fn play(network: &mut Network<SimulatedNode>, seed: u64, seconds: f64) {
-    network.play(Span::seconds(seconds), |network| {
+fn run(network: &mut Network<SimulatedNode>, seed: u64, seconds: f64) {
+    network.run(Span::seconds(seconds), |network| {
         let allowance = |id: &MemberId| {
             Some(network.node(*id)?.allowances.get(&LimitKey::Origin)?.at(network.clock(*id)?))
         };
@@ -147,11 +147,11 @@
 fn all_protocols_hold_under_faults() {
     for seed in 0..16 {
         let mut network = Network::new(seed, TICK_INTERVAL);
-        (network.link.lost, network.link.twice) = (0.1, 0.02);
+        (network.link.loss_rate, network.link.duplication_rate) = (0.1, 0.02);
         network.link.delay = [Span::millis(1), Span::millis(30)];
         let all = listed(9);
         (0..9).for_each(|i| start(&mut network, &all, i, Vec::new()));
-        play(&mut network, seed, 12.0);
+        run(&mut network, seed, 12.0);
         let most = network.node(all[0].0).unwrap().max_allowance;
         assert!(most > 0.85 * ORIGIN_LIMIT, "seed {seed}: the member with the demand has {most}");
         let plan = Plan {
@@ -164,7 +164,7 @@
         let order = Order::Start(Version { number: 3, text: "{}".to_owned(), plan });
         network.call(all[1].0, |node, now| node.fleet_node.order(now, order)).unwrap().unwrap().unwrap();
         [3, 4, 5].iter().for_each(|i| report_finding(&mut network, all[*i].0, HostId(1)));
-        play(&mut network, seed, 6.0);
+        run(&mut network, seed, 6.0);
         for (id, location) in &all {
             let node = network.node(*id).unwrap();
             assert_eq!(node.rules, if location.0 == 0 { 3 } else { 0 }, "seed {seed}: rules");
@@ -177,15 +177,15 @@
         // paused.
         let records = network.node(all[0].0).unwrap().records.clone();
         network.kill(all[0].0);
-        network.stop(all[7].0, Span::seconds(5.0));
+        network.pause(all[7].0, Span::seconds(5.0));
         for (id, _) in &all {
             network.cut.insert((all[8].0, *id));
             network.cut.insert((*id, all[8].0));
         }
-        play(&mut network, seed, 8.0);
+        run(&mut network, seed, 8.0);
         network.cut.clear();
         start(&mut network, &all, 0, records);
-        play(&mut network, seed, 12.0);
+        run(&mut network, seed, 12.0);
         for (id, _) in &all {
             let node = network.node(*id).unwrap();
             let alive = |who: &MemberId| node.fleet_node.members().state(*who) == Some(MemberState::Alive);
@@ -201,13 +201,13 @@
         };
         let claims = vec![(all[2].0, Claim { incarnation: newer, ..claim })];
         let message = Message::Members(members::Message { claim, body: Body::Gossip, claims });
-        network.call(all[2].0, |node, now| node.heard(now, sender, (claim.incarnation, message)));
-        let sent = network.sent[&all[2].0];
-        play(&mut network, seed, 3.0);
+        network.call(all[2].0, |node, now| node.receive(now, sender, (claim.incarnation, message)));
+        let sent = network.sent_messages[&all[2].0];
+        run(&mut network, seed, 3.0);
         let (node, clock) = (network.node(all[2].0).unwrap(), network.clock(all[2].0).unwrap());
         let allowance = node.allowances[&LimitKey::Origin].at(clock);
         assert!(
-            node.stepped_down && allowance == 0.0 && network.sent[&all[2].0] == sent,
+            node.stepped_down && allowance == 0.0 && network.sent_messages[&all[2].0] == sent,
             "seed {seed}: {allowance}"
         );
     }
@@ -219,9 +219,9 @@
     let mut network = Network::new(5, TICK_INTERVAL);
     let all = listed(60);
     (0..60).for_each(|i| start(&mut network, &all, i, Vec::new()));
-    network.play(Span::seconds(2.0), |_| {});
+    network.run(Span::seconds(2.0), |_| {});
     (0..60).for_each(|i| (0..3).for_each(|host| report_finding(&mut network, all[i].0, HostId(host))));
-    network.play(Span::seconds(2.0), |_| {});
+    network.run(Span::seconds(2.0), |_| {});
     let longest = network.ids().iter().map(|id| network.node(*id).unwrap().longest_message).max();
     println!("longest message with 60 members: {longest:?} bytes");
     assert!(longest <= Some(32 << 10), "{longest:?}");
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -2,8 +2,8 @@
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::made::{Link, Network, Node};
 use cherrypass_fleet::rollout::*;
+use cherrypass_fleet::simulation::{Link, Network, Node};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,12 +13,12 @@
 
 type Listed = Vec<(MemberId, LocationId)>;
 
-fn set() -> Set {
-    Set {
+fn settings() -> Settings {
+    Settings {
         window: Span::millis(500),
         stage_overtime: Span::seconds(20.0),
         order_timeout: Span::seconds(20.0),
-        ..Set::default()
+        ..Settings::default()
     }
 }
 
@@ -59,7 +59,7 @@
     before: u64,
     in_force: Vec<u64>,
     logs: Vec<String>,
-    messages: VecDeque<(MemberId, Said)>,
+    messages: VecDeque<(MemberId, RolloutMessage)>,
     wakes: u32,
     figures: Figures,
     acked: u64,
@@ -70,10 +70,10 @@
 impl Member {
     /// Handles effects after each call, so that messages are checked against the state at that time.
     fn drain(&mut self) {
-        while let Some(effect) = self.rollout.next() {
+        while let Some(effect) = self.rollout.next_effect() {
             match effect {
-                Effect::Tell { to, said: message } => {
-                    if matches!(message, Said::Accepted { .. }) {
+                Effect::Send { to, message } => {
+                    if matches!(message, RolloutMessage::Accepted { .. }) {
                         self.acked = self.rollout.state().accepted.map_or(0, |(_, step)| step.at);
                     }
                     self.messages.push_back((to, message));
@@ -94,29 +94,29 @@
 }
 
 impl Node for Member {
-    type Said = Said;
-    fn heard(&mut self, now: Time, from: MemberId, message: Said) {
-        self.rollout.heard(now, from, message);
+    type Message = RolloutMessage;
+    fn receive(&mut self, now: Time, from: MemberId, message: RolloutMessage) {
+        self.rollout.receive(now, from, message);
         self.drain();
     }
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         self.wakes += 1;
         if let Some((ticket, record)) = self.out.take() {
             let is_written = self.disk.borrow_mut().keep(record);
-            self.rollout.kept(now, ticket, is_written);
+            self.rollout.record_written(now, ticket, is_written);
             self.drain();
         }
         if self.wakes.is_multiple_of(5) {
-            self.rollout.counted(now, self.figures);
+            self.rollout.add_figures(now, self.figures);
         }
-        self.rollout.woken(now);
+        self.rollout.tick(now);
         self.drain();
         if self.rejected_version > 0 && self.in_force.last() == Some(&self.rejected_version) {
-            self.rollout.refused(now, self.rejected_version, "key `x` is not known");
+            self.rollout.version_rejected(now, self.rejected_version, "key `x` is not known");
             self.in_force.pop();
         }
     }
-    fn next(&mut self, _now: Time) -> Option<(MemberId, Said)> {
+    fn next_message(&mut self, _now: Time) -> Option<(MemberId, RolloutMessage)> {
         self.drain();
         self.messages.pop_front()
     }
@@ -126,7 +126,7 @@
     (0..members).map(|i| (MemberId(i + 1), LocationId((i % u64::from(locations)) as u16))).collect()
 }
 
-struct Play {
+struct Simulation {
     net: Network<Member>,
     listed: Listed,
     disks: BTreeMap<MemberId, Rc<RefCell<Disk>>>,
@@ -135,15 +135,16 @@
     invariants: Invariants,
 }
 
-impl Play {
-    fn new(seed: u64, listed: Listed) -> Play {
+impl Simulation {
+    fn new(seed: u64, listed: Listed) -> Simulation {
         let disks = listed.iter().map(|(id, _)| (*id, Rc::default())).collect();
         let net = Network::new(seed, Span::millis(100));
-        let mut play = Play { net, listed, disks, incarnation: 1, seed, invariants: Invariants::default() };
-        for (id, _) in play.listed.clone() {
-            play.start(id);
+        let mut simulation =
+            Simulation { net, listed, disks, incarnation: 1, seed, invariants: Invariants::default() };
+        for (id, _) in simulation.listed.clone() {
+            simulation.start(id);
         }
-        play
+        simulation
     }
 
     fn start(&mut self, id: MemberId) {
@@ -151,14 +152,14 @@
         let (seed, incarnation) = (self.seed ^ self.incarnation << 20, Incarnation(self.incarnation));
         let location = self.listed.iter().find(|(listed, _)| *listed == id).unwrap().1;
         let disk = self.disks[&id].clone();
-        let rate = self.net.chance.gen_range(0.995..1.005);
+        let rate = self.net.rng.gen_range(0.995..1.005);
         let listed = self.listed.clone();
         self.net.start(id, rate, |now| {
             let kept = disk.borrow().records.clone();
-            let rollout = Rollout::new(set(), id, location, incarnation, &listed, kept, seed, now);
+            let rollout = Rollout::new(settings(), id, location, incarnation, &listed, kept, seed, now);
             let before = rollout.state().in_force.number;
             let figures =
-                Figures { visits: 50, in_time: 48, turned_back: 1, hand_offs: 60, ..Figures::default() };
+                Figures { visits: 50, in_time: 48, refused: 1, hand_offs: 60, ..Figures::default() };
             let (in_force, logs) = (Vec::new(), Vec::new());
             Member {
                 rollout,
@@ -178,7 +179,7 @@
 
     /// Kills a process; the record being written may or may not be on disk.
     fn kill(&mut self, id: MemberId) {
-        let written = self.net.chance.gen_bool(0.5);
+        let written = self.net.rng.gen_bool(0.5);
         let out = self.net.call(id, |member, _| member.out.take()).flatten();
         let mut disk = self.disks[&id].borrow_mut();
         disk.unsynced.clear();
@@ -195,13 +196,13 @@
         self.net.kill(id);
     }
 
-    fn order(&mut self, id: MemberId, order: Order) -> Result<(), Error> {
+    fn order(&mut self, id: MemberId, order: Order) -> Result<(), OrderError> {
         self.net.call(id, |member, now| member.rollout.order(now, order)).unwrap_or(Ok(()))
     }
 
-    fn play(&mut self, seconds: f64) {
+    fn run(&mut self, seconds: f64) {
         let (seed, invariants) = (self.seed, &mut self.invariants);
-        self.net.play(Span::seconds(seconds), |net| invariants.all(net, seed));
+        self.net.run(Span::seconds(seconds), |net| invariants.all(net, seed));
     }
 
     fn member(&self, id: u64) -> &Member {
@@ -274,11 +275,11 @@
 
 #[test]
 fn a_harmless_version_reaches_all_in_order() {
-    let mut p = Play::new(1, fleet(7, 3));
-    p.play(14.0);
+    let mut p = Simulation::new(1, fleet(7, 3));
+    p.run(14.0);
     let first = version(5, &p.listed, AfterHalt::Stay);
     p.order(MemberId(4), Order::Start(first.clone())).unwrap();
-    p.play(60.0);
+    p.run(60.0);
     let stages: Vec<(u16, Phase)> =
         p.invariants.steps.values().map(|step| (step.stage, step.phase)).collect();
     let rolling = |stage| (stage, Phase::Rolling);
@@ -311,13 +312,12 @@
 
 #[test]
 fn each_fault_halts_in_the_first_stage() {
-    type Fault = fn(&mut Play, MemberId);
+    type Fault = fn(&mut Simulation, MemberId);
     let faults: [(&str, Fault); 4] = [
         ("could not be put in force", |_, _| {}),
         ("is unreachable", |p, id| p.kill(id)),
         ("quoted time", |p, id| {
-            let bad =
-                Figures { visits: 50, in_time: 38, turned_back: 11, hand_offs: 60, ..Figures::default() };
+            let bad = Figures { visits: 50, in_time: 38, refused: 11, hand_offs: 60, ..Figures::default() };
             p.net.call(id, |member, _| member.figures = bad).unwrap();
         }),
         ("too few figures", |p, _| {
@@ -327,8 +327,8 @@
         }),
     ];
     for (why, fault) in faults {
-        let mut p = Play::new(7, fleet(8, 2));
-        p.play(20.0);
+        let mut p = Simulation::new(7, fleet(8, 2));
+        p.run(20.0);
         for (id, _) in p.listed.clone().into_iter().filter(|_| why == "could not be put in force") {
             p.net.call(id, |member, _| member.rejected_version = 3).unwrap();
         }
@@ -338,9 +338,9 @@
         let with: Vec<MemberId> =
             listed.keys().copied().filter(|id| start.includes(&listed, 0, *id)).collect();
         p.order(MemberId(1), Order::Start(start)).unwrap();
-        p.play(if why == "is unreachable" { 2.0 } else { 0.4 });
+        p.run(if why == "is unreachable" { 2.0 } else { 0.4 });
         with.iter().for_each(|id| fault(&mut p, *id));
-        p.play(60.0);
+        p.run(60.0);
         let last = *p.invariants.steps.values().next_back().unwrap();
         assert_eq!((last.stage, last.phase), (0, Phase::Halted), "{why}");
         let left = p.net.ids()[0].0;
@@ -359,26 +359,30 @@
 }
 
 /// A schedule of faults and orders; after all faults are repaired the rollout must end.
-fn schedule(seed: u64) -> Play {
+fn schedule(seed: u64) -> Simulation {
     let (members, locations) = (3 + seed % 5, 1 + (seed / 5 % 3) as u8);
-    let mut p = Play::new(seed, fleet(members, locations));
-    p.play(14.0);
-    let any = |p: &mut Play| MemberId(p.net.chance.gen_range(1..=members));
+    let mut p = Simulation::new(seed, fleet(members, locations));
+    p.run(14.0);
+    let any = |p: &mut Simulation| MemberId(p.net.rng.gen_range(1..=members));
     let faulty = any(&mut p);
     if seed.is_multiple_of(2) {
         p.disks[&faulty].borrow_mut().loses_synced = true;
     }
     let slowest = Span::millis([5, 50, 800][(seed % 3) as usize]);
-    p.net.link = Link { lost: 0.25 * (seed % 4) as f64 / 3.0, twice: 0.1, delay: [Span::millis(1), slowest] };
+    p.net.link = Link {
+        loss_rate: 0.25 * (seed % 4) as f64 / 3.0,
+        duplication_rate: 0.1,
+        delay: [Span::millis(1), slowest],
+    };
     let mut number = 1;
     let starter = any(&mut p);
     let _ = p.order(starter, Order::Start(version(number, &p.listed, AfterHalt::Stay)));
     let mut dead: Vec<MemberId> = Vec::new();
     for _ in 0..30 {
-        let pause = p.net.chance.gen_range(0.05..2.5);
-        p.play(pause);
+        let pause = p.net.rng.gen_range(0.05..2.5);
+        p.run(pause);
         let (one, other) = (any(&mut p), any(&mut p));
-        match p.net.chance.gen_range(0..22) {
+        match p.net.rng.gen_range(0..22) {
             0..=2 if !dead.contains(&one) => {
                 p.kill(one);
                 dead.push(one);
@@ -393,8 +397,8 @@
             }
             10..=12 => p.net.cut.clear(),
             13 => {
-                let span = Span::seconds(p.net.chance.gen_range(0.1..12.0));
-                p.net.stop(one, span);
+                let span = Span::seconds(p.net.rng.gen_range(0.1..12.0));
+                p.net.pause(one, span);
             }
             14 => {
                 let mut disk = p.disks[&one].borrow_mut();
@@ -423,7 +427,7 @@
         disk.borrow_mut().full = false;
     }
     dead.drain(..).for_each(|id| p.start(id));
-    p.play(150.0);
+    p.run(150.0);
     p
 }
 
@@ -470,7 +474,7 @@
     nodes: Vec<Rc<(Rollout, u64)>>,
     disks: Vec<Vec<Record>>,
     out: Vec<Option<(u64, Record)>>,
-    messages: Vec<(usize, usize, Said, u64)>,
+    messages: Vec<(usize, usize, RolloutMessage, u64)>,
     invariants: Invariants,
     halts: u8,
     kills: u8,
@@ -498,12 +502,12 @@
     fn call(&mut self, i: usize, call: impl FnOnce(&mut Rollout)) -> Result<(), String> {
         let mut rollout = self.nodes[i].0.clone();
         call(&mut rollout);
-        while let Some(effect) = rollout.next() {
+        while let Some(effect) = rollout.next_effect() {
             match effect {
                 // While exploring, no member learns of a halt by a status, which is the worst case.
-                Effect::Tell { said: Said::Hello(_), .. } if self.exploring => {}
-                Effect::Tell { to, said: message } => {
-                    if matches!(message, Said::Accepted { .. }) {
+                Effect::Send { message: RolloutMessage::Hello(_), .. } if self.exploring => {}
+                Effect::Send { to, message } => {
+                    if matches!(message, RolloutMessage::Accepted { .. }) {
                         let at = rollout.state().accepted.map_or(0, |(_, step)| step.at);
                         self.invariants.acked.insert(MemberId(i as u64 + 1), at);
                     }
@@ -524,7 +528,7 @@
 
     fn explore(&mut self) {
         self.exploring = true;
-        self.messages.retain(|(.., message, _)| !matches!(message, Said::Hello(_)));
+        self.messages.retain(|(.., message, _)| !matches!(message, RolloutMessage::Hello(_)));
     }
 
     fn key(&self) -> u64 {
@@ -543,7 +547,7 @@
     fn disk(&mut self, now: Time, i: usize) -> Result<(), String> {
         let Some((ticket, record)) = self.out[i].take() else { return Ok(()) };
         self.disks[i].push(record);
-        self.call(i, |rollout| rollout.kept(now, ticket, true))
+        self.call(i, |rollout| rollout.record_written(now, ticket, true))
     }
 
     /// All possible next events.
@@ -563,13 +567,13 @@
         match next {
             Move::Hear(n) => {
                 let (from, to, message, _) = self.messages.swap_remove(n);
-                self.call(to, |rollout| rollout.heard(now, MemberId(from as u64 + 1), message))
+                self.call(to, |rollout| rollout.receive(now, MemberId(from as u64 + 1), message))
             }
             Move::Disk(i) => self.disk(now, i),
             Move::Wake(i) => {
                 self.wakes -= 1;
                 self.now = now + Span::millis(500);
-                self.call(i, |rollout| rollout.woken(now + Span::millis(500)))
+                self.call(i, |rollout| rollout.tick(now + Span::millis(500)))
             }
             Move::Halt(i) => {
                 self.halts -= 1;
@@ -594,9 +598,9 @@
                     self.invariants.halts.retain(|(who, _), _| *who != id);
                 }
                 let kept = self.disks[i].clone();
-                let rollout = Rollout::new(set(), id, listed[i].1, Incarnation(9), listed, kept, 1, now);
+                let rollout = Rollout::new(settings(), id, listed[i].1, Incarnation(9), listed, kept, 1, now);
                 self.nodes[i] = Rc::new((rollout, 0));
-                self.call(i, |rollout| rollout.woken(now))
+                self.call(i, |rollout| rollout.tick(now))
             }
         }
     }
@@ -616,7 +620,7 @@
 fn before_promoting(listed: &Listed, runners: usize) -> World {
     let mut now = Time(1_000_000);
     let nodes = listed.iter().enumerate().map(|(i, (id, location))| {
-        let rollout = Rollout::new(set(), *id, *location, Incarnation(1), listed, vec![], i as u64, now);
+        let rollout = Rollout::new(settings(), *id, *location, Incarnation(1), listed, vec![], i as u64, now);
         Rc::new((rollout, 0))
     });
     let n = listed.len();
@@ -647,11 +651,11 @@
         for i in (0..n).filter(|i| !frozen.contains(i)).collect::<Vec<_>>() {
             let figures = Figures { visits: 50, in_time: 48, ..Figures::default() };
             if tick % 5 == 0 {
-                world.call(i, |rollout| rollout.counted(now, figures)).unwrap();
+                world.call(i, |rollout| rollout.add_figures(now, figures)).unwrap();
             }
-            world.call(i, |rollout| rollout.woken(now)).unwrap();
-            let prepares = |(from, _, message, _): &(usize, usize, Said, u64)| {
-                *from == i && matches!(message, Said::Prepare(_))
+            world.call(i, |rollout| rollout.tick(now)).unwrap();
+            let prepares = |(from, _, message, _): &(usize, usize, RolloutMessage, u64)| {
+                *from == i && matches!(message, RolloutMessage::Prepare(_))
             };
             if step.at == 1 && world.nodes[i].0.status().step.at == 1 && world.messages.iter().any(prepares) {
                 frozen.push(i);
@@ -670,9 +674,9 @@
                 && step.at == 1
                 && from == 0
                 && to == 1
-                && matches!(message, Said::Hello(_)))
+                && matches!(message, RolloutMessage::Hello(_)))
             {
-                world.call(to, |rollout| rollout.heard(now, MemberId(from as u64 + 1), message)).unwrap();
+                world.call(to, |rollout| rollout.receive(now, MemberId(from as u64 + 1), message)).unwrap();
             }
             for i in 0..world.nodes.len() {
                 while world.out[i].is_some() && !frozen.contains(&i) {
@@ -729,22 +733,22 @@
         let (now, runner) = (first.now, first.nodes[0].0.status().runner.unwrap().0 as usize - 1);
         if halt {
             first.call(runner, |rollout| rollout.order(now, Order::Halt).unwrap()).unwrap();
-            first.call(runner, |rollout| rollout.woken(now)).unwrap();
-            first.call(runner, |rollout| rollout.woken(now)).unwrap();
+            first.call(runner, |rollout| rollout.tick(now)).unwrap();
+            first.call(runner, |rollout| rollout.tick(now)).unwrap();
         }
         if back {
             let other = (runner + 1) % members as usize;
             first.call(other, |rollout| rollout.order(now, Order::Back).unwrap()).unwrap();
-            first.call(other, |rollout| rollout.woken(now)).unwrap();
+            first.call(other, |rollout| rollout.tick(now)).unwrap();
         }
         (first.kills, first.wakes, first.halts) = (kills, 8, u8::from(!halt));
         first.explore();
         let mut ends: BTreeSet<Vec<(u16, Phase)>> = BTreeSet::new();
         for seed in 0..walks {
-            let (mut world, mut chance) = (first.clone(), Pcg64Mcg::seed_from_u64(seed));
-            while let Some(next) = world.moves().choose(&mut chance).copied() {
+            let (mut world, mut rng) = (first.clone(), Pcg64Mcg::seed_from_u64(seed));
+            while let Some(next) = world.moves().choose(&mut rng).copied() {
                 let rare = matches!(next, Move::Halt(_) | Move::Kill(..) | Move::Wake(_));
-                if rare && !(world.messages.is_empty() || chance.gen_bool(0.03)) {
+                if rare && !(world.messages.is_empty() || rng.gen_bool(0.03)) {
                     continue;
                 }
                 world.make(&listed, next).unwrap_or_else(|why| {
@@ -798,7 +802,7 @@
     assert_eq!(world.nodes[third].0.state().chosen.phase, Phase::Rolling);
     run_among(&mut world, [other, forgets]);
     let node = &world.nodes[forgets].0;
-    assert!(node.status().able && node.state().chosen.phase == Phase::Back);
+    assert!(node.status().is_able && node.state().chosen.phase == Phase::Back);
 }
 
 /// A plan as older builds encode it, with locations below 256 only.
@@ -851,14 +855,14 @@
 /// `included_dispatchers` agrees with `includes` for each dispatcher.
 #[test]
 fn included_dispatchers_agrees_with_includes() {
-    let mut chance = Pcg64Mcg::seed_from_u64(3);
+    let mut rng = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..200 {
-        let (members, locations) = (chance.gen_range(1..60), chance.gen_range(1..6));
+        let (members, locations) = (rng.gen_range(1..60), rng.gen_range(1..6));
         let listed: BTreeMap<MemberId, LocationId> = (0..members)
-            .map(|_| (MemberId(chance.gen()), LocationId(chance.gen_range(0..locations) * 200)))
+            .map(|_| (MemberId(rng.gen()), LocationId(rng.gen_range(0..locations) * 200)))
             .collect();
-        let mut version = version(chance.gen(), &listed.clone().into_iter().collect(), AfterHalt::Stay);
-        version.plan.first = chance.gen_range(1..=1_000);
+        let mut version = version(rng.gen(), &listed.clone().into_iter().collect(), AfterHalt::Stay);
+        version.plan.first = rng.gen_range(1..=1_000);
         for stage in 0..=version.stages() {
             let each = listed.keys().copied().filter(|id| version.includes(&listed, stage, *id));
             assert_eq!(
--- a/crates/fleet/tests/verdicts.rs
+++ b/crates/fleet/tests/verdicts.rs
@@ -4,7 +4,7 @@
 use cherrypass::ids::{HostId, LocationId};
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::made::{self, Link, Network};
+use cherrypass_fleet::simulation::{self, Link, Network};
 use cherrypass_fleet::verdicts::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -75,19 +75,19 @@
     }
 }
 
-impl made::Node for Node {
-    type Said = (Message, Time);
+impl simulation::Node for Node {
+    type Message = (Message, Time);
 
-    fn heard(&mut self, now: Time, from: MemberId, (message, sent): (Message, Time)) {
+    fn receive(&mut self, now: Time, from: MemberId, (message, sent): (Message, Time)) {
         let age = (self.true_time(now) - sent).times(self.start.2) + Span::millis(1);
         self.verdicts.receive(now, from, location(from), age, message);
     }
 
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         self.verdicts.tick(now);
     }
 
-    fn next(&mut self, now: Time) -> Option<(MemberId, (Message, Time))> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, (Message, Time))> {
         while let Some(effect) = self.verdicts.next_effect() {
             let sent = self.true_time(now);
             if let Some(message) = self.view.take(effect) {
@@ -101,7 +101,7 @@
 /// The true state, and what each member knows of it.
 struct World {
     network: Network<Node>,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     members: Vec<MemberId>,
     runs: BTreeMap<MemberId, Incarnation>,
     /// The current run of each host, and the run in each member's list.
@@ -117,11 +117,11 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let members: Vec<MemberId> = (0..chance.gen_range(8..13)).map(MemberId).collect();
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let members: Vec<MemberId> = (0..rng.gen_range(8..13)).map(MemberId).collect();
         let mut world = World {
             network: Network::new(seed, Span::millis(50)),
-            chance,
+            rng,
             members: members.clone(),
             runs: BTreeMap::new(),
             since: hosts().map(|host| (host, 1)).collect(),
@@ -138,7 +138,7 @@
     fn start(&mut self, id: MemberId, seed: u64) {
         let run = self.runs.entry(id).or_default();
         run.0 += 1;
-        let (run, rate, truth) = (*run, self.chance.gen_range(0.995..1.005), self.network.now);
+        let (run, rate, truth) = (*run, self.rng.gen_range(0.995..1.005), self.network.now);
         let others: Vec<MemberId> = self.members.iter().copied().filter(|other| *other != id).collect();
         let list: Vec<(HostId, u64)> = self.since.iter().map(|(host, since)| (*host, *since)).collect();
         self.network.start(id, rate, |now| {
@@ -160,8 +160,8 @@
     }
 
     fn report_finding(&mut self, id: MemberId, host: HostId, kind: FindingKind) {
-        let (since, evidence) = (self.listed[&(id, host)], self.chance.gen_range(1..9));
-        let age = Span::millis(self.chance.gen_range(0..3_000));
+        let (since, evidence) = (self.listed[&(id, host)], self.rng.gen_range(1..9));
+        let age = Span::millis(self.rng.gen_range(0..3_000));
         let rate = self.network.node(id).map_or(1.0, |node| node.start.2);
         let finding = Finding { host, since: Some(Incarnation(since)), kind, evidence, age };
         if self.network.call(id, |node, now| node.verdicts.report_finding(now, finding)).is_some() {
@@ -183,7 +183,7 @@
     }
 
     fn choose<T: Copy>(&mut self, all: &[T]) -> T {
-        all[self.chance.gen_range(0..all.len())]
+        all[self.rng.gen_range(0..all.len())]
     }
 
     /// Plays half a second with a random change; `faulty_member` reports arbitrary findings.
@@ -191,7 +191,7 @@
         let all: Vec<HostId> = hosts().collect();
         let members = self.members.clone();
         let (who, host) = (self.choose(&members), self.choose(&all));
-        match self.chance.gen_range(0..12) {
+        match self.rng.gen_range(0..12) {
             0 | 1 => {
                 let kind = self.choose(&[FindingKind::Failing, FindingKind::Unreachable, FindingKind::Slow]);
                 self.bad.insert(host, kind);
@@ -202,8 +202,9 @@
                 self.bad.remove(&host);
             }
             4 => {
-                let (lost, most) = (self.chance.gen_range(0.0..0.3), self.chance.gen_range(2..3_000));
-                self.network.link = Link { lost, twice: 0.1, delay: [Span::millis(1), Span::millis(most)] };
+                let (loss_rate, most) = (self.rng.gen_range(0.0..0.3), self.rng.gen_range(2..3_000));
+                self.network.link =
+                    Link { loss_rate, duplication_rate: 0.1, delay: [Span::millis(1), Span::millis(most)] };
             }
             5 => self.network.kill(who),
             6 if self.network.node(who).is_none() => self.start(who, seed),
@@ -215,7 +216,7 @@
         for id in members.iter().copied() {
             for host in all.iter().copied() {
                 // Lists arrive late.
-                if self.listed[&(id, host)] < self.since[&host] && self.chance.gen_bool(0.3) {
+                if self.listed[&(id, host)] < self.since[&host] && self.rng.gen_bool(0.3) {
                     self.update_list(id, host);
                 }
             }
@@ -226,19 +227,17 @@
                 let bad = self.bad.get(&host).copied();
                 // Network faults affect one location only.
                 let bad = bad.filter(|kind| *kind == FindingKind::Failing || location(id) == HERE);
-                let is_wrong = id == faulty_member && self.chance.gen_bool(0.15);
+                let is_wrong = id == faulty_member && self.rng.gen_bool(0.15);
                 match bad {
-                    Some(kind) if self.chance.gen_bool(0.5) => self.report_finding(id, host, kind),
+                    Some(kind) if self.rng.gen_bool(0.5) => self.report_finding(id, host, kind),
                     None if is_wrong => self.report_finding(id, host, FindingKind::Failing),
-                    None if id != faulty_member && self.chance.gen_bool(0.7) => {
-                        self.report_recovery(id, host)
-                    }
+                    None if id != faulty_member && self.rng.gen_bool(0.7) => self.report_recovery(id, host),
                     _ => {}
                 }
             }
             for other in members.iter().copied().filter(|other| *other != id) {
                 let alive = self.network.node(other).is_some();
-                if alive == self.dead.contains(&(id, other)) && self.chance.gen_bool(0.5) {
+                if alive == self.dead.contains(&(id, other)) && self.rng.gen_bool(0.5) {
                     self.network.call(id, |n, now| n.verdicts.set_alive(now, other, location(other), alive));
                     if alive {
                         self.dead.remove(&(id, other));
@@ -248,13 +247,13 @@
                 }
             }
         }
-        self.play(Span::millis(500), seed);
+        self.run(Span::millis(500), seed);
     }
 
-    fn play(&mut self, span: Span, seed: u64) {
+    fn run(&mut self, span: Span, seed: u64) {
         let end = self.network.now + span;
         while self.network.now < end {
-            self.network.play(Span::millis(25), |_| {});
+            self.network.run(Span::millis(25), |_| {});
             self.check(seed);
         }
     }
@@ -299,7 +298,7 @@
     let mut checked_verdicts = 0;
     for seed in 0..60 {
         let mut world = World::new(seed);
-        let faulty_member = MemberId(world.chance.gen_range(0..8));
+        let faulty_member = MemberId(world.rng.gen_range(0..8));
         (0..40).for_each(|_| world.step(faulty_member, seed));
         checked_verdicts += world.checked_verdicts;
         // All hosts work again: after the hold time there are no verdicts.
@@ -309,7 +308,7 @@
             world.update_list(id, host);
             world.report_recovery(id, host);
         }
-        world.play(HOLD + Span::millis(200), seed);
+        world.run(HOLD + Span::millis(200), seed);
         for id in world.network.ids() {
             let view = &world.network.node(id).unwrap().view;
             assert!(view.unhealthy.is_empty(), "seed {seed}: {id:?} still has verdicts {:?}", view.unhealthy);
--- a/crates/peers/examples/idle.rs
+++ b/crates/peers/examples/idle.rs
@@ -50,7 +50,7 @@
         set.rooms = node::Settings {
             limits: Some(limits),
             verdicts: Some(verdicts::Settings::default()),
-            rollout: Some(rollout::Set::default()),
+            rollout: Some(rollout::Settings::default()),
             ..node::Settings::default()
         };
         all.push(Peers::start(set, None, |_| {}, |_| {})?);
--- a/crates/peers/src/delivery.rs
+++ b/crates/peers/src/delivery.rs
@@ -5,7 +5,7 @@
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::delivery::{self, Carrier, ChangeNumber, Effect, Follower, Record, Said};
+use cherrypass_fleet::delivery::{self, Carrier, ChangeNumber, DeliveryMessage, Effect, Follower, Record};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub carriers: Vec<String>,
     /// The last change that the configuration tells.
     pub last: ChangeNumber,
-    pub room: delivery::Set,
+    pub room: delivery::Settings,
 }
 
 /// A change of the log as it was read, in its carried form.
@@ -75,7 +75,7 @@
 impl Delivery {
     pub fn start(set: Set, own: MemberId, seed: u64, now: Time) -> Delivery {
         let carriers: Vec<MemberId> = set.carriers.iter().map(|name| MemberId::of(name)).collect();
-        let guests_most = set.room.followers.saturating_mul(GUESTS_OVER_FOLLOWERS);
+        let guests_most = set.room.max_followers.saturating_mul(GUESTS_OVER_FOLLOWERS);
         let role = if carriers.contains(&own) {
             Role::Carrier(Box::new(Carrier::new(set.room, set.last)))
         } else {
@@ -109,20 +109,20 @@
         self.guests.get(&id).map(|guest| &guest.peer)
     }
 
-    pub fn heard(&mut self, now: Time, from: MemberId, incarnation: Incarnation, said: Said) {
+    pub fn heard(&mut self, now: Time, from: MemberId, incarnation: Incarnation, said: DeliveryMessage) {
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.heard(now, from, incarnation, said),
-            Role::Follower(follower) => follower.heard(now, from, said),
+            Role::Carrier(carrier) => carrier.receive(now, from, incarnation, said),
+            Role::Follower(follower) => follower.receive(now, from, said),
         }
     }
 
     pub fn woken(&mut self, now: Time) {
         match &mut self.role {
             Role::Carrier(carrier) => {
-                carrier.woken(now);
+                carrier.tick(now);
                 self.guests.retain(|id, guest| carrier.carries(*id) || now - guest.heard <= GUEST_HOLDS);
             }
-            Role::Follower(follower) => follower.woken(now),
+            Role::Follower(follower) => follower.tick(now),
         }
     }
 
@@ -130,12 +130,12 @@
     pub fn read(&mut self, asked: Option<Time>, read: LogRead) -> Option<FromFleet> {
         match &mut self.role {
             Role::Carrier(carrier) => {
-                read.changes.into_iter().for_each(|change| carrier.read(change.number, change.record));
-                asked.into_iter().for_each(|asked| carrier.log_heard(asked));
+                read.changes.into_iter().for_each(|change| carrier.add_change(change.number, change.record));
+                asked.into_iter().for_each(|asked| carrier.note_log_answer(asked));
                 read.asked.map(|asked| FromFleet::Delivered(Delivered::KnownUpTo(asked)))
             }
             Role::Follower(follower) => {
-                follower.read(read.last, asked);
+                follower.note_log_read(read.last, asked);
                 None
             }
         }
@@ -143,8 +143,8 @@
 
     pub fn leave(&mut self) {
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.leave(),
-            Role::Follower(follower) => follower.leave(),
+            Role::Carrier(carrier) => carrier.shut_down(),
+            Role::Follower(follower) => follower.shut_down(),
         }
     }
 
--- a/crates/peers/src/keep.rs
+++ b/crates/peers/src/keep.rs
@@ -1,7 +1,7 @@
 //! What the rollout keeps, in a space of the dispatcher's store. Every record is one value: the state under one key, each
 //! document under its own; a document older than all that the state names is dropped with the state's next record.
 use crate::events::Log;
-use cherrypass_fleet::rollout::{Id, Record, State};
+use cherrypass_fleet::rollout::{Record, State, VersionId};
 use cherrypass_store::engine::Batch;
 use cherrypass_store::store::{Outlasts, Store};
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 /// More records than these are never read: a state, and documents that may come to be in force.
 const MOST: usize = 64;
 
-fn key(id: Id) -> Vec<u8> {
+fn key(id: VersionId) -> Vec<u8> {
     let number = id.number.to_be_bytes();
     [b"document".as_slice(), &number, &id.digest.to_be_bytes()].concat()
 }
@@ -23,7 +23,7 @@
 /// None is a store that takes nothing: then nothing is promoted here.
 pub struct Keeper {
     store: Option<Arc<Store>>,
-    documents: BTreeSet<Id>,
+    documents: BTreeSet<VersionId>,
     /// There is no disk: all counts as kept.
     #[cfg(feature = "driven")]
     in_memory: bool,
@@ -62,7 +62,7 @@
         (Keeper::with(Some(store), ids.collect()), records)
     }
 
-    fn with(store: Option<Arc<Store>>, documents: BTreeSet<Id>) -> Keeper {
+    fn with(store: Option<Arc<Store>>, documents: BTreeSet<VersionId>) -> Keeper {
         Keeper {
             store,
             documents,
@@ -92,7 +92,8 @@
             }
             Record::State(state) => {
                 let least = oldest_named(state);
-                let over: Vec<Id> = self.documents.iter().copied().filter(|id| id.number < least).collect();
+                let over: Vec<VersionId> =
+                    self.documents.iter().copied().filter(|id| id.number < least).collect();
                 self.documents.retain(|id| id.number >= least);
                 let batch = Batch::new().put(SPACE, STATE, value);
                 over.into_iter().fold(batch, |batch, id| batch.delete(SPACE, key(id)))
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -46,7 +46,7 @@
 use std::time::{Duration, Instant};
 
 /// Members of one fleet at most; and of the followers.
-pub const MEMBERS: usize = rollout::MEMBERS;
+pub const MEMBERS: usize = rollout::MAX_MEMBERS;
 pub const FOLLOWERS: usize = 1_024;
 /// What a message names of each member at most: an id and a run in ten bytes each; in the feed a number too.
 const NAMED: usize = 20;
@@ -305,7 +305,7 @@
         None if !followers.contains(&me) => Role::Unlisted,
         None => {
             let ids: Vec<MemberId> = listed.iter().map(|(id, _)| *id).collect();
-            let feed = feed::Set { round: set.every, ..set.rooms.feed };
+            let feed = feed::Settings { interval: set.every, ..set.rooms.feed };
             Role::Follower(Box::new(feed::Follower::new(feed, me, incarnation, &ids, now)))
         }
     };
--- a/crates/peers/src/run.rs
+++ b/crates/peers/src/run.rs
@@ -11,7 +11,7 @@
 use cherrypass::ids::{HostId, LocationId};
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::delivery::{self, Said};
+use cherrypass_fleet::delivery::{self, DeliveryMessage};
 use cherrypass_fleet::feed::{self, Follower};
 use cherrypass_fleet::limits::{Allowance, LimitKey};
 use cherrypass_fleet::members::MemberState;
@@ -171,8 +171,8 @@
     format!("{:x}", host.0)
 }
 
-fn gone(state: MemberState) -> &'static str {
-    if state == MemberState::Left {
+fn gone(standing: MemberState) -> &'static str {
+    if standing == MemberState::Left {
         "has left"
     } else {
         "does not answer anyone any more; look at its process and its network"
@@ -250,7 +250,7 @@
     pub fn woken(&mut self, now: Time) {
         match &mut self.role {
             Role::Member(fleet) => fleet.tick(now),
-            Role::Follower(follower) => follower.woken(now),
+            Role::Follower(follower) => follower.tick(now),
             Role::Unlisted => {}
         }
         self.delivery.iter_mut().for_each(|delivery| delivery.woken(now));
@@ -319,15 +319,15 @@
         if envelope.location.is_some_and(|location| location != LocationByte::of(listed)) {
             self.refuse(now, Refused::Location, who);
         }
-        let result = match (&mut self.role, message) {
+        let heard = match (&mut self.role, message) {
             (Role::Member(fleet), message) => fleet.receive(now, from, incarnation, message),
             (Role::Follower(follower), Message::Feed(said)) => {
-                follower.heard(now, from, said);
+                follower.receive(now, from, said);
                 Ok(())
             }
             (Role::Follower(_) | Role::Unlisted, _) => Err(Rejection::ComponentOff),
         };
-        match result {
+        match heard {
             _ if from == self.me => self.refuse(now, Refused::OwnName, who),
             Err(Rejection::InvalidRun) => self.refuse(now, Refused::Void, who),
             Err(Rejection::UnlistedSender) => self.refuse(now, Refused::Unlisted, who),
@@ -349,7 +349,7 @@
         if incarnation.0 > self.clock.unix(now).saturating_add(self.ahead.0) {
             return self.refuse(now, Refused::Future, Who::Address(at.ip()));
         }
-        let Ok(said) = postcard::from_bytes::<Said>(envelope.payload) else {
+        let Ok(said) = postcard::from_bytes::<DeliveryMessage>(envelope.payload) else {
             return self.refuse(now, Refused::Content, Who::Address(at.ip()));
         };
         match self.peers.get_mut(&from) {
@@ -426,7 +426,7 @@
                     self.effect(now, effect);
                 }
                 Role::Follower(follower) => {
-                    let Some(effect) = follower.next() else { break };
+                    let Some(effect) = follower.next_effect() else { break };
                     self.of_follower(now, effect);
                 }
                 Role::Unlisted => break,
@@ -439,8 +439,8 @@
 
     fn of_delivery(&mut self, now: Time, effect: delivery::Effect) {
         let told = match effect {
-            delivery::Effect::Tell { to, said } => {
-                let Ok(payload) = postcard::to_stdvec(&said) else { return };
+            delivery::Effect::Send { to, message } => {
+                let Ok(payload) = postcard::to_stdvec(&message) else { return };
                 return self.send_payload(now, to, kind::DELIVERY, &payload);
             }
             delivery::Effect::Log(line) => return (self.log)(&format!("delivery: {line}")),
@@ -531,7 +531,7 @@
 
     fn of_follower(&mut self, now: Time, effect: feed::Effect) {
         match effect {
-            feed::Effect::Tell { to, said } => self.send(now, to, &Message::Feed(said)),
+            feed::Effect::Send { to, message } => self.send(now, to, &Message::Feed(message)),
             feed::Effect::Deliver { source, incarnation, number, .. } => {
                 self.delivered(now, source, incarnation, number, false);
             }
@@ -542,17 +542,10 @@
         }
     }
 
-    fn delivered(
-        &mut self,
-        now: Time,
-        source: MemberId,
-        incarnation: Incarnation,
-        number: u64,
-        is_state: bool,
-    ) {
+    fn delivered(&mut self, now: Time, source: MemberId, incarnation: Incarnation, number: u64, state: bool) {
         if self.events.is_on() {
             let values = json!({ "source": self.name(source), "sinc": incarnation.0, "n": number });
-            self.events.note(now, if is_state { "state" } else { "deliver" }, |_| values);
+            self.events.note(now, if state { "state" } else { "deliver" }, |_| values);
         }
     }
 
@@ -640,9 +633,9 @@
             json!({ "key": key_name(*key), "amount": part.at(now), "left_ms": left_ms, "after": part.after })
         });
         let feed = fleet.feed().map(|feed| {
-            let (about, (items, bytes, ..)) = (feed.about(), feed.size());
-            let carried = feed.carried().map(|(id, slow)| json!({ "name": self.name(id), "slow": slow }));
-            json!({ "lag_ms": about.lag.0 / 1000, "carried": carried.collect::<Vec<_>>(), "moves": feed.moves(),
+            let (about, (items, bytes, ..)) = (feed.load(), feed.size());
+            let carried = feed.carried_followers().map(|(id, slow)| json!({ "name": self.name(id), "slow": slow }));
+            json!({ "lag_ms": about.lag.0 / 1000, "carried": carried.collect::<Vec<_>>(), "moves": feed.completed_moves(),
                     "items": items, "bytes": bytes })
         });
         let rollout = fleet.rollout().map(|rollout| {
@@ -652,8 +645,8 @@
             json!({
                 "number": status.step.version.number, "phase": phase, "stage": status.step.stage,
                 "stages": status.stages, "in_force": status.in_force, "base": status.step.base.number,
-                "may_come": status.may_come.map(|step| step.version.number), "halt": halt,
-                "runner": status.runner.map(|id| self.name(id)), "able": status.able, "waits": status.waits,
+                "may_come": status.unconfirmed_step.map(|step| step.version.number), "halt": halt,
+                "runner": status.runner.map(|id| self.name(id)), "able": status.is_able, "waits": status.waiting_for,
             })
         });
         json!({
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -1,7 +1,7 @@
 //! Carriers, followers in no list, and a member without the delivery, on loopback.
 use cherrypass::ids::LocationId;
 use cherrypass::time::Span;
-use cherrypass_fleet::delivery::{Record, Set as Room};
+use cherrypass_fleet::delivery::{Record, Settings as Room};
 use cherrypass_peers::delivery::{Delivered, LogChange, LogRead, Set as Delivery};
 use cherrypass_peers::{ChangeNumber, Error, FromFleet, LogId, Member, Peers, Set, ToFleet};
 use std::net::{SocketAddr, UdpSocket};
@@ -81,7 +81,7 @@
 }
 
 fn delivery(carriers: &[&str]) -> Delivery {
-    let room = Room { log: LogId::of("main"), fallback: Span::millis(1_500), ..Room::default() };
+    let room = Room { log: LogId::of("main"), fallback_delay: Span::millis(1_500), ..Room::default() };
     Delivery {
         carriers: carriers.iter().map(|name| (*name).to_owned()).collect(),
         last: ChangeNumber(0),
--- a/crates/peers/tests/kept.rs
+++ b/crates/peers/tests/kept.rs
@@ -26,7 +26,7 @@
     let listen = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut set = Set::of("shop", "d1", listen);
     set.members = vec![Member { name: "d1".into(), address: listen, location: LocationId(0) }];
-    let rollout = rollout::Set { store_rest: Span::millis(200), ..rollout::Set::default() };
+    let rollout = rollout::Settings { store_rest: Span::millis(200), ..rollout::Settings::default() };
     set.rooms = node::Settings { rollout: Some(rollout), ..node::Settings::default() };
     let (to, rules) = channel();
     let tell = move |what| {
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -138,7 +138,7 @@
     node::Settings {
         limits: Some(limits),
         verdicts: Some(verdicts::Settings::default()),
-        rollout: Some(rollout::Set::default()),
+        rollout: Some(rollout::Settings::default()),
         ..node::Settings::default()
     }
 }
--- a/crates/scale/src/delivery.rs
+++ b/crates/scale/src/delivery.rs
@@ -7,8 +7,10 @@
 use cherrypass::time::{Span, Time};
 use cherrypass_dispatcher::carried;
 use cherrypass_fleet::common::{Incarnation, MemberId};
-use cherrypass_fleet::delivery::{Carrier, ChangeNumber, Effect, Follower, Record, Said, Set};
-use cherrypass_fleet::made::{Network, Node};
+use cherrypass_fleet::delivery::{
+    Carrier, ChangeNumber, DeliveryMessage, Effect, Follower, Record, Settings,
+};
+use cherrypass_fleet::simulation::{Network, Node};
 use cherrypass_peers::link::{self, Envelope};
 use hdrhistogram::Histogram;
 use rand::Rng;
@@ -72,12 +74,12 @@
 #[derive(Clone)]
 struct Datagram {
     incarnation: Incarnation,
-    said: Said,
+    said: DeliveryMessage,
     bytes: usize,
 }
 
 impl Place {
-    fn datagram(&self, said: Said) -> Datagram {
+    fn datagram(&self, said: DeliveryMessage) -> Datagram {
         let payload = postcard::to_stdvec(&said).unwrap_or_default();
         let envelope = Envelope {
             reads: link::NEWEST,
@@ -101,13 +103,13 @@
             Role::Carrier(carrier) => {
                 let new = written[..count].iter().enumerate().skip(self.last as usize);
                 new.for_each(|(place, (_, record))| {
-                    carrier.read(ChangeNumber(place as u64 + 1), record.clone());
+                    carrier.add_change(ChangeNumber(place as u64 + 1), record.clone());
                 });
-                carrier.log_heard(asked);
+                carrier.note_log_answer(asked);
             }
             Role::Follower(follower) => {
                 (self.last + 1..=count as u64).for_each(|number| log.came(number));
-                follower.read(ChangeNumber(count as u64), Some(asked));
+                follower.note_log_read(ChangeNumber(count as u64), Some(asked));
             }
         }
         self.last = self.last.max(count as u64);
@@ -115,8 +117,8 @@
 
     fn effect(&mut self, effect: Effect) -> Option<(MemberId, Datagram)> {
         match effect {
-            Effect::Tell { to, said } => {
-                let datagram = self.datagram(said);
+            Effect::Send { to, message } => {
+                let datagram = self.datagram(message);
                 self.sent = self.sent + Amount { messages: 1.0, bytes: datagram.bytes as f64 };
                 return Some((to, datagram));
             }
@@ -133,24 +135,24 @@
 }
 
 impl Node for Place {
-    type Said = Datagram;
+    type Message = Datagram;
 
-    fn heard(&mut self, now: Time, from: MemberId, datagram: Datagram) {
+    fn receive(&mut self, now: Time, from: MemberId, datagram: Datagram) {
         self.got = self.got + Amount { messages: 1.0, bytes: datagram.bytes as f64 };
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.heard(now, from, datagram.incarnation, datagram.said),
-            Role::Follower(follower) => follower.heard(now, from, datagram.said),
+            Role::Carrier(carrier) => carrier.receive(now, from, datagram.incarnation, datagram.said),
+            Role::Follower(follower) => follower.receive(now, from, datagram.said),
         }
     }
 
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.woken(now),
-            Role::Follower(follower) => follower.woken(now),
+            Role::Carrier(carrier) => carrier.tick(now),
+            Role::Follower(follower) => follower.tick(now),
         }
     }
 
-    fn next(&mut self, _: Time) -> Option<(MemberId, Datagram)> {
+    fn next_message(&mut self, _: Time) -> Option<(MemberId, Datagram)> {
         loop {
             let effect = match &mut self.role {
                 Role::Carrier(carrier) => carrier.next_effect()?,
@@ -222,7 +224,7 @@
 /// Plays one size through its phases; `allocated` tells the bytes on the heap.
 pub fn play(form: &DeliveryPlay, seed: u64, allocated: &dyn Fn() -> usize) -> DeliveryPlayed {
     let mut network = Network::new(seed, rooms::EVERY);
-    network.link.lost = form.lost;
+    network.link.loss_rate = form.lost;
     network.link.delay = form.delay_ms.map(Span::millis);
     let delays = Histogram::new_with_bounds(1, DELAY_MOST_MS, 2).unwrap_or_else(|_| unreachable!());
     let log =
@@ -263,8 +265,8 @@
         let incarnation = Incarnation(BEGUN + self.runs);
         let (log, carriers) = (self.log.clone(), &self.carriers);
         let last = log.written.borrow().len() as u64;
-        let (rate, seed) = (self.network.chance.gen_range(0.995..1.005), self.network.chance.gen());
-        let set = Set { followers: self.play.followers_a_carrier, ..Set::default() };
+        let (rate, seed) = (self.network.rng.gen_range(0.995..1.005), self.network.rng.gen());
+        let set = Settings { max_followers: self.play.followers_a_carrier, ..Settings::default() };
         self.network.start(own, rate, |now| {
             let known = ChangeNumber(last);
             let role = match carriers.contains(&own) {
@@ -328,7 +330,7 @@
         self.write();
         self.ask_log();
         let log = self.log.clone();
-        self.network.play(rooms::EVERY, |network| log.now.set(network.now));
+        self.network.run(rooms::EVERY, |network| log.now.set(network.now));
     }
 
     /// What came into the log within a round.
@@ -348,7 +350,7 @@
     fn record(&mut self, is_purge: bool) -> Record {
         let seq = self.log.written.borrow().len() + 1;
         let change = if is_purge {
-            let object: u64 = self.network.chance.gen();
+            let object: u64 = self.network.rng.gen();
             let time = (BEGUN + self.network.now.0) / 1000;
             json!({ "seq": seq, "invalidate": { "object": format!("{object:016x}"), "time": time } })
         } else {
--- a/crates/scale/src/delivery_sockets.rs
+++ b/crates/scale/src/delivery_sockets.rs
@@ -5,7 +5,7 @@
 use crate::settings::DeliveryPlay;
 use cherrypass::ids::LocationId;
 use cherrypass_dispatcher::carried;
-use cherrypass_fleet::delivery::Set as Room;
+use cherrypass_fleet::delivery::Settings as Room;
 use cherrypass_peers::delivery::{Delivered, LogChange, LogRead, Set as Delivery};
 use cherrypass_peers::driven::Driven;
 use cherrypass_peers::{ChangeNumber, FromFleet, Member, Set, ToFleet};
@@ -136,7 +136,7 @@
             location: LocationId(0),
         };
         let members: Vec<Member> = bound.iter().enumerate().map(member).collect();
-        let room = Room { followers: form.followers_a_carrier, ..Room::default() };
+        let room = Room { max_followers: form.followers_a_carrier, ..Room::default() };
         let carriers = members.iter().map(|one| one.name.clone()).collect();
         let delivery = Delivery { carriers, last: ChangeNumber(0), room };
         let mut play =
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -11,7 +11,7 @@
 use cherrypass_dispatcher::carried;
 use cherrypass_dispatcher::changes::{self, Following};
 use cherrypass_dispatcher::inbox::{Change, Input};
-use cherrypass_fleet::delivery::{LogId, Set as Room};
+use cherrypass_fleet::delivery::{LogId, Settings as Room};
 use cherrypass_peers::delivery::{Delivered, Set as Delivery};
 use cherrypass_peers::driven::Driven;
 use cherrypass_peers::{ChangeNumber, FromFleet, Member, Set, ToFleet};
@@ -168,8 +168,8 @@
     (set.every, set.seed) = (rooms::EVERY, orders.seed ^ number as u64);
     let room = Room {
         log: LogId::of(&orders.log_name),
-        followers: orders.followers_a_carrier,
-        fallback: cherrypass::time::Span::millis(orders.fallback_ms),
+        max_followers: orders.followers_a_carrier,
+        fallback_delay: cherrypass::time::Span::millis(orders.fallback_ms),
         ..Room::default()
     };
     let carriers = orders.carriers.iter().map(|one| one.name.clone()).collect();
--- a/crates/scale/src/rooms.rs
+++ b/crates/scale/src/rooms.rs
@@ -25,7 +25,7 @@
             ..limits::Settings::default()
         }),
         verdicts: Some(verdicts::Settings::default()),
-        rollout: Some(rollout::Set::default()),
+        rollout: Some(rollout::Settings::default()),
         ..node::Settings::default()
     }
 }
--- a/crates/scale/src/virtually.rs
+++ b/crates/scale/src/virtually.rs
@@ -9,9 +9,9 @@
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::feed;
 use cherrypass_fleet::limits::LimitKey;
-use cherrypass_fleet::made::{Network, Node};
 use cherrypass_fleet::node::{Effect, FleetNode, Message, Settings};
 use cherrypass_fleet::rollout::Figures;
+use cherrypass_fleet::simulation::{Network, Node};
 use cherrypass_fleet::verdicts::UsedBy;
 use cherrypass_peers::link::{self, Envelope};
 use rand::Rng;
@@ -50,14 +50,14 @@
 
 fn set(form: &Form) -> Settings {
     let (rooms, all) = (form.rooms, rooms::all(form.size));
-    let feed = feed::Set::default();
-    let most_sources = form.feed_sources.unwrap_or(feed.most_sources);
+    let feed = feed::Settings::default();
+    let max_sources = form.feed_sources.unwrap_or(feed.max_sources);
     let is_on = |one: Rooms| rooms == one || rooms == Rooms::All;
     Settings {
         limits: all.limits.filter(|_| is_on(Rooms::Limits)),
         verdicts: all.verdicts.filter(|_| is_on(Rooms::Verdicts)),
         rollout: all.rollout.filter(|_| is_on(Rooms::Rollout)),
-        feed: feed::Set { most_sources, ..feed },
+        feed: feed::Settings { max_sources, ..feed },
         ..Settings::default()
     }
 }
@@ -108,15 +108,15 @@
 }
 
 impl Node for Place {
-    type Said = Said;
+    type Message = Said;
 
-    fn heard(&mut self, now: Time, from: MemberId, said: Said) {
+    fn receive(&mut self, now: Time, from: MemberId, said: Said) {
         self.count(1, &said);
         let message = Arc::unwrap_or_clone(said.message);
         let _ = self.fleet.receive(now, from, said.incarnation, message);
     }
 
-    fn woken(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         self.wakes += 1;
         if self.wakes.is_multiple_of(TELLS) {
             [LimitKey::Origin, LimitKey::Retries]
@@ -129,7 +129,7 @@
         self.fleet.tick(now);
     }
 
-    fn next(&mut self, now: Time) -> Option<(MemberId, Said)> {
+    fn next_message(&mut self, now: Time) -> Option<(MemberId, Said)> {
         loop {
             match self.fleet.next_effect(now)? {
                 Effect::Send { to, message } => {
@@ -170,7 +170,7 @@
     for (own, location) in &listed {
         let (own, location) = (*own, *location);
         let incarnation = Incarnation(BEGUN + network.now.0);
-        let (rate, seed) = (network.chance.gen_range(0.995..1.005), network.chance.gen());
+        let (rate, seed) = (network.rng.gen_range(0.995..1.005), network.rng.gen());
         let set = set(form);
         network.start(own, rate, |now| {
             let mut fleet =
@@ -179,9 +179,9 @@
             Place { fleet, own, location, incarnation, counted: ByKind::default(), wakes: 0 }
         });
     }
-    network.play(Span::seconds(settle_s), |_| {});
+    network.run(Span::seconds(settle_s), |_| {});
     let first = sum(&network);
-    network.play(Span::seconds(seconds), |_| {});
+    network.run(Span::seconds(seconds), |_| {});
     let counted = each(&first, &sum(&network), |before, after| after - before);
     let held = allocated().saturating_sub(before);
     let mean = scaled(&counted, 1.0 / (seconds * size as f64));
