--- a/crates/fleet/examples/members.rs
+++ b/crates/fleet/examples/members.rs
@@ -98,7 +98,7 @@
 fn rates() {
     println!("\nMessages per second and member: mean, most");
     for n in SIZES.into_iter().filter(|n| is_selected_size(*n)) {
-        let mut said = String::new();
+        let mut line = String::new();
         for loss_rate in [0.0, 0.2] {
             let mut fleet = Fleet::new(1, n);
             fleet.network.link.loss_rate = loss_rate;
@@ -108,9 +108,9 @@
             let sent: Vec<u64> = fleet.network.sent_messages.values().copied().collect();
             let mean = sent.iter().sum::<u64>() as f64 / n as f64 / 30.0;
             let most = sent.iter().max().copied().unwrap_or(0) as f64 / 30.0;
-            said += &format!("  {:.0}% lost: {mean:.1}, {most:.1}", loss_rate * 100.0);
+            line += &format!("  {:.0}% lost: {mean:.1}, {most:.1}", loss_rate * 100.0);
         }
-        println!("{n:5}{said}");
+        println!("{n:5}{line}");
     }
 }
 
@@ -178,11 +178,11 @@
             fleet.run(Span::millis(10_000));
             for id in fleet.network.ids() {
                 let node = fleet.network.node(id).expect("runs");
-                let said = node.changes.iter().filter(|c| c.2 == MemberState::Dead).count();
+                let count = node.changes.iter().filter(|c| c.2 == MemberState::Dead).count();
                 if id == who {
-                    declared += said
+                    declared += count
                 } else {
-                    dead += usize::from(said > 0)
+                    dead += usize::from(count > 0)
                 }
             }
         }
--- a/crates/fleet/examples/rollout.rs
+++ b/crates/fleet/examples/rollout.rs
@@ -156,8 +156,8 @@
         loop {
             match self.rollout.next_effect()? {
                 Effect::Send { to, message } => return Some((to, message)),
-                Effect::Keep { ticket, .. } => self.rollout.record_written(now, ticket, true),
-                Effect::InForce { number, .. } => self.in_force = number,
+                Effect::Store { ticket, .. } => self.rollout.record_written(now, ticket, true),
+                Effect::ApplyRules { number, .. } => self.in_force = number,
                 Effect::Log(line) => self.logs.push(line),
             }
         }
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -1,7 +1,7 @@
 //! Prints the tables of docs/fleet-verdicts.md from a simulation in virtual time: the dispatchers of one
 //! location have little traffic each, and a cache fails. Each case runs with and without shared verdicts, on
 //! the same visits and faults.
-//! `cargo run --release -p cherrypass-fleet --example verdicts [seeds [tellers [part]]]`
+//! `cargo run --release -p cherrypass-fleet --example verdicts [seeds [reporters [location_fraction]]]`
 use cherrypass::brain::Brain;
 use cherrypass::calls::*;
 use cherrypass::ids::*;
@@ -53,7 +53,7 @@
     visits_a_second: f64,
     seed: u64,
     shared: bool,
-    set: (u8, f64),
+    thresholds: (u8, f64),
 }
 
 enum Event {
@@ -76,8 +76,8 @@
     /// When each running hand-off began.
     out: BTreeMap<(VisitId, u8), Time>,
     /// Hosts with own findings at the last look.
-    shut: BTreeSet<HostId>,
-    told: BTreeMap<HostId, (Option<Time>, Time)>,
+    unhealthy: BTreeSet<HostId>,
+    verdicts_in_use: BTreeMap<HostId, (Option<Time>, Time)>,
 }
 
 /// Measurements of one run.
@@ -93,7 +93,7 @@
     /// All visits, for comparison.
     visits: u64,
     wrong_own: u64,
-    wrong_told: u64,
+    wrong_by_verdict: u64,
     /// Times of hand-offs to the host after its restart.
     to_cold: Vec<Time>,
     oldest: Span,
@@ -167,9 +167,9 @@
             weight: load / 0.6,
             measured: Measured::default(),
         };
-        let set = verdicts::Settings {
-            reporters: case.set.0,
-            location_fraction: case.set.1,
+        let verdict_settings = verdicts::Settings {
+            reporters: case.thresholds.0,
+            location_fraction: case.thresholds.1,
             ..verdicts::Settings::default()
         };
         for of in 0..case.dispatchers as usize {
@@ -177,14 +177,14 @@
             let (own, run) = (MemberId(of as u64), Incarnation(1));
             let mut one = Dispatcher {
                 brain: Brain::start(settings(case.dispatchers), seed, START),
-                verdicts: Verdicts::new(set.clone(), own, LocationId(0), run, seed, START),
+                verdicts: Verdicts::new(verdict_settings.clone(), own, LocationId(0), run, seed, START),
                 arrivals: Pcg64Mcg::seed_from_u64(seed ^ 0x1111 << 40),
                 bad_link: matches!(case.fault, Fault::Links(n) if of < n as usize),
                 next: 0,
                 visits: BTreeMap::new(),
                 out: BTreeMap::new(),
-                shut: BTreeSet::new(),
-                told: BTreeMap::new(),
+                unhealthy: BTreeSet::new(),
+                verdicts_in_use: BTreeMap::new(),
             };
             let parents = (11..11 + PARENTS).map(HostId);
             let hosts: Vec<_> = caches().chain(parents).chain([ORIGIN]).collect();
@@ -371,11 +371,11 @@
         let end = if self.case.fault == Fault::Restarts { RESTARTED } else { FAULT_END };
         if let ["host", "3", what, ..] = words[..] {
             let since = self.now - START;
-            if what.starts_with("back") && since >= end {
+            if what.starts_with("readmitted") && since >= end {
                 self.measured.back.insert(of, Span(since.0 - end.0));
             } else if what == "shut" && since < end {
                 self.measured.back.insert(of, Span(END.0 - end.0));
-            } else if what.starts_with("back") {
+            } else if what.starts_with("readmitted") {
                 self.measured.back.remove(&of);
             }
         }
@@ -385,9 +385,9 @@
             let since = self.now - (START + FAULT_START);
             self.measured.out.entry(of).or_insert(since);
         } else if !self.all[of].bad_link {
-            let told = line.contains("told");
-            self.measured.wrong_told += u64::from(told);
-            self.measured.wrong_own += u64::from(!told);
+            let is_reported = line.contains("reported");
+            self.measured.wrong_by_verdict += u64::from(is_reported);
+            self.measured.wrong_own += u64::from(!is_reported);
         }
     }
 
@@ -395,23 +395,23 @@
     fn exchange_findings(&mut self, of: usize) {
         let now = self.now;
         let one = &mut self.all[of];
-        let mut shut = BTreeSet::new();
+        let mut unhealthy = BTreeSet::new();
         for found in one.brain.findings(now) {
             let kind = match found.what {
                 Found::Anew => FindingKind::Restarted,
                 Found::Shut { why: Bad::Fails, unreached: false } => FindingKind::Failing,
                 Found::Shut { .. } => FindingKind::Unreachable,
             };
-            shut.extend((kind != FindingKind::Restarted).then_some(found.host));
+            unhealthy.extend((kind != FindingKind::Restarted).then_some(found.host));
             let (host, evidence, age) = (found.host, found.evidence, now - found.at);
             let since = found.since.map(|at| Incarnation(at.0));
             one.verdicts.report_finding(now, Finding { host, since, kind, evidence, age });
         }
-        one.shut.difference(&shut).for_each(|host| one.verdicts.report_recovery(now, *host));
-        one.shut = shut;
+        one.unhealthy.difference(&unhealthy).for_each(|host| one.verdicts.report_recovery(now, *host));
+        one.unhealthy = unhealthy;
         let refuted: Vec<HostId> = one.brain.refuted(now).collect();
         refuted.into_iter().for_each(|host| one.verdicts.refute(now, host));
-        for (host, (since, until)) in one.told.clone() {
+        for (host, (since, until)) in one.verdicts_in_use.clone() {
             one.brain.hearsay(now, host, since, Word::Bad, until);
         }
         self.carry_out_decisions(of);
@@ -436,13 +436,13 @@
                     let (one, since) = (&mut self.all[of], since.map(|run| Time(run.0)));
                     let word = if kind == FindingKind::Restarted { Word::Anew } else { Word::Bad };
                     if word == Word::Bad {
-                        one.told.insert(host, (since, until));
+                        one.verdicts_in_use.insert(host, (since, until));
                     }
                     one.brain.hearsay(now, host, since, word, until);
                 }
                 Effect::Withdraw { host } => {
                     let one = &mut self.all[of];
-                    let since = one.told.remove(&host).and_then(|told| told.0);
+                    let since = one.verdicts_in_use.remove(&host).and_then(|verdict| verdict.0);
                     one.brain.hearsay(now, host, since, Word::Bad, now);
                 }
                 Effect::Log(line) => println!("  {line}"),
@@ -466,8 +466,9 @@
 }
 
 fn main() {
-    let word = |place: usize, or: f64| std::env::args().nth(place).and_then(|w| w.parse().ok()).unwrap_or(or);
-    let (seeds, set) = (word(1, 10.0) as u64, (word(2, 2.0) as u8, word(3, 0.34)));
+    let argument =
+        |place: usize, or: f64| std::env::args().nth(place).and_then(|w| w.parse().ok()).unwrap_or(or);
+    let (seeds, thresholds) = (argument(1, 10.0) as u64, (argument(2, 2.0) as u8, argument(3, 0.34)));
     let faults = [
         Fault::Errors,
         Fault::HalfErrors,
@@ -485,12 +486,12 @@
     for fault in faults {
         for (dispatchers, rate) in [(8, 2.0), (8, 5.0), (8, 20.0), (30, 2.0), (30, 5.0), (30, 20.0)] {
             let (mut last, mut lost, mut wasted) = ([0.0; 2], [0; 2], [0; 2]);
-            let (mut wrong, mut told, mut over, mut oldest) = ([0; 2], 0, [0; 2], Span::ZERO);
+            let (mut wrong, mut by_verdict, mut over, mut oldest) = ([0; 2], 0, [0; 2], Span::ZERO);
             let mut never = [0; 2];
             let mut back = [[0.0; 2]; 2];
             for seed in 1..=seeds {
                 for shared in [false, true] {
-                    let case = Case { fault, dispatchers, visits_a_second: rate, seed, shared, set };
+                    let case = Case { fault, dispatchers, visits_a_second: rate, seed, shared, thresholds };
                     let simulation = Simulation::new(case);
                     let weight = simulation.weight;
                     let measured = simulation.run();
@@ -506,7 +507,7 @@
                     wasted[place] += measured.wasted;
                     wrong[place] += measured.wrong_own;
                     over[place] += usize::from(overloaded_windows(&measured, weight) > 0);
-                    told += measured.wrong_told;
+                    by_verdict += measured.wrong_by_verdict;
                     oldest = oldest.max(measured.oldest);
                 }
             }
@@ -534,7 +535,7 @@
             let [wasted, wrong, over] =
                 [wasted, wrong, over.map(|n| n as u64)].map(|[alone, shared]| format!("{alone} | {shared}"));
             println!(
-                "| {fault:?} | {dispatchers} | {rate} | {outs} | {} | {} | {:.2} | {wasted} | {wrong} | {told} | {over} | {backs} | {:.1} |",
+                "| {fault:?} | {dispatchers} | {rate} | {outs} | {} | {} | {:.2} | {wasted} | {wrong} | {by_verdict} | {over} | {backs} | {:.1} |",
                 lost[0], lost[1], part(lost), oldest.as_seconds(),
             );
         }
--- a/crates/fleet/src/delivery/follower.rs
+++ b/crates/fleet/src/delivery/follower.rs
@@ -9,10 +9,10 @@
 /// Own stamps that are remembered; an echo of an older one proves nothing.
 const REMEMBERED_STAMPS: usize = 64;
 /// After a pass over all carriers without success the wait doubles, up to this many times
-/// [`Set::carrier_timeout`]. Guards against all followers asking at their full rate while every carrier is
+/// [`Settings::carrier_timeout`]. Guards against all followers asking at their full rate while every carrier is
 /// lost or full.
 const MAX_WAIT_FACTOR: f64 = 8.0;
-/// The fraction of [`Set::carrier_timeout`] within which a carrier has to answer a request. It answers at
+/// The fraction of [`Settings::carrier_timeout`] within which a carrier has to answer a request. It answers at
 /// once, and a lost request costs less than a carrier that is given up.
 const ANSWER_FRACTION: f64 = 0.5;
 
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Notes a message with changes. A carrier other than the present one is told to stop, unless the present
+    /// Notes a message with changes. A carrier other than the present one is asked to stop, unless the present
     /// one is stalled and this is the one that was probed: then it takes over.
     fn note_carrier(&mut self, now: Time, index: usize, stamp: Stamp, was_stalled: bool) {
         if index != self.candidate {
--- a/crates/fleet/src/feed/follower.rs
+++ b/crates/fleet/src/feed/follower.rs
@@ -80,7 +80,7 @@
         self.is_carried
     }
 
-    /// The periodic timer, called every `Set::round`.
+    /// The periodic timer, called every `Settings::interval`.
     pub fn tick(&mut self, now: Time) {
         // After a pause of this process it is unknown whether the carrier was silent.
         if now - self.last_tick > self.settings.orphan_after {
--- a/crates/fleet/src/feed/mod.rs
+++ b/crates/fleet/src/feed/mod.rs
@@ -218,7 +218,7 @@
     peer_order: Vec<MemberId>,
     next_peer: usize,
     last_full_report: Time,
-    /// Reports that are due, so that each member receives a stamp within `Set::stamp_interval`.
+    /// Reports that are due, so that each member receives a stamp within `Settings::stamp_interval`.
     stamp_credit: f64,
     last_expiry: Time,
     rng: Pcg64Mcg,
@@ -226,7 +226,7 @@
 }
 
 impl Feed {
-    /// `members`: all listed members (at most `Set::most_sources`), with or without this one. `followers`:
+    /// `members`: all listed members (at most `Settings::max_sources`), with or without this one. `followers`:
     /// those that may subscribe.
     pub fn new(
         settings: Settings,
@@ -519,7 +519,7 @@
         self.out.push_back(Effect::Send { to, message });
     }
 
-    /// The periodic timer, called every `Set::round`.
+    /// The periodic timer, called every `Settings::interval`.
     pub fn tick(&mut self, now: Time) {
         self.repair_bytes_left = self.settings.repair_bytes;
         self.push_own_items(now);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //! feed to many followers, delivery of the change log, and staged rollout of rules.
 //!
 //! All protocols work alike. Calls (a message of another member, a tick of the periodic timer, reports of the
-//! dispatcher) only update the state; the caller then takes effects from `next` until there is none. Time is
+//! dispatcher) only update the state; the caller then takes effects from `next_effect` until there is none. Time is
 //! the caller's own monotonic clock, which also advances while the process is paused. Clocks of members are
 //! never compared: messages contain ages and durations. Randomness comes from a seed.
 #![forbid(unsafe_code)]
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -423,7 +423,7 @@
         self.check_suspicions(now);
     }
 
-    /// Begins an orderly shutdown: tells some members, stops probing, and keeps answering.
+    /// Begins an orderly shutdown: notifies some members, stops probing, and keeps answering.
     pub fn leave(&mut self, now: Time) {
         if self.is_inactive() {
             return;
@@ -535,7 +535,7 @@
             let (id, ahead) = (self.table.entries[i].id.0, self.settings.max_incarnation_lead.as_seconds());
             self.log(format!(
                 "members: ignored a claim about {id:x} with incarnation {} (at most {ahead} s ahead of this clock is \
-                 allowed) and count {}; compare the clocks of the machines",
+                 allowed) and {} refutations; compare the clocks of the machines",
                 claim.incarnation.0, claim.refutations
             ));
         }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -118,7 +118,7 @@
 }
 
 impl FleetNode {
-    /// `listed`: all members, including this one. `every`: interval of the periodic timer. `kept`: the
+    /// `listed`: all members, including this one. `every`: interval of the periodic timer. `stored`: the
     /// records stored by earlier runs.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
@@ -206,7 +206,7 @@
         }
         let is_current = self.members.accept(now, from, incarnation);
         if let Message::Members(message) = message {
-            // Also from an outdated run, which is then told about the newer one.
+            // Also from an outdated run, which thus learns of the newer one.
             self.members.receive(now, from, message);
             return if is_current { Ok(()) } else { Err(Rejection::InvalidRun) };
         }
@@ -475,8 +475,8 @@
     fn next_rollout_effect(&mut self) -> Option<Effect> {
         Some(match self.rollout.as_mut()?.next_effect()? {
             rollout::Effect::Send { to, message } => Effect::Send { to, message: Message::Rollout(message) },
-            rollout::Effect::Keep { ticket, record } => Effect::Store { ticket, record },
-            rollout::Effect::InForce { number, text } => Effect::ApplyRules { number, text },
+            rollout::Effect::Store { ticket, record } => Effect::Store { ticket, record },
+            rollout::Effect::ApplyRules { number, text } => Effect::ApplyRules { number, text },
             rollout::Effect::Log(line) => Effect::Log(line),
         })
     }
--- a/crates/fleet/src/rollout/mod.rs
+++ b/crates/fleet/src/rollout/mod.rs
@@ -3,8 +3,8 @@
 //! The state of the rollout is one replicated register, a `Step`, changed by majority consensus (Paxos): a
 //! proposer asks all members for promises under a new ballot, takes over the highest step that any of them
 //! accepted, changes it and has the result accepted. So any member can continue a rollout, and two that drive
-//! it at the same time can't split it. Members answer only after their state is on disk (`Effect::Keep`,
-//! `kept`).
+//! it at the same time can't split it. Members answer only after their state is on disk (`Effect::Store`,
+//! `record_written`).
 //!
 //! A step by which more dispatchers get the version needs the acceptance of all listed members, each of which
 //! refuses once it knows of a halt. So a halt at any member ends promotion even if no other member has heard
@@ -210,7 +210,7 @@
     Document(Version),
     /// Asks for the receiver's state, after a start.
     CatchUp(Incarnation),
-    /// The answer to `Catch`.
+    /// The answer to `CatchUp`.
     CatchUpAnswer {
         to: Incarnation,
         /// Whether the sender has caught up itself.
@@ -247,14 +247,14 @@
         to: MemberId,
         message: RolloutMessage,
     },
-    /// Write and sync a record, then call `kept` with the ticket. There is one at a time.
-    Keep {
+    /// Write and sync a record, then call `record_written` with the ticket. There is one at a time.
+    Store {
         ticket: u64,
         record: Record,
     },
     /// Put these rules in force (number 0 without a text: those of the operators' file alone), or call
-    /// `refused`.
-    InForce {
+    /// `version_rejected`.
+    ApplyRules {
         number: u64,
         text: String,
     },
@@ -295,7 +295,7 @@
 enum Deferred {
     Send(MemberId, RolloutMessage),
     Ack { to: MemberId, ballot: Ballot, step: Step },
-    InForce(VersionId),
+    ApplyRules(VersionId),
 }
 
 /// A change of the step.
@@ -357,7 +357,7 @@
     has_passed: bool,
     waiting_for: Option<String>,
     /// The version and run that this dispatcher could not put in force.
-    refused: Option<(u64, u32)>,
+    rejected_version: Option<(u64, u32)>,
     /// The version the dispatcher was last instructed to put in force; `state.in_force` may still wait for
     /// the disk.
     active: VersionId,
@@ -371,7 +371,7 @@
 }
 
 impl Rollout {
-    /// `members`: all listed members with their locations, this one among them. `kept`: records from the
+    /// `members`: all listed members with their locations, this one among them. `records`: records from the
     /// store, in any order.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
@@ -380,16 +380,16 @@
         own_location: LocationId,
         incarnation: Incarnation,
         members: &[(MemberId, LocationId)],
-        kept: Vec<Record>,
+        records: Vec<Record>,
         seed: u64,
         now: Time,
     ) -> Rollout {
         let mut listed: BTreeMap<MemberId, LocationId> = members.iter().copied().take(MAX_MEMBERS).collect();
         listed.insert(own, own_location);
         let (mut state, mut documents) = (State::default(), BTreeMap::new());
-        for record in kept {
+        for record in records {
             match record {
-                Record::State(kept) if kept.count >= state.count => state = *kept,
+                Record::State(stored) if stored.count >= state.count => state = *stored,
                 Record::State(_) => {}
                 Record::Document(version) => {
                     documents.insert(version.id(), version);
@@ -436,7 +436,7 @@
             next_comparison: 0,
             has_passed: false,
             waiting_for: None,
-            refused: None,
+            rejected_version: None,
             active: VersionId::default(),
             closed_windows: BTreeMap::new(),
             next_window: 1,
@@ -511,7 +511,7 @@
             return;
         }
         let step = self.state.chosen;
-        self.refused = Some((number, step.run));
+        self.rejected_version = Some((number, step.run));
         let fallback = if step.base.number == number { VersionId::default() } else { step.base };
         let why: String = why.chars().filter(|c| !c.is_control()).take(MAX_REASON_CHARS).collect();
         self.log(format!(
@@ -558,7 +558,7 @@
             self.store_retry_at = now + self.settings.store_rest;
             let unwritten = std::mem::take(&mut self.awaiting_record);
             self.awaiting_next_record.extend(unwritten);
-            self.awaiting_next_record.retain(|deferred| matches!(deferred, Deferred::InForce(_)));
+            self.awaiting_next_record.retain(|deferred| matches!(deferred, Deferred::ApplyRules(_)));
             match document {
                 Some(id) => self.unsaved_documents.push(id),
                 None => self.is_dirty = true,
@@ -672,7 +672,7 @@
                 self.state.count = ticket;
                 self.record_in_flight = Some((ticket, Some(id)));
                 let record = Record::Document(version.clone());
-                self.effects.push_back(Effect::Keep { ticket, record });
+                self.effects.push_back(Effect::Store { ticket, record });
             }
         } else if self.is_dirty || !self.is_store_ok || !self.awaiting_next_record.is_empty() {
             self.is_dirty = false;
@@ -680,7 +680,7 @@
             self.record_in_flight = Some((ticket, None));
             self.awaiting_record.append(&mut self.awaiting_next_record);
             let record = Record::State(Box::new(self.state.clone()));
-            self.effects.push_back(Effect::Keep { ticket, record });
+            self.effects.push_back(Effect::Store { ticket, record });
         }
     }
 
@@ -688,7 +688,7 @@
     fn complete(&mut self, deferred: Deferred) {
         match deferred {
             Deferred::Send(to, message) => self.send(to, message),
-            Deferred::InForce(id) => {
+            Deferred::ApplyRules(id) => {
                 if id == self.state.in_force {
                     self.put_in_force(id);
                 }
@@ -716,7 +716,7 @@
             if self.open_window.0.number != Some(number) {
                 self.open_window.0.number = None;
             }
-            self.effects.push_back(Effect::InForce { number, text });
+            self.effects.push_back(Effect::ApplyRules { number, text });
         }
     }
 
--- a/crates/fleet/src/rollout/register.rs
+++ b/crates/fleet/src/rollout/register.rs
@@ -299,7 +299,7 @@
         self.is_dirty = true;
         if old.key() != step.key() {
             self.state.starts = 0;
-            self.refused = None;
+            self.rejected_version = None;
         }
         self.step_learned = now;
         self.reset_stage();
@@ -334,7 +334,7 @@
         if due == old && due == self.active {
             return;
         }
-        if self.refused == Some((due.number, step.run))
+        if self.rejected_version == Some((due.number, step.run))
             || (due.number > 0 && !self.documents.contains_key(&due))
         {
             return;
@@ -351,9 +351,9 @@
         } else if !self
             .awaiting_next_record
             .iter()
-            .any(|deferred| matches!(deferred, Deferred::InForce(id) if *id == due))
+            .any(|deferred| matches!(deferred, Deferred::ApplyRules(id) if *id == due))
         {
-            self.awaiting_next_record.push(Deferred::InForce(due));
+            self.awaiting_next_record.push(Deferred::ApplyRules(due));
         }
     }
 
--- a/crates/fleet/src/rollout/runner.rs
+++ b/crates/fleet/src/rollout/runner.rs
@@ -182,19 +182,20 @@
         }
     }
 
-    fn hears_majority(&self, now: Time) -> bool {
-        let heard = |peer: &Peer| peer.last_heard.is_some_and(|at| now - at <= self.settings.silence_limit);
-        self.peers.values().filter(|peer| heard(peer)).count() + 1 >= self.majority()
+    fn is_majority_reachable(&self, now: Time) -> bool {
+        let is_reachable =
+            |peer: &Peer| peer.last_heard.is_some_and(|at| now - at <= self.settings.silence_limit);
+        self.peers.values().filter(|peer| is_reachable(peer)).count() + 1 >= self.majority()
     }
 
     pub(super) fn drive_rollout(&mut self, now: Time) {
         let has_runner = self.runner.is_some_and(|(_, at)| now - at < self.settings.runner_timeout);
         // Guards against halts by a runner that hears nobody because of its own link.
-        if self.running_since.is_some() && !(self.is_able() && self.hears_majority(now)) {
+        if self.running_since.is_some() && !(self.is_able() && self.is_majority_reachable(now)) {
             return self.step_down(now);
         }
         if self.running_since.is_none() {
-            if has_runner || !self.is_able() || !self.hears_majority(now) {
+            if has_runner || !self.is_able() || !self.is_majority_reachable(now) {
                 self.take_over_at = self
                     .take_over_at
                     .max(now + self.settings.runner_timeout.times(self.rng.gen_range(0.1..0.5)));
--- a/crates/fleet/src/verdicts/mod.rs
+++ b/crates/fleet/src/verdicts/mod.rs
@@ -21,7 +21,7 @@
 const MAX_FINDINGS: usize = 2_048;
 const MAX_EVIDENCE: u32 = 1_000;
 /// Fraction of the hold time after which a lasting finding is published again, and by which a verdict must be
-/// extended before the caller is told.
+/// extended before it is reported again.
 const REPUBLISH_FRACTION: f64 = 0.25;
 const MIN_EXTENSION_FRACTION: f64 = 0.125;
 /// Pause after a withdrawal in which nothing is published about the host, as a fraction of the hold time.
@@ -83,7 +83,7 @@
     discounted_until: Time,
 }
 
-/// A verdict that the caller was told.
+/// A verdict that was reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Verdict {
     since: Option<Incarnation>,
--- a/crates/fleet/tests/delivery_bed/mod.rs
+++ b/crates/fleet/tests/delivery_bed/mod.rs
@@ -45,7 +45,7 @@
     incarnation: Incarnation,
     /// The last change known at its start.
     start: u64,
-    pub taken: Vec<Record>,
+    pub delivered: Vec<Record>,
     pub known: Option<Time>,
     pub reads_log: bool,
     pub longest_message: usize,
@@ -71,7 +71,7 @@
 
     /// The last change it has.
     pub fn last(&self) -> u64 {
-        self.start + self.taken.len() as u64
+        self.start + self.delivered.len() as u64
     }
 
     /// Handles an answer of the log with its first `count` changes, requested at `asked`.
@@ -86,8 +86,8 @@
                 carrier.note_log_answer(asked);
             }
             Role::Follower(follower) => {
-                let last = (self.start as usize + self.taken.len()).min(count);
-                self.taken.extend(log.written[last..count].iter().map(|(_, record)| record.clone()));
+                let last = (self.start as usize + self.delivered.len()).min(count);
+                self.delivered.extend(log.written[last..count].iter().map(|(_, record)| record.clone()));
                 follower.note_log_read(ChangeNumber(count as u64), Some(asked));
             }
         }
@@ -102,7 +102,7 @@
             }
             Effect::Deliver { first, records } => {
                 assert_eq!(first.0, self.last() + 1, "a gap or a repeat");
-                self.taken.extend(records);
+                self.delivered.extend(records);
             }
             Effect::ReadLog(reads) => self.reads_log = reads,
             Effect::KnownUpTo(at) => {
@@ -205,7 +205,7 @@
                 role,
                 incarnation,
                 start: known,
-                taken: Vec::new(),
+                delivered: Vec::new(),
                 known: None,
                 reads_log: false,
                 longest_message: 0,
@@ -277,8 +277,8 @@
         return;
     }
     let start = process.start as usize;
-    let wanted = &log.written[start..start + process.taken.len()];
-    if let (Some(last), Some((_, wanted))) = (process.taken.last(), wanted.last()) {
+    let wanted = &log.written[start..start + process.delivered.len()];
+    if let (Some(last), Some((_, wanted))) = (process.delivered.last(), wanted.last()) {
         assert_eq!(last, wanted, "differs from the log");
     }
     let Some(known) = process.known else { return };
--- a/crates/fleet/tests/delivery_messages.rs
+++ b/crates/fleet/tests/delivery_messages.rs
@@ -211,7 +211,7 @@
     }
 }
 
-/// Of two carriers that send, one is told to stop, and its changes are taken nevertheless; while the first
+/// Of two carriers that send, one is asked to stop, and its changes are applied nevertheless; while the first
 /// one works it is kept.
 #[test]
 fn a_second_carrier_is_told_to_stop() {
--- a/crates/fleet/tests/full_size.rs
+++ b/crates/fleet/tests/full_size.rs
@@ -42,7 +42,7 @@
                     let message = self.through_wire(message);
                     self.outbox.push_back((to, message));
                 }
-                Effect::Keep { ticket, record } => {
+                Effect::Store { ticket, record } => {
                     if let Record::Document(version) = &record {
                         let bytes = postcard::to_stdvec(&record).unwrap();
                         let read: Record = postcard::from_bytes(&bytes).unwrap();
@@ -50,7 +50,7 @@
                     }
                     self.pending_ticket = Some(ticket);
                 }
-                Effect::InForce { number, .. } => self.in_force = number,
+                Effect::ApplyRules { number, .. } => self.in_force = number,
                 Effect::Log(_) => {}
             }
         }
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -60,7 +60,7 @@
     in_force: Vec<u64>,
     logs: Vec<String>,
     messages: VecDeque<(MemberId, RolloutMessage)>,
-    wakes: u32,
+    ticks: u32,
     figures: Figures,
     acked: u64,
     /// The version that it can't put in force.
@@ -78,8 +78,8 @@
                     }
                     self.messages.push_back((to, message));
                 }
-                Effect::Keep { ticket, record } => assert!(self.out.replace((ticket, record)).is_none()),
-                Effect::InForce { number, .. } => {
+                Effect::Store { ticket, record } => assert!(self.out.replace((ticket, record)).is_none()),
+                Effect::ApplyRules { number, .. } => {
                     let status = self.rollout.status();
                     let halted = status.halt.is_some() && status.step.phase != Phase::Back;
                     let newly = number == status.step.version.number && self.before != number;
@@ -100,13 +100,13 @@
         self.drain();
     }
     fn tick(&mut self, now: Time) {
-        self.wakes += 1;
+        self.ticks += 1;
         if let Some((ticket, record)) = self.out.take() {
             let is_written = self.disk.borrow_mut().keep(record);
             self.rollout.record_written(now, ticket, is_written);
             self.drain();
         }
-        if self.wakes.is_multiple_of(5) {
+        if self.ticks.is_multiple_of(5) {
             self.rollout.add_figures(now, self.figures);
         }
         self.rollout.tick(now);
@@ -155,8 +155,8 @@
         let rate = self.net.rng.gen_range(0.995..1.005);
         let listed = self.listed.clone();
         self.net.start(id, rate, |now| {
-            let kept = disk.borrow().records.clone();
-            let rollout = Rollout::new(settings(), id, location, incarnation, &listed, kept, seed, now);
+            let records = disk.borrow().records.clone();
+            let rollout = Rollout::new(settings(), id, location, incarnation, &listed, records, seed, now);
             let before = rollout.state().in_force.number;
             let figures =
                 Figures { visits: 50, in_time: 48, refused: 1, hand_offs: 60, ..Figures::default() };
@@ -169,7 +169,7 @@
                 in_force,
                 logs,
                 messages: VecDeque::new(),
-                wakes: 0,
+                ticks: 0,
                 figures,
                 rejected_version: 0,
                 acked: 0,
@@ -478,7 +478,7 @@
     invariants: Invariants,
     halts: u8,
     kills: u8,
-    wakes: u8,
+    ticks: u8,
     now: Time,
     exploring: bool,
 }
@@ -516,7 +516,7 @@
                         self.messages.push((i, to.0 as usize - 1, message, hash));
                     }
                 }
-                Effect::Keep { ticket, record } => self.out[i] = Some((ticket, record)),
+                Effect::Store { ticket, record } => self.out[i] = Some((ticket, record)),
                 _ => {}
             }
         }
@@ -558,7 +558,7 @@
         moves.extend(all.clone().filter(|_| self.halts > 0).map(Move::Halt));
         let kill = |i| [Move::Kill(i, true), Move::Kill(i, false)];
         moves.extend(all.clone().filter(|_| self.kills > 0).flat_map(kill));
-        moves.extend(all.filter(|_| self.wakes > 0).map(Move::Wake));
+        moves.extend(all.filter(|_| self.ticks > 0).map(Move::Tick));
         moves
     }
 
@@ -570,8 +570,8 @@
                 self.call(to, |rollout| rollout.receive(now, MemberId(from as u64 + 1), message))
             }
             Move::Disk(i) => self.disk(now, i),
-            Move::Wake(i) => {
-                self.wakes -= 1;
+            Move::Tick(i) => {
+                self.ticks -= 1;
                 self.now = now + Span::millis(500);
                 self.call(i, |rollout| rollout.tick(now + Span::millis(500)))
             }
@@ -597,8 +597,9 @@
                 if last != Some(true) {
                     self.invariants.halts.retain(|(who, _), _| *who != id);
                 }
-                let kept = self.disks[i].clone();
-                let rollout = Rollout::new(settings(), id, listed[i].1, Incarnation(9), listed, kept, 1, now);
+                let records = self.disks[i].clone();
+                let rollout =
+                    Rollout::new(settings(), id, listed[i].1, Incarnation(9), listed, records, 1, now);
                 self.nodes[i] = Rc::new((rollout, 0));
                 self.call(i, |rollout| rollout.tick(now))
             }
@@ -612,7 +613,7 @@
     Disk(usize),
     Halt(usize),
     Kill(usize, bool),
-    Wake(usize),
+    Tick(usize),
 }
 
 /// Runs until the promotion begins; with two runners, the second one does not receive the first one's
@@ -633,7 +634,7 @@
         invariants,
         halts: 1,
         kills: 0,
-        wakes: 0,
+        ticks: 0,
         now,
         exploring: false,
     };
@@ -741,13 +742,13 @@
             first.call(other, |rollout| rollout.order(now, Order::Back).unwrap()).unwrap();
             first.call(other, |rollout| rollout.tick(now)).unwrap();
         }
-        (first.kills, first.wakes, first.halts) = (kills, 8, u8::from(!halt));
+        (first.kills, first.ticks, first.halts) = (kills, 8, u8::from(!halt));
         first.explore();
         let mut ends: BTreeSet<Vec<(u16, Phase)>> = BTreeSet::new();
         for seed in 0..walks {
             let (mut world, mut rng) = (first.clone(), Pcg64Mcg::seed_from_u64(seed));
             while let Some(next) = world.moves().choose(&mut rng).copied() {
-                let rare = matches!(next, Move::Halt(_) | Move::Kill(..) | Move::Wake(_));
+                let rare = matches!(next, Move::Halt(_) | Move::Kill(..) | Move::Tick(_));
                 if rare && !(world.messages.is_empty() || rng.gen_bool(0.03)) {
                     continue;
                 }
@@ -775,14 +776,14 @@
     let listed = fleet(3, 3);
     let mut world = before_promoting(&listed, 1);
     world.explore();
-    (world.kills, world.wakes) = (1, 100);
+    (world.kills, world.ticks) = (1, 100);
     let now = world.now;
     let third = world.nodes[0].0.status().runner.unwrap().0 as usize - 1;
     let (other, forgets) = ((third + 1) % 3, (third + 2) % 3);
     let run_among = |world: &mut World, among: [usize; 2]| {
         for _ in 0..4 {
             for i in among {
-                world.make(&listed, Move::Wake(i)).unwrap();
+                world.make(&listed, Move::Tick(i)).unwrap();
             }
             while let Some(n) =
                 world.messages.iter().position(|(from, to, ..)| among.contains(from) && among.contains(to))
--- a/crates/fleet/tests/verdicts.rs
+++ b/crates/fleet/tests/verdicts.rs
@@ -30,7 +30,7 @@
     LocationId((id.0 % 2) as u16)
 }
 
-/// What the caller was told by effects, whose bounds are checked.
+/// What the effects reported to the caller; their bounds are checked.
 #[derive(Default)]
 struct CallerView {
     unhealthy: BTreeMap<HostId, (Option<Incarnation>, FindingKind, Time)>,
