--- a/crates/background/src/lib.rs
+++ b/crates/background/src/lib.rs
@@ -1,7 +1,7 @@
-//! Background work by priority and budget. [`schedule`] decides, without input or output and with the time as an
-//! argument; [`runner`] is the thread that carries it out.
+//! Background work scheduled by priority and budget. [`schedule`] decides what runs next, without I/O and
+//! with the time passed in; [`runner`] is the thread that runs it.
 #![forbid(unsafe_code)]
 
-pub mod budget;
 pub mod runner;
 pub mod schedule;
+pub mod token_bucket;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -9,7 +9,7 @@
 use crate::format::{SegmentId, Seq};
 use crate::index::{Entry, Place, Segment, View};
 use cherrypass::time::{Span, UnixTime};
-use cherrypass_background::runner::{Caller, Runner, Step, Work};
+use cherrypass_background::runner::{Requester, Runner, Step, Work};
 use cherrypass_background::schedule::{Backlog, Kind, KindId, Whole};
 use std::collections::VecDeque;
 use std::ops::Bound;
@@ -49,8 +49,12 @@
 const VERIFY: KindId = KindId(3);
 
 fn kinds() -> [Kind; 4] {
-    let kind =
-        |name, priority, part, patience| Kind { name, priority, part, patience: Span::millis(patience) };
+    let kind = |name, priority, weight, max_wait_ms| Kind {
+        name,
+        priority,
+        weight,
+        max_wait: Span::millis(max_wait_ms),
+    };
     [
         kind("compaction", 0, 0.5, 2_000),
         kind("checkpoint", 1, 0.25, 5_000),
@@ -60,8 +64,12 @@
 }
 
 /// What background work may use.
-pub const BUDGET: Whole =
-    Whole { bytes_a_second: 32e6, time_share: 0.2, step: Span::millis(2), step_bytes: 128 << 10 };
+pub const BUDGET: Whole = Whole {
+    bytes_a_second: 32e6,
+    time_share: 0.2,
+    max_step_time: Span::millis(2),
+    max_step_bytes: 128 << 10,
+};
 
 enum Owned {
     Batch(Batch),
@@ -153,7 +161,7 @@
     engine: Mutex<Engine>,
     queue: Mutex<Queue>,
     work: Condvar,
-    background: OnceLock<Caller>,
+    background: OnceLock<Requester>,
     begun: Instant,
     view: Arc<RwLock<View>>,
     clock: Clock,
@@ -275,10 +283,10 @@
     fn tell_background(&self, due: Dues) {
         let Some(background) = self.background.get() else { return };
         if due.compact && !self.counts.compact.swap(true, SeqCst) {
-            background.wanted(COMPACT);
+            background.request(COMPACT);
         }
         if due.checkpoint && !self.counts.checkpoint.swap(true, SeqCst) {
-            background.wanted(CHECKPOINT);
+            background.request(CHECKPOINT);
         }
         let now = self.begun.elapsed().as_micros() as u64;
         let last = self.counts.told.load(Relaxed);
@@ -288,7 +296,7 @@
             return;
         }
         if engine::read(&self.view).index.has_ending() {
-            background.wanted(EXPIRE);
+            background.request(EXPIRE);
         }
     }
 
@@ -332,7 +340,7 @@
             None => None,
         };
         if let Some(background) = &background {
-            let _ = shared.background.set(background.caller());
+            let _ = shared.background.set(background.requester());
         }
         let own = shared.clone();
         let thread = std::thread::Builder::new().name("store".into()).stack_size(256 << 10);
@@ -441,7 +449,7 @@
     /// Has background work check all sealed segments.
     pub fn verify_soon(&self) {
         if let Some(background) = &self.background {
-            background.caller().wanted(VERIFY);
+            background.requester().request(VERIFY);
         }
     }
 
@@ -645,11 +653,11 @@
         };
         let segment_bytes = self.shared.options.segment_bytes;
         if done || !space.is_due(segment_bytes) {
-            return Ok(Step { bytes: 0, more: false });
+            return Ok(Step { bytes: 0, has_more: false });
         }
-        let Some((segment, end)) = self.oldest() else { return Ok(Step { bytes: 0, more: false }) };
+        let Some((segment, end)) = self.oldest() else { return Ok(Step { bytes: 0, has_more: false }) };
         let read = self.step(segment, end, bytes)?;
-        Ok(Step { bytes: read, more: true })
+        Ok(Step { bytes: read, has_more: true })
     }
 }
 
@@ -657,7 +665,7 @@
 fn told(shared: &Shared, result: Result<Step, Error>) -> Step {
     result.unwrap_or_else(|error| {
         shared.found_damage(&error);
-        Step { bytes: 0, more: false }
+        Step { bytes: 0, has_more: false }
     })
 }
 
@@ -677,13 +685,13 @@
                     begin_checkpoint(&own)?
                 }
             };
-            let (bytes, more) = now.step(&own.view, bytes)?;
-            if more {
+            let (bytes, has_more) = now.step(&own.view, bytes)?;
+            if has_more {
                 writer = Some(now);
             } else {
                 finish_checkpoint(&own, now)?;
             }
-            Ok(Step { bytes, more })
+            Ok(Step { bytes, has_more })
         };
         let result = step();
         told(&own, result)
@@ -694,7 +702,7 @@
         let (over, next) = engine::write(&own.view).index.expire(now, &place, EXPIRE_AT_ONCE);
         own.counts.expired.fetch_add(over as u64, Relaxed);
         place = next;
-        Step { bytes: (EXPIRE_AT_ONCE * 32) as u64, more: place.is_some() }
+        Step { bytes: (EXPIRE_AT_ONCE * 32) as u64, has_more: place.is_some() }
     });
     let (own, mut left) = (shared.clone(), None::<Vec<(Arc<Segment>, u64, u64)>>);
     let verify: Work = Box::new(move |bytes| {
@@ -704,18 +712,18 @@
         });
         let mut step = || {
             let Some((segment, at, end)) = parts.pop().filter(|(_, at, end)| at < end) else {
-                return Ok(Step { bytes: 0, more: !parts.is_empty() });
+                return Ok(Step { bytes: 0, has_more: !parts.is_empty() });
             };
             let walked = segment.walk(at, end, bytes, |_, _, _| {})?;
             own.counts.verified.fetch_add(walked.bytes, Relaxed);
             if let Some(next) = walked.next {
                 parts.push((segment, next, end));
             }
-            Ok(Step { bytes: walked.bytes, more: !parts.is_empty() })
+            Ok(Step { bytes: walked.bytes, has_more: !parts.is_empty() })
         };
         let result = step();
         let step = told(&own, result);
-        if !step.more {
+        if !step.has_more {
             left = None;
         }
         step
