--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,5 @@
-//! The one way to files: a flat folder. `Folder` is the real one, `simulated::Disk` the one that crashes.
+//! Access to the files of a store, which are kept in one flat folder. `Folder` uses the file system,
+//! `simulated::Disk` is a simulation that can crash.
 use crate::error::Error;
 use std::fs::{self, OpenOptions, TryLockError};
 use std::io;
@@ -6,35 +7,39 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
+/// An open file.
 pub trait File: Send + Sync {
-    /// Writes at an offset; fewer bytes may be taken than given.
+    /// Writes at an offset; may write fewer bytes than given.
     fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
-    /// Reads at an offset; none at the end.
+    /// Reads at an offset; returns 0 at the end of the file.
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
     fn length(&self) -> io::Result<u64>;
     fn cut(&self, length: u64) -> io::Result<()>;
-    /// What was written outlasts a crash of the machine. A file that failed this once must not be trusted again.
+    /// Makes earlier writes survive a crash of the machine. After an error the file's unsynced data must not
+    /// be trusted, even if a later call succeeds.
     fn sync(&self) -> io::Result<()>;
 }
 
+/// The folder that holds the files of a store.
 pub trait Disk: Send + Sync {
     fn names(&self) -> io::Result<Vec<String>>;
-    /// A new, empty file; an error where the name is taken.
+    /// Creates an empty file; fails if the name exists.
     fn create(&self, name: &str) -> io::Result<Arc<dyn File>>;
     fn open(&self, name: &str) -> io::Result<Arc<dyn File>>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Names that were created, renamed or removed stay so after a crash of the machine.
+    /// Makes earlier creations, renames and removals survive a crash of the machine.
     fn sync_folder(&self) -> io::Result<()>;
 }
 
+/// Writes all bytes at an offset, retrying short and interrupted writes.
 pub fn write_all(file: &dyn File, mut offset: u64, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match file.write_at(offset, bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(taken) => {
-                bytes = &bytes[taken..];
-                offset += taken as u64;
+            Ok(written) => {
+                bytes = &bytes[written..];
+                offset += written as u64;
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
@@ -43,14 +48,14 @@
     Ok(())
 }
 
-/// Up to so many bytes from an offset on; fewer at the file's end.
-pub fn read_range(file: &dyn File, offset: u64, most: usize) -> io::Result<Vec<u8>> {
-    let mut bytes = vec![0; most];
+/// Reads up to `max_bytes` from an offset; fewer at the end of the file.
+pub fn read_range(file: &dyn File, offset: u64, max_bytes: usize) -> io::Result<Vec<u8>> {
+    let mut bytes = vec![0; max_bytes];
     let mut filled = 0;
-    while filled < most {
+    while filled < max_bytes {
         match file.read_at(offset + filled as u64, &mut bytes[filled..]) {
             Ok(0) => break,
-            Ok(found) => filled += found,
+            Ok(count) => filled += count,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
         }
@@ -59,50 +64,50 @@
     Ok(bytes)
 }
 
-/// A real folder, locked for as long as this is kept.
+/// A folder of the file system, locked until this is dropped.
 pub struct Folder {
     path: PathBuf,
-    handle: fs::File,
+    directory: fs::File,
     _lock: Option<fs::File>,
 }
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 impl Folder {
-    /// Makes the folder where it is missing, and takes its lock. Guards against two processes that append to
+    /// Creates the folder if it is missing and locks it exclusively, so that two processes cannot append to
     /// one log.
     pub fn lock(path: &Path) -> Result<Folder, Error> {
-        let doing = |what: &str| Error::io(format!("{what} {}", path.display()));
+        let context = |what: &str| Error::io(format!("{what} {}", path.display()));
         if !path.is_dir() {
-            fs::create_dir_all(path).map_err(doing("making"))?;
+            fs::create_dir_all(path).map_err(context("making"))?;
             let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty());
             let parent = fs::File::open(parent.unwrap_or(Path::new(".")));
-            parent.and_then(|parent| parent.sync_all()).map_err(doing("syncing the folder of"))?;
+            parent.and_then(|parent| parent.sync_all()).map_err(context("syncing the parent folder of"))?;
         }
         let mut options = OpenOptions::new();
-        let lock = options.create(true).truncate(false).write(true).open(path.join(LOCK));
-        let lock = lock.map_err(doing("locking"))?;
+        let lock = options.create(true).truncate(false).write(true).open(path.join(LOCK_FILE));
+        let lock = lock.map_err(context("locking"))?;
         match lock.try_lock() {
-            Ok(()) => Folder::of(path, Some(lock)),
+            Ok(()) => Folder::with_lock(path, Some(lock)),
             Err(TryLockError::WouldBlock) => Err(Error::Locked(path.display().to_string())),
-            Err(TryLockError::Error(error)) => Err(doing("locking")(error)),
+            Err(TryLockError::Error(error)) => Err(context("locking")(error)),
         }
     }
 
-    /// For reading what no process has open; nothing is made or written.
+    /// Opens an existing store for reading with a shared lock; creates and writes nothing.
     pub fn look(path: &Path) -> Result<Folder, Error> {
-        let doing = |what: &str| Error::io(format!("{what} {}", path.display()));
-        let lock = fs::File::open(path.join(LOCK)).map_err(doing("opening the store in"))?;
+        let context = |what: &str| Error::io(format!("{what} {}", path.display()));
+        let lock = fs::File::open(path.join(LOCK_FILE)).map_err(context("opening the store in"))?;
         match lock.try_lock_shared() {
-            Ok(()) => Folder::of(path, Some(lock)),
+            Ok(()) => Folder::with_lock(path, Some(lock)),
             Err(TryLockError::WouldBlock) => Err(Error::Locked(path.display().to_string())),
-            Err(TryLockError::Error(error)) => Err(doing("locking")(error)),
+            Err(TryLockError::Error(error)) => Err(context("locking")(error)),
         }
     }
 
-    fn of(path: &Path, lock: Option<fs::File>) -> Result<Folder, Error> {
-        let handle = fs::File::open(path).map_err(Error::io(format!("opening {}", path.display())))?;
-        Ok(Folder { path: path.to_owned(), handle, _lock: lock })
+    fn with_lock(path: &Path, lock: Option<fs::File>) -> Result<Folder, Error> {
+        let directory = fs::File::open(path).map_err(Error::io(format!("opening {}", path.display())))?;
+        Ok(Folder { path: path.to_owned(), directory, _lock: lock })
     }
 }
 
@@ -136,7 +141,7 @@
     }
 
     fn sync_folder(&self) -> io::Result<()> {
-        self.handle.sync_all()
+        self.directory.sync_all()
     }
 }
 
--- a/crates/store/src/engine.rs
+++ b/crates/store/src/engine.rs
@@ -1,10 +1,10 @@
-//! The writer of the log: one round of batches is one write and one sync, and what readers see changes only
-//! after it. Works on the caller's thread alone; `store::Store` puts one thread round it.
+//! The writer of the log. One commit writes a group of batches with one write and one sync, and only then
+//! makes them visible to readers. It runs on the caller's thread; `store::Store` adds the threads.
 use crate::disk::{self, Disk};
 use crate::error::Error;
 use crate::format::{
-    Encoder, FrameHead, Op, SegmentHead, SegmentId, Seq, BODY_MOST, FRAME_HEAD, KEY_MOST, RECORD_HEAD,
-    SEGMENT_HEAD, SPACE_MOST,
+    Encoder, FrameHeader, Op, SegmentHeader, SegmentId, Seq, FRAME_HEADER_BYTES, MAX_BODY_BYTES,
+    MAX_KEY_BYTES, MAX_SPACE_NAME_BYTES, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES,
 };
 use crate::index::{Entry, Segment, View};
 use crate::recovery::{self, Recovered};
@@ -15,26 +15,26 @@
 use std::io;
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
-/// How a store is kept.
+/// Options of a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// A segment past this length is followed by a new one.
+    /// A new segment is started once the active one has reached this length.
     pub segment_bytes: u64,
-    /// For the salts of segments.
+    /// The seed of the segments' salts.
     pub seed: u64,
-    /// Nothing is written, renamed or removed.
+    /// Whether the files must not be written, renamed or removed.
     pub read_only: bool,
-    /// Whether a checkpoint may be used at the start.
-    pub checkpoints: bool,
+    /// Whether checkpoints are used at the start, and written by background work.
+    pub use_checkpoints: bool,
 }
 
 impl Default for Options {
     fn default() -> Options {
-        Options { segment_bytes: 8 << 20, seed: 0, read_only: false, checkpoints: true }
+        Options { segment_bytes: 8 << 20, seed: 0, read_only: false, use_checkpoints: true }
     }
 }
 
-/// What a batch does to one key.
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Put { space: String, key: Vec<u8>, value: Vec<u8>, expires: Option<UnixTime> },
@@ -65,10 +65,10 @@
     }
 
     pub fn put(self, space: &str, key: impl Into<Vec<u8>>, value: impl Into<Vec<u8>>) -> Batch {
-        self.with(Change::Put { space: space.into(), key: key.into(), value: value.into(), expires: None })
+        self.push(Change::Put { space: space.into(), key: key.into(), value: value.into(), expires: None })
     }
 
-    /// As `put`, and gone from that point in time on.
+    /// Like `put`, with an expiry.
     pub fn put_until(
         self,
         space: &str,
@@ -77,16 +77,17 @@
         end: UnixTime,
     ) -> Batch {
         let (key, value, expires) = (key.into(), value.into(), Some(end));
-        self.with(Change::Put { space: space.into(), key, value, expires })
+        self.push(Change::Put { space: space.into(), key, value, expires })
     }
 
     pub fn delete(self, space: &str, key: impl Into<Vec<u8>>) -> Batch {
-        self.with(Change::Delete { space: space.into(), key: key.into() })
+        self.push(Change::Delete { space: space.into(), key: key.into() })
     }
 
-    fn with(mut self, change: Change) -> Batch {
-        // Besides its texts a record takes its head and a few bytes for their lengths and the expiry.
-        self.bytes += RECORD_HEAD
+    fn push(mut self, change: Change) -> Batch {
+        // In addition to its strings a record takes a header and a few bytes for their lengths and the
+        // expiry.
+        self.bytes += RECORD_HEADER_BYTES
             + 32
             + match &change {
                 Change::Put { space, key, value, .. } => space.len() + key.len() + value.len(),
@@ -96,82 +97,87 @@
         self
     }
 
-    /// The most bytes that it takes in the log.
+    /// An upper bound of the batch's size in the log.
     pub fn bytes(&self) -> usize {
-        FRAME_HEAD + self.bytes
+        FRAME_HEADER_BYTES + self.bytes
     }
 
+    /// Checks the size limits of the batch and its keys.
     pub fn check(&self) -> Result<(), Error> {
-        let bound = |what, found, most| {
-            if found > most {
-                Err(Error::TooLarge { what, found, most })
+        let check_size = |subject, size, limit| {
+            if size > limit {
+                Err(Error::TooLarge { subject, size, limit })
             } else {
                 Ok(())
             }
         };
         for change in &self.changes {
             let (Change::Put { space, key, .. } | Change::Delete { space, key }) = change;
-            bound("a space's name", space.len(), SPACE_MOST)?;
-            bound("a key", key.len(), KEY_MOST)?;
+            check_size("a space name", space.len(), MAX_SPACE_NAME_BYTES)?;
+            check_size("a key", key.len(), MAX_KEY_BYTES)?;
         }
-        bound("a batch", self.bytes, BODY_MOST)
+        check_size("a batch", self.bytes, MAX_BODY_BYTES)
     }
 }
 
-/// A live record that compaction found and where it stood then.
+/// A live record found by compaction, with its location at that time.
 #[derive(Clone, Debug)]
-pub struct Moved {
+pub struct MovedRecord {
     pub space: String,
     pub key: Vec<u8>,
     pub value: Vec<u8>,
-    pub was: Entry,
+    pub old_entry: Entry,
 }
 
-/// What a round may hold.
-pub enum Item<'a> {
+/// An item of a commit.
+pub enum CommitItem<'a> {
     Batch(&'a Batch),
-    /// Written anew where it still stands at the same place.
-    Moves(&'a [Moved]),
+    /// Records to rewrite, unless their keys have changed since they were found.
+    Moves(&'a [MovedRecord]),
+    /// Marks the segments with a lower number as trimmed.
     Trim(SegmentId),
-    /// The end of a run: damage before it is never taken for a torn tail.
-    Mark,
+    /// A clean end of a run. Damage before this mark is never taken for a torn tail.
+    EndMark,
 }
 
-struct Active {
+struct ActiveSegment {
     segment: Arc<Segment>,
-    /// Where the next frame comes; all before it is synced.
+    /// Where the next frame is written; everything before it is synced.
     end: u64,
-    /// What stands behind the end can't be told from what was acknowledged, so nothing is appended here.
-    torn: bool,
+    /// Data behind the end may look like acknowledged batches, so the next commit starts a new segment.
+    needs_rotation: bool,
 }
 
+/// The log and the view of a store, without threads.
 pub struct Engine {
     pub disk: Arc<dyn Disk>,
     pub options: Options,
     pub view: Arc<RwLock<View>>,
-    active: Option<Active>,
-    floor: SegmentId,
-    next: Seq,
+    active: Option<ActiveSegment>,
+    trimmed_before: SegmentId,
+    next_seq: Seq,
     time: UnixTime,
-    /// Why nothing may be written any more.
-    stopped: Option<String>,
-    chance: Pcg64Mcg,
+    /// Why the store has become read-only.
+    read_only_reason: Option<String>,
+    rng: Pcg64Mcg,
     buffer: Vec<u8>,
-    /// Bytes of segments before the active one, by what counts of each.
-    sealed: BTreeMap<SegmentId, u64>,
-    /// Bytes logged since the checkpoint that the start used or that was written last.
-    pub since_checkpoint: u64,
-    dirty: bool,
+    /// The sealed segments, with the length of their valid data.
+    sealed_segments: BTreeMap<SegmentId, u64>,
+    /// Bytes logged since the last checkpoint.
+    pub bytes_since_checkpoint: u64,
+    /// Whether anything was committed since the last end mark written by `write_end_mark`.
+    has_unmarked_batches: bool,
+    /// Observations for the log, such as an obsolete file that can't be removed.
     pub notes: Vec<String>,
 }
 
-/// Where the log stands: everything before it is synced.
+/// A position in the log; everything before it is synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Position {
     pub segment: SegmentId,
     pub offset: u64,
-    pub next: Seq,
-    pub floor: SegmentId,
+    pub next_seq: Seq,
+    pub trimmed_before: SegmentId,
     #[serde(with = "micros")]
     pub time: UnixTime,
 }
@@ -180,118 +186,143 @@
     use cherrypass::time::UnixTime;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(time: &UnixTime, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_u64(time.0)
+    pub fn serialize<S: Serializer>(time: &UnixTime, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_u64(time.0)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<UnixTime, D::Error> {
-        u64::deserialize(from).map(UnixTime)
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<UnixTime, D::Error> {
+        u64::deserialize(deserializer).map(UnixTime)
     }
 }
 
-pub fn read(view: &RwLock<View>) -> RwLockReadGuard<'_, View> {
+pub fn read_view(view: &RwLock<View>) -> RwLockReadGuard<'_, View> {
     view.read().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub fn write(view: &RwLock<View>) -> RwLockWriteGuard<'_, View> {
+pub fn write_view(view: &RwLock<View>) -> RwLockWriteGuard<'_, View> {
     view.write().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Engine {
+    /// Opens the store on a disk and recovers its state.
     pub fn open(disk: Arc<dyn Disk>, options: Options) -> Result<Engine, Error> {
-        let Recovered { view, tail, sealed, floor, next, time, since_checkpoint, notes, leftovers } =
-            recovery::recover(&*disk, &options)?;
-        let active = tail.map(|tail| Active { segment: tail.segment, end: tail.end, torn: tail.torn });
-        let stopped = options.read_only.then(|| "it was opened for reading".to_owned());
+        let Recovered {
+            view,
+            tail,
+            sealed_segments,
+            trimmed_before,
+            next_seq,
+            time,
+            bytes_since_checkpoint,
+            notes,
+            obsolete_files,
+        } = recovery::recover(&*disk, &options)?;
+        let active = tail.map(|tail| ActiveSegment {
+            segment: tail.segment,
+            end: tail.end,
+            needs_rotation: tail.is_torn,
+        });
+        let read_only_reason = options.read_only.then(|| "opened read-only".to_owned());
         let mut engine = Engine {
-            chance: Pcg64Mcg::seed_from_u64(options.seed),
+            rng: Pcg64Mcg::seed_from_u64(options.seed),
             disk,
             options,
             view: Arc::new(RwLock::new(view)),
             active,
-            floor,
-            next,
+            trimmed_before,
+            next_seq,
             time,
-            stopped,
+            read_only_reason,
             buffer: Vec::new(),
-            sealed,
-            since_checkpoint,
-            dirty: false,
+            sealed_segments,
+            bytes_since_checkpoint,
+            has_unmarked_batches: false,
             notes,
         };
-        if engine.stopped.is_none() {
-            leftovers.iter().for_each(|name| engine.discard(name));
+        if engine.read_only_reason.is_none() {
+            obsolete_files.iter().for_each(|name| engine.remove_obsolete_file(name));
         }
         Ok(engine)
     }
 
-    /// A file that no longer counts; one that can't be removed now is found again at the next start.
-    fn discard(&mut self, name: &str) {
+    /// Removes a file that is no longer needed. One that can't be removed now is found again at the next
+    /// start.
+    fn remove_obsolete_file(&mut self, name: &str) {
         if let Err(error) = self.disk.remove(name) {
-            self.notes.push(format!("{name} no longer counts and can't be removed: {error}"));
+            self.notes.push(format!("{name} is obsolete but can't be removed: {error}"));
         }
     }
 
-    pub fn stopped(&self) -> Option<&str> {
-        self.stopped.as_deref()
+    pub fn read_only_reason(&self) -> Option<&str> {
+        self.read_only_reason.as_deref()
     }
 
     pub fn position(&self) -> Position {
         let (segment, offset) = self.active.as_ref().map_or((SegmentId(0), 0), |a| (a.segment.id, a.end));
-        Position { segment, offset, next: self.next, floor: self.floor, time: self.time }
+        Position {
+            segment,
+            offset,
+            next_seq: self.next_seq,
+            trimmed_before: self.trimmed_before,
+            time: self.time,
+        }
     }
 
-    /// Bytes of the log that count as its segments' lengths, live or not.
+    /// The length of the log in bytes, whether its records are live or not.
     pub fn log_bytes(&self) -> u64 {
-        self.sealed.values().sum::<u64>() + self.active.as_ref().map_or(0, |active| active.end)
+        self.sealed_segments.values().sum::<u64>() + self.active.as_ref().map_or(0, |active| active.end)
     }
 
-    pub fn sealed(&self) -> impl Iterator<Item = (SegmentId, u64)> + '_ {
-        self.sealed.iter().map(|(id, length)| (*id, *length))
+    /// The sealed segments in order, with the length of their valid data.
+    pub fn sealed_segments(&self) -> impl Iterator<Item = (SegmentId, u64)> + '_ {
+        self.sealed_segments.iter().map(|(id, length)| (*id, *length))
     }
 
-    /// Writes and syncs all items in order, or keeps none of them; after a doubtful end it only reads.
-    pub fn commit(&mut self, now: UnixTime, items: &[Item]) -> Result<Seq, Error> {
-        self.commit_telling(now, items, |_| {})
+    /// Writes and syncs all items in order, or keeps none of them. After an error with an uncertain outcome
+    /// the store is read-only.
+    pub fn commit(&mut self, now: UnixTime, items: &[CommitItem]) -> Result<Seq, Error> {
+        self.commit_with_callback(now, items, |_| {})
     }
 
-    /// The same; tells the first batch's number once all is written and only the machine's end could undo it.
-    pub fn commit_telling(
+    /// Like `commit`. Calls `on_written` with the number of the first batch once all is written, before the
+    /// sync; from then on only a crash of the machine can lose it.
+    pub fn commit_with_callback(
         &mut self,
         now: UnixTime,
-        items: &[Item],
-        is_written: impl FnOnce(Seq),
+        items: &[CommitItem],
+        on_written: impl FnOnce(Seq),
     ) -> Result<Seq, Error> {
-        if let Some(why) = &self.stopped {
-            return Err(Error::ReadOnly(why.clone()));
+        if let Some(reason) = &self.read_only_reason {
+            return Err(Error::ReadOnly(reason.clone()));
         }
         self.time = self.time.max(now);
-        let full = self.active.as_ref().is_none_or(|a| a.torn || a.end >= self.options.segment_bytes);
-        if full {
+        let must_rotate =
+            self.active.as_ref().is_none_or(|a| a.needs_rotation || a.end >= self.options.segment_bytes);
+        if must_rotate {
             self.rotate()?;
         }
         let Some(active) = &self.active else { return Err(Error::Closed) };
         let (segment, end) = (active.segment.clone(), active.end);
         let mut bytes = std::mem::take(&mut self.buffer);
         bytes.clear();
-        let (edits, next, floor) = self.encode(&mut bytes, items, &segment, end);
+        let (edits, next_seq, trimmed_before) = self.encode(&mut bytes, items, &segment, end);
         let written = disk::write_all(&*segment.file, end, &bytes);
         let length = bytes.len() as u64;
         self.buffer = bytes;
         self.buffer.shrink_to(1 << 20);
         if let Err(error) = written {
-            return Err(self.take_back(&segment, end, error));
+            return Err(self.undo_write(&segment, end, error));
         }
-        is_written(self.next);
+        on_written(self.next_seq);
         if let Err(error) = segment.file.sync() {
-            return Err(self.stop(format!("syncing {} failed: {error}", segment.id.file())));
+            return Err(self.become_read_only(format!("syncing {} failed: {error}", segment.id.file_name())));
         }
         if let Some(active) = &mut self.active {
             active.end = end + length;
         }
-        (self.next, self.floor, self.dirty) = (next, floor, true);
-        self.since_checkpoint += length;
-        let mut view = write(&self.view);
+        (self.next_seq, self.trimmed_before, self.has_unmarked_batches) = (next_seq, trimmed_before, true);
+        self.bytes_since_checkpoint += length;
+        let mut view = write_view(&self.view);
         view.time = self.time;
         for edit in edits {
             match edit {
@@ -299,32 +330,32 @@
                 Edit::Remove(space, key) => view.index.remove(space, key),
             }
         }
-        Ok(Seq(next.0 - 1))
+        Ok(Seq(next_seq.0 - 1))
     }
 
     fn encode<'a>(
         &self,
         bytes: &mut Vec<u8>,
-        items: &'a [Item],
+        items: &'a [CommitItem],
         segment: &Segment,
         end: u64,
     ) -> (Vec<Edit<'a>>, Seq, SegmentId) {
         let mut frames = Encoder::new(bytes, segment.salt, end);
-        let (mut next, mut floor) = (self.next, self.floor);
+        let (mut next_seq, mut trimmed_before) = (self.next_seq, self.trimmed_before);
         let mut edits = Vec::new();
-        let moves = items.iter().any(|item| matches!(item, Item::Moves(_)));
-        let mut touched: HashSet<(&str, &[u8])> = HashSet::new();
+        let has_moves = items.iter().any(|item| matches!(item, CommitItem::Moves(_)));
+        let mut changed_keys: HashSet<(&str, &[u8])> = HashSet::new();
         for item in items {
-            frames.begin();
+            frames.begin_frame();
             let mut records = 0;
-            let mut add = |frames: &mut Encoder, op: Op| {
+            let mut push_record = |frames: &mut Encoder, op: Op| {
                 records += 1;
-                frames.record(&op)
+                frames.push_record(&op)
             };
             match item {
-                Item::Batch(batch) => {
+                CommitItem::Batch(batch) => {
                     for change in &batch.changes {
-                        let (offset, length) = add(&mut frames, change.op());
+                        let (offset, length) = push_record(&mut frames, change.op());
                         edits.push(match change {
                             Change::Put { space, key, expires, .. } => {
                                 let expires = expires.map_or(0, |at| at.0.max(1));
@@ -334,120 +365,125 @@
                             Change::Delete { space, key } => Edit::Remove(space, key),
                         });
                         let (Change::Put { space, key, .. } | Change::Delete { space, key }) = change;
-                        if moves {
-                            touched.insert((space, key));
+                        if has_moves {
+                            changed_keys.insert((space, key));
                         }
                     }
                 }
-                Item::Moves(moved) => {
-                    let view = read(&self.view);
-                    for Moved { space, key, value, was } in *moved {
-                        // Guards against a move that brings back what was written anew meanwhile.
-                        let stands = view.index.get(space, key) == Some(*was);
-                        if !stands || touched.contains(&(&space[..], &key[..])) {
+                CommitItem::Moves(records) => {
+                    let view = read_view(&self.view);
+                    for MovedRecord { space, key, value, old_entry } in *records {
+                        // The key may have been changed since, also by an earlier item of this commit.
+                        let is_unchanged = view.index.get(space, key) == Some(*old_entry);
+                        if !is_unchanged || changed_keys.contains(&(&space[..], &key[..])) {
                             continue;
                         }
-                        let expires = Some(was.expires).filter(|at| *at != 0);
-                        let (offset, length) = add(&mut frames, Op::Put { space, key, value, expires });
-                        let entry = Entry { segment: segment.id, offset: offset as u32, length, ..*was };
+                        let expires = Some(old_entry.expires).filter(|at| *at != 0);
+                        let (offset, length) =
+                            push_record(&mut frames, Op::Put { space, key, value, expires });
+                        let entry =
+                            Entry { segment: segment.id, offset: offset as u32, length, ..*old_entry };
                         edits.push(Edit::Set(space, key, entry));
                     }
                 }
-                Item::Trim(to) => {
-                    floor = floor.max(*to);
-                    add(&mut frames, Op::Trim { floor });
+                CommitItem::Trim(trimmed_to) => {
+                    trimmed_before = trimmed_before.max(*trimmed_to);
+                    push_record(&mut frames, Op::Trim { trimmed_before });
                 }
-                Item::Mark => {}
+                CommitItem::EndMark => {}
             }
-            frames.finish(FrameHead { seq: next, records, synced: end, at: self.time });
-            next = Seq(next.0 + 1);
+            frames.finish_frame(FrameHeader { seq: next_seq, records, synced_end: end, time: self.time });
+            next_seq = Seq(next_seq.0 + 1);
         }
-        (edits, next, floor)
+        (edits, next_seq, trimmed_before)
     }
 
-    /// Takes a failed write's bytes off the file again, so that a refused batch can't turn up after a crash.
-    fn take_back(&mut self, segment: &Segment, end: u64, error: io::Error) -> Error {
-        let file = segment.id.file();
+    /// Truncates the file after a failed write, so that a rejected batch can't reappear after a crash.
+    fn undo_write(&mut self, segment: &Segment, end: u64, error: io::Error) -> Error {
+        let file = segment.id.file_name();
         if error.kind() != io::ErrorKind::StorageFull {
-            return self.stop(format!("writing {file} failed: {error}"));
+            return self.become_read_only(format!("writing {file} failed: {error}"));
         }
         match segment.file.cut(end).and_then(|()| segment.file.sync()) {
-            Ok(()) => Error::Full(error.to_string()),
-            Err(second) => self.stop(format!("{file} can't be cut back after {error}: {second}")),
+            Ok(()) => Error::DiskFull(error.to_string()),
+            Err(truncate_error) => self.become_read_only(format!(
+                "truncating {file} after a failed write ({error}) failed: {truncate_error}"
+            )),
         }
     }
 
-    fn stop(&mut self, why: String) -> Error {
-        self.stopped = Some(why.clone());
-        Error::ReadOnly(why)
+    fn become_read_only(&mut self, reason: String) -> Error {
+        self.read_only_reason = Some(reason.clone());
+        Error::ReadOnly(reason)
     }
 
-    /// Begins a new segment. Nothing is acknowledged in it before its head and its name are synced.
+    /// Starts a new segment. Its header and file name are synced before any batch is written to it.
     fn rotate(&mut self) -> Result<(), Error> {
-        let before = self.active.as_ref().map_or(0, |active| active.end);
-        let last = self.active.as_ref().map_or(self.floor.max(SegmentId(1)), |a| a.segment.id.next());
-        let head = SegmentHead {
-            id: last,
-            salt: self.chance.next_u64(),
-            first: self.next,
-            before,
-            floor: self.floor,
+        let previous_end = self.active.as_ref().map_or(0, |active| active.end);
+        let id = self.active.as_ref().map_or(self.trimmed_before.max(SegmentId(1)), |a| a.segment.id.next());
+        let header = SegmentHeader {
+            id,
+            salt: self.rng.next_u64(),
+            first_seq: self.next_seq,
+            previous_end,
+            trimmed_before: self.trimmed_before,
         };
-        let name = last.file();
+        let name = id.file_name();
         let file = match self.disk.create(&name) {
-            // The torn beginning of one that was never used.
+            // An incomplete segment that was never used.
             Err(error) if error.kind() == io::ErrorKind::AlreadyExists => {
                 self.disk.remove(&name).and_then(|()| self.disk.create(&name))
             }
             other => other,
         };
-        let written = file.and_then(|file| disk::write_all(&*file, 0, &head.encode()).map(|()| file));
+        let written = file.and_then(|file| disk::write_all(&*file, 0, &header.encode()).map(|()| file));
         let file = match written {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::StorageFull => {
                 let _ = self.disk.remove(&name);
-                return Err(Error::Full(error.to_string()));
+                return Err(Error::DiskFull(error.to_string()));
             }
-            Err(error) => return Err(self.stop(format!("beginning {name} failed: {error}"))),
+            Err(error) => return Err(self.become_read_only(format!("creating {name} failed: {error}"))),
         };
         if let Err(error) = file.sync().and_then(|()| self.disk.sync_folder()) {
-            return Err(self.stop(format!("syncing {name} and its folder failed: {error}")));
+            return Err(self.become_read_only(format!("syncing {name} and its folder failed: {error}")));
         }
-        let segment = Arc::new(Segment { id: last, salt: head.salt, file });
+        let segment = Arc::new(Segment { id, salt: header.salt, file });
         if let Some(old) = self.active.take() {
-            self.sealed.insert(old.segment.id, old.end);
+            self.sealed_segments.insert(old.segment.id, old.end);
         }
-        write(&self.view).segments.insert(last, segment.clone());
-        self.active = Some(Active { segment, end: SEGMENT_HEAD as u64, torn: false });
+        write_view(&self.view).segments.insert(id, segment.clone());
+        self.active =
+            Some(ActiveSegment { segment, end: SEGMENT_HEADER_BYTES as u64, needs_rotation: false });
         Ok(())
     }
 
-    /// Seals the active segment, so that compaction may take it.
+    /// Seals the active segment, so that it can be compacted.
     pub fn seal(&mut self, now: UnixTime) -> Result<(), Error> {
-        if let Some(active) = self.active.as_mut().filter(|active| active.end > SEGMENT_HEAD as u64) {
-            active.torn = true;
+        if let Some(active) = self.active.as_mut().filter(|active| active.end > SEGMENT_HEADER_BYTES as u64) {
+            active.needs_rotation = true;
         }
-        self.commit(now, &[Item::Mark]).map(|_| ())
+        self.commit(now, &[CommitItem::EndMark]).map(|_| ())
     }
 
-    /// Compaction is done with the oldest segment: it no longer counts, and then its file goes.
+    /// Removes the oldest segment after its compaction, once the trim is logged.
     pub fn trim(&mut self, now: UnixTime, segment: SegmentId) -> Result<(), Error> {
-        self.commit(now, &[Item::Trim(segment.next())])?;
-        self.sealed.remove(&segment);
+        self.commit(now, &[CommitItem::Trim(segment.next())])?;
+        self.sealed_segments.remove(&segment);
         {
-            let mut view = write(&self.view);
-            recovery::drop_trimmed(&mut view, self.floor)?;
+            let mut view = write_view(&self.view);
+            recovery::drop_trimmed(&mut view, self.trimmed_before)?;
             view.segments.remove(&segment);
         }
-        self.discard(&segment.file());
+        self.remove_obsolete_file(&segment.file_name());
         Ok(())
     }
 
-    /// Ends a run; from then on a damaged last batch is told from a torn one.
-    pub fn close(&mut self, now: UnixTime) -> Result<(), Error> {
-        if self.dirty && self.stopped.is_none() {
-            self.commit(now, &[Item::Mark])?;
-            self.dirty = false;
+    /// Marks a clean end of the run. From then on a damaged last batch is not taken for a torn one.
+    pub fn write_end_mark(&mut self, now: UnixTime) -> Result<(), Error> {
+        if self.has_unmarked_batches && self.read_only_reason.is_none() {
+            self.commit(now, &[CommitItem::EndMark])?;
+            self.has_unmarked_batches = false;
         }
         Ok(())
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,14 +1,15 @@
-//! What can go wrong, each kind told apart by what its reader has to do.
+//! The errors of the store, distinguished by what the caller can do about them.
 use std::fmt;
 use std::io;
 use std::sync::Arc;
 
-/// Bytes that were synced once and can't be read as what they were.
+/// Synced data that can't be read back as it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     pub file: String,
-    /// From the file's start, in bytes.
+    /// In bytes from the start of the file.
     pub offset: u64,
+    /// What is wrong there.
     pub what: String,
 }
 
@@ -24,25 +25,26 @@
     }
 }
 
+/// Why an operation on the store failed.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Error {
-    #[error("damaged: {0}")]
+    #[error("damaged store file {0}")]
     Damaged(Damage),
-    #[error("written by another version: {file} is of form {found}, this program reads form {known}")]
-    Version { file: String, found: u32, known: u32 },
-    #[error("open in another process: {0}")]
+    #[error("{file} has format version {found}; this program supports version {supported} only")]
+    Version { file: String, found: u32, supported: u32 },
+    #[error("the store in {0} is open in another process")]
     Locked(String),
-    /// What was being written may or may not be there after the next start.
-    #[error("read-only since {0}")]
+    /// A write that failed this way may or may not be present after the next start.
+    #[error("the store is read-only: {0}")]
     ReadOnly(String),
-    /// Nothing of it was kept; it may be tried again.
-    #[error("the disk is full ({0})")]
-    Full(String),
-    /// Nothing of it was kept: too much waits for the disk already.
-    #[error("{0} bytes wait for the disk already")]
-    Busy(usize),
-    #[error("{what} of {found} bytes, {most} at most")]
-    TooLarge { what: &'static str, found: usize, most: usize },
+    /// Nothing of the batch was kept; it may be retried.
+    #[error("the disk is full: {0}")]
+    DiskFull(String),
+    /// Nothing of the batch was kept: too many bytes are already waiting for the disk.
+    #[error("too many pending writes: {0} bytes are waiting for the disk")]
+    QueueFull(usize),
+    #[error("{subject} of {size} bytes exceeds the limit of {limit} bytes")]
+    TooLarge { subject: &'static str, size: usize, limit: usize },
     #[error("{0}: {1}")]
     Io(String, Arc<io::Error>),
     #[error("closed")]
@@ -56,8 +58,9 @@
 }
 
 impl Error {
-    pub fn io(doing: impl Into<String>) -> impl FnOnce(io::Error) -> Error {
-        let doing = doing.into();
-        move |error| Error::Io(doing, Arc::new(error))
+    /// Wraps an I/O error with what was being done, such as "reading FILE".
+    pub fn io(context: impl Into<String>) -> impl FnOnce(io::Error) -> Error {
+        let context = context.into();
+        move |error| Error::Io(context, Arc::new(error))
     }
 }
--- a/crates/store/src/export.rs
+++ b/crates/store/src/export.rs
@@ -1,66 +1,76 @@
-//! A consistent view as one file, and back. An export is a whole segment of a store: put into an empty folder as
-//! 0000000001.log it is one.
+//! Export of a consistent view to one file, and import. An export has the format of a single segment: placed
+//! in an empty folder as 0000000001.log it is a store.
 use crate::engine::{Batch, Change};
 use crate::error::{Damage, Error};
 use crate::format::{
-    self, Encoder, FrameFault, FrameHead, Op, Records, SegmentHead, SegmentId, Seq, FRAME_HEAD, SEGMENT_HEAD,
+    self, Encoder, FrameError, FrameHeader, Op, Records, SegmentHeader, SegmentId, Seq, FRAME_HEADER_BYTES,
+    SEGMENT_HEADER_BYTES,
 };
 use crate::index::View;
 use cherrypass::time::UnixTime;
 use std::io::Write;
 
-const FRAME_BYTES: usize = 64 << 10;
+const FRAME_TARGET_BYTES: usize = 64 << 10;
 
-/// Writes all that counts at that time; returns how many records that is.
+/// Writes all records that are live at `now`; returns their number.
 pub fn export(view: &View, now: UnixTime, salt: u64, to: &mut dyn Write) -> Result<u64, Error> {
-    let writing = || Error::io("writing the export");
+    let write_error = || Error::io("writing the export");
     let id = SegmentId(1);
-    to.write_all(&SegmentHead { id, salt, first: Seq(1), before: 0, floor: id }.encode())
-        .map_err(writing())?;
-    let (mut seq, mut place, mut all) = (1, SEGMENT_HEAD as u64, 0);
-    let mut left = view.index.after(&None).filter(|(.., entry)| !entry.is_over(now)).peekable();
-    let mut ended = false;
-    while !ended {
-        let mut bytes = Vec::with_capacity(2 * FRAME_BYTES);
-        let mut frames = Encoder::new(&mut bytes, salt, place);
-        frames.begin();
+    to.write_all(
+        &SegmentHeader { id, salt, first_seq: Seq(1), previous_end: 0, trimmed_before: id }.encode(),
+    )
+    .map_err(write_error())?;
+    let (mut seq, mut offset, mut total) = (1, SEGMENT_HEADER_BYTES as u64, 0);
+    let mut remaining =
+        view.index.records_after(&None).filter(|(.., entry)| !entry.is_expired(now)).peekable();
+    let mut is_complete = false;
+    while !is_complete {
+        let mut bytes = Vec::with_capacity(2 * FRAME_TARGET_BYTES);
+        let mut frames = Encoder::new(&mut bytes, salt, offset);
+        frames.begin_frame();
         let mut records = 0;
-        while frames.bytes.len() < FRAME_BYTES {
-            let Some((space, key, entry)) = left.next() else { break };
-            let value = view.segment(entry.segment)?.value(&entry)?;
+        while frames.bytes.len() < FRAME_TARGET_BYTES {
+            let Some((space, key, entry)) = remaining.next() else { break };
+            let value = view.segment(entry.segment)?.read_value(&entry)?;
             let expires = Some(entry.expires).filter(|at| *at != 0);
-            frames.record(&Op::Put { space, key, value: &value, expires });
+            frames.push_record(&Op::Put { space, key, value: &value, expires });
             records += 1;
         }
-        // The last one is empty: what it follows on is whole.
-        ended = records == 0;
-        all += u64::from(records);
-        frames.finish(FrameHead { seq: Seq(seq), records, synced: place, at: view.time.max(now) });
-        to.write_all(&bytes).map_err(writing())?;
+        // An empty frame at the end shows that the export is complete.
+        is_complete = records == 0;
+        total += u64::from(records);
+        frames.finish_frame(FrameHeader {
+            seq: Seq(seq),
+            records,
+            synced_end: offset,
+            time: view.time.max(now),
+        });
+        to.write_all(&bytes).map_err(write_error())?;
         seq += 1;
-        place += bytes.len() as u64;
+        offset += bytes.len() as u64;
     }
-    to.flush().map_err(writing())?;
-    Ok(all)
+    to.flush().map_err(write_error())?;
+    Ok(total)
 }
 
-/// Reads a whole export before anything is taken of it; the batches to write.
+/// Decodes and verifies a complete export; returns the batches to write.
 pub fn import(name: &str, bytes: &[u8]) -> Result<Vec<Batch>, Error> {
     let damage = |at: usize, what: &str| Error::from(Damage::new(name, at as u64, what));
-    let head = SegmentHead::decode(bytes).map_err(|_| damage(0, "not an export: its head can't be read"))?;
-    let (mut batches, mut at, mut ended) = (Vec::new(), SEGMENT_HEAD, false);
+    let header =
+        SegmentHeader::decode(bytes).map_err(|_| damage(0, "not an export: the header can't be read"))?;
+    let (mut batches, mut at, mut is_complete) = (Vec::new(), SEGMENT_HEADER_BYTES, false);
     loop {
-        let frame = match format::frame(&bytes[at..], head.salt, at as u64) {
+        let frame = match format::decode_frame(&bytes[at..], header.salt, at as u64) {
             Ok(frame) => frame,
-            Err(FrameFault::End) if ended => return Ok(batches),
-            Err(fault) => return Err(damage(at, fault.what())),
+            Err(FrameError::End) if is_complete => return Ok(batches),
+            Err(error) => return Err(damage(at, error.description())),
         };
         let mut batch = Batch::new();
-        for record in Records::new(frame.body, head.salt, (at + FRAME_HEAD) as u64) {
+        for record in Records::new(frame.body, header.salt, (at + FRAME_HEADER_BYTES) as u64) {
             let (op, ..) = record.map_err(|at| damage(at as usize, "a record can't be read"))?;
-            batch = taken(batch, op);
+            batch = add_change(batch, op);
         }
-        ended = frame.head.records == 0;
+        is_complete = frame.header.records == 0;
         if !batch.changes.is_empty() {
             batches.push(batch);
         }
@@ -68,8 +78,8 @@
     }
 }
 
-/// A batch with one more record's change.
-pub fn taken(batch: Batch, op: Op) -> Batch {
+/// Adds the change of a record to a batch.
+pub fn add_change(batch: Batch, op: Op) -> Batch {
     match op {
         Op::Put { space, key, value, expires: None } => batch.put(space, key, value),
         Op::Put { space, key, value, expires: Some(at) } => batch.put_until(space, key, value, UnixTime(at)),
@@ -78,7 +88,7 @@
     }
 }
 
-/// How many changes these are.
+/// The number of records that the batches put.
 pub fn count(batches: &[Batch]) -> usize {
     batches
         .iter()
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,6 +1,6 @@
-//! An embedded log-structured store: a segmented log with a checksum on every record, atomic batches, group
-//! commit, named spaces with ordered scans, expiry, checkpoints, compaction, snapshots, export and import.
-//! What it writes is laid down in docs/store.md byte by byte; all input and output goes through [`disk::Disk`].
+//! An embedded log-structured key-value store: a segmented log with a checksum on every record, atomic
+//! batches, group commit, named spaces with ordered scans, expiry, checkpoints, compaction, snapshots, export
+//! and import. The file formats are specified in docs/store.md; all I/O goes through [`disk::Disk`].
 #![forbid(unsafe_code)]
 
 pub mod checkpoint;
--- a/crates/store/src/repair.rs
+++ b/crates/store/src/repair.rs
@@ -1,70 +1,79 @@
-//! What is whole of a damaged store, written as a new one elsewhere; the old one stays as it is.
+//! Copies the readable batches of a damaged store to a new one; the damaged store stays as it is.
 use crate::disk::Disk;
 use crate::engine::Batch;
 use crate::error::{Damage, Error};
-use crate::export::taken;
-use crate::format::{self, FrameFault, Records, SegmentHead, SegmentId, FRAME_HEAD, SEGMENT_HEAD};
+use crate::export::add_change;
+use crate::format::{
+    self, FrameError, Records, SegmentHeader, SegmentId, FRAME_HEADER_BYTES, SEGMENT_HEADER_BYTES,
+};
 use crate::index::Segment;
 
-/// What a repair found.
+/// The result of a repair.
 #[derive(Debug, Default)]
-pub struct Salvage {
+pub struct RepairReport {
     pub batches: u64,
     pub records: u64,
-    /// Places that can't be read; what stood there is lost, deletions among it.
+    /// Ranges that can't be read; their records and deletions are lost.
     pub lost: Vec<Damage>,
 }
 
-/// Goes through all segments in order and hands on every whole batch.
-pub fn salvage(disk: &dyn Disk, mut keep: impl FnMut(Batch) -> Result<(), Error>) -> Result<Salvage, Error> {
+/// Reads all segments in order and passes every readable batch to `on_batch`.
+pub fn salvage(
+    disk: &dyn Disk,
+    mut on_batch: impl FnMut(Batch) -> Result<(), Error>,
+) -> Result<RepairReport, Error> {
     let names = disk.names().map_err(Error::io("listing the folder"))?;
-    let mut found = Salvage::default();
-    let mut before: Option<SegmentId> = None;
-    for id in names.iter().filter_map(|name| SegmentId::of_file(name)) {
-        if let Some(gap) = before.map(SegmentId::next).filter(|next| *next < id) {
-            found.lost.push(Damage::new(gap.file(), 0, "the segment is missing"));
+    let mut report = RepairReport::default();
+    let mut previous: Option<SegmentId> = None;
+    for id in names.iter().filter_map(|name| SegmentId::from_file_name(name)) {
+        if let Some(missing) = previous.map(SegmentId::next).filter(|next| *next < id) {
+            report.lost.push(Damage::new(missing.file_name(), 0, "the segment is missing"));
         }
-        before = Some(id);
-        let reading = || Error::io(format!("reading {}", id.file()));
-        let file = disk.open(&id.file()).map_err(reading())?;
-        let length = file.length().map_err(reading())? as usize;
-        let bytes = crate::disk::read_range(&*file, 0, length).map_err(reading())?;
-        let Ok(head) = SegmentHead::decode(&bytes) else {
-            found.lost.push(Damage::new(id.file(), 0, "the head can't be read, and without it nothing here"));
+        previous = Some(id);
+        let read_error = || Error::io(format!("reading {}", id.file_name()));
+        let file = disk.open(&id.file_name()).map_err(read_error())?;
+        let length = file.length().map_err(read_error())? as usize;
+        let bytes = crate::disk::read_range(&*file, 0, length).map_err(read_error())?;
+        let Ok(header) = SegmentHeader::decode(&bytes) else {
+            report.lost.push(Damage::new(
+                id.file_name(),
+                0,
+                "the header can't be read, so the segment's records are lost",
+            ));
             continue;
         };
-        let segment = Segment { id, salt: head.salt, file };
-        let mut at = SEGMENT_HEAD;
-        let mut lost_from = None;
+        let segment = Segment { id, salt: header.salt, file };
+        let mut at = SEGMENT_HEADER_BYTES;
+        let mut gap_start = None;
         while at < bytes.len() {
-            match format::frame(&bytes[at..], head.salt, at as u64) {
+            match format::decode_frame(&bytes[at..], header.salt, at as u64) {
                 Ok(frame) => {
-                    if let Some((from, fault)) = lost_from.take() {
-                        found.lost.push(gap(&segment, from, at, fault));
+                    if let Some((from, error)) = gap_start.take() {
+                        report.lost.push(gap_damage(&segment, from, at, error));
                     }
                     let mut batch = Batch::new();
-                    for record in Records::new(frame.body, head.salt, (at + FRAME_HEAD) as u64) {
+                    for record in Records::new(frame.body, header.salt, (at + FRAME_HEADER_BYTES) as u64) {
                         let Ok((op, ..)) = record else { break };
-                        found.records += 1;
-                        batch = taken(batch, op);
+                        report.records += 1;
+                        batch = add_change(batch, op);
                     }
-                    found.batches += 1;
+                    report.batches += 1;
                     if !batch.changes.is_empty() {
-                        keep(batch)?;
+                        on_batch(batch)?;
                     }
                     at += frame.length();
                 }
-                Err(fault) => {
-                    lost_from.get_or_insert((at, fault));
+                Err(error) => {
+                    gap_start.get_or_insert((at, error));
                     at += 1;
                 }
             }
         }
-        found.lost.extend(lost_from.map(|(from, fault)| gap(&segment, from, bytes.len(), fault)));
+        report.lost.extend(gap_start.map(|(from, error)| gap_damage(&segment, from, bytes.len(), error)));
     }
-    Ok(found)
+    Ok(report)
 }
 
-fn gap(segment: &Segment, from: usize, to: usize, fault: FrameFault) -> Damage {
-    segment.damage(from as u64, format!("{}; {} bytes are passed over", fault.what(), to - from))
+fn gap_damage(segment: &Segment, from: usize, to: usize, error: FrameError) -> Damage {
+    segment.damage(from as u64, format!("{}; {} bytes were skipped", error.description(), to - from))
 }
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -1,6 +1,6 @@
-//! A disk in memory that crashes. It keeps what was written apart from what was synced, and at a crash makes of
-//! the rest what a real one may: lost, kept, torn at any byte, any sectors of it with old bytes in the others;
-//! names that were not synced may be as before. Calls can be made to fail.
+//! An in-memory disk that simulates crashes, for tests. It tracks what has been synced; after a crash,
+//! unsynced data may be lost, kept, torn at any byte or kept in some sectors only, with stale bytes in
+//! others, and unsynced changes of names may be undone. Calls can be made to fail.
 use crate::disk;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,11 +10,11 @@
 
 const SECTOR: usize = 512;
 
-/// One call of the disk, told before it is carried out.
+/// A call of the disk, as passed to the hook before it is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call<'a> {
     Write { file: &'a str, offset: u64, bytes: &'a [u8] },
-    Cut { file: &'a str, length: u64 },
+    Truncate { file: &'a str, length: u64 },
     Sync { file: &'a str },
     Create(&'a str),
     Rename(&'a str, &'a str),
@@ -23,133 +23,135 @@
     Read { file: &'a str },
 }
 
-/// What becomes of a call.
+/// What happens to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Well,
-    /// It says that it went well, and nothing was done.
-    Skipped,
-    /// A write takes so many bytes and says so.
-    Short(usize),
-    /// A write takes so many bytes, then the disk is full.
-    Full(usize),
-    /// It fails; a sync that fails forgets what it was to keep, as machines do.
-    Fails,
+    /// Reports success without doing anything.
+    Ignored,
+    /// A write writes only this many bytes and reports that.
+    ShortWrite(usize),
+    /// A write writes this many bytes, then the disk is full.
+    DiskFull(usize),
+    /// The call fails. After a failed sync, later syncs do not cover the affected data, as with real page
+    /// caches.
+    Error,
 }
 
-/// Asked before each call with the disk as it is.
-pub type Watch = Box<dyn FnMut(&Image, Call) -> Fate + Send>;
+/// Called before each call of the disk with the state of the disk; decides what happens to the call.
+pub type CallHook = Box<dyn FnMut(&Image, Call) -> Fate + Send>;
 
 #[derive(Clone, Debug, Default)]
-struct Content {
+struct FileContent {
     name: String,
-    now: Vec<u8>,
-    /// What a crash leaves at least.
+    current: Vec<u8>,
+    /// The content that survives any crash.
     synced: Vec<u8>,
-    /// Byte ranges that were written since the last sync, and whether the length was cut.
-    fresh: Vec<(usize, usize)>,
-    /// Ranges whose sync failed: no later sync keeps them unless they are written again.
-    forgotten: Vec<(usize, usize)>,
-    /// What the file was before a cut that is not synced, which a crash may undo.
-    uncut: Option<Vec<u8>>,
+    /// Byte ranges written since the last sync.
+    unsynced: Vec<(usize, usize)>,
+    /// Byte ranges whose sync failed: no later sync covers them unless they are written again.
+    sync_failed: Vec<(usize, usize)>,
+    /// The content before a truncation that is not synced; a crash may restore it.
+    before_truncate: Option<Vec<u8>>,
 }
 
-impl Content {
+impl FileContent {
     fn sync(&mut self) {
-        let mut kept = self.now.clone();
-        for (from, to) in &self.forgotten {
-            for at in *from..(*to).min(kept.len()) {
-                kept[at] = self.synced.get(at).copied().unwrap_or(0);
+        let mut result = self.current.clone();
+        for (from, to) in &self.sync_failed {
+            for at in *from..(*to).min(result.len()) {
+                result[at] = self.synced.get(at).copied().unwrap_or(0);
             }
         }
-        (self.synced, self.fresh, self.uncut) = (kept, Vec::new(), None);
+        (self.synced, self.unsynced, self.before_truncate) = (result, Vec::new(), None);
     }
 
-    fn written(&mut self, from: usize, to: usize) {
-        self.fresh.push((from, to));
+    fn mark_written(&mut self, from: usize, to: usize) {
+        self.unsynced.push((from, to));
         let split = |(a, b): (usize, usize)| [(a, b.min(from)), (a.max(to), b)];
-        let left = self.forgotten.drain(..).flat_map(split).filter(|(a, b)| a < b).collect();
-        self.forgotten = left;
+        let left = self.sync_failed.drain(..).flat_map(split).filter(|(a, b)| a < b).collect();
+        self.sync_failed = left;
     }
 }
 
 #[derive(Clone, Debug)]
-enum Naming {
+enum NameChange {
     Set(String, usize),
-    Gone(String),
-    Moved(String, String, usize),
+    Removed(String),
+    Renamed(String, String, usize),
 }
 
-/// All that a disk holds, synced or not.
+/// The state of a disk, synced or not.
 #[derive(Clone, Debug, Default)]
 pub struct Image {
-    files: BTreeMap<usize, Content>,
+    files: BTreeMap<usize, FileContent>,
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
-    naming: Vec<Naming>,
-    next: usize,
-    /// Bytes of files that were removed, which unwritten sectors may show.
-    old: Vec<u8>,
+    unsynced_names: Vec<NameChange>,
+    next_id: usize,
+    /// Bytes of removed files, which sectors that were never written may contain after a crash.
+    removed_bytes: Vec<u8>,
 }
 
-/// What a crash makes of that which was not synced.
+/// What happens to unsynced data in a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
-    /// The process alone died.
+    /// Only the process crashes; nothing is lost.
     KeepAll,
+    /// All unsynced data and name changes are lost.
     LoseAll,
-    /// Files end at any byte of what was written last; of the names' changes the first ones are kept.
+    /// Files end at any byte of the unsynced data; a prefix of the unsynced name changes is kept.
     Torn,
-    /// Any sectors and any names' changes are kept, the other sectors are as before, zero or old bytes.
+    /// Any sectors and any name changes are kept; other sectors have their old content, zeros or stale bytes.
     Sectors,
 }
 
 impl Image {
-    /// The bytes of a file as they are now.
+    /// The current content of a file.
     pub fn bytes(&self, name: &str) -> Option<&[u8]> {
-        self.names.get(name).map(|id| &self.files[id].now[..])
+        self.names.get(name).map(|id| &self.files[id].current[..])
     }
 
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.names.keys().map(String::as_str)
     }
 
-    /// The same with one file's bytes replaced, all of it synced.
-    pub fn with(&self, name: &str, bytes: Vec<u8>) -> Image {
-        let mut image = self.crashed(Crash::KeepAll, 0);
-        let id = image.names.get(name).copied().unwrap_or(image.next);
-        let (synced, now) = (bytes.clone(), bytes);
-        let content = Content { name: name.to_owned(), synced, now, ..Content::default() };
+    /// A copy with the content of one file replaced, all of it synced.
+    pub fn with_file(&self, name: &str, bytes: Vec<u8>) -> Image {
+        let mut image = self.after_crash(Crash::KeepAll, 0);
+        let id = image.names.get(name).copied().unwrap_or(image.next_id);
+        let (synced, current) = (bytes.clone(), bytes);
+        let content = FileContent { name: name.to_owned(), synced, current, ..FileContent::default() };
         image.files.insert(id, content);
         image.names.insert(name.to_owned(), id);
         image.synced_names = image.names.clone();
-        image.next = image.next.max(id + 1);
+        image.next_id = image.next_id.max(id + 1);
         image
     }
 
-    pub fn without(&self, name: &str) -> Image {
-        let mut image = self.crashed(Crash::KeepAll, 0);
+    pub fn without_file(&self, name: &str) -> Image {
+        let mut image = self.after_crash(Crash::KeepAll, 0);
         image.names.remove(name);
         image.synced_names.remove(name);
         image
     }
 
-    /// What is found after a crash: all of it is synced.
-    pub fn crashed(&self, crash: Crash, seed: u64) -> Image {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    /// The state of the disk after a crash, all of it synced.
+    pub fn after_crash(&self, crash: Crash, seed: u64) -> Image {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut names = self.synced_names.clone();
-        let kept = match crash {
-            Crash::KeepAll => self.naming.len(),
+        let kept_changes = match crash {
+            Crash::KeepAll => self.unsynced_names.len(),
             Crash::LoseAll => 0,
-            Crash::Torn | Crash::Sectors => chance.gen_range(0..=self.naming.len()),
+            Crash::Torn | Crash::Sectors => rng.gen_range(0..=self.unsynced_names.len()),
         };
-        for (place, change) in self.naming.iter().enumerate() {
-            let take = if crash == Crash::Sectors { chance.gen() } else { place < kept };
+        for (index, change) in self.unsynced_names.iter().enumerate() {
+            let take = if crash == Crash::Sectors { rng.gen() } else { index < kept_changes };
             match change {
                 _ if !take => {}
-                Naming::Set(name, id) => drop(names.insert(name.clone(), *id)),
-                Naming::Gone(name) => drop(names.remove(name)),
-                Naming::Moved(from, to, id) => {
+                NameChange::Set(name, id) => drop(names.insert(name.clone(), *id)),
+                NameChange::Removed(name) => drop(names.remove(name)),
+                NameChange::Renamed(from, to, id) => {
                     names.remove(from);
                     names.insert(to.clone(), *id);
                 }
@@ -157,59 +159,71 @@
         }
         let files = self.files.iter().filter(|(id, _)| names.values().any(|named| named == *id));
         let files = files.map(|(id, content)| {
-            let now = content.crashed(crash, &self.old, &mut chance);
-            (*id, Content { name: content.name.clone(), synced: now.clone(), now, ..Content::default() })
+            let current = content.after_crash(crash, &self.removed_bytes, &mut rng);
+            (
+                *id,
+                FileContent {
+                    name: content.name.clone(),
+                    synced: current.clone(),
+                    current,
+                    ..FileContent::default()
+                },
+            )
         });
         let files = files.collect();
         Image {
             files,
             synced_names: names.clone(),
             names,
-            naming: Vec::new(),
-            next: self.next,
-            old: self.old.clone(),
+            unsynced_names: Vec::new(),
+            next_id: self.next_id,
+            removed_bytes: self.removed_bytes.clone(),
         }
     }
 }
 
-impl Content {
-    fn crashed(&self, crash: Crash, old: &[u8], chance: &mut Pcg64Mcg) -> Vec<u8> {
-        let same = self.fresh.is_empty() && self.forgotten.is_empty() && self.now.len() == self.synced.len();
-        match (crash, &self.uncut) {
-            (Crash::Torn | Crash::Sectors, Some(uncut)) if chance.gen() => return uncut.clone(),
+impl FileContent {
+    fn after_crash(&self, crash: Crash, removed_bytes: &[u8], rng: &mut Pcg64Mcg) -> Vec<u8> {
+        let is_synced = self.unsynced.is_empty()
+            && self.sync_failed.is_empty()
+            && self.current.len() == self.synced.len();
+        match (crash, &self.before_truncate) {
+            (Crash::Torn | Crash::Sectors, Some(before_truncate)) if rng.gen() => {
+                return before_truncate.clone()
+            }
             _ => {}
         }
         match crash {
-            Crash::KeepAll => self.now.clone(),
-            _ if same => self.synced.clone(),
+            Crash::KeepAll => self.current.clone(),
+            _ if is_synced => self.synced.clone(),
             Crash::LoseAll => self.synced.clone(),
             Crash::Torn => {
-                // What was appended is there up to some byte of it.
-                let mut kept = self.synced.clone();
-                let end = chance.gen_range(self.synced.len().min(self.now.len())..=self.now.len());
-                kept.truncate(end);
-                kept.extend_from_slice(&self.now[kept.len()..end]);
-                kept
+                // The data appended is kept up to some byte.
+                let mut result = self.synced.clone();
+                let end = rng.gen_range(self.synced.len().min(self.current.len())..=self.current.len());
+                result.truncate(end);
+                result.extend_from_slice(&self.current[result.len()..end]);
+                result
             }
             Crash::Sectors => {
                 let (low, high) =
-                    (self.now.len().min(self.synced.len()), self.now.len().max(self.synced.len()));
-                let length = chance.gen_range(low..=high);
-                let mut kept = vec![0; length];
+                    (self.current.len().min(self.synced.len()), self.current.len().max(self.synced.len()));
+                let length = rng.gen_range(low..=high);
+                let mut result = vec![0; length];
                 for from in (0..length).step_by(SECTOR) {
                     let to = (from + SECTOR).min(length);
-                    let fresh = self.fresh.iter().any(|(a, b)| *a < to && from < *b);
-                    let source = if fresh && chance.gen() { &self.now } else { &self.synced };
-                    let found = source.get(from..to.min(source.len())).unwrap_or(&[]);
-                    kept[from..from + found.len()].copy_from_slice(found);
-                    // A sector that the file was given and never wrote.
-                    let bare = &mut kept[from + found.len()..to];
-                    if !bare.is_empty() && old.len() > bare.len() && chance.gen() {
-                        let at = chance.gen_range(0..old.len() - bare.len());
-                        bare.copy_from_slice(&old[at..at + bare.len()]);
+                    let is_unsynced = self.unsynced.iter().any(|(a, b)| *a < to && from < *b);
+                    let source = if is_unsynced && rng.gen() { &self.current } else { &self.synced };
+                    let stored = source.get(from..to.min(source.len())).unwrap_or(&[]);
+                    result[from..from + stored.len()].copy_from_slice(stored);
+                    // A part of the file that was allocated but never written.
+                    let unwritten = &mut result[from + stored.len()..to];
+                    if !unwritten.is_empty() && removed_bytes.len() > unwritten.len() && rng.gen() {
+                        let at = rng.gen_range(0..removed_bytes.len() - unwritten.len());
+                        unwritten.copy_from_slice(&removed_bytes[at..at + unwritten.len()]);
                     }
                 }
-                kept
+                result
             }
         }
     }
@@ -217,15 +231,16 @@
 
 struct State {
     image: Image,
-    watch: Option<Watch>,
+    hook: Option<CallHook>,
 }
 
+/// The simulated disk; clones share its state.
 #[derive(Clone)]
 pub struct Disk(Arc<Mutex<State>>);
 
 impl Disk {
-    pub fn new(image: Image, watch: Option<Watch>) -> Disk {
-        Disk(Arc::new(Mutex::new(State { image, watch })))
+    pub fn new(image: Image, hook: Option<CallHook>) -> Disk {
+        Disk(Arc::new(Mutex::new(State { image, hook })))
     }
 
     pub fn image(&self) -> Image {
@@ -239,19 +254,19 @@
 
 impl State {
     fn fate(&mut self, call: Call) -> Fate {
-        match &mut self.watch {
-            Some(watch) => watch(&self.image, call),
+        match &mut self.hook {
+            Some(hook) => hook(&self.image, call),
             None => Fate::Well,
         }
     }
 
-    /// Carries a call out whose fate knows no middle way.
-    fn plain(&mut self, call: Call, then: impl FnOnce(&mut Image) -> io::Result<()>) -> io::Result<()> {
+    /// Carries out a call that either succeeds as a whole or fails.
+    fn run_call(&mut self, call: Call, then: impl FnOnce(&mut Image) -> io::Result<()>) -> io::Result<()> {
         match self.fate(call) {
-            Fate::Well | Fate::Short(_) => then(&mut self.image),
-            Fate::Skipped => Ok(()),
-            Fate::Full(_) => Err(io::ErrorKind::StorageFull.into()),
-            Fate::Fails => Err(io::Error::other("put in by the test")),
+            Fate::Well | Fate::ShortWrite(_) => then(&mut self.image),
+            Fate::Ignored => Ok(()),
+            Fate::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
+            Fate::Error => Err(io::Error::other("injected failure")),
         }
     }
 }
@@ -267,7 +282,7 @@
     }
 }
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::ErrorKind::NotFound.into()
 }
 
@@ -276,53 +291,53 @@
         let mut state = self.disk.state();
         let name = self.name(&state);
         let fate = state.fate(Call::Write { file: &name, offset, bytes });
-        let taken = match fate {
+        let written = match fate {
             Fate::Well => bytes.len(),
-            Fate::Skipped => return Ok(bytes.len()),
-            Fate::Short(most) | Fate::Full(most) => most.min(bytes.len()),
-            Fate::Fails => 0,
+            Fate::Ignored => return Ok(bytes.len()),
+            Fate::ShortWrite(limit) | Fate::DiskFull(limit) => limit.min(bytes.len()),
+            Fate::Error => 0,
         };
-        let content = state.image.files.get_mut(&self.id).ok_or_else(missing)?;
-        let (from, to) = (offset as usize, offset as usize + taken);
-        if taken > 0 {
-            let length = content.now.len().max(to);
-            content.now.resize(length, 0);
-            content.now[from..to].copy_from_slice(&bytes[..taken]);
-            content.written(from, to);
+        let content = state.image.files.get_mut(&self.id).ok_or_else(not_found)?;
+        let (from, to) = (offset as usize, offset as usize + written);
+        if written > 0 {
+            let length = content.current.len().max(to);
+            content.current.resize(length, 0);
+            content.current[from..to].copy_from_slice(&bytes[..written]);
+            content.mark_written(from, to);
         }
         match fate {
-            Fate::Full(_) => Err(io::ErrorKind::StorageFull.into()),
-            Fate::Fails => Err(io::Error::other("put in by the test")),
-            _ => Ok(taken),
+            Fate::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
+            Fate::Error => Err(io::Error::other("injected failure")),
+            _ => Ok(written),
         }
     }
 
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
         let mut state = self.disk.state();
         let name = self.name(&state);
-        if let Fate::Fails = state.fate(Call::Read { file: &name }) {
-            return Err(io::Error::other("put in by the test"));
+        if let Fate::Error = state.fate(Call::Read { file: &name }) {
+            return Err(io::Error::other("injected failure"));
         }
-        let content = state.image.files.get(&self.id).ok_or_else(missing)?;
-        let from = (offset as usize).min(content.now.len());
-        let found = into.len().min(content.now.len() - from);
-        into[..found].copy_from_slice(&content.now[from..from + found]);
-        Ok(found)
+        let content = state.image.files.get(&self.id).ok_or_else(not_found)?;
+        let from = (offset as usize).min(content.current.len());
+        let count = into.len().min(content.current.len() - from);
+        into[..count].copy_from_slice(&content.current[from..from + count]);
+        Ok(count)
     }
 
     fn length(&self) -> io::Result<u64> {
-        Ok(self.disk.state().image.files.get(&self.id).ok_or_else(missing)?.now.len() as u64)
+        Ok(self.disk.state().image.files.get(&self.id).ok_or_else(not_found)?.current.len() as u64)
     }
 
     fn cut(&self, length: u64) -> io::Result<()> {
         let mut state = self.disk.state();
         let name = self.name(&state);
         let id = self.id;
-        state.plain(Call::Cut { file: &name, length }, |image| {
-            let content = image.files.get_mut(&id).ok_or_else(missing)?;
-            let before = content.now.clone();
-            content.now.resize(length as usize, 0);
-            content.uncut.get_or_insert(before);
+        state.run_call(Call::Truncate { file: &name, length }, |image| {
+            let content = image.files.get_mut(&id).ok_or_else(not_found)?;
+            let before = content.current.clone();
+            content.current.resize(length as usize, 0);
+            content.before_truncate.get_or_insert(before);
             Ok(())
         })
     }
@@ -331,16 +346,16 @@
         let mut state = self.disk.state();
         let name = self.name(&state);
         let id = self.id;
-        let synced = state.plain(Call::Sync { file: &name }, |image| {
-            let content = image.files.get_mut(&id).ok_or_else(missing)?;
+        let synced = state.run_call(Call::Sync { file: &name }, |image| {
+            let content = image.files.get_mut(&id).ok_or_else(not_found)?;
             content.sync();
             Ok(())
         });
         if synced.is_err() {
-            // Guards against a second try that seems to help: what was to be kept is forgotten, not kept.
+            // The data of a failed sync is lost, so that a retry only seems to succeed.
             if let Some(content) = state.image.files.get_mut(&id) {
-                let fresh = std::mem::take(&mut content.fresh);
-                content.forgotten.extend(fresh);
+                let unsynced = std::mem::take(&mut content.unsynced);
+                content.sync_failed.extend(unsynced);
             }
         }
         synced
@@ -357,47 +372,47 @@
         if state.image.names.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        let id = state.image.next;
-        state.plain(Call::Create(name), |image| {
-            image.next += 1;
-            image.files.insert(id, Content { name: name.to_owned(), ..Content::default() });
+        let id = state.image.next_id;
+        state.run_call(Call::Create(name), |image| {
+            image.next_id += 1;
+            image.files.insert(id, FileContent { name: name.to_owned(), ..FileContent::default() });
             image.names.insert(name.to_owned(), id);
-            image.naming.push(Naming::Set(name.to_owned(), id));
+            image.unsynced_names.push(NameChange::Set(name.to_owned(), id));
             Ok(())
         })?;
         Ok(Arc::new(Handle { disk: self.clone(), id }))
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn disk::File>> {
-        let id = *self.state().image.names.get(name).ok_or_else(missing)?;
+        let id = *self.state().image.names.get(name).ok_or_else(not_found)?;
         Ok(Arc::new(Handle { disk: self.clone(), id }))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.state().plain(Call::Rename(from, to), |image| {
-            let id = image.names.remove(from).ok_or_else(missing)?;
+        self.state().run_call(Call::Rename(from, to), |image| {
+            let id = image.names.remove(from).ok_or_else(not_found)?;
             image.names.insert(to.to_owned(), id);
-            image.naming.push(Naming::Moved(from.to_owned(), to.to_owned(), id));
+            image.unsynced_names.push(NameChange::Renamed(from.to_owned(), to.to_owned(), id));
             Ok(())
         })
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.state().plain(Call::Remove(name), |image| {
-            let id = image.names.remove(name).ok_or_else(missing)?;
-            let bytes = image.files.get(&id).map(|content| content.now.clone()).unwrap_or_default();
-            image.old.extend_from_slice(&bytes);
-            let spare = image.old.len().saturating_sub(8 * SECTOR);
-            image.old.drain(..spare);
-            image.naming.push(Naming::Gone(name.to_owned()));
+        self.state().run_call(Call::Remove(name), |image| {
+            let id = image.names.remove(name).ok_or_else(not_found)?;
+            let bytes = image.files.get(&id).map(|content| content.current.clone()).unwrap_or_default();
+            image.removed_bytes.extend_from_slice(&bytes);
+            let excess = image.removed_bytes.len().saturating_sub(8 * SECTOR);
+            image.removed_bytes.drain(..excess);
+            image.unsynced_names.push(NameChange::Removed(name.to_owned()));
             Ok(())
         })
     }
 
     fn sync_folder(&self) -> io::Result<()> {
-        self.state().plain(Call::SyncFolder, |image| {
+        self.state().run_call(Call::SyncFolder, |image| {
             image.synced_names = image.names.clone();
-            image.naming.clear();
+            image.unsynced_names.clear();
             Ok(())
         })
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,13 +1,13 @@
-//! The store as programs use it: many writers, one thread that commits what has come together, readers that see
-//! what is durable, and background work within its budget.
+//! The store as programs use it: group commit of batches from any number of threads, reads of the durable
+//! state, and background work within a budget.
 use crate::checkpoint::Writer;
-use crate::compaction::{self, Space};
+use crate::compaction::{self, LogUsage};
 use crate::disk::{Disk, Folder};
-use crate::engine::{self, Batch, Engine, Item, Moved, Options};
+use crate::engine::{self, Batch, CommitItem, Engine, MovedRecord, Options};
 use crate::error::{Damage, Error};
 use crate::export;
 use crate::format::{SegmentId, Seq};
-use crate::index::{Entry, Place, Segment, View};
+use crate::index::{Cursor, Entry, Segment, View};
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_background::runner::{Requester, Runner, Step, Work};
 use cherrypass_background::schedule::{Backlog, Kind, KindId, Whole};
@@ -19,34 +19,35 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
+/// The time source of a store.
 pub type Clock = Arc<dyn Fn() -> UnixTime + Send + Sync>;
-/// Called on the committing thread once a batch is durable or refused; all others wait while it does.
-pub type Done = Box<dyn FnOnce(Result<Seq, Error>) + Send>;
-pub type Pairs = Vec<(Vec<u8>, Vec<u8>)>;
+/// Called on the committing thread once a batch is durable or has been rejected; other commits wait for it.
+pub type CommitCallback = Box<dyn FnOnce(Result<Seq, Error>) + Send>;
+pub type KeyValues = Vec<(Vec<u8>, Vec<u8>)>;
 
-/// What a batch must outlast before its writer goes on.
+/// The crash that a batch must survive before its writer is notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outlasts {
-    /// The process. It is synced soon after all the same.
+    /// A crash of the process. The batch is still synced soon after.
     Process,
-    /// The machine.
+    /// A crash of the machine.
     Machine,
 }
 
-/// What waits for the disk is refused past this, in bytes.
-const WAITING_MOST: usize = 32 << 20;
-/// One round takes no more, in bytes.
-const ROUND_MOST: usize = 4 << 20;
-/// A checkpoint is due once so much was logged since the last, or a half of the log where that is more.
-const CHECKPOINT_LEAST: u64 = 4 << 20;
-/// What has ended is looked for no more often than this.
-const EXPIRE_EVERY: Span = Span::millis(10);
-const EXPIRE_AT_ONCE: usize = 4096;
-
-const COMPACT: KindId = KindId(0);
+/// Batches are rejected while more than this many bytes wait for the disk.
+const MAX_PENDING_BYTES: usize = 32 << 20;
+/// A commit group that has reached this size takes no more items.
+const MAX_GROUP_BYTES: usize = 4 << 20;
+/// A checkpoint is due once this much was logged since the last one, or half of the log if that is more.
+const MIN_CHECKPOINT_LOG_BYTES: u64 = 4 << 20;
+/// The shortest time between two requests for expiry.
+const EXPIRY_INTERVAL: Span = Span::millis(10);
+const EXPIRY_STEP_RECORDS: usize = 4096;
+
+const COMPACTION: KindId = KindId(0);
 const CHECKPOINT: KindId = KindId(1);
-const EXPIRE: KindId = KindId(2);
-const VERIFY: KindId = KindId(3);
+const EXPIRY: KindId = KindId(2);
+const VERIFICATION: KindId = KindId(3);
 
 fn kinds() -> [Kind; 4] {
     let kind = |name, priority, weight, max_wait_ms| Kind {
@@ -63,7 +64,7 @@
     ]
 }
 
-/// What background work may use.
+/// The default budget of background work.
 pub const BUDGET: Whole = Whole {
     bytes_a_second: 32e6,
     time_share: 0.2,
@@ -71,106 +72,107 @@
     max_step_bytes: 128 << 10,
 };
 
-enum Owned {
+enum QueuedItem {
     Batch(Batch),
-    Moves(Vec<Moved>),
+    Moves(Vec<MovedRecord>),
 }
 
-impl Owned {
-    fn item(&self) -> Item<'_> {
+impl QueuedItem {
+    fn item(&self) -> CommitItem<'_> {
         match self {
-            Owned::Batch(batch) => Item::Batch(batch),
-            Owned::Moves(moves) => Item::Moves(moves),
+            QueuedItem::Batch(batch) => CommitItem::Batch(batch),
+            QueuedItem::Moves(moves) => CommitItem::Moves(moves),
         }
     }
 
     fn bytes(&self) -> usize {
         match self {
-            Owned::Batch(batch) => batch.bytes(),
-            Owned::Moves(moves) => moves.iter().map(|moved| moved.was.length as usize).sum(),
+            QueuedItem::Batch(batch) => batch.bytes(),
+            QueuedItem::Moves(moves) => moves.iter().map(|record| record.old_entry.length as usize).sum(),
         }
     }
 }
 
-/// What whoever waits for a round is told: its first batch's number. Those who wait do so in several places, so
-/// that they don't queue for one lock as they wake.
+/// The result of a commit group: the number of its first batch. Waiting threads are spread over several
+/// locks, so that they don't contend for one as they wake.
 #[derive(Default)]
-struct Told {
+struct GroupResult {
     result: OnceLock<Result<Seq, Error>>,
-    places: [(Mutex<()>, Condvar); 8],
+    wait_slots: [(Mutex<()>, Condvar); 8],
 }
 
-impl Told {
-    fn wait(&self, place: u64) -> Result<Seq, Error> {
-        let (lock, there) = &self.places[place as usize % self.places.len()];
-        let mut held = lock.lock().unwrap_or_else(PoisonError::into_inner);
+impl GroupResult {
+    fn wait(&self, index: u64) -> Result<Seq, Error> {
+        let (lock, condvar) = &self.wait_slots[index as usize % self.wait_slots.len()];
+        let mut guard = lock.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
             if let Some(result) = self.result.get() {
                 return result.clone();
             }
-            held = there.wait(held).unwrap_or_else(PoisonError::into_inner);
+            guard = condvar.wait(guard).unwrap_or_else(PoisonError::into_inner);
         }
     }
 
-    fn tell(&self, result: Result<Seq, Error>) {
+    /// Sets the result and wakes all waiting threads.
+    fn publish(&self, result: Result<Seq, Error>) {
         let _ = self.result.set(result);
-        for (lock, there) in &self.places {
+        for (lock, condvar) in &self.wait_slots {
             drop(lock.lock());
-            there.notify_all();
+            condvar.notify_all();
         }
     }
 }
 
-/// What is committed together.
+/// Items that are committed with one write and one sync.
 #[derive(Default)]
-struct Round {
-    items: Vec<Owned>,
-    dones: Vec<(u64, Outlasts, Done)>,
+struct CommitGroup {
+    items: Vec<QueuedItem>,
+    callbacks: Vec<(u64, Outlasts, CommitCallback)>,
     bytes: usize,
-    told: Arc<Told>,
+    result: Arc<GroupResult>,
 }
 
-/// What waits for the disk.
+/// The commit groups that wait for the disk.
 #[derive(Default)]
 struct Queue {
-    rounds: VecDeque<Round>,
-    committing: bool,
-    ended: bool,
+    groups: VecDeque<CommitGroup>,
+    is_committing: bool,
+    is_closed: bool,
 }
 
 #[derive(Default)]
-struct Counts {
-    waiting: AtomicUsize,
+struct Counters {
+    pending_bytes: AtomicUsize,
     batches: AtomicU64,
-    rounds: AtomicU64,
-    moved: AtomicU64,
-    compacted: AtomicU64,
+    groups: AtomicU64,
+    moved_records: AtomicU64,
+    compacted_segments: AtomicU64,
     checkpoints: AtomicU64,
     expired: AtomicU64,
-    verified: AtomicU64,
-    /// The damage that background work met first.
-    damaged: AtomicBool,
-    /// Whether compaction and a checkpoint were asked for and have not looked since.
-    compact: AtomicBool,
-    checkpoint: AtomicBool,
-    /// When expiry was last asked for, in microseconds since the start.
-    told: AtomicU64,
+    verified_bytes: AtomicU64,
+    /// Whether background work has found damage; compaction stops then.
+    is_damaged: AtomicBool,
+    /// Whether compaction or a checkpoint has been requested and has not started since.
+    compaction_requested: AtomicBool,
+    checkpoint_requested: AtomicBool,
+    /// When expiry was last requested, in microseconds since the store was opened.
+    expiry_requested_at: AtomicU64,
 }
 
 struct Shared {
     engine: Mutex<Engine>,
     queue: Mutex<Queue>,
-    work: Condvar,
+    commit_ready: Condvar,
     background: OnceLock<Requester>,
-    begun: Instant,
+    opened_at: Instant,
     view: Arc<RwLock<View>>,
     clock: Clock,
     options: Options,
-    counts: Counts,
+    counters: Counters,
     damage: Mutex<Option<Damage>>,
 }
 
-/// What a store holds and has done.
+/// The contents of a store, and counts of its work since it was opened.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Stats {
     pub records: usize,
@@ -179,19 +181,23 @@
     pub log_bytes: u64,
     pub live_bytes: u64,
     pub batches: u64,
-    pub rounds: u64,
-    pub moved: u64,
+    #[serde(rename = "rounds")]
+    pub commit_groups: u64,
+    #[serde(rename = "moved")]
+    pub moved_records: u64,
     pub compacted_segments: u64,
     pub checkpoints: u64,
     pub expired: u64,
     pub verified_bytes: u64,
-    pub waiting_bytes: usize,
+    #[serde(rename = "waiting_bytes")]
+    pub pending_bytes: usize,
     pub next_batch: u64,
     pub read_only: Option<String>,
     pub damage: Option<String>,
     pub notes: Vec<String>,
 }
 
+/// An open store; it may be shared between threads.
 pub struct Store {
     shared: Arc<Shared>,
     committer: Option<JoinHandle<()>>,
@@ -203,119 +209,135 @@
         self.engine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The clock, but never before the last batch's time: guards against a clock that goes back and brings
-    /// back what had ended.
+    /// The current time, but not before that of the last batch, so that expired records don't reappear when
+    /// the clock goes back.
     fn now(&self) -> UnixTime {
-        (self.clock)().max(engine::read(&self.view).time)
+        (self.clock)().max(engine::read_view(&self.view).time)
     }
 
     fn queue(&self) -> MutexGuard<'_, Queue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts something into the last round that has room; its round, and its place there.
-    fn put(&self, queue: &mut Queue, item: Owned, done: Option<(Outlasts, Done)>) -> (Arc<Told>, u64) {
-        if queue.rounds.back().is_none_or(|round| round.bytes >= ROUND_MOST) {
-            queue.rounds.push_back(Round::default());
+    /// Adds an item to the last group, or to a new one if that is full; returns the group's result and the
+    /// item's index in the group.
+    fn enqueue(
+        &self,
+        queue: &mut Queue,
+        item: QueuedItem,
+        done: Option<(Outlasts, CommitCallback)>,
+    ) -> (Arc<GroupResult>, u64) {
+        if queue.groups.back().is_none_or(|group| group.bytes >= MAX_GROUP_BYTES) {
+            queue.groups.push_back(CommitGroup::default());
         }
-        let last = queue.rounds.len() - 1;
-        let round = &mut queue.rounds[last];
-        let place = round.items.len() as u64;
-        round.bytes += item.bytes();
-        round.items.push(item);
-        round.dones.extend(done.map(|(outlasts, done)| (place, outlasts, done)));
-        (round.told.clone(), place)
-    }
-
-    /// Durable once this returns. Where nobody commits, this thread does so itself: that spares two switches.
-    fn write(&self, item: Owned) -> Result<Seq, Error> {
-        let (told, place, own) = {
+        let last = queue.groups.len() - 1;
+        let group = &mut queue.groups[last];
+        let index = group.items.len() as u64;
+        group.bytes += item.bytes();
+        group.items.push(item);
+        group.callbacks.extend(done.map(|(outlasts, done)| (index, outlasts, done)));
+        (group.result.clone(), index)
+    }
+
+    /// Commits an item and waits until it is durable. If no commit is running, this thread commits it
+    /// directly, which avoids two context switches.
+    fn commit_item(&self, item: QueuedItem) -> Result<Seq, Error> {
+        let (result, index, group) = {
             let mut queue = self.queue();
-            if queue.ended {
+            if queue.is_closed {
                 return Err(Error::Closed);
             }
-            let (told, place) = self.put(&mut queue, item, None);
-            let leads = !queue.committing && queue.rounds.len() == 1;
-            queue.committing |= leads;
-            (told, place, if leads { queue.rounds.pop_front() } else { None })
+            let (result, index) = self.enqueue(&mut queue, item, None);
+            let is_leader = !queue.is_committing && queue.groups.len() == 1;
+            queue.is_committing |= is_leader;
+            (result, index, if is_leader { queue.groups.pop_front() } else { None })
         };
-        if let Some(round) = own {
-            self.commit(round);
+        if let Some(group) = group {
+            self.commit(group);
         }
-        told.wait(place).map(|first| Seq(first.0 + place))
+        result.wait(index).map(|first_seq| Seq(first_seq.0 + index))
     }
 
-    /// Commits a round, tells all who wait for it, and lets the next one begin.
-    fn commit(&self, mut round: Round) {
-        let (early, late): (Vec<_>, Vec<_>) =
-            round.dones.drain(..).partition(|(_, outlasts, _)| *outlasts == Outlasts::Process);
-        let mut early = Some(early);
-        let items: Vec<Item> = round.items.iter().map(Owned::item).collect();
-        let (result, due) = {
+    /// Commits a group, notifies its writers and lets the next commit begin.
+    fn commit(&self, mut group: CommitGroup) {
+        let (after_write, after_sync): (Vec<_>, Vec<_>) =
+            group.callbacks.drain(..).partition(|(_, outlasts, _)| *outlasts == Outlasts::Process);
+        let mut after_write = Some(after_write);
+        let items: Vec<CommitItem> = group.items.iter().map(QueuedItem::item).collect();
+        let (result, due_work) = {
             let mut engine = self.engine();
-            let written = |first| self.tell(&round.items, early.take().unwrap_or_default(), Ok(first));
-            let result = engine.commit_telling((self.clock)(), &items, written);
-            (result, Dues::of(&engine, self))
+            let on_written = |first_seq| {
+                self.run_callbacks(&group.items, after_write.take().unwrap_or_default(), Ok(first_seq))
+            };
+            let result = engine.commit_with_callback((self.clock)(), &items, on_written);
+            (result, DueWork::of(&engine, self))
         };
         let count = items.len() as u64;
-        self.counts.rounds.fetch_add(1, Relaxed);
-        self.counts.batches.fetch_add(count, Relaxed);
-        let first = result.map(|last| Seq(last.0 + 1 - count));
-        let dones = early.into_iter().flatten().chain(late).collect();
-        self.tell(&round.items, dones, first.clone());
-        round.told.tell(first);
+        self.counters.groups.fetch_add(1, Relaxed);
+        self.counters.batches.fetch_add(count, Relaxed);
+        let first_seq = result.map(|last| Seq(last.0 + 1 - count));
+        let callbacks = after_write.into_iter().flatten().chain(after_sync).collect();
+        self.run_callbacks(&group.items, callbacks, first_seq.clone());
+        group.result.publish(first_seq);
         let mut queue = self.queue();
-        queue.committing = false;
-        if !queue.rounds.is_empty() || queue.ended {
-            self.work.notify_one();
+        queue.is_committing = false;
+        if !queue.groups.is_empty() || queue.is_closed {
+            self.commit_ready.notify_one();
         }
         drop(queue);
-        self.tell_background(due);
-    }
-
-    fn tell(&self, items: &[Owned], dones: Vec<(u64, Outlasts, Done)>, first: Result<Seq, Error>) {
-        for (place, _, done) in dones {
-            self.counts.waiting.fetch_sub(items[place as usize].bytes(), Relaxed);
-            done(first.clone().map(|first| Seq(first.0 + place)));
+        self.request_background_work(due_work);
+    }
+
+    fn run_callbacks(
+        &self,
+        items: &[QueuedItem],
+        callbacks: Vec<(u64, Outlasts, CommitCallback)>,
+        first_seq: Result<Seq, Error>,
+    ) {
+        for (index, _, done) in callbacks {
+            self.counters.pending_bytes.fetch_sub(items[index as usize].bytes(), Relaxed);
+            done(first_seq.clone().map(|first_seq| Seq(first_seq.0 + index)));
         }
     }
 
-    fn tell_background(&self, due: Dues) {
+    fn request_background_work(&self, due_work: DueWork) {
         let Some(background) = self.background.get() else { return };
-        if due.compact && !self.counts.compact.swap(true, SeqCst) {
-            background.request(COMPACT);
+        if due_work.compaction && !self.counters.compaction_requested.swap(true, SeqCst) {
+            background.request(COMPACTION);
         }
-        if due.checkpoint && !self.counts.checkpoint.swap(true, SeqCst) {
+        if due_work.checkpoint && !self.counters.checkpoint_requested.swap(true, SeqCst) {
             background.request(CHECKPOINT);
         }
-        let now = self.begun.elapsed().as_micros() as u64;
-        let last = self.counts.told.load(Relaxed);
-        if now < last + EXPIRE_EVERY.0
-            || self.counts.told.compare_exchange(last, now, Relaxed, Relaxed).is_err()
+        let now = self.opened_at.elapsed().as_micros() as u64;
+        let last = self.counters.expiry_requested_at.load(Relaxed);
+        if now < last + EXPIRY_INTERVAL.0
+            || self.counters.expiry_requested_at.compare_exchange(last, now, Relaxed, Relaxed).is_err()
         {
             return;
         }
-        if engine::read(&self.view).index.has_ending() {
-            background.request(EXPIRE);
+        if engine::read_view(&self.view).index.has_expiring() {
+            background.request(EXPIRY);
         }
     }
 
-    fn found_damage(&self, error: &Error) {
+    fn record_damage(&self, error: &Error) {
         if let Error::Damaged(damage) = error {
-            self.counts.damaged.store(true, Relaxed);
+            self.counters.is_damaged.store(true, Relaxed);
             self.damage.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert(damage.clone());
         }
     }
 }
 
 impl Store {
-    /// A store in a folder, locked against other processes; with a budget background work runs by itself.
+    /// Opens the store in a folder and locks it against other processes. Background work runs if a budget is
+    /// given.
     pub fn open(path: &Path, options: Options, clock: Clock, budget: Option<Whole>) -> Result<Store, Error> {
         let disk: Arc<dyn Disk> =
             if options.read_only { Arc::new(Folder::look(path)?) } else { Arc::new(Folder::lock(path)?) };
         Store::on(disk, options, clock, budget)
     }
 
+    /// Opens the store on a disk. Background work runs if a budget is given.
     pub fn on(
         disk: Arc<dyn Disk>,
         options: Options,
@@ -327,98 +349,99 @@
             view: engine.view.clone(),
             engine: Mutex::new(engine),
             queue: Mutex::default(),
-            work: Condvar::new(),
+            commit_ready: Condvar::new(),
             background: OnceLock::new(),
-            begun: Instant::now(),
+            opened_at: Instant::now(),
             clock,
             options,
-            counts: Counts::default(),
+            counters: Counters::default(),
             damage: Mutex::default(),
         });
         let background = match budget.filter(|_| !shared.options.read_only) {
-            Some(whole) => Some(background(&shared, whole).map_err(Error::io("starting a thread"))?),
+            Some(budget) => Some(start_background(&shared, budget).map_err(Error::io("starting a thread"))?),
             None => None,
         };
         if let Some(background) = &background {
             let _ = shared.background.set(background.requester());
         }
-        let own = shared.clone();
+        let state = shared.clone();
         let thread = std::thread::Builder::new().name("store".into()).stack_size(256 << 10);
-        let committer = thread.spawn(move || commit_all(&own));
+        let committer = thread.spawn(move || commit_all(&state));
         let committer = Some(committer.map_err(Error::io("starting a thread"))?);
         Ok(Store { shared, committer, background })
     }
 
-    /// Durable once this returns.
+    /// Writes a batch; it is durable once this returns.
     pub fn write(&self, batch: Batch) -> Result<Seq, Error> {
         batch.check()?;
-        self.shared.write(Owned::Batch(batch))
+        self.shared.commit_item(QueuedItem::Batch(batch))
     }
 
-    /// Returns at once; `done` is called when the batch is durable or was refused.
-    pub fn submit(&self, batch: Batch, done: Done) {
+    /// Queues a batch and returns at once; `done` is called when the batch is durable or has been rejected.
+    pub fn submit(&self, batch: Batch, done: CommitCallback) {
         self.submit_for(Outlasts::Machine, batch, done);
     }
 
-    /// The same, with what the batch must outlast by then.
-    pub fn submit_for(&self, outlasts: Outlasts, batch: Batch, done: Done) {
+    /// Like `submit`, with the crash that the batch must survive before `done` is called.
+    pub fn submit_for(&self, outlasts: Outlasts, batch: Batch, done: CommitCallback) {
         if let Err(error) = batch.check() {
             done(Err(error));
             return;
         }
         let bytes = batch.bytes();
-        let waiting = self.shared.counts.waiting.fetch_add(bytes, Relaxed);
+        let pending = self.shared.counters.pending_bytes.fetch_add(bytes, Relaxed);
         let mut queue = self.shared.queue();
-        let refused = match () {
-            () if queue.ended => Error::Closed,
-            () if waiting > WAITING_MOST => Error::Busy(waiting),
+        let rejection = match () {
+            () if queue.is_closed => Error::Closed,
+            () if pending > MAX_PENDING_BYTES => Error::QueueFull(pending),
             () => {
-                self.shared.put(&mut queue, Owned::Batch(batch), Some((outlasts, done)));
-                if !queue.committing {
-                    self.shared.work.notify_one();
+                self.shared.enqueue(&mut queue, QueuedItem::Batch(batch), Some((outlasts, done)));
+                if !queue.is_committing {
+                    self.shared.commit_ready.notify_one();
                 }
                 return;
             }
         };
         drop(queue);
-        self.shared.counts.waiting.fetch_sub(bytes, Relaxed);
-        done(Err(refused));
+        self.shared.counters.pending_bytes.fetch_sub(bytes, Relaxed);
+        done(Err(rejection));
     }
 
+    /// The value of a key, unless it is missing or expired.
     pub fn get(&self, space: &str, key: &[u8]) -> Result<Option<Vec<u8>>, Error> {
         let now = self.shared.now();
         let (entry, segment) = {
-            let view = engine::read(&self.shared.view);
-            let Some(entry) = view.index.get(space, key).filter(|entry| !entry.is_over(now)) else {
+            let view = engine::read_view(&self.shared.view);
+            let Some(entry) = view.index.get(space, key).filter(|entry| !entry.is_expired(now)) else {
                 return Ok(None);
             };
             (entry, view.segment(entry.segment)?)
         };
-        segment.value(&entry).map(Some)
+        segment.read_value(&entry).map(Some)
     }
 
-    /// Keys and values of a space in order, from a key on, at most so many.
-    pub fn scan(&self, space: &str, from: Bound<&[u8]>, most: usize) -> Result<Pairs, Error> {
+    /// Up to `limit` keys and values of a space in order, from a bound on.
+    pub fn scan(&self, space: &str, from: Bound<&[u8]>, limit: usize) -> Result<KeyValues, Error> {
         let now = self.shared.now();
         let found: Vec<(Vec<u8>, Entry, Arc<Segment>)> = {
-            let view = engine::read(&self.shared.view);
-            let scan = view.index.scan(space, from).filter(|(_, entry)| !entry.is_over(now)).take(most);
+            let view = engine::read_view(&self.shared.view);
+            let scan = view.index.scan(space, from).filter(|(_, entry)| !entry.is_expired(now)).take(limit);
             let found = scan.map(|(key, entry)| Ok((key.to_vec(), entry, view.segment(entry.segment)?)));
             found.collect::<Result<_, Error>>()?
         };
-        found.into_iter().map(|(key, entry, segment)| Ok((key, segment.value(&entry)?))).collect()
+        found.into_iter().map(|(key, entry, segment)| Ok((key, segment.read_value(&entry)?))).collect()
     }
 
-    /// All that is durable now, and stays so while this is kept; costs a copy of the index.
+    /// A consistent view of all that is durable now; costs a copy of the index.
     pub fn snapshot(&self) -> Snapshot {
-        Snapshot { view: engine::read(&self.shared.view).clone(), now: self.shared.now() }
+        Snapshot { view: engine::read_view(&self.shared.view).clone(), now: self.shared.now() }
     }
 
     pub fn stats(&self) -> Stats {
         let shared = &self.shared;
-        let counts = &shared.counts;
+        let counters = &shared.counters;
         let engine = shared.engine();
-        let view = engine::read(&shared.view);
+        let view = engine::read_view(&shared.view);
         let damage = shared.damage.lock().unwrap_or_else(PoisonError::into_inner);
         Stats {
             records: view.index.records(),
@@ -426,50 +449,50 @@
             segments: view.segments.len(),
             log_bytes: engine.log_bytes(),
             live_bytes: view.index.live_bytes(),
-            batches: counts.batches.load(Relaxed),
-            rounds: counts.rounds.load(Relaxed),
-            moved: counts.moved.load(Relaxed),
-            compacted_segments: counts.compacted.load(Relaxed),
-            checkpoints: counts.checkpoints.load(Relaxed),
-            expired: counts.expired.load(Relaxed),
-            verified_bytes: counts.verified.load(Relaxed),
-            waiting_bytes: counts.waiting.load(Relaxed),
-            next_batch: engine.position().next.0,
-            read_only: engine.stopped().map(str::to_owned),
+            batches: counters.batches.load(Relaxed),
+            commit_groups: counters.groups.load(Relaxed),
+            moved_records: counters.moved_records.load(Relaxed),
+            compacted_segments: counters.compacted_segments.load(Relaxed),
+            checkpoints: counters.checkpoints.load(Relaxed),
+            expired: counters.expired.load(Relaxed),
+            verified_bytes: counters.verified_bytes.load(Relaxed),
+            pending_bytes: counters.pending_bytes.load(Relaxed),
+            next_batch: engine.position().next_seq.0,
+            read_only: engine.read_only_reason().map(str::to_owned),
             damage: damage.as_ref().map(Damage::to_string),
             notes: engine.notes.clone(),
         }
     }
 
-    /// What background work has done, and since when it has work left.
+    /// The pending and completed background work of each kind.
     pub fn backlogs(&self) -> Vec<(&'static str, Backlog)> {
         self.background.as_ref().map(Runner::backlogs).unwrap_or_default()
     }
 
-    /// Has background work check all sealed segments.
+    /// Requests a check of all valid data by the background thread.
     pub fn verify_soon(&self) {
         if let Some(background) = &self.background {
-            background.requester().request(VERIFY);
+            background.requester().request(VERIFICATION);
         }
     }
 
-    /// Checks all that counts, on this thread.
-    pub fn verify(&self) -> Result<Checked, Error> {
-        let parts = segments(&self.shared);
-        let mut checked = Checked::default();
-        for (segment, end) in parts {
-            let mut at = crate::format::SEGMENT_HEAD as u64;
+    /// Checks all valid data on this thread.
+    pub fn verify(&self) -> Result<VerifyReport, Error> {
+        let ranges = valid_ranges(&self.shared);
+        let mut report = VerifyReport::default();
+        for (segment, end) in ranges {
+            let mut at = crate::format::SEGMENT_HEADER_BYTES as u64;
             while at < end {
-                let walked = segment.walk(at, end, 1 << 20, |_, _, _| checked.records += 1)?;
-                checked.bytes += walked.bytes;
-                checked.batches += walked.batches;
-                at = walked.next.unwrap_or(end);
+                let walk = segment.walk(at, end, 1 << 20, |_, _, _| report.records += 1)?;
+                report.bytes += walk.bytes;
+                report.batches += walk.batches;
+                at = walk.next_offset.unwrap_or(end);
             }
         }
-        Ok(checked)
+        Ok(report)
     }
 
-    /// Compacts on this thread until nothing more is to be gained, whatever the log's length.
+    /// Compacts all sealed segments on this thread, whether compaction is due or not.
     pub fn compact(&self) -> Result<(), Error> {
         let last = {
             let mut engine = self.shared.engine();
@@ -477,7 +500,7 @@
             engine.seal(now)?;
             engine.position().segment
         };
-        let mut compactor = Compactor { shared: self.shared.clone(), at: None };
+        let mut compactor = Compactor { shared: self.shared.clone(), next_position: None };
         while let Some((segment, end)) = compactor.oldest().filter(|(segment, _)| segment.id < last) {
             compactor.step(segment, end, 1 << 20)?;
         }
@@ -491,22 +514,22 @@
         finish_checkpoint(&self.shared, writer)
     }
 
-    /// Ends well: all that was submitted is committed, and the run's end is marked.
+    /// Commits all submitted batches, marks a clean end of the run and closes the store.
     pub fn close(mut self) -> Result<(), Error> {
-        self.end();
+        self.shut_down();
         self.mark()
     }
 
-    /// Marks the end of a run for those that can't give the store up; whatever is written later goes on behind it.
+    /// Marks a clean end of the run without closing the store; later batches are appended after the mark.
     pub fn mark(&self) -> Result<(), Error> {
         let now = (self.shared.clock)();
-        self.shared.engine().close(now)
+        self.shared.engine().write_end_mark(now)
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         self.background = None;
-        self.shared.queue().ended = true;
-        self.shared.work.notify_all();
+        self.shared.queue().is_closed = true;
+        self.shared.commit_ready.notify_all();
         if let Some(committer) = self.committer.take() {
             let _ = committer.join();
         }
@@ -515,219 +538,231 @@
 
 impl Drop for Store {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
-/// What a check has gone through.
+/// What a check has read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Checked {
+pub struct VerifyReport {
     pub bytes: u64,
     pub batches: u64,
     pub records: u64,
 }
 
-/// A view that doesn't change; segments that go meanwhile stay readable through it.
+/// An immutable view; it can still read segments that are removed meanwhile.
 pub struct Snapshot {
     pub view: View,
     pub now: UnixTime,
 }
 
 impl Snapshot {
+    /// Writes the view's records as an export; returns their number.
     pub fn export(&self, to: &mut dyn std::io::Write) -> Result<u64, Error> {
         export::export(&self.view, self.now, self.now.0 | 1, to)
     }
 }
 
-fn segments(shared: &Shared) -> Vec<(Arc<Segment>, u64)> {
+/// All segments, each with the end of its valid data.
+fn valid_ranges(shared: &Shared) -> Vec<(Arc<Segment>, u64)> {
     let engine = shared.engine();
-    let view = engine::read(&shared.view);
+    let view = engine::read_view(&shared.view);
     let position = engine.position();
-    let parts = engine.sealed().chain([(position.segment, position.offset)]);
-    parts.filter_map(|(id, end)| Some((view.segments.get(&id)?.clone(), end))).collect()
+    let ranges = engine.sealed_segments().chain([(position.segment, position.offset)]);
+    ranges.filter_map(|(id, end)| Some((view.segments.get(&id)?.clone(), end))).collect()
 }
 
-/// Commits what was submitted, and what came together while another thread committed.
+/// The committing thread: commits submitted batches, and groups that formed while another thread committed.
 fn commit_all(shared: &Shared) {
     loop {
         let mut queue = shared.queue();
-        let round = loop {
-            if !queue.committing {
-                if let Some(round) = queue.rounds.pop_front() {
-                    break round;
+        let group = loop {
+            if !queue.is_committing {
+                if let Some(group) = queue.groups.pop_front() {
+                    break group;
                 }
-                if queue.ended {
+                if queue.is_closed {
                     return;
                 }
             }
-            queue = shared.work.wait(queue).unwrap_or_else(PoisonError::into_inner);
+            queue = shared.commit_ready.wait(queue).unwrap_or_else(PoisonError::into_inner);
         };
-        queue.committing = true;
+        queue.is_committing = true;
         drop(queue);
-        shared.commit(round);
+        shared.commit(group);
     }
 }
 
-/// What background work a round leaves to do.
-struct Dues {
-    compact: bool,
+/// The background work that is due after a commit.
+struct DueWork {
+    compaction: bool,
     checkpoint: bool,
 }
 
-fn space(engine: &Engine, shared: &Shared) -> Space {
-    let view = engine::read(&shared.view);
+fn log_usage(engine: &Engine, shared: &Shared) -> LogUsage {
+    let view = engine::read_view(&shared.view);
     let position = engine.position();
-    Space {
-        sealed: engine.log_bytes() - position.offset,
-        live: view.index.live_bytes() - view.index.live_in(position.segment),
+    LogUsage {
+        sealed_bytes: engine.log_bytes() - position.offset,
+        live_bytes: view.index.live_bytes() - view.index.live_in(position.segment),
         segments: view.segments.len(),
     }
 }
 
-impl Dues {
-    fn of(engine: &Engine, shared: &Shared) -> Dues {
-        let compact = space(engine, shared).is_due(shared.options.segment_bytes);
-        let since = engine.since_checkpoint;
-        let checkpoint = since > CHECKPOINT_LEAST.max(engine.log_bytes() / 2) && shared.options.checkpoints;
-        Dues { compact: compact && !shared.counts.damaged.load(Relaxed), checkpoint }
+impl DueWork {
+    fn of(engine: &Engine, shared: &Shared) -> DueWork {
+        let is_compaction_due = log_usage(engine, shared).is_compaction_due(shared.options.segment_bytes);
+        let bytes_logged = engine.bytes_since_checkpoint;
+        let checkpoint = bytes_logged > MIN_CHECKPOINT_LOG_BYTES.max(engine.log_bytes() / 2)
+            && shared.options.use_checkpoints;
+        DueWork { compaction: is_compaction_due && !shared.counters.is_damaged.load(Relaxed), checkpoint }
     }
 }
 
 fn begin_checkpoint(shared: &Shared) -> Result<Writer, Error> {
-    let (disk, from) = {
+    let (disk, start) = {
         let engine = shared.engine();
         (engine.disk.clone(), engine.position())
     };
-    Writer::begin(disk, from)
+    Writer::create(disk, start)
 }
 
 fn finish_checkpoint(shared: &Shared, writer: Writer) -> Result<(), Error> {
-    let to = shared.engine().position();
-    writer.finish(to)?;
-    shared.engine().since_checkpoint = 0;
-    shared.counts.checkpoints.fetch_add(1, Relaxed);
+    let end = shared.engine().position();
+    writer.finish(end)?;
+    shared.engine().bytes_since_checkpoint = 0;
+    shared.counters.checkpoints.fetch_add(1, Relaxed);
     Ok(())
 }
 
+/// Compacts the oldest segment in steps.
 struct Compactor {
     shared: Arc<Shared>,
-    /// Where the next step begins in the oldest segment.
-    at: Option<(SegmentId, u64)>,
+    /// Where the next step starts in the oldest segment.
+    next_position: Option<(SegmentId, u64)>,
 }
 
 impl Compactor {
     fn oldest(&self) -> Option<(Arc<Segment>, u64)> {
-        let (id, end) = self.shared.engine().sealed().next()?;
-        Some((engine::read(&self.shared.view).segments.get(&id)?.clone(), end))
+        let (id, end) = self.shared.engine().sealed_segments().next()?;
+        Some((engine::read_view(&self.shared.view).segments.get(&id)?.clone(), end))
     }
 
-    fn step(&mut self, segment: Arc<Segment>, end: u64, bytes: usize) -> Result<u64, Error> {
-        let head = crate::format::SEGMENT_HEAD as u64;
-        let start = self.at.filter(|(id, _)| *id == segment.id).map_or(head, |(_, at)| at);
+    fn step(&mut self, segment: Arc<Segment>, end: u64, max_bytes: usize) -> Result<u64, Error> {
+        let first_offset = crate::format::SEGMENT_HEADER_BYTES as u64;
+        let start =
+            self.next_position.filter(|(id, _)| *id == segment.id).map_or(first_offset, |(_, offset)| offset);
         let now = self.shared.now();
-        let (read, next) = if start < end && engine::read(&self.shared.view).index.live_in(segment.id) > 0 {
-            let (moves, walked) = compaction::look(&segment, start, end, bytes, &self.shared.view, now)?;
-            let moved: u64 = moves.iter().map(|moved| u64::from(moved.was.length)).sum();
-            if !moves.is_empty() {
-                self.shared.counts.moved.fetch_add(moves.len() as u64, Relaxed);
-                self.shared.write(Owned::Moves(moves))?;
-            }
-            (walked.bytes + moved, walked.next)
-        } else {
-            (0, None)
-        };
-        self.at = next.map(|next| (segment.id, next));
-        if next.is_none() {
+        let (bytes_read, next_offset) =
+            if start < end && engine::read_view(&self.shared.view).index.live_in(segment.id) > 0 {
+                let (moves, walk) =
+                    compaction::find_live_records(&segment, start, end, max_bytes, &self.shared.view, now)?;
+                let moved_bytes: u64 = moves.iter().map(|record| u64::from(record.old_entry.length)).sum();
+                if !moves.is_empty() {
+                    self.shared.counters.moved_records.fetch_add(moves.len() as u64, Relaxed);
+                    self.shared.commit_item(QueuedItem::Moves(moves))?;
+                }
+                (walk.bytes + moved_bytes, walk.next_offset)
+            } else {
+                (0, None)
+            };
+        self.next_position = next_offset.map(|offset| (segment.id, offset));
+        if next_offset.is_none() {
             self.shared.engine().trim(now, segment.id)?;
-            self.shared.counts.compacted.fetch_add(1, Relaxed);
+            self.shared.counters.compacted_segments.fetch_add(1, Relaxed);
         }
-        Ok(read)
+        Ok(bytes_read)
     }
 
     fn run(&mut self, bytes: usize) -> Result<Step, Error> {
-        // Before it looks: what comes due after that asks anew. Guards against a notice lost between the two.
-        self.shared.counts.compact.store(false, SeqCst);
-        let (space, done) = {
+        // Cleared before the check, so that a request made during the check is not lost.
+        self.shared.counters.compaction_requested.store(false, SeqCst);
+        let (usage, is_read_only) = {
             let engine = self.shared.engine();
-            (space(&engine, &self.shared), engine.stopped().is_some())
+            (log_usage(&engine, &self.shared), engine.read_only_reason().is_some())
         };
         let segment_bytes = self.shared.options.segment_bytes;
-        if done || !space.is_due(segment_bytes) {
+        if is_read_only || !usage.is_compaction_due(segment_bytes) {
             return Ok(Step { bytes: 0, has_more: false });
         }
         let Some((segment, end)) = self.oldest() else { return Ok(Step { bytes: 0, has_more: false }) };
-        let read = self.step(segment, end, bytes)?;
-        Ok(Step { bytes: read, has_more: true })
+        let bytes_read = self.step(segment, end, bytes)?;
+        Ok(Step { bytes: bytes_read, has_more: true })
     }
 }
 
-/// A step that failed ends its kind's work until it is wanted again; damage is kept for whoever asks.
-fn told(shared: &Shared, result: Result<Step, Error>) -> Step {
+/// After an error the kind's work stops until it is requested again. Damage is recorded.
+fn step_or_stop(shared: &Shared, result: Result<Step, Error>) -> Step {
     result.unwrap_or_else(|error| {
-        shared.found_damage(&error);
+        shared.record_damage(&error);
         Step { bytes: 0, has_more: false }
     })
 }
 
-fn background(shared: &Arc<Shared>, whole: Whole) -> std::io::Result<Runner> {
-    let mut compactor = Compactor { shared: shared.clone(), at: None };
+fn start_background(shared: &Arc<Shared>, budget: Whole) -> std::io::Result<Runner> {
+    let mut compactor = Compactor { shared: shared.clone(), next_position: None };
     let compact: Work = Box::new(move |bytes| {
         let result = compactor.run(bytes);
-        told(&compactor.shared, result)
+        step_or_stop(&compactor.shared, result)
     });
-    let (own, mut writer) = (shared.clone(), None);
+    let (state, mut writer) = (shared.clone(), None);
     let checkpoint: Work = Box::new(move |bytes| {
         let mut step = || {
-            let mut now = match writer.take() {
+            let mut current = match writer.take() {
                 Some(writer) => writer,
                 None => {
-                    own.counts.checkpoint.store(false, SeqCst);
-                    begin_checkpoint(&own)?
+                    state.counters.checkpoint_requested.store(false, SeqCst);
+                    begin_checkpoint(&state)?
                 }
             };
-            let (bytes, has_more) = now.step(&own.view, bytes)?;
+            let (bytes, has_more) = current.step(&state.view, bytes)?;
             if has_more {
-                writer = Some(now);
+                writer = Some(current);
             } else {
-                finish_checkpoint(&own, now)?;
+                finish_checkpoint(&state, current)?;
             }
             Ok(Step { bytes, has_more })
         };
         let result = step();
-        told(&own, result)
+        step_or_stop(&state, result)
     });
-    let (own, mut place) = (shared.clone(), Place::None);
+    let (state, mut cursor) = (shared.clone(), Cursor::None);
     let expire: Work = Box::new(move |_| {
-        let now = own.now();
-        let (over, next) = engine::write(&own.view).index.expire(now, &place, EXPIRE_AT_ONCE);
-        own.counts.expired.fetch_add(over as u64, Relaxed);
-        place = next;
-        Step { bytes: (EXPIRE_AT_ONCE * 32) as u64, has_more: place.is_some() }
+        let now = state.now();
+        let (expired, next) =
+            engine::write_view(&state.view).index.remove_expired(now, &cursor, EXPIRY_STEP_RECORDS);
+        state.counters.expired.fetch_add(expired as u64, Relaxed);
+        cursor = next;
+        Step { bytes: (EXPIRY_STEP_RECORDS * 32) as u64, has_more: cursor.is_some() }
     });
-    let (own, mut left) = (shared.clone(), None::<Vec<(Arc<Segment>, u64, u64)>>);
+    let (state, mut remaining) = (shared.clone(), None::<Vec<(Arc<Segment>, u64, u64)>>);
     let verify: Work = Box::new(move |bytes| {
-        let head = crate::format::SEGMENT_HEAD as u64;
-        let parts = left.get_or_insert_with(|| {
-            segments(&own).into_iter().rev().map(|(segment, end)| (segment, head, end)).collect()
+        let first_offset = crate::format::SEGMENT_HEADER_BYTES as u64;
+        let ranges = remaining.get_or_insert_with(|| {
+            valid_ranges(&state)
+                .into_iter()
+                .rev()
+                .map(|(segment, end)| (segment, first_offset, end))
+                .collect()
         });
         let mut step = || {
-            let Some((segment, at, end)) = parts.pop().filter(|(_, at, end)| at < end) else {
-                return Ok(Step { bytes: 0, has_more: !parts.is_empty() });
+            let Some((segment, at, end)) = ranges.pop().filter(|(_, at, end)| at < end) else {
+                return Ok(Step { bytes: 0, has_more: !ranges.is_empty() });
             };
-            let walked = segment.walk(at, end, bytes, |_, _, _| {})?;
-            own.counts.verified.fetch_add(walked.bytes, Relaxed);
-            if let Some(next) = walked.next {
-                parts.push((segment, next, end));
+            let walk = segment.walk(at, end, bytes, |_, _, _| {})?;
+            state.counters.verified_bytes.fetch_add(walk.bytes, Relaxed);
+            if let Some(next) = walk.next_offset {
+                ranges.push((segment, next, end));
             }
-            Ok(Step { bytes: walked.bytes, has_more: !parts.is_empty() })
+            Ok(Step { bytes: walk.bytes, has_more: !ranges.is_empty() })
         };
         let result = step();
-        let step = told(&own, result);
+        let step = step_or_stop(&state, result);
         if !step.has_more {
-            left = None;
+            remaining = None;
         }
         step
     });
-    let works = [compact, checkpoint, expire, verify];
-    Runner::start(whole, kinds().into_iter().zip(works).collect())
+    let work = [compact, checkpoint, expire, verify];
+    Runner::start(budget, kinds().into_iter().zip(work).collect())
 }
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,10 +1,11 @@
-//! The crash explorer: a seeded run of rounds, compaction, checkpoints and restarts on a simulated disk, with a
-//! crash before every call of the disk, also in recovery, and what is found afterwards held against a plain model.
+//! The crash explorer: seeded runs of commits, compaction, checkpoints and restarts on a simulated disk. It
+//! crashes before every call of the disk, also during recovery, and compares the recovered state with a
+//! model.
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_store::checkpoint::Writer;
 use cherrypass_store::compaction;
 use cherrypass_store::disk;
-use cherrypass_store::engine::{self, Batch, Change, Engine, Item, Options};
+use cherrypass_store::engine::{self, Batch, Change, CommitItem, Engine, Options};
 use cherrypass_store::error::Error;
 use cherrypass_store::format;
 use cherrypass_store::simulated::{Call, Crash, Disk, Fate, Image};
@@ -18,37 +19,37 @@
 
 type Model = BTreeMap<(String, Vec<u8>), Vec<u8>>;
 
-/// A defence left out.
+/// The safeguard of the store that a run disables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
+enum DisabledSafeguard {
     Nothing,
     LogSync,
-    HeadSync,
+    HeaderSync,
     SegmentFolderSync,
     RecoverySync,
     RecoveryRewrite,
     RecoveryFolderSync,
-    CutSync,
+    TruncateSync,
     CheckpointSync,
     CheckpointFolderSync,
     Checksums,
 }
 
-/// What the run has come to, as the watch of the disk's calls sees it.
+/// The progress of a run, as the hook of the disk's calls sees it.
 #[derive(Default)]
 struct Progress {
     states: Vec<Arc<Model>>,
     acknowledged: usize,
     submitted: usize,
-    checkpointed: bool,
-    recovering: bool,
-    before: String,
+    has_checkpoint: bool,
+    is_recovering: bool,
+    last_call: String,
 }
 
 struct Explorer {
     progress: Mutex<Progress>,
-    without: Without,
-    points: AtomicUsize,
+    disabled: DisabledSafeguard,
+    crash_points: AtomicUsize,
     failure: Mutex<Option<String>>,
 }
 
@@ -56,20 +57,21 @@
     Options { segment_bytes: 700, seed, ..Options::default() }
 }
 
-fn found(engine: &Engine, now: UnixTime) -> Result<Model, Error> {
-    let view = engine::read(&engine.view);
+fn read_model(engine: &Engine, now: UnixTime) -> Result<Model, Error> {
+    let view = engine::read_view(&engine.view);
     let mut model = Model::new();
-    for (space, key, entry) in view.index.after(&None).filter(|(.., entry)| !entry.is_over(now)) {
-        model.insert((space.to_owned(), key.to_vec()), view.segment(entry.segment)?.value(&entry)?);
+    for (space, key, entry) in view.index.records_after(&None).filter(|(.., entry)| !entry.is_expired(now)) {
+        model.insert((space.to_owned(), key.to_vec()), view.segment(entry.segment)?.read_value(&entry)?);
     }
     Ok(model)
 }
 
-/// Reads as if every checksum were right.
-struct Credulous(Disk);
-struct CredulousFile(Arc<dyn disk::File>, bool);
+/// A disk that corrects the frame checksums of whatever it reads, as if the store did not verify them.
+struct ChecksumFixingDisk(Disk);
+/// A file of that disk; the flag says whether it is a segment.
+struct ChecksumFixingFile(Arc<dyn disk::File>, bool);
 
-impl disk::Disk for Credulous {
+impl disk::Disk for ChecksumFixingDisk {
     fn names(&self) -> io::Result<Vec<String>> {
         self.0.names()
     }
@@ -77,7 +79,7 @@
         self.0.create(name)
     }
     fn open(&self, name: &str) -> io::Result<Arc<dyn disk::File>> {
-        Ok(Arc::new(CredulousFile(self.0.open(name)?, name.ends_with(".log"))))
+        Ok(Arc::new(ChecksumFixingFile(self.0.open(name)?, name.ends_with(".log"))))
     }
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         self.0.rename(from, to)
@@ -90,23 +92,23 @@
     }
 }
 
-impl disk::File for CredulousFile {
+impl disk::File for ChecksumFixingFile {
     fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
         self.0.write_at(offset, bytes)
     }
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
         let mut all = disk::read_range(&*self.0, 0, self.0.length()? as usize)?;
-        let head = format::SegmentHead::decode(&all).ok().filter(|_| self.1);
-        let mut at = format::SEGMENT_HEAD;
-        while let Some(head) = head.filter(|_| at < all.len()) {
-            let Ok(length) = format::framed(&all[at..]) else { break };
-            format::seal(&mut all[at..at + length], head.salt, at as u64);
+        let header = format::SegmentHeader::decode(&all).ok().filter(|_| self.1);
+        let mut at = format::SEGMENT_HEADER_BYTES;
+        while let Some(header) = header.filter(|_| at < all.len()) {
+            let Ok(length) = format::frame_length(&all[at..]) else { break };
+            format::write_frame_checksum(&mut all[at..at + length], header.salt, at as u64);
             at += length;
         }
         let from = (offset as usize).min(all.len());
-        let found = into.len().min(all.len() - from);
-        into[..found].copy_from_slice(&all[from..from + found]);
-        Ok(found)
+        let count = into.len().min(all.len() - from);
+        into[..count].copy_from_slice(&all[from..from + count]);
+        Ok(count)
     }
     fn length(&self) -> io::Result<u64> {
         self.0.length()
@@ -120,117 +122,133 @@
 }
 
 impl Explorer {
-    fn skips(&self, image: &Image, call: Call, progress: &Progress) -> bool {
-        let before = &progress.before[..];
-        let log = |file: &str| file.ends_with(".log");
-        let headed = |file: &str| image.bytes(file).is_some_and(|bytes| bytes.len() <= format::SEGMENT_HEAD);
-        match (self.without, call) {
-            (Without::LogSync, Call::Sync { file }) => log(file) && !headed(file) && !progress.recovering,
-            (Without::HeadSync, Call::Sync { file }) => log(file) && headed(file) && !progress.recovering,
-            (Without::SegmentFolderSync, Call::SyncFolder) => before == "sync" && !progress.recovering,
-            (Without::RecoverySync, Call::Sync { .. }) => progress.recovering,
-            (Without::RecoveryRewrite, Call::Write { .. }) => progress.recovering,
-            (Without::RecoveryFolderSync, Call::SyncFolder) => progress.recovering,
-            (Without::CutSync, Call::Sync { .. }) => before == "cut",
-            (Without::CheckpointSync, Call::Sync { file }) => file.ends_with(".undone"),
-            (Without::CheckpointFolderSync, Call::SyncFolder) => before == "rename",
+    /// Whether the call belongs to the disabled safeguard.
+    fn is_skipped(&self, image: &Image, call: Call, progress: &Progress) -> bool {
+        let last_call = &progress.last_call[..];
+        let is_segment = |file: &str| file.ends_with(".log");
+        let has_header_only =
+            |file: &str| image.bytes(file).is_some_and(|bytes| bytes.len() <= format::SEGMENT_HEADER_BYTES);
+        match (self.disabled, call) {
+            (DisabledSafeguard::LogSync, Call::Sync { file }) => {
+                is_segment(file) && !has_header_only(file) && !progress.is_recovering
+            }
+            (DisabledSafeguard::HeaderSync, Call::Sync { file }) => {
+                is_segment(file) && has_header_only(file) && !progress.is_recovering
+            }
+            (DisabledSafeguard::SegmentFolderSync, Call::SyncFolder) => {
+                last_call == "sync" && !progress.is_recovering
+            }
+            (DisabledSafeguard::RecoverySync, Call::Sync { .. }) => progress.is_recovering,
+            (DisabledSafeguard::RecoveryRewrite, Call::Write { .. }) => progress.is_recovering,
+            (DisabledSafeguard::RecoveryFolderSync, Call::SyncFolder) => progress.is_recovering,
+            (DisabledSafeguard::TruncateSync, Call::Sync { .. }) => last_call == "truncate",
+            (DisabledSafeguard::CheckpointSync, Call::Sync { file }) => file.ends_with(".undone"),
+            (DisabledSafeguard::CheckpointFolderSync, Call::SyncFolder) => last_call == "rename",
             _ => false,
         }
     }
 
     fn open(&self, disk: Disk, seed: u64) -> Result<Engine, Error> {
-        match self.without {
-            Without::Checksums => Engine::open(Arc::new(Credulous(disk)), options(seed)),
+        match self.disabled {
+            DisabledSafeguard::Checksums => Engine::open(Arc::new(ChecksumFixingDisk(disk)), options(seed)),
             _ => Engine::open(Arc::new(disk), options(seed)),
         }
     }
 
-    fn fail(&self, what: String) {
-        self.failure.lock().unwrap().get_or_insert(what);
+    fn fail(&self, description: String) {
+        self.failure.lock().unwrap().get_or_insert(description);
     }
 
     fn failed(&self) -> bool {
         self.failure.lock().unwrap().is_some()
     }
 
-    /// Crashes here in several ways, starts anew each time, and once more in the midst of that.
+    /// Crashes at this call in several ways, restarts after each, and again during that recovery.
     fn crash(&self, image: &Image, progress: &Progress, seed: u64, depth: usize) {
-        let ways = [Crash::KeepAll, Crash::LoseAll, Crash::Torn, Crash::Sectors, Crash::Torn, Crash::Sectors];
-        for (way, crash) in ways.into_iter().enumerate().skip(depth).take(6 - depth) {
+        let crashes =
+            [Crash::KeepAll, Crash::LoseAll, Crash::Torn, Crash::Sectors, Crash::Torn, Crash::Sectors];
+        for (index, crash) in crashes.into_iter().enumerate().skip(depth).take(6 - depth) {
             if self.failed() {
                 return;
             }
-            self.points.fetch_add(1, Relaxed);
-            let seed = seed.wrapping_mul(31).wrapping_add(way as u64);
-            // Where the process alone died, what was not synced may still go later.
-            let alone = crash == Crash::KeepAll;
-            let after = if alone { image.clone() } else { image.crashed(crash, seed) };
-            let told = |what: String| {
+            self.crash_points.fetch_add(1, Relaxed);
+            let seed = seed.wrapping_mul(31).wrapping_add(index as u64);
+            // After a crash of the process alone, unsynced data may still be lost later.
+            let is_process_crash = crash == Crash::KeepAll;
+            let after = if is_process_crash { image.clone() } else { image.after_crash(crash, seed) };
+            let fail_here = |description: String| {
                 let calls =
                     format!("{crash:?}, {} of {} acknowledged", progress.acknowledged, progress.submitted);
                 self.fail(format!(
-                    "{what} ({calls}, before {}, seed {seed}, depth {depth})",
-                    progress.before
+                    "{description} ({calls}, last call {}, seed {seed}, depth {depth})",
+                    progress.last_call
                 ));
             };
-            if progress.checkpointed && !after.names().any(|name| name.ends_with(".checkpoint")) {
-                told("a finished checkpoint is gone".into());
+            if progress.has_checkpoint && !after.names().any(|name| name.ends_with(".checkpoint")) {
+                fail_here("a finished checkpoint is missing".into());
             }
-            // Crashes in recovery and in the first round after it.
-            let nested = Mutex::new(Vec::new());
-            let share = Arc::new(nested);
-            let own = share.clone();
-            let deeper = depth < 2 && seed.is_multiple_of(if alone { 2 } else { 8 });
-            let mut earlier = String::new();
-            let watch = move |image: &Image, call: Call| {
-                if deeper && !matches!(call, Call::Read { .. }) {
-                    own.lock().unwrap().push((image.clone(), earlier.clone()));
+            // Crashes during recovery and in the first commit after it.
+            let snapshots = Arc::new(Mutex::new(Vec::new()));
+            let snapshots_of_hook = snapshots.clone();
+            let goes_deeper = depth < 2 && seed.is_multiple_of(if is_process_crash { 2 } else { 8 });
+            let mut previous_call = String::new();
+            let hook = move |image: &Image, call: Call| {
+                if goes_deeper && !matches!(call, Call::Read { .. }) {
+                    snapshots_of_hook.lock().unwrap().push((image.clone(), previous_call.clone()));
                 }
-                earlier = word(&call).into();
+                previous_call = call_name(&call).into();
                 Fate::Well
             };
-            let mut engine = match self.open(Disk::new(after, Some(Box::new(watch))), seed) {
+            let mut engine = match self.open(Disk::new(after, Some(Box::new(hook))), seed) {
                 Ok(engine) => engine,
-                Err(error) => return told(format!("no start: {error}")),
+                Err(error) => return fail_here(format!("recovery failed: {error}")),
             };
-            let in_recovery = share.lock().unwrap().len();
-            if progress.checkpointed && engine.notes.iter().any(|note| note.contains("passed over")) {
-                told(engine.notes.join("; "));
+            let recovery_snapshots = snapshots.lock().unwrap().len();
+            if progress.has_checkpoint && engine.notes.iter().any(|note| note.contains("is ignored")) {
+                fail_here(engine.notes.join("; "));
             }
             let now = engine.position().time;
-            let model = match found(&engine, now) {
+            let model = match read_model(&engine, now) {
                 Ok(model) => model,
-                Err(error) => return told(format!("unreadable: {error}")),
+                Err(error) => return fail_here(format!("unreadable: {error}")),
             };
             let range = progress.acknowledged..=progress.submitted;
-            let Some(place) = range.clone().find(|place| over(&progress.states[*place], now) == model) else {
-                return told(format!(
-                    "{model:?} is none of the states that may be; first {:?}",
-                    over(&progress.states[progress.acknowledged], now)
+            let Some(index) =
+                range.clone().find(|index| without_expired(&progress.states[*index], now) == model)
+            else {
+                return fail_here(format!(
+                    "{model:?} is none of the allowed states; the first of them is {:?}",
+                    without_expired(&progress.states[progress.acknowledged], now)
                 ));
             };
-            if deeper {
+            if goes_deeper {
                 let batch = Batch::new().put("z", [depth as u8], [1]);
-                let mut next = Model::clone(&progress.states[place]);
+                let mut next = Model::clone(&progress.states[index]);
                 apply(&mut next, &batch);
-                if let Err(error) = engine.commit(now, &[Item::Batch(&batch)]) {
-                    told(format!("no round after recovery: {error}"));
+                if let Err(error) = engine.commit(now, &[CommitItem::Batch(&batch)]) {
+                    fail_here(format!("no commit after recovery: {error}"));
                 }
                 let inner = Progress {
-                    states: vec![progress.states[place].clone(), Arc::new(next)],
+                    states: vec![progress.states[index].clone(), Arc::new(next)],
                     acknowledged: 0,
                     submitted: 1,
                     ..Progress::default()
                 };
-                let images = std::mem::take(&mut *share.lock().unwrap());
-                for (number, (image, before)) in images.into_iter().enumerate() {
-                    // Until recovery is over, what was not acknowledged before it may still go.
-                    let of = if number < in_recovery { progress } else { &inner };
-                    let (acknowledged, submitted) = (0, of.submitted - of.acknowledged);
-                    let states = of.states[of.acknowledged..=of.submitted].to_vec();
-                    let (checkpointed, recovering) = (of.checkpointed, false);
-                    let inner =
-                        Progress { states, acknowledged, submitted, checkpointed, recovering, before };
+                let images = std::mem::take(&mut *snapshots.lock().unwrap());
+                for (number, (image, last_call)) in images.into_iter().enumerate() {
+                    // Until recovery is complete, description was not acknowledged before it may still be lost.
+                    let outer = if number < recovery_snapshots { progress } else { &inner };
+                    let (acknowledged, submitted) = (0, outer.submitted - outer.acknowledged);
+                    let states = outer.states[outer.acknowledged..=outer.submitted].to_vec();
+                    let (has_checkpoint, is_recovering) = (outer.has_checkpoint, false);
+                    let inner = Progress {
+                        states,
+                        acknowledged,
+                        submitted,
+                        has_checkpoint,
+                        is_recovering,
+                        last_call,
+                    };
                     self.crash(&image, &inner, seed.wrapping_add(number as u64 * 7919), depth + 1);
                 }
             }
@@ -238,10 +256,10 @@
     }
 }
 
-fn word(call: &Call) -> &'static str {
+fn call_name(call: &Call) -> &'static str {
     match call {
         Call::Write { .. } => "write",
-        Call::Cut { .. } => "cut",
+        Call::Truncate { .. } => "truncate",
         Call::Sync { .. } => "sync",
         Call::Create(_) => "create",
         Call::Rename(..) => "rename",
@@ -251,13 +269,17 @@
     }
 }
 
-/// Values that end carry their end in front.
-fn over(model: &Model, now: UnixTime) -> Model {
-    let lasts = |value: &[u8]| match value.first_chunk::<9>() {
+/// The model without its expired values, which carry their expiry in front.
+fn without_expired(model: &Model, now: UnixTime) -> Model {
+    let is_live = |value: &[u8]| match value.first_chunk::<9>() {
         Some([0xee, end @ ..]) => u64::from_le_bytes(*end) > now.0,
         _ => true,
     };
-    model.iter().filter(|(_, value)| lasts(value)).map(|(key, value)| (key.clone(), value.clone())).collect()
+    model
+        .iter()
+        .filter(|(_, value)| is_live(value))
+        .map(|(key, value)| (key.clone(), value.clone()))
+        .collect()
 }
 
 fn apply(model: &mut Model, batch: &Batch) {
@@ -273,17 +295,17 @@
     }
 }
 
-fn batch(chance: &mut Pcg64Mcg, now: UnixTime) -> Batch {
+fn batch(rng: &mut Pcg64Mcg, now: UnixTime) -> Batch {
     let mut batch = Batch::new();
-    for _ in 0..chance.gen_range(1..4) {
-        let space = ["a", "b"][chance.gen_range(0..2)];
-        let key = vec![chance.gen_range(0..12u8)];
-        let mut value = vec![0; chance.gen_range(0..90)];
-        chance.fill(&mut value[..]);
-        batch = match chance.gen_range(0..10) {
+    for _ in 0..rng.gen_range(1..4) {
+        let space = ["a", "b"][rng.gen_range(0..2)];
+        let key = vec![rng.gen_range(0..12u8)];
+        let mut value = vec![0; rng.gen_range(0..90)];
+        rng.fill(&mut value[..]);
+        batch = match rng.gen_range(0..10) {
             0..=2 => batch.delete(space, key),
             3 => {
-                let end = now + Span(chance.gen_range(1..40));
+                let end = now + Span(rng.gen_range(1..40));
                 value.splice(0..0, [&[0xee][..], &end.0.to_le_bytes()].concat());
                 batch.put_until(space, key, value, end)
             }
@@ -293,40 +315,46 @@
     batch
 }
 
-/// One seeded run; returns what it found wrong.
-fn explore(seed: u64, without: Without, faults: bool, rounds: usize) -> (usize, Option<String>) {
+/// One seeded run; returns the number of crash points and the first failure.
+fn explore(
+    seed: u64,
+    disabled: DisabledSafeguard,
+    with_faults: bool,
+    rounds: usize,
+) -> (usize, Option<String>) {
     let explorer = Arc::new(Explorer {
         progress: Mutex::new(Progress { states: vec![Arc::default()], ..Progress::default() }),
-        without,
-        points: AtomicUsize::new(0),
+        disabled,
+        crash_points: AtomicUsize::new(0),
         failure: Mutex::default(),
     });
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut of_calls = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
-    let own = explorer.clone();
-    let watch = move |image: &Image, call: Call| {
-        let mut progress = own.progress.lock().unwrap();
-        let read = matches!(call, Call::Read { .. });
-        if !read {
-            own.crash(image, &progress, of_calls.gen(), 0);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let mut call_rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
+    let explorer_of_hook = explorer.clone();
+    let hook = move |image: &Image, call: Call| {
+        let mut progress = explorer_of_hook.progress.lock().unwrap();
+        let is_read = matches!(call, Call::Read { .. });
+        if !is_read {
+            explorer_of_hook.crash(image, &progress, call_rng.gen(), 0);
         }
-        let skipped = own.skips(image, call, &progress);
-        if !read {
-            progress.before = word(&call).into();
+        let is_skipped = explorer_of_hook.is_skipped(image, call, &progress);
+        if !is_read {
+            progress.last_call = call_name(&call).into();
         }
-        let often = if matches!(call, Call::Write { .. }) { 0.15 } else { 0.03 };
-        let fault = faults && !progress.recovering && of_calls.gen_bool(often);
+        let fault_probability = if matches!(call, Call::Write { .. }) { 0.15 } else { 0.03 };
+        let is_fault = with_faults && !progress.is_recovering && call_rng.gen_bool(fault_probability);
         match call {
-            _ if skipped => Fate::Skipped,
-            Call::Write { bytes, .. } if fault => {
-                let taken = of_calls.gen_range(0..=bytes.len());
-                [Fate::Short(taken.max(1)), Fate::Full(taken), Fate::Fails][of_calls.gen_range(0..3)]
+            _ if is_skipped => Fate::Ignored,
+            Call::Write { bytes, .. } if is_fault => {
+                let written = call_rng.gen_range(0..=bytes.len());
+                [Fate::ShortWrite(written.max(1)), Fate::DiskFull(written), Fate::Error]
+                    [call_rng.gen_range(0..3)]
             }
-            Call::Sync { .. } | Call::SyncFolder | Call::Create(_) if fault => Fate::Fails,
+            Call::Sync { .. } | Call::SyncFolder | Call::Create(_) if is_fault => Fate::Error,
             _ => Fate::Well,
         }
     };
-    let disk = Disk::new(Image::default(), Some(Box::new(watch)));
+    let disk = Disk::new(Image::default(), Some(Box::new(hook)));
     let mut now = UnixTime(1_000);
     let mut engine = explorer.open(disk.clone(), seed).unwrap();
     let mut restart = false;
@@ -334,67 +362,73 @@
         if explorer.failed() {
             break;
         }
-        // The clock goes back now and then.
-        now = if chance.gen_bool(0.1) { now - Span(3) } else { now + Span(chance.gen_range(0..4)) };
-        match chance.gen_range(0..12) {
+        // The clock goes back sometimes.
+        now = if rng.gen_bool(0.1) { now - Span(3) } else { now + Span(rng.gen_range(0..4)) };
+        match rng.gen_range(0..12) {
             0 => checkpoint(&explorer, &engine),
             1..=3 => {
                 let at = now.max(engine.position().time);
-                compact(&explorer, &mut engine, at, &mut chance);
+                compact(&explorer, &mut engine, at, &mut rng);
             }
             4 => restart = true,
             _ => {
-                let batches: Vec<Batch> =
-                    (0..chance.gen_range(1..4)).map(|_| batch(&mut chance, now)).collect();
-                let items: Vec<Item> = batches.iter().map(Item::Batch).collect();
+                let batches: Vec<Batch> = (0..rng.gen_range(1..4)).map(|_| batch(&mut rng, now)).collect();
+                let items: Vec<CommitItem> = batches.iter().map(CommitItem::Batch).collect();
                 let _ = commit(&explorer, &mut engine, now, &items);
             }
         }
-        if std::mem::take(&mut restart) || engine.stopped().is_some() {
+        if std::mem::take(&mut restart) || engine.read_only_reason().is_some() {
             drop(engine);
-            explorer.progress.lock().unwrap().recovering = true;
+            explorer.progress.lock().unwrap().is_recovering = true;
             engine = match explorer.open(disk.clone(), seed + round as u64) {
                 Ok(engine) => engine,
                 Err(error) => {
-                    explorer.fail(format!("no start in round {round}: {error}"));
+                    explorer.fail(format!("recovery failed in round {round}: {error}"));
                     break;
                 }
             };
             let at = engine.position().time;
-            let model = found(&engine, at).unwrap_or_default();
+            let model = read_model(&engine, at).unwrap_or_default();
             let mut progress = explorer.progress.lock().unwrap();
-            progress.recovering = false;
+            progress.is_recovering = false;
             let range = progress.acknowledged..=progress.submitted;
-            let Some(place) = range.clone().find(|place| over(&progress.states[*place], at) == model) else {
+            let Some(index) =
+                range.clone().find(|index| without_expired(&progress.states[*index], at) == model)
+            else {
                 drop(progress);
-                explorer.fail(format!("round {round}: none of the states that may be"));
+                explorer.fail(format!("round {round}: the recovered state is none of the allowed ones"));
                 break;
             };
-            progress.states.truncate(place + 1);
-            (progress.acknowledged, progress.submitted) = (place, place);
+            progress.states.truncate(index + 1);
+            (progress.acknowledged, progress.submitted) = (index, index);
         }
     }
     let failure = explorer.failure.lock().unwrap().take();
-    (explorer.points.load(Relaxed), failure)
+    (explorer.crash_points.load(Relaxed), failure)
 }
 
 fn checkpoint(explorer: &Explorer, engine: &Engine) {
-    let written = Writer::begin(engine.disk.clone(), engine.position()).and_then(|mut writer| {
+    let written = Writer::create(engine.disk.clone(), engine.position()).and_then(|mut writer| {
         while writer.step(&engine.view, 40)?.1 {}
         writer.finish(engine.position())
     });
     if written.is_ok() {
-        explorer.progress.lock().unwrap().checkpointed = true;
+        explorer.progress.lock().unwrap().has_checkpoint = true;
     }
 }
 
-/// Commits a round and keeps the model in step with what came of it.
-fn commit(explorer: &Explorer, engine: &mut Engine, now: UnixTime, items: &[Item]) -> Result<(), Error> {
+/// Commits items and updates the model according to the outcome.
+fn commit(
+    explorer: &Explorer,
+    engine: &mut Engine,
+    now: UnixTime,
+    items: &[CommitItem],
+) -> Result<(), Error> {
     {
         let mut progress = explorer.progress.lock().unwrap();
         for item in items {
             let mut next = Model::clone(progress.states.last().unwrap());
-            if let Item::Batch(batch) = item {
+            if let CommitItem::Batch(batch) = item {
                 apply(&mut next, batch);
             }
             progress.states.push(Arc::new(next));
@@ -405,8 +439,8 @@
     let mut progress = explorer.progress.lock().unwrap();
     match &result {
         Ok(_) => progress.acknowledged = progress.submitted,
-        // Refused: nothing of it may turn up later.
-        Err(Error::Full(_)) => {
+        // Rejected: nothing of it may reappear later.
+        Err(Error::DiskFull(_)) => {
             let kept = progress.acknowledged;
             progress.states.truncate(kept + 1);
             progress.submitted = kept;
@@ -416,31 +450,34 @@
     result.map(|_| ())
 }
 
-fn compact(explorer: &Explorer, engine: &mut Engine, now: UnixTime, chance: &mut Pcg64Mcg) {
-    let Some((id, end)) = engine.sealed().next() else { return };
-    let segment = engine::read(&engine.view).segments[&id].clone();
-    let mut at = format::SEGMENT_HEAD as u64;
+fn compact(explorer: &Explorer, engine: &mut Engine, now: UnixTime, rng: &mut Pcg64Mcg) {
+    let Some((id, end)) = engine.sealed_segments().next() else { return };
+    let segment = engine::read_view(&engine.view).segments[&id].clone();
+    let mut at = format::SEGMENT_HEADER_BYTES as u64;
     while at < end {
         let (moves, walked) =
-            compaction::look(&segment, at, end, chance.gen_range(1..300), &engine.view, now).unwrap();
-        // Keys are rewritten and deleted between the look and the move, and in the move's own round.
-        let (before, beside) = (batch(chance, now), batch(chance, now));
-        if chance.gen_bool(0.3) && commit(explorer, engine, now, &[Item::Batch(&before)]).is_err() {
+            compaction::find_live_records(&segment, at, end, rng.gen_range(1..300), &engine.view, now)
+                .unwrap();
+        // Change keys between the search for live records and their move, and in the same commit as the move.
+        let (earlier_batch, same_commit_batch) = (batch(rng, now), batch(rng, now));
+        if rng.gen_bool(0.3) && commit(explorer, engine, now, &[CommitItem::Batch(&earlier_batch)]).is_err() {
             return;
         }
-        let round = [Item::Batch(&beside), Item::Moves(&moves)];
-        let round = if chance.gen_bool(0.3) { &round[..] } else { &round[1..] };
-        if !moves.is_empty() && commit(explorer, engine, now, round).is_err() {
+        let items = [CommitItem::Batch(&same_commit_batch), CommitItem::Moves(&moves)];
+        let items = if rng.gen_bool(0.3) { &items[..] } else { &items[1..] };
+        if !moves.is_empty() && commit(explorer, engine, now, items).is_err() {
             return;
         }
-        at = walked.next.unwrap_or(end);
+        at = walked.next_offset.unwrap_or(end);
     }
     let _ = engine.trim(now, id);
 }
 
-/// Plays so many seeds on several threads; the crash points done, and what the lowest seed found wrong.
-fn run(without: Without, runs: usize, faults: bool) -> (usize, Option<String>) {
-    let (next, done, first) = (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(None::<(usize, String)>));
+/// Runs seeds on several threads; returns the number of crash points and the failure of the lowest failed
+/// seed.
+fn run(disabled: DisabledSafeguard, runs: usize, with_faults: bool) -> (usize, Option<String>) {
+    let (next, crash_points, first) =
+        (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(None::<(usize, String)>));
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| loop {
@@ -448,42 +485,43 @@
                 if seed >= runs || first.lock().unwrap().is_some() {
                     return;
                 }
-                let (found, failure) = explore(seed as u64, without, faults, 60);
-                done.fetch_add(found, Relaxed);
-                if let Some(what) = failure {
+                let (points, failure) = explore(seed as u64, disabled, with_faults, 60);
+                crash_points.fetch_add(points, Relaxed);
+                if let Some(description) = failure {
                     let mut first = first.lock().unwrap();
                     if first.as_ref().is_none_or(|(known, _)| seed < *known) {
-                        *first = Some((seed, what));
+                        *first = Some((seed, description));
                     }
                 }
             });
         }
     });
-    let failure = first.into_inner().unwrap().map(|(seed, what)| format!("run {seed}: {what}"));
-    (done.into_inner(), failure)
+    let failure = first.into_inner().unwrap().map(|(seed, description)| format!("run {seed}: {description}"));
+    (crash_points.into_inner(), failure)
 }
 
 #[test_case(false; "a disk that only crashes")]
-#[test_case(true; "one that also fails")]
-fn nothing_acknowledged_is_lost(faults: bool) {
-    let (done, failure) = run(Without::Nothing, 6, faults);
+#[test_case(true; "a disk that also fails")]
+fn nothing_acknowledged_is_lost(with_faults: bool) {
+    let (crash_points, failure) = run(DisabledSafeguard::Nothing, 6, with_faults);
     assert_eq!(failure, None);
-    println!("{done} crash points");
-    assert!(done >= 100_000, "{done} crash points");
+    println!("{crash_points} crash points");
+    assert!(crash_points >= 100_000, "{crash_points} crash points");
 }
 
-#[test_case(Without::LogSync, false)]
-#[test_case(Without::HeadSync, false)]
-#[test_case(Without::SegmentFolderSync, false)]
-#[test_case(Without::RecoverySync, true)]
-#[test_case(Without::RecoveryRewrite, true)]
-#[test_case(Without::RecoveryFolderSync, true)]
-#[test_case(Without::CutSync, true)]
-#[test_case(Without::CheckpointSync, false)]
-#[test_case(Without::CheckpointFolderSync, false)]
-#[test_case(Without::Checksums, false)]
-fn a_defence_left_out_is_found(without: Without, faults: bool) {
-    let (done, failure) = run(without, 40, faults);
-    let failure = failure.unwrap_or_else(|| panic!("{without:?}: nothing found wrong at {done} points"));
-    println!("{without:?} found after {done} points: {failure}");
+#[test_case(DisabledSafeguard::LogSync, false)]
+#[test_case(DisabledSafeguard::HeaderSync, false)]
+#[test_case(DisabledSafeguard::SegmentFolderSync, false)]
+#[test_case(DisabledSafeguard::RecoverySync, true)]
+#[test_case(DisabledSafeguard::RecoveryRewrite, true)]
+#[test_case(DisabledSafeguard::RecoveryFolderSync, true)]
+#[test_case(DisabledSafeguard::TruncateSync, true)]
+#[test_case(DisabledSafeguard::CheckpointSync, false)]
+#[test_case(DisabledSafeguard::CheckpointFolderSync, false)]
+#[test_case(DisabledSafeguard::Checksums, false)]
+fn a_disabled_safeguard_is_detected(disabled: DisabledSafeguard, with_faults: bool) {
+    let (crash_points, failure) = run(disabled, 40, with_faults);
+    let failure =
+        failure.unwrap_or_else(|| panic!("{disabled:?}: no failure at {crash_points} crash points"));
+    println!("{disabled:?} detected after {crash_points} crash points: {failure}");
 }
--- a/crates/store/tests/threads.rs
+++ b/crates/store/tests/threads.rs
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn made_clock() -> (Clock, Arc<AtomicU64>) {
+fn manual_clock() -> (Clock, Arc<AtomicU64>) {
     let at = Arc::new(AtomicU64::new(1_000_000));
-    let own = at.clone();
-    (Arc::new(move || UnixTime(own.load(SeqCst))), at)
+    let shared = at.clone();
+    (Arc::new(move || UnixTime(shared.load(SeqCst))), at)
 }
 
 const FAST: Whole = Whole { bytes_a_second: 1e9, time_share: 1.0, ..BUDGET };
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn many_writers_share_syncs_and_all_is_there_after_a_start() {
+fn concurrent_writers_share_syncs_and_all_batches_survive_a_restart() {
     let folder = tempfile::tempdir().unwrap();
-    let (clock, _) = made_clock();
+    let (clock, _) = manual_clock();
     let options = Options { segment_bytes: 20_000, ..Options::default() };
     let store = Store::open(folder.path(), options.clone(), clock.clone(), Some(FAST)).unwrap();
     std::thread::scope(|scope| {
@@ -40,11 +40,11 @@
             });
         }
     });
-    // A second one is refused for as long as the first is open.
+    // A second open is rejected while the first store is open.
     let second = Store::open(folder.path(), options.clone(), clock.clone(), None);
     assert!(matches!(second.err(), Some(Error::Locked(_))));
     let stats = store.stats();
-    assert!(stats.rounds < stats.batches, "{stats:?}");
+    assert!(stats.commit_groups < stats.batches, "{stats:?}");
     store.close().unwrap();
     let store = Store::open(folder.path(), options, clock, None).unwrap();
     let all = store.scan("s", Bound::Unbounded, 1_000).unwrap();
@@ -54,30 +54,30 @@
 }
 
 #[test]
-fn rewriting_everything_ten_times_leaves_little_over_what_lives() {
+fn compaction_bounds_the_log_after_ten_rewrites() {
     let folder = tempfile::tempdir().unwrap();
-    let (clock, _) = made_clock();
+    let (clock, _) = manual_clock();
     let options = Options { segment_bytes: 64 << 10, ..Options::default() };
     let store = Store::open(folder.path(), options, clock, Some(FAST)).unwrap();
     for round in 0..10u8 {
-        for part in 0..40u32 {
-            let batch = (0..50).fold(Batch::new(), |b, n| b.put("s", key(part * 50 + n), vec![round; 300]));
+        for chunk in 0..40u32 {
+            let batch = (0..50).fold(Batch::new(), |b, n| b.put("s", key(chunk * 50 + n), vec![round; 300]));
             store.write(batch).unwrap();
         }
     }
     let end = Instant::now() + Duration::from_secs(60);
-    let over = || store.stats().log_bytes as f64 / store.stats().live_bytes as f64;
-    while over() > 1.5 && Instant::now() < end {
+    let ratio = || store.stats().log_bytes as f64 / store.stats().live_bytes as f64;
+    while ratio() > 1.5 && Instant::now() < end {
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(over() <= 1.5, "{:?}", store.stats());
+    assert!(ratio() <= 1.5, "{:?}", store.stats());
     assert!(store.scan("s", Bound::Unbounded, 9_999).unwrap().iter().all(|(_, value)| value == &[9; 300]));
 }
 
 #[test]
-fn what_has_ended_stays_so_when_the_clock_goes_back() {
+fn expired_records_stay_expired_when_the_clock_goes_back() {
     let folder = tempfile::tempdir().unwrap();
-    let (clock, at) = made_clock();
+    let (clock, at) = manual_clock();
     let store = Store::open(folder.path(), Options::default(), clock.clone(), None).unwrap();
     store
         .write(Batch::new().put_until("s", "short", "1", UnixTime(2_000_000)).put("s", "long", "2"))
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn a_snapshot_stays_as_it_was() {
+fn a_snapshot_is_immutable() {
     let folder = tempfile::tempdir().unwrap();
-    let (clock, _) = made_clock();
+    let (clock, _) = manual_clock();
     let options = Options { segment_bytes: 2_000, ..Options::default() };
     let store = Store::open(folder.path(), options, clock.clone(), None).unwrap();
     for n in 0..100 {
@@ -111,65 +111,65 @@
     store.compact().unwrap();
     let mut bytes = Vec::new();
     assert_eq!(snapshot.export(&mut bytes).unwrap(), 100);
-    let into = tempfile::tempdir().unwrap();
-    std::fs::write(into.path().join("0000000001.log"), bytes).unwrap();
-    let copy = Store::open(into.path(), Options::default(), clock, None).unwrap();
+    let folder_of_copy = tempfile::tempdir().unwrap();
+    std::fs::write(folder_of_copy.path().join("0000000001.log"), bytes).unwrap();
+    let copy = Store::open(folder_of_copy.path(), Options::default(), clock, None).unwrap();
     assert!(copy.scan("s", Bound::Unbounded, 999).unwrap().iter().all(|(_, value)| value == b"old"));
 }
 
 #[test]
-fn a_stalled_disk_holds_up_no_reader_and_refuses_what_it_can_t_hold() {
-    let (clock, _) = made_clock();
+fn a_stalled_disk_blocks_no_submitter_and_excess_batches_are_rejected() {
+    let (clock, _) = manual_clock();
     let stall = Arc::new(AtomicU64::new(0));
-    let own = stall.clone();
-    let watch = move |_: &Image, call: Call| {
+    let shared = stall.clone();
+    let hook = move |_: &Image, call: Call| {
         if matches!(call, Call::Sync { .. }) {
-            std::thread::sleep(Duration::from_millis(own.load(SeqCst)));
+            std::thread::sleep(Duration::from_millis(shared.load(SeqCst)));
         }
         Fate::Well
     };
-    let disk = Disk::new(Image::default(), Some(Box::new(watch)));
+    let disk = Disk::new(Image::default(), Some(Box::new(hook)));
     let store = Store::on(Arc::new(disk), Options::default(), clock, None).unwrap();
     store.write(Batch::new().put("s", "a", "1")).unwrap();
     stall.store(500, SeqCst);
-    let (tell, told) = channel();
-    let begun = Instant::now();
+    let (sender, results) = channel();
+    let started = Instant::now();
     for number in 0..40u32 {
-        let tell = tell.clone();
+        let sender = sender.clone();
         let batch = Batch::new().put("s", key(number), vec![0; 1 << 20]);
-        store.submit(batch, Box::new(move |result| tell.send(result.is_ok()).unwrap_or_default()));
+        store.submit(batch, Box::new(move |result| sender.send(result.is_ok()).unwrap_or_default()));
     }
-    assert!(begun.elapsed() < Duration::from_millis(400), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(400), "{:?}", started.elapsed());
     stall.store(0, SeqCst);
-    drop(tell);
-    let results: Vec<bool> = told.iter().collect();
+    drop(sender);
+    let results: Vec<bool> = results.iter().collect();
     assert!(
         results.len() == 40 && results.iter().any(|ok| !ok) && results.iter().filter(|ok| **ok).count() > 20
     );
 }
 
 #[test]
-fn a_failed_sync_leaves_it_read_only_and_says_why() {
-    let (clock, _) = made_clock();
+fn a_failed_sync_makes_the_store_read_only_with_a_reason() {
+    let (clock, _) = manual_clock();
     let fail = Arc::new(AtomicU64::new(0));
-    let own = fail.clone();
-    let watch = move |_: &Image, call: Call| match call {
-        Call::Sync { .. } if own.load(SeqCst) == 1 => Fate::Fails,
-        Call::Write { .. } if own.load(SeqCst) == 2 => Fate::Full(3),
+    let shared = fail.clone();
+    let hook = move |_: &Image, call: Call| match call {
+        Call::Sync { .. } if shared.load(SeqCst) == 1 => Fate::Error,
+        Call::Write { .. } if shared.load(SeqCst) == 2 => Fate::DiskFull(3),
         _ => Fate::Well,
     };
-    let disk = Disk::new(Image::default(), Some(Box::new(watch)));
+    let disk = Disk::new(Image::default(), Some(Box::new(hook)));
     let store = Store::on(Arc::new(disk), Options::default(), clock, None).unwrap();
     store.write(Batch::new().put("s", "a", "1")).unwrap();
     fail.store(2, SeqCst);
-    assert!(matches!(store.write(Batch::new().put("s", "a", "2")), Err(Error::Full(_))));
+    assert!(matches!(store.write(Batch::new().put("s", "a", "2")), Err(Error::DiskFull(_))));
     fail.store(0, SeqCst);
     store.write(Batch::new().put("s", "b", "2")).unwrap();
     fail.store(1, SeqCst);
     assert!(matches!(store.write(Batch::new().put("s", "a", "3")), Err(Error::ReadOnly(_))));
     fail.store(0, SeqCst);
-    let Err(Error::ReadOnly(why)) = store.write(Batch::new().put("s", "a", "4")) else { panic!() };
-    assert!(why.contains("syncing 0000000001.log failed"), "{why}");
+    let Err(Error::ReadOnly(reason)) = store.write(Batch::new().put("s", "a", "4")) else { panic!() };
+    assert!(reason.contains("syncing 0000000001.log failed"), "{reason}");
     assert_eq!(store.get("s", b"a").unwrap().as_deref(), Some(&b"1"[..]));
-    assert_eq!(store.stats().read_only, Some(why));
+    assert_eq!(store.stats().read_only, Some(reason));
 }
