--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -32,7 +32,7 @@
 
 /// Commits per second of several threads during one second, each in turn with its own sync or sharing syncs;
 /// also returns the batches per sync.
-fn rate(dir: &Path, writers: usize, is_serial: bool) -> (f64, f64) {
+fn commit_rate(dir: &Path, writers: usize, is_serial: bool) -> (f64, f64) {
     let turn = Mutex::new(());
     let store = open(dir, Options::default());
     let (started, end) = (Instant::now(), AtomicBool::new(false));
@@ -60,7 +60,7 @@
 }
 
 /// A writer that submits its next batch once the last one is durable, as a dispatcher does; no thread waits.
-struct Chain {
+struct ChainedWriter {
     store: Arc<Store>,
     done: Arc<AtomicUsize>,
     end: Instant,
@@ -68,14 +68,14 @@
     _open: Sender<()>,
 }
 
-fn submit_next(chain: Chain, number: usize) {
-    let store = chain.store.clone();
+fn submit_next(writer: ChainedWriter, number: usize) {
+    let store = writer.store.clone();
     let batch = Batch::new().put("s", number.to_be_bytes(), vec![7; 100]);
     let next = move |result: Result<Seq, Error>| {
         result.unwrap();
-        chain.done.fetch_add(1, Relaxed);
-        if Instant::now() < chain.end {
-            submit_next(chain, number + 64);
+        writer.done.fetch_add(1, Relaxed);
+        if Instant::now() < writer.end {
+            submit_next(writer, number + 64);
         }
     };
     store.submit(batch, Box::new(next));
@@ -87,7 +87,10 @@
     let (open, closed) = channel();
     let end = Instant::now() + Duration::from_secs(1);
     for number in 0..writers {
-        submit_next(Chain { store: store.clone(), done: done.clone(), end, _open: open.clone() }, number);
+        submit_next(
+            ChainedWriter { store: store.clone(), done: done.clone(), end, _open: open.clone() },
+            number,
+        );
     }
     drop(open);
     assert!(closed.recv().is_err());
@@ -103,8 +106,8 @@
     let mut batches_per_sync = Vec::new();
     for _ in 0..ROUNDS {
         let (one, many) = (tempfile::tempdir_in(".").unwrap(), tempfile::tempdir_in(".").unwrap());
-        let (serial_rate, _) = rate(one.path(), 64, true);
-        let (shared_rate, batches) = rate(many.path(), 64, false);
+        let (serial_rate, _) = commit_rate(one.path(), 64, true);
+        let (shared_rate, batches) = commit_rate(many.path(), 64, false);
         println!("  {serial_rate:.0} and {shared_rate:.0} batches per second");
         ratios.push(shared_rate / serial_rate);
         batches_per_sync.push(batches);
@@ -261,28 +264,30 @@
 
 /// The time from submitting a record until its callback, at 500 records per second.
 fn record() {
-    for outlasts in [Outlasts::Process, Outlasts::Machine] {
+    for durability in [Outlasts::Process, Outlasts::Machine] {
         let dir = tempfile::tempdir_in(".").unwrap();
         let store = open(dir.path(), Options::default());
         let times = Arc::new(Mutex::new(Histogram::<u64>::new(3).unwrap()));
         for number in 0..1500u32 {
-            let (started, own) = (Instant::now(), times.clone());
+            let (started, times) = (Instant::now(), times.clone());
             let done = move |result: Result<Seq, Error>| {
                 result.unwrap();
-                own.lock().unwrap().record(started.elapsed().as_micros() as u64).unwrap();
+                times.lock().unwrap().record(started.elapsed().as_micros() as u64).unwrap();
             };
             let batch = Batch::new().put("visits", format!("{number:032x}"), vec![7; 40]);
-            store.submit_for(outlasts, batch, Box::new(done));
+            store.submit_for(durability, batch, Box::new(done));
             std::thread::sleep(Duration::from_millis(2));
         }
         let times = times.lock().unwrap();
         let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
-        println!("latency of a record that survives a crash of the {outlasts:?}: p50 {p50} us, p99 {p99} us");
+        println!(
+            "latency of a record that survives a crash of the {durability:?}: p50 {p50} us, p99 {p99} us"
+        );
     }
 }
 
 fn main() {
-    let only = std::env::args().nth(1).filter(|word| !word.starts_with("--"));
+    let selected = std::env::args().nth(1).filter(|word| !word.starts_with("--"));
     let benchmarks: [(&str, fn()); 7] = [
         ("memory", memory),
         ("group", group_commit),
@@ -293,7 +298,7 @@
         ("record", record),
     ];
     for (name, benchmark) in benchmarks {
-        if only.as_ref().is_none_or(|only| only == name) {
+        if selected.as_ref().is_none_or(|selected| selected == name) {
             benchmark();
         }
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -14,6 +14,7 @@
     /// Reads at an offset; returns 0 at the end of the file.
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
     fn length(&self) -> io::Result<u64>;
+    /// Sets the length of the file.
     fn cut(&self, length: u64) -> io::Result<()>;
     /// Makes earlier writes survive a crash of the machine. After an error the file's unsynced data must not
     /// be trusted, even if a later call succeeds.
@@ -22,6 +23,7 @@
 
 /// The folder that holds the files of a store.
 pub trait Disk: Send + Sync {
+    /// The names of all files in the folder.
     fn names(&self) -> io::Result<Vec<String>>;
     /// Creates an empty file; fails if the name exists.
     fn create(&self, name: &str) -> io::Result<Arc<dyn File>>;
--- a/crates/store/src/engine.rs
+++ b/crates/store/src/engine.rs
@@ -489,6 +489,7 @@
     }
 }
 
+/// A change of the index, applied once the commit is synced.
 enum Edit<'a> {
     Set(&'a str, &'a [u8], Entry),
     Remove(&'a str, &'a [u8]),
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -111,7 +111,7 @@
     live_bytes: BTreeMap<SegmentId, u64>,
     /// The number of records.
     records: usize,
-    /// The number of records that have an expiry.
+    /// The number of those that have an expiry.
     expiring: usize,
 }
 
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -253,7 +253,7 @@
 }
 
 impl State {
-    fn fate(&mut self, call: Call) -> Fate {
+    fn outcome_of(&mut self, call: Call) -> Fate {
         match &mut self.hook {
             Some(hook) => hook(&self.image, call),
             None => Fate::Well,
@@ -262,7 +262,7 @@
 
     /// Carries out a call that either succeeds as a whole or fails.
     fn run_call(&mut self, call: Call, then: impl FnOnce(&mut Image) -> io::Result<()>) -> io::Result<()> {
-        match self.fate(call) {
+        match self.outcome_of(call) {
             Fate::Well | Fate::ShortWrite(_) => then(&mut self.image),
             Fate::Ignored => Ok(()),
             Fate::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
@@ -271,12 +271,13 @@
     }
 }
 
-struct Handle {
+/// An open file of the simulated disk.
+struct FileHandle {
     disk: Disk,
     id: usize,
 }
 
-impl Handle {
+impl FileHandle {
     fn name(&self, state: &State) -> String {
         state.image.files.get(&self.id).map(|content| content.name.clone()).unwrap_or_default()
     }
@@ -286,12 +287,12 @@
     io::ErrorKind::NotFound.into()
 }
 
-impl disk::File for Handle {
+impl disk::File for FileHandle {
     fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
         let mut state = self.disk.state();
         let name = self.name(&state);
-        let fate = state.fate(Call::Write { file: &name, offset, bytes });
-        let written = match fate {
+        let outcome = state.outcome_of(Call::Write { file: &name, offset, bytes });
+        let written = match outcome {
             Fate::Well => bytes.len(),
             Fate::Ignored => return Ok(bytes.len()),
             Fate::ShortWrite(limit) | Fate::DiskFull(limit) => limit.min(bytes.len()),
@@ -305,7 +306,7 @@
             content.current[from..to].copy_from_slice(&bytes[..written]);
             content.mark_written(from, to);
         }
-        match fate {
+        match outcome {
             Fate::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
             Fate::Error => Err(io::Error::other("injected failure")),
             _ => Ok(written),
@@ -315,7 +316,7 @@
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
         let mut state = self.disk.state();
         let name = self.name(&state);
-        if let Fate::Error = state.fate(Call::Read { file: &name }) {
+        if let Fate::Error = state.outcome_of(Call::Read { file: &name }) {
             return Err(io::Error::other("injected failure"));
         }
         let content = state.image.files.get(&self.id).ok_or_else(not_found)?;
@@ -380,12 +381,12 @@
             image.unsynced_names.push(NameChange::Set(name.to_owned(), id));
             Ok(())
         })?;
-        Ok(Arc::new(Handle { disk: self.clone(), id }))
+        Ok(Arc::new(FileHandle { disk: self.clone(), id }))
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn disk::File>> {
         let id = *self.state().image.names.get(name).ok_or_else(not_found)?;
-        Ok(Arc::new(Handle { disk: self.clone(), id }))
+        Ok(Arc::new(FileHandle { disk: self.clone(), id }))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -235,7 +235,7 @@
         let index = group.items.len() as u64;
         group.bytes += item.bytes();
         group.items.push(item);
-        group.callbacks.extend(done.map(|(outlasts, done)| (index, outlasts, done)));
+        group.callbacks.extend(done.map(|(durability, done)| (index, durability, done)));
         (group.result.clone(), index)
     }
 
@@ -261,7 +261,7 @@
     /// Commits a group, notifies its writers and lets the next commit begin.
     fn commit(&self, mut group: CommitGroup) {
         let (after_write, after_sync): (Vec<_>, Vec<_>) =
-            group.callbacks.drain(..).partition(|(_, outlasts, _)| *outlasts == Outlasts::Process);
+            group.callbacks.drain(..).partition(|(_, durability, _)| *durability == Outlasts::Process);
         let mut after_write = Some(after_write);
         let items: Vec<CommitItem> = group.items.iter().map(QueuedItem::item).collect();
         let (result, due_work) = {
@@ -383,7 +383,7 @@
     }
 
     /// Like `submit`, with the crash that the batch must survive before `done` is called.
-    pub fn submit_for(&self, outlasts: Outlasts, batch: Batch, done: CommitCallback) {
+    pub fn submit_for(&self, durability: Outlasts, batch: Batch, done: CommitCallback) {
         if let Err(error) = batch.check() {
             done(Err(error));
             return;
@@ -395,7 +395,7 @@
             () if queue.is_closed => Error::Closed,
             () if pending > MAX_PENDING_BYTES => Error::QueueFull(pending),
             () => {
-                self.shared.enqueue(&mut queue, QueuedItem::Batch(batch), Some((outlasts, done)));
+                self.shared.enqueue(&mut queue, QueuedItem::Batch(batch), Some((durability, done)));
                 if !queue.is_committing {
                     self.shared.commit_ready.notify_one();
                 }
--- a/crates/store/tests/threads.rs
+++ b/crates/store/tests/threads.rs
@@ -17,7 +17,7 @@
     (Arc::new(move || UnixTime(shared.load(SeqCst))), at)
 }
 
-const FAST: Whole = Whole { bytes_a_second: 1e9, time_share: 1.0, ..BUDGET };
+const FAST_BUDGET: Whole = Whole { bytes_a_second: 1e9, time_share: 1.0, ..BUDGET };
 
 fn key(number: u32) -> Vec<u8> {
     number.to_be_bytes().to_vec()
@@ -28,7 +28,7 @@
     let folder = tempfile::tempdir().unwrap();
     let (clock, _) = manual_clock();
     let options = Options { segment_bytes: 20_000, ..Options::default() };
-    let store = Store::open(folder.path(), options.clone(), clock.clone(), Some(FAST)).unwrap();
+    let store = Store::open(folder.path(), options.clone(), clock.clone(), Some(FAST_BUDGET)).unwrap();
     std::thread::scope(|scope| {
         for writer in 0..16 {
             let store = &store;
@@ -58,7 +58,7 @@
     let folder = tempfile::tempdir().unwrap();
     let (clock, _) = manual_clock();
     let options = Options { segment_bytes: 64 << 10, ..Options::default() };
-    let store = Store::open(folder.path(), options, clock, Some(FAST)).unwrap();
+    let store = Store::open(folder.path(), options, clock, Some(FAST_BUDGET)).unwrap();
     for round in 0..10u8 {
         for chunk in 0..40u32 {
             let batch = (0..50).fold(Batch::new(), |b, n| b.put("s", key(chunk * 50 + n), vec![round; 300]));
