--- a/crates/peers/src/delivery.rs
+++ b/crates/peers/src/delivery.rs
@@ -1,6 +1,6 @@
-//! The delivery of the change log's changes in one process (docs/fleet-delivery.md): a carrier, or a follower, and the
-//! addresses of followers that no list names.
-use crate::run::Peer;
+//! Delivery of change log records in one process (docs/fleet-delivery.md): the carrier or follower role, and
+//! the addresses of unlisted followers.
+use crate::event_loop::Peer;
 use crate::FromFleet;
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
@@ -11,47 +11,48 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// An unlisted sender that is not carried is remembered for so long: its refusal goes to its address.
-const GUEST_HOLDS: Span = Span::millis(2_000);
-/// Unlisted senders that are remembered, against the followers that are carried at most. Past it new ones are not heard.
-const GUESTS_OVER_FOLLOWERS: usize = 2;
+/// How long the address of an unlisted sender without a carried connection is kept, so that it can be
+/// answered.
+const GUEST_TIMEOUT: Span = Span::millis(2_000);
+/// Maximum number of unlisted senders per allowed follower; messages of further ones are rejected.
+const GUESTS_PER_FOLLOWER: usize = 2;
 
-/// What the delivery is told at its start.
+/// Settings of the delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Set {
-    /// Names of members.
+    /// Names of the members that are carriers.
     pub carriers: Vec<String>,
-    /// The last change that the configuration tells.
+    /// The last change included in the configuration.
     pub last: ChangeNumber,
     pub room: delivery::Set,
 }
 
-/// A change of the log as it was read, in its carried form.
+/// A change read from the log, encoded for delivery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogChange {
     pub number: ChangeNumber,
     pub record: Record,
 }
 
-/// What a process read of the change log in one request.
+/// The result of one request to the change log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRead {
-    /// At a carrier, in order.
+    /// The changes in order; only set at a carrier.
     pub changes: Vec<LogChange>,
-    /// The last change that the process has now.
+    /// The last change known to the process.
     pub last: ChangeNumber,
-    /// When the request went out, if its answer came whole.
+    /// Time of the request, if its answer was complete.
     pub asked: Option<Instant>,
 }
 
-/// What the delivery tells the dispatcher.
+/// A message from the delivery to the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Delivered {
-    /// Changes to be taken in this order, the first one's number and those that follow on it.
+    /// Consecutive changes in order, with the number of the first.
     Changes { first: ChangeNumber, records: Vec<Record> },
-    /// Whether the log is to be read directly from now on.
+    /// Whether the dispatcher has to read the log directly from now on.
     ReadLog(bool),
-    /// All changes that the log had then were told.
+    /// All changes that the log had at this time have been delivered.
     KnownUpTo(Instant),
 }
 
@@ -60,28 +61,29 @@
     Follower(Box<Follower>),
 }
 
+/// An unlisted sender.
 struct Guest {
     peer: Peer,
-    heard: Time,
+    last_message: Time,
 }
 
-/// The room with its addresses.
+/// The role of this process in the delivery, with the addresses of unlisted senders.
 pub struct Delivery {
     role: Role,
     guests: BTreeMap<MemberId, Guest>,
-    guests_most: usize,
+    max_guests: usize,
 }
 
 impl Delivery {
     pub fn start(set: Set, own: MemberId, seed: u64, now: Time) -> Delivery {
         let carriers: Vec<MemberId> = set.carriers.iter().map(|name| MemberId::of(name)).collect();
-        let guests_most = set.room.followers.saturating_mul(GUESTS_OVER_FOLLOWERS);
+        let max_guests = set.room.followers.saturating_mul(GUESTS_PER_FOLLOWER);
         let role = if carriers.contains(&own) {
             Role::Carrier(Box::new(Carrier::new(set.room, set.last)))
         } else {
             Role::Follower(Box::new(Follower::new(set.room, own, &carriers, set.last, seed, now)))
         };
-        Delivery { role, guests: BTreeMap::new(), guests_most }
+        Delivery { role, guests: BTreeMap::new(), max_guests }
     }
 
     pub fn next_effect(&mut self) -> Option<Effect> {
@@ -91,17 +93,17 @@
         }
     }
 
-    /// Whether one that no list names may be heard, and where it is answered from now on.
+    /// Whether messages of an unlisted sender are accepted. Remembers the address for answers.
     pub fn admits_guest(&mut self, now: Time, from: MemberId, at: SocketAddr, reads: u8) -> bool {
         let is_known = self.guests.contains_key(&from);
-        if !matches!(self.role, Role::Carrier(_)) || !is_known && self.guests.len() >= self.guests_most {
+        if !matches!(self.role, Role::Carrier(_)) || !is_known && self.guests.len() >= self.max_guests {
             return false;
         }
         let guest = self.guests.entry(from).or_insert_with(|| Guest {
             peer: Peer::new(&format!("{:x}", from.0), at, LocationId::default()),
-            heard: now,
+            last_message: now,
         });
-        (guest.heard, guest.peer.address, guest.peer.reads) = (now, at, reads);
+        (guest.last_message, guest.peer.address, guest.peer.newest_form) = (now, at, reads);
         true
     }
 
@@ -109,25 +111,27 @@
         self.guests.get(&id).map(|guest| &guest.peer)
     }
 
-    pub fn heard(&mut self, now: Time, from: MemberId, incarnation: Incarnation, said: Said) {
+    pub fn handle_message(&mut self, now: Time, from: MemberId, incarnation: Incarnation, said: Said) {
         match &mut self.role {
             Role::Carrier(carrier) => carrier.heard(now, from, incarnation, said),
             Role::Follower(follower) => follower.heard(now, from, said),
         }
     }
 
-    pub fn woken(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         match &mut self.role {
             Role::Carrier(carrier) => {
                 carrier.woken(now);
-                self.guests.retain(|id, guest| carrier.carries(*id) || now - guest.heard <= GUEST_HOLDS);
+                self.guests
+                    .retain(|id, guest| carrier.carries(*id) || now - guest.last_message <= GUEST_TIMEOUT);
             }
             Role::Follower(follower) => follower.woken(now),
         }
     }
 
-    /// `asked`: by the fleet's clock. What the dispatcher is to be told at once.
-    pub fn read(&mut self, asked: Option<Time>, read: LogRead) -> Option<FromFleet> {
+    /// Handles what the dispatcher read from the log; `asked` is the request time by the fleet's clock.
+    /// Returns a message for the dispatcher, if any.
+    pub fn handle_log_read(&mut self, asked: Option<Time>, read: LogRead) -> Option<FromFleet> {
         match &mut self.role {
             Role::Carrier(carrier) => {
                 read.changes.into_iter().for_each(|change| carrier.read(change.number, change.record));
@@ -141,7 +145,7 @@
         }
     }
 
-    pub fn leave(&mut self) {
+    pub fn shut_down(&mut self) {
         match &mut self.role {
             Role::Carrier(carrier) => carrier.leave(),
             Role::Follower(follower) => follower.leave(),
--- a/crates/peers/src/disk.rs
+++ b/crates/peers/src/disk.rs
@@ -1,7 +1,8 @@
-//! A disk that lies as it is told, over a real folder: for tests of whole processes, never in the released program.
-//! The orders stand in a file, one a line, and hold for as long as they stand there:
-//! `lose` (writes and syncs are acknowledged and stay in memory: at the kill they are gone), `error` (writes and
-//! syncs fail), `full` (writes do), `flip` (one bit of the next write, once) and `stall MS` (the next sync, once).
+//! Disk fault injection for tests of whole processes; not part of release builds. Wraps a folder and reads
+//! orders from a file, one per line, each active while its line is in the file:
+//! `lose` (writes and syncs succeed but stay in memory and are lost when the process is killed), `error`
+//! (writes and syncs fail), `full` (writes fail), `flip` (flips one bit of the next write, once) and `stall
+//! MS` (delays the next sync, once).
 use cherrypass_store::disk::{write_all, Disk, File, Folder};
 use std::collections::BTreeSet;
 use std::io;
@@ -9,39 +10,39 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Names the file of orders.
-pub const ORDERS: &str = "CHERRYPASS_DISK_ORDERS";
+/// Environment variable with the path of the orders file.
+pub const ORDERS_VARIABLE: &str = "CHERRYPASS_DISK_ORDERS";
 
-/// The folder as it is, or under orders where the environment names a file of them.
+/// The folder itself, or wrapped in a [`FaultyDisk`] if the environment names an orders file.
 pub fn over(folder: Folder) -> Arc<dyn Disk> {
-    match std::env::var_os(ORDERS) {
-        Some(orders) => Arc::new(Lying::new(Arc::new(folder), orders.into())),
+    match std::env::var_os(ORDERS_VARIABLE) {
+        Some(orders) => Arc::new(FaultyDisk::new(Arc::new(folder), orders.into())),
         None => Arc::new(folder),
     }
 }
 
 struct Orders {
     path: PathBuf,
-    /// What is to happen once and has.
-    done: Mutex<BTreeSet<String>>,
+    /// One-time orders that were already carried out.
+    completed: Mutex<BTreeSet<String>>,
 }
 
 impl Orders {
     fn lines(&self) -> Vec<String> {
         let text = std::fs::read_to_string(&self.path).unwrap_or_default();
         let lines: Vec<String> = text.lines().map(|line| line.trim().to_owned()).collect();
-        lock(&self.done).retain(|line| lines.contains(line));
+        lock(&self.completed).retain(|line| lines.contains(line));
         lines
     }
 
-    fn holds(&self, order: &str) -> bool {
+    fn is_active(&self, order: &str) -> bool {
         self.lines().iter().any(|line| line == order)
     }
 
-    fn once(&self, order: &str) -> Option<String> {
+    fn take_once(&self, order: &str) -> Option<String> {
         let first = |line: &String| line.split(' ').next() == Some(order);
         let line = self.lines().into_iter().find(first)?;
-        lock(&self.done).insert(line.clone()).then_some(line)
+        lock(&self.completed).insert(line.clone()).then_some(line)
     }
 }
 
@@ -49,67 +50,68 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub struct Lying {
-    under: Arc<dyn Disk>,
+/// A disk that injects the faults named in an orders file.
+pub struct FaultyDisk {
+    inner: Arc<dyn Disk>,
     orders: Arc<Orders>,
 }
 
-impl Lying {
-    pub fn new(under: Arc<dyn Disk>, orders: PathBuf) -> Lying {
-        Lying { under, orders: Arc::new(Orders { path: orders, done: Mutex::default() }) }
+impl FaultyDisk {
+    pub fn new(inner: Arc<dyn Disk>, orders: PathBuf) -> FaultyDisk {
+        FaultyDisk { inner, orders: Arc::new(Orders { path: orders, completed: Mutex::default() }) }
     }
 
-    fn file(&self, under: Arc<dyn File>) -> Arc<dyn File> {
-        Arc::new(LyingFile { under, orders: self.orders.clone(), held: Mutex::default() })
+    fn wrap_file(&self, inner: Arc<dyn File>) -> Arc<dyn File> {
+        Arc::new(FaultyFile { inner, orders: self.orders.clone(), unsynced_content: Mutex::default() })
     }
 }
 
-impl Disk for Lying {
+impl Disk for FaultyDisk {
     fn names(&self) -> io::Result<Vec<String>> {
-        self.under.names()
+        self.inner.names()
     }
 
     fn create(&self, name: &str) -> io::Result<Arc<dyn File>> {
-        Ok(self.file(self.under.create(name)?))
+        Ok(self.wrap_file(self.inner.create(name)?))
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn File>> {
-        Ok(self.file(self.under.open(name)?))
+        Ok(self.wrap_file(self.inner.open(name)?))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.under.rename(from, to)
+        self.inner.rename(from, to)
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.under.remove(name)
+        self.inner.remove(name)
     }
 
     fn sync_folder(&self) -> io::Result<()> {
-        self.under.sync_folder()
+        self.inner.sync_folder()
     }
 }
 
-struct LyingFile {
-    under: Arc<dyn File>,
+struct FaultyFile {
+    inner: Arc<dyn File>,
     orders: Arc<Orders>,
-    /// The whole content while syncs are lost.
-    held: Mutex<Option<Vec<u8>>>,
+    /// The whole file content while `lose` is active.
+    unsynced_content: Mutex<Option<Vec<u8>>>,
 }
 
-impl LyingFile {
-    /// The content in memory where it is kept from the disk; once that is no longer ordered it goes there.
-    fn held(&self) -> io::Result<MutexGuard<'_, Option<Vec<u8>>>> {
-        let mut held = lock(&self.held);
-        match (self.orders.holds("lose"), held.is_some()) {
+impl FaultyFile {
+    /// The in-memory content while `lose` is active; writes it to the disk once the order is withdrawn.
+    fn content_in_memory(&self) -> io::Result<MutexGuard<'_, Option<Vec<u8>>>> {
+        let mut held = lock(&self.unsynced_content);
+        match (self.orders.is_active("lose"), held.is_some()) {
             (true, false) => {
-                let length = self.under.length()? as usize;
-                *held = Some(cherrypass_store::disk::read_range(&*self.under, 0, length)?);
+                let length = self.inner.length()? as usize;
+                *held = Some(cherrypass_store::disk::read_range(&*self.inner, 0, length)?);
             }
             (false, true) => {
                 let bytes = held.take().unwrap_or_default();
-                self.under.cut(bytes.len() as u64)?;
-                write_all(&*self.under, 0, &bytes)?;
+                self.inner.cut(bytes.len() as u64)?;
+                write_all(&*self.inner, 0, &bytes)?;
             }
             _ => {}
         }
@@ -117,69 +119,70 @@
     }
 }
 
-impl File for LyingFile {
+impl File for FaultyFile {
     fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
-        if self.orders.holds("error") {
-            return Err(io::Error::other("ordered to fail"));
+        if self.orders.is_active("error") {
+            return Err(io::Error::other("injected disk error"));
         }
-        if self.orders.holds("full") {
+        if self.orders.is_active("full") {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let mut bytes = bytes.to_vec();
         let middle = bytes.len() / 2;
-        if let Some(byte) = bytes.get_mut(middle).filter(|_| self.orders.once("flip").is_some()) {
+        if let Some(byte) = bytes.get_mut(middle).filter(|_| self.orders.take_once("flip").is_some()) {
             *byte ^= 0x10;
         }
-        match &mut *self.held()? {
+        match &mut *self.content_in_memory()? {
             Some(held) => {
                 let (from, to) = (offset as usize, offset as usize + bytes.len());
                 held.resize(held.len().max(to), 0);
                 held[from..to].copy_from_slice(&bytes);
                 Ok(bytes.len())
             }
-            None => self.under.write_at(offset, &bytes),
+            None => self.inner.write_at(offset, &bytes),
         }
     }
 
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
-        match &*self.held()? {
+        match &*self.content_in_memory()? {
             Some(held) => {
                 let left = held.get(offset as usize..).unwrap_or_default();
                 let most = left.len().min(into.len());
                 into[..most].copy_from_slice(&left[..most]);
                 Ok(most)
             }
-            None => self.under.read_at(offset, into),
+            None => self.inner.read_at(offset, into),
         }
     }
 
     fn length(&self) -> io::Result<u64> {
-        match &*self.held()? {
+        match &*self.content_in_memory()? {
             Some(held) => Ok(held.len() as u64),
-            None => self.under.length(),
+            None => self.inner.length(),
         }
     }
 
     fn cut(&self, length: u64) -> io::Result<()> {
-        match &mut *self.held()? {
+        match &mut *self.content_in_memory()? {
             Some(held) => {
                 held.resize(length as usize, 0);
                 Ok(())
             }
-            None => self.under.cut(length),
+            None => self.inner.cut(length),
         }
     }
 
     fn sync(&self) -> io::Result<()> {
-        if self.orders.holds("error") {
-            return Err(io::Error::other("ordered to fail"));
+        if self.orders.is_active("error") {
+            return Err(io::Error::other("injected disk error"));
         }
-        if let Some(ms) = self.orders.once("stall").and_then(|line| line.split(' ').nth(1)?.parse().ok()) {
+        if let Some(ms) = self.orders.take_once("stall").and_then(|line| line.split(' ').nth(1)?.parse().ok())
+        {
             std::thread::sleep(Duration::from_millis(ms));
         }
-        match &*self.held()? {
+        match &*self.content_in_memory()? {
             Some(_) => Ok(()),
-            None => self.under.sync(),
+            None => self.inner.sync(),
         }
     }
 }
--- a/crates/peers/src/driven.rs
+++ b/crates/peers/src/driven.rs
@@ -1,25 +1,27 @@
-//! A member without threads and sockets of its own, for tools that run many of them in one process: whoever holds it
-//! brings what came, wakes it when that is due, and sends what it says. All else is the code of [`crate::Peers`].
-use crate::keep::Keeper;
-use crate::run::{Input, Run, Waiting};
-use crate::{assemble, Error, FromFleet, Outside, Set, ToFleet};
+//! A member without threads and sockets of its own, for tools that run many of them in one process. The
+//! caller delivers received datagrams, calls the timer and sends outgoing datagrams; the rest is shared with
+//! [`crate::Peers`].
+use crate::event_loop::{Backlog, EventLoop, Input};
+use crate::rollout_store::RolloutStore;
+use crate::{assemble, Environment, Error, FromFleet, Set, ToFleet};
 use cherrypass::time::{Span, Time};
 use crossbeam_channel::Receiver;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// One member at work. It has no disk: what its rollout keeps counts as kept at once, and is gone with it.
+/// One running member. It has no disk: rollout records count as stored at once and are lost with it.
 pub struct Driven {
-    run: Run,
+    run: EventLoop,
     own: Receiver<Input>,
     every: Span,
     next: Time,
 }
 
 impl Driven {
-    /// `out` sends one datagram, `tell` takes what holds for the dispatcher, `log` lines for the operators. The
-    /// set's `listen` and `control` are not used.
+    /// `out` sends one datagram, `tell` receives messages to the dispatcher, `log` lines for the operator.
+    /// `listen` and
+    /// `control` of the settings are not used.
     pub fn start(
         set: Set,
         out: impl Fn(&[u8], SocketAddr) + Send + 'static,
@@ -29,60 +31,60 @@
         set.check()?;
         let (own, inputs) = crossbeam_channel::unbounded();
         let every = set.every;
-        let outside = Outside {
-            keeper: Keeper::in_memory(),
-            kept: Vec::new(),
+        let environment = Environment {
+            rollout_store: RolloutStore::in_memory(),
+            stored_records: Vec::new(),
             log: Arc::new(log),
-            tell: Box::new(tell),
-            out: Box::new(out),
-            own,
-            waiting: Arc::new(Waiting::default()),
+            notify_dispatcher: Box::new(tell),
+            send_datagram: Box::new(out),
+            own_inputs: own,
+            backlog: Arc::new(Backlog::default()),
         };
-        let mut run = assemble(set, outside)?;
-        let next = run.begin() + every;
+        let mut run = assemble(set, environment)?;
+        let next = run.start() + every;
         Ok(Driven { run, own: inputs, every, next })
     }
 
-    /// A datagram came from an address.
+    /// Handles a received datagram.
     pub fn datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         let now = self.run.clock.now();
-        self.run.datagram(now, bytes, from);
-        self.carry_out(now);
+        self.run.handle_datagram(now, bytes, from);
+        self.apply_effects(now);
     }
 
-    /// What the dispatcher tells the fleet.
+    /// Handles a message from the dispatcher.
     pub fn told(&mut self, what: ToFleet) {
         let now = self.run.clock.now();
-        self.run.told(now, what);
-        self.carry_out(now);
+        self.run.handle_dispatcher_message(now, what);
+        self.apply_effects(now);
     }
 
-    /// When [`Driven::woken`] is to be called.
+    /// When [`Driven::woken`] has to be called next.
     pub fn due(&self) -> Instant {
         self.run.clock.instant(self.next)
     }
 
-    /// The one periodic timer; nothing happens before it is due.
+    /// Runs the periodic timer; does nothing before it is due.
     pub fn woken(&mut self) {
         let now = self.run.clock.now();
         if now < self.next {
             return;
         }
-        self.run.woken(now);
-        self.carry_out(now);
+        self.run.tick(now);
+        self.apply_effects(now);
         self.next = now.max(self.next + self.every);
     }
 
-    /// Tells the others that this member leaves.
+    /// Leaves the fleet in order.
     pub fn leave(mut self) {
         self.run.leave();
     }
 
-    fn carry_out(&mut self, now: Time) {
-        self.run.carry_out(now);
+    fn apply_effects(&mut self, now: Time) {
+        self.run.apply_effects(now);
         while let Ok(input) = self.own.try_recv() {
-            self.run.take(now, input);
-            self.run.carry_out(now);
+            self.run.handle_input(now, input);
+            self.run.apply_effects(now);
         }
     }
 }
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -1,45 +1,46 @@
-//! What keeps a fleet from starting, and what its operator can do.
+//! Errors that prevent a fleet from starting.
 use cherrypass_fleet::{limits, verdicts};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// Why a fleet could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    #[error("fleet: {name} is not among the members; add it, or set `me` to one of them")]
+    #[error("fleet: {name} is not listed as a member; add it to `members`, or set `me` to a listed name")]
     NotListed { name: String },
-    #[error("fleet: {name} is listed twice; each member and follower needs a name of its own")]
+    #[error("fleet: {name} is listed twice; each member and follower needs a unique name")]
     Twice { name: String },
-    #[error("fleet.{what}: {found} are listed, {most} are taken; make a fleet of its own of the others")]
+    #[error(
+        "fleet.{what}: {found} are listed, at most {most} are supported; split them into several fleets"
+    )]
     TooMany { what: &'static str, found: usize, most: usize },
-    #[error("fleet: no name; give the fleet one of 1 to {most} bytes")]
+    #[error("fleet: the name has to be 1 to {most} bytes long")]
     Name { most: usize },
-    #[error("fleet: form {found} of messages is not known; this build writes {least} to {most}")]
+    #[error("fleet: message form {found} is not supported; this build supports {least} to {most}")]
     Form { found: u8, least: u8, most: u8 },
     #[error("fleet: {what} is {found}; {wanted}")]
     Value { what: &'static str, found: String, wanted: &'static str },
-    #[error(
-        "fleet: can't listen on {at}: {error}; is another process there, or the address not this machine's?"
-    )]
+    #[error("fleet: can't listen on {at}: {error}; check that the address is local and not in use")]
     Listen { at: SocketAddr, error: io::Error },
     #[error(
-        "fleet: control on {at} is refused; orders carry no sign-in, so it has to be a loopback address"
+        "fleet: control address {at} is not allowed; orders are not authenticated, so use a loopback address"
     )]
     NotLoopback { at: SocketAddr },
-    #[error("fleet: can't listen for control on {at}: {error}; is another process there?")]
+    #[error("fleet: can't listen for control on {at}: {error}; check that the address is not in use")]
     Control { at: SocketAddr, error: String },
     #[error("fleet.limits: {0}")]
     Limits(#[from] limits::SetError),
     #[error("fleet.{0}")]
     Verdicts(#[from] verdicts::SetError),
-    #[error("fleet: can't write events to {}: {error}; check the path and its rights, or leave `events` out", path.display())]
+    #[error("fleet: can't open event log {}: {error}; check the path and its permissions, or remove `events`", path.display())]
     Events { path: PathBuf, error: io::Error },
-    #[error("fleet: can't start a thread: {0}; check the limits on processes and memory")]
+    #[error("fleet: can't start a thread: {0}; check the process and memory limits")]
     Thread(io::Error),
 }
 
 impl Error {
-    /// Short and lasting, for alarms and searches.
+    /// A short, stable code for alerts and searches.
     pub fn code(&self) -> &'static str {
         match self {
             Error::NotListed { .. } => "fleet-not-listed",
--- a/crates/peers/src/events.rs
+++ b/crates/peers/src/events.rs
@@ -1,5 +1,5 @@
-//! The event log: one JSON object a line, for whoever judges a run. Its writer has a thread of its own, so that a
-//! slow disk holds up no decision; without a path there is neither thread nor cost.
+//! The event log: one JSON object per line, used by test tools to check a run. A separate thread writes it,
+//! so that a slow disk delays no decision. Without a path nothing is collected and no thread is started.
 use crate::clock::Clock;
 use crate::error::Error;
 use cherrypass::time::Time;
@@ -11,51 +11,53 @@
 use std::sync::Arc;
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 
+/// Receives log lines for the operator.
 pub type Log = Arc<dyn Fn(&str) + Send + Sync>;
 
-/// Lines that may wait for the disk; more are let go.
-const LINES: usize = 16 << 10;
+/// Maximum number of lines waiting for the disk; further ones are dropped.
+const MAX_WAITING_LINES: usize = 16 << 10;
 
-/// Writes until that fails once: one line says so, and then it is off.
-struct Lasting {
+/// The event log file. After the first failed write it logs one line and discards everything else.
+struct EventFile {
     file: Option<BufWriter<File>>,
     path: PathBuf,
     log: Log,
 }
 
-impl Lasting {
-    fn with(&mut self, call: impl FnOnce(&mut BufWriter<File>) -> io::Result<()>) {
+impl EventFile {
+    fn try_io(&mut self, call: impl FnOnce(&mut BufWriter<File>) -> io::Result<()>) {
         let Some(Err(error)) = self.file.as_mut().map(call) else { return };
-        // What is in its buffer is not to be tried again as it is dropped.
+        // Discards the buffer, which would otherwise be written again on drop.
         if let Some(file) = self.file.take() {
             drop(file.into_parts());
         }
         let path = self.path.display();
         (self.log)(&format!(
-            "fleet: events are off: {path} can't be written: {error}; make room and start anew"
+            "fleet: event log stopped: can't write {path}: {error}; free disk space and restart"
         ));
     }
 }
 
-impl Write for Lasting {
+impl Write for EventFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.with(|file| file.write_all(bytes));
+        self.try_io(|file| file.write_all(bytes));
         Ok(bytes.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.with(|file| file.flush());
+        self.try_io(|file| file.flush());
         Ok(())
     }
 }
 
+/// The event log of one process.
 pub struct Events {
-    to: Option<(NonBlocking, WorkerGuard)>,
+    writer: Option<(NonBlocking, WorkerGuard)>,
     pub me: String,
     incarnation: u64,
     clock: Clock,
     log: Log,
-    told: bool,
+    reported_loss: bool,
 }
 
 impl Events {
@@ -63,22 +65,29 @@
         let open = |path: &Path| -> Result<_, Error> {
             let file = OpenOptions::new().append(true).create(true).open(path);
             let file = file.map_err(|error| Error::Events { path: path.to_owned(), error })?;
-            let lasting =
-                Lasting { file: Some(BufWriter::new(file)), path: path.to_owned(), log: log.clone() };
-            let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES);
-            Ok(builder.thread_name("fleet-events").finish(lasting))
+            let file =
+                EventFile { file: Some(BufWriter::new(file)), path: path.to_owned(), log: log.clone() };
+            let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
+            Ok(builder.thread_name("fleet-events").finish(file))
         };
         let to = path.map(open).transpose()?;
-        Ok(Events { to, me: me.to_owned(), incarnation: clock.unix, clock, log, told: false })
+        Ok(Events {
+            writer: to,
+            me: me.to_owned(),
+            incarnation: clock.start_unix,
+            clock,
+            log,
+            reported_loss: false,
+        })
     }
 
     pub fn is_on(&self) -> bool {
-        self.to.is_some()
+        self.writer.is_some()
     }
 
-    /// `values` is only called where events are on.
-    pub fn note<V: Serialize>(&mut self, now: Time, e: &str, values: impl FnOnce(&Clock) -> V) {
-        let Some((to, _)) = &mut self.to else { return };
+    /// Writes an event named `e`. `values` is only called if the event log is on.
+    pub fn write_event<V: Serialize>(&mut self, now: Time, e: &str, values: impl FnOnce(&Clock) -> V) {
+        let Some((to, _)) = &mut self.writer else { return };
         let mut line = Map::new();
         line.insert("t".into(), self.clock.unix(now).into());
         line.insert("me".into(), self.me.as_str().into());
@@ -91,9 +100,9 @@
         bytes.push(b'\n');
         let _ = to.write(&bytes);
         let lost = to.error_counter().dropped_lines();
-        if lost > 0 && !self.told {
-            self.told = true;
-            (self.log)("fleet: events were let go, their disk is too slow; a run can't be judged by them");
+        if lost > 0 && !self.reported_loss {
+            self.reported_loss = true;
+            (self.log)("fleet: event log is incomplete: events were dropped because the disk is too slow");
         }
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,6 +1,6 @@
-//! The fleet's decisions on sockets, timers and the store: one UDP socket, one thread that reads it and one that
-//! decides. What a dispatcher finds out goes in by [`Peers::send`], what holds for it comes out by the call it
-//! gave at the start.
+//! Runs the fleet protocols of `cherrypass-fleet` on a UDP socket, a timer and the store. One thread reads
+//! the socket, another runs the event loop. The dispatcher sends its messages with [`Peers::send`] and
+//! receives those of the fleet through the callback given to [`Peers::start`].
 #![forbid(unsafe_code)]
 
 mod clock;
@@ -11,11 +11,11 @@
 #[cfg(feature = "driven")]
 pub mod driven;
 pub mod error;
+mod event_loop;
 mod events;
-mod keep;
 pub mod link;
-mod refusals;
-mod run;
+mod rejection_log;
+mod rollout_store;
 
 pub use error::Error;
 
@@ -33,10 +33,10 @@
 use clock::Clock;
 use crossbeam_channel::Sender;
 use delivery::{Delivered, Delivery, LogRead};
+use event_loop::{Backlog, EventLoop, Input, Peer, Role, SendDatagram};
 use events::{Events, Log};
-use keep::Keeper;
-use refusals::Refusals;
-use run::{Input, Out, Peer, Role, Run, Waiting};
+use rejection_log::RejectionLog;
+use rollout_store::RolloutStore;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -45,100 +45,81 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Members of one fleet at most; and of the followers.
+/// Maximum number of members of a fleet, and of its followers.
 pub const MEMBERS: usize = rollout::MEMBERS;
 pub const FOLLOWERS: usize = 1_024;
-/// What a message names of each member at most: an id and a run in ten bytes each; in the feed a number too.
-const NAMED: usize = 20;
-const PLACED: usize = 30;
-/// What else such a message holds: numbers, ballots, steps, and the reason of a halt.
-const BESIDE: usize = 1_024;
-const _: () = assert!(MEMBERS * NAMED + BESIDE <= link::PAYLOAD_MOST);
-const _: () = assert!(MEMBERS * PLACED + BESIDE <= link::PAYLOAD_MOST);
-/// What the dispatcher told and the fleet's thread has not taken yet, at most.
-const TOLD_MOST: usize = 16 << 10;
-/// Of each thread.
-const STACK: usize = 512 << 10;
+/// Maximum encoded size of one member in a message: id and incarnation at ten bytes each; in the feed also a
+/// number.
+const MEMBER_BYTES: usize = 20;
+const FEED_MEMBER_BYTES: usize = 30;
+/// Maximum encoded size of the rest of such a message: numbers, ballots, steps and the reason of a halt.
+const OTHER_BYTES: usize = 1_024;
+const _: () = assert!(MEMBERS * MEMBER_BYTES + OTHER_BYTES <= link::PAYLOAD_MOST);
+const _: () = assert!(MEMBERS * FEED_MEMBER_BYTES + OTHER_BYTES <= link::PAYLOAD_MOST);
+/// Maximum number of dispatcher messages that may wait for the event loop.
+const MAX_WAITING_DISPATCHER_MESSAGES: usize = 16 << 10;
+const THREAD_STACK_BYTES: usize = 512 << 10;
 
+/// What this dispatcher found out about a host from its own hand-offs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
     pub host: HostId,
-    /// The host's start as the list gives it, the same at all dispatchers.
+    /// Start time of the host as given by the host list; identical at all dispatchers.
     pub since: Option<UnixTime>,
     pub kind: Kind,
-    /// Hand-offs that speak for it.
+    /// Number of hand-offs that support the finding.
     pub evidence: u32,
-    /// How long ago the last of them did; zero where it stands now and no more is known.
+    /// Age of the latest of them; zero where the finding holds now and nothing more is known.
     pub age: Span,
 }
 
-/// What the dispatcher tells the fleet.
+/// A message from the dispatcher to the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToFleet {
-    /// What it would use of a limit if it could; to be told again at least every 10 s while it lasts.
-    Wants {
-        key: Key,
-        amount: f64,
-    },
-    /// The `FromFleet::Part` of this key and number is in force. Untold, this member lends nothing of what it keeps.
-    Taken {
-        key: Key,
-        number: u64,
-    },
-    /// The most it used within the last second; for the event log alone.
-    Used {
-        key: Key,
-        amount: f64,
-    },
-    /// Its own module holds this, by its own hand-offs alone; to be told again as evidence comes.
+    /// What the dispatcher would use of a limit; has to be repeated at least every 10 s while it lasts.
+    Wants { key: Key, amount: f64 },
+    /// The `FromFleet::Part` of this key and number is in force. Until this is confirmed, the member lends
+    /// nothing.
+    Taken { key: Key, number: u64 },
+    /// Peak use within the last second. Only written to the event log.
+    Used { key: Key, amount: f64 },
+    /// A finding based only on own hand-offs; sent again when there is new evidence.
     Found(Finding),
-    /// It holds the host to be bad no more.
+    /// The earlier finding about this host no longer holds.
     Cleared(HostId),
-    /// Own hand-offs to a host went well after it was told to be bad.
+    /// Own hand-offs to a host succeeded although others reported it as failing.
     Refuted(HostId),
-    /// The list's word on a host that is ready.
-    Listed {
-        host: HostId,
-        since: Option<UnixTime>,
-        used_by: UsedBy,
-    },
-    /// The host is draining or gone.
+    /// The host list has this host in service.
+    Listed { host: HostId, since: Option<UnixTime>, used_by: UsedBy },
+    /// The host is draining or no longer listed.
     Unlisted(HostId),
+    /// Traffic figures of the last period, for the rollout.
     Counted(Figures),
-    /// `FromFleet::Rules` of this number can't be taken; the old ones stay in force.
-    /// How many must say the same of a host, and which part of the location's dispatchers, by the rules in force.
-    Weighed {
-        tellers: u8,
-        part: f64,
-    },
-    NotTaken {
-        number: u64,
-        why: String,
-    },
-    /// The module has shut a host out, by what others told or by its own evidence; for the event log alone.
-    Shut {
-        host: HostId,
-        told: bool,
-    },
-    /// It has taken a host back in; for the event log alone.
-    Back {
-        host: HostId,
-    },
+    /// Verdict thresholds of the rules in force: how many dispatchers must report the same about a host, and
+    /// which fraction of those at the location.
+    Weighed { tellers: u8, part: f64 },
+    /// `FromFleet::Rules` of this number can't be applied; the previous rules stay in force.
+    NotTaken { number: u64, why: String },
+    /// A host was ejected, because of reports (`told`) or own evidence. Only written to the event log.
+    Shut { host: HostId, told: bool },
+    /// A host was readmitted. Only written to the event log.
+    Back { host: HostId },
+    /// An operator order to the rollout.
     Order(Order),
-    /// What was read of the change log; only where the delivery is on.
+    /// Changes read from the change log. Only used where delivery is configured.
     LogRead(LogRead),
-    /// As `Peers::stop`, without waiting.
+    /// Stops the event loop, like `Peers::stop` but without waiting.
     Stop,
 }
 
-/// What the fleet tells the dispatcher.
+/// A message from the fleet to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromFleet {
-    /// Its part of a limit: `amount` until a point in time, from then on `after` without any further call. Answered
-    /// by `ToFleet::Taken` with its number once it is in force.
+    /// This dispatcher's allowance of a limit: `amount` until `until`, then `after` without a further
+    /// message. The dispatcher answers with `ToFleet::Taken` and the same number once it is in force.
     Part { key: Key, number: u64, amount: f64, until: Instant, after: f64 },
-    /// Others found a host bad, or that it just started; void from `until` on. `weight` is below 1, own evidence's.
-    /// `age`: of the oldest evidence it rests on, at most.
+    /// Other dispatchers report that a host is failing or has restarted; expires at `until`. `weight` is
+    /// relative to own evidence and below 1, `age` the maximum age of the underlying evidence.
     Hearsay {
         host: HostId,
         since: Option<UnixTime>,
@@ -148,56 +129,58 @@
         age: Span,
         tellers: u8,
     },
-    /// What was told of a host's being bad counts no more.
+    /// The verdict on this host no longer holds.
     Withdraw { host: HostId },
-    /// Rules in force here from now on; number 0 and no text: those of the operators' file alone.
+    /// Rules in force here from now on. Number 0 with an empty text: only those of the operator file.
     Rules { number: u64, text: Arc<str> },
-    /// Changes of the change log, and what is known of them.
+    /// A message of the delivery of the change log.
     Delivered(Delivered),
 }
 
+/// A configured member of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub name: String,
-    /// Where this process sends to.
+    /// Address that this process sends to.
     pub address: SocketAddr,
     pub location: LocationId,
 }
 
-/// Takes the feed, has no say.
+/// A configured follower: receives the feed, takes part in no decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Follower {
     pub name: String,
     pub address: SocketAddr,
 }
 
-/// What a fleet is told at its start.
+/// Settings of a fleet as seen by one process.
 #[derive(Clone, Debug)]
 pub struct Set {
     pub fleet: String,
-    /// This process: one of the members, or of the followers.
+    /// Name of this process; one of the members or followers.
     pub me: String,
     pub listen: SocketAddr,
     pub members: Vec<Member>,
     pub followers: Vec<Follower>,
-    /// Names of locations, for orders.
+    /// Locations by name, for orders that name them.
     pub locations: BTreeMap<String, LocationId>,
-    /// JSON lines for whoever judges a run; none, no cost.
+    /// File of the event log; without it no events are collected.
     pub events: Option<PathBuf>,
-    /// On loopback: status, and orders to the rollout.
+    /// Address of the control listener; has to be on loopback.
     pub control: Option<SocketAddr>,
-    /// The newest form of messages to write and to be written to; without it the newest that is known. To each member
-    /// goes the newest that both have.
+    /// Newest message form to read and write; the newest known one by default. Each pair of members uses the
+    /// newest form that both support.
     pub form: Option<u8>,
-    /// The periodic timer.
+    /// Interval of the periodic timer.
     pub every: Span,
     pub seed: u64,
     pub rooms: house::Set,
-    /// Absent: each reads the change log itself.
+    /// Without it, each process reads the change log itself.
     pub delivery: Option<delivery::Set>,
 }
 
 impl Set {
+    /// Default settings without members.
     pub fn of(fleet: &str, me: &str, listen: SocketAddr) -> Set {
         Set {
             fleet: fleet.to_owned(),
@@ -216,6 +199,7 @@
         }
     }
 
+    /// Checks the settings for errors that prevent a start.
     pub fn check(&self) -> Result<(), Error> {
         if !(1..=link::NAME_MOST).contains(&self.fleet.len()) {
             return Err(Error::Name { most: link::NAME_MOST });
@@ -231,7 +215,7 @@
         if let Some(twice) = names.iter().find(|name| !seen.insert(MemberId::of(name))) {
             return Err(Error::Twice { name: twice.to_string() });
         }
-        // Whoever only takes the delivery of changes needs no place in a list.
+        // A process that only receives change log records need not be listed.
         let carriers = self.delivery.iter().flat_map(|delivery| &delivery.carriers);
         let unlisted = carriers.clone().find(|name| !self.members.iter().any(|one| one.name == **name));
         if let Some(name) =
@@ -262,21 +246,21 @@
     }
 }
 
-/// What a member at work is given by whoever runs it.
-struct Outside {
-    keeper: Keeper,
-    kept: Vec<Record>,
+/// What the event loop needs from its environment, with or without threads.
+struct Environment {
+    rollout_store: RolloutStore,
+    stored_records: Vec<Record>,
     log: Log,
-    tell: Box<dyn Fn(FromFleet) + Send>,
-    out: Out,
-    own: Sender<Input>,
-    waiting: Arc<Waiting>,
+    notify_dispatcher: Box<dyn Fn(FromFleet) + Send>,
+    send_datagram: SendDatagram,
+    own_inputs: Sender<Input>,
+    backlog: Arc<Backlog>,
 }
 
-/// The rooms with all that is round them but threads and sockets; `set` has been checked.
-fn assemble(set: Set, outside: Outside) -> Result<Run, Error> {
+/// Builds the event loop without threads and sockets; `set` has been checked.
+fn assemble(set: Set, outside: Environment) -> Result<EventLoop, Error> {
     let clock = Clock::start();
-    let (me, incarnation) = (MemberId::of(&set.me), Incarnation(clock.unix));
+    let (me, incarnation) = (MemberId::of(&set.me), Incarnation(clock.start_unix));
     let own = set.members.iter().find(|member| member.name == set.me);
     let location = own.map(|own| own.location).unwrap_or_default();
     let listed: Vec<(MemberId, LocationId)> =
@@ -289,7 +273,7 @@
     let now = clock.now();
     let role = match own {
         Some(_) => {
-            let (kept, every) = (outside.kept, set.every);
+            let (kept, every) = (outside.stored_records, set.every);
             Role::Member(Box::new(Fleet::new(
                 set.rooms,
                 me,
@@ -310,7 +294,7 @@
         }
     };
     let delivery = set.delivery.map(|set| Delivery::start(set, me, seed ^ 5, now));
-    Ok(Run {
+    Ok(EventLoop {
         role,
         delivery,
         fleet: set.fleet,
@@ -318,23 +302,23 @@
         incarnation,
         location,
         form: set.form.unwrap_or(link::NEWEST),
-        ahead,
+        max_incarnation_lead: ahead,
         peers,
-        out: outside.out,
+        send_datagram: outside.send_datagram,
         clock,
         events,
-        keeper: outside.keeper,
+        rollout_store: outside.rollout_store,
         log: outside.log,
-        tell: outside.tell,
-        own: outside.own,
-        waiting: outside.waiting,
-        refusals: Refusals::default(),
-        parts: BTreeMap::new(),
-        number: 0,
+        notify_dispatcher: outside.notify_dispatcher,
+        own_inputs: outside.own_inputs,
+        backlog: outside.backlog,
+        rejections: RejectionLog::default(),
+        allowances: BTreeMap::new(),
+        last_allowance_number: 0,
     })
 }
 
-/// All others by their ids.
+/// All other members and followers by id.
 fn peers_of(set: &Set, me: MemberId) -> BTreeMap<MemberId, Peer> {
     let members = set.members.iter().map(|one| (&one.name, one.address, one.location));
     let followers = set.followers.iter().map(|one| (&one.name, one.address, LocationId::default()));
@@ -345,25 +329,27 @@
     peers
 }
 
-/// Tells the fleet, from any thread.
+/// Sends dispatcher messages to the fleet, from any thread.
 #[derive(Clone)]
 pub struct ToPeers {
-    to: Sender<Input>,
-    waiting: Arc<Waiting>,
+    inputs: Sender<Input>,
+    backlog: Arc<Backlog>,
 }
 
 impl ToPeers {
-    /// Never waits; where too much waits already it is let go, and told again by what is told periodically.
+    /// Never blocks. Drops the message if too many are waiting; periodic messages make up for that.
     pub fn send(&self, what: ToFleet) {
-        if self.waiting.told.fetch_add(1, Relaxed) < TOLD_MOST || matches!(what, ToFleet::Stop) {
-            let _ = self.to.send(Input::Told(what));
+        if self.backlog.dispatcher_messages.fetch_add(1, Relaxed) < MAX_WAITING_DISPATCHER_MESSAGES
+            || matches!(what, ToFleet::Stop)
+        {
+            let _ = self.inputs.send(Input::FromDispatcher(what));
         } else {
-            self.waiting.told.fetch_sub(1, Relaxed);
+            self.backlog.dispatcher_messages.fetch_sub(1, Relaxed);
         }
     }
 }
 
-/// A member of a fleet at work. Dropping it leaves the fleet in order.
+/// A running member of a fleet. Dropping it leaves the fleet in order.
 pub struct Peers {
     sender: ToPeers,
     socket: UdpSocket,
@@ -373,7 +359,7 @@
 }
 
 impl Peers {
-    /// `tell` is called on the fleet's thread and must not wait; `log` takes lines for the operators.
+    /// `tell` is called on the event loop's thread and must not block; `log` receives lines for the operator.
     pub fn start(
         set: Set,
         store: Option<Arc<Store>>,
@@ -384,7 +370,7 @@
         let log: Log = Arc::new(log);
         let listen = |error| Error::Listen { at: set.listen, error };
         let socket = UdpSocket::bind(set.listen).map_err(listen)?;
-        // Guards against a full socket that holds up decisions: what can't be sent at once is lost, as on the way.
+        // A full send buffer must not delay decisions: a datagram that can't be sent at once is dropped.
         socket.set_write_timeout(Some(Duration::from_millis(1))).map_err(listen)?;
         let (reading, waking) = (socket.try_clone().map_err(listen)?, socket.try_clone().map_err(listen)?);
         let server = set.control.map(|at| {
@@ -393,54 +379,57 @@
         });
         let server = server.transpose()?;
         let (to, inputs) = crossbeam_channel::unbounded();
-        let waiting = Arc::new(Waiting::default());
+        let waiting = Arc::new(Backlog::default());
         let (every, locations) = (set.every, set.locations.clone());
         let rolls = set.rooms.rollout.is_some() && set.members.iter().any(|member| member.name == set.me);
-        let (keeper, kept) = Keeper::open(store.filter(|_| rolls), &log);
-        let outside = Outside {
-            keeper,
-            kept,
+        let (keeper, kept) = RolloutStore::open(store.filter(|_| rolls), &log);
+        let outside = Environment {
+            rollout_store: keeper,
+            stored_records: kept,
             log,
-            tell: Box::new(tell),
-            out: Box::new(move |bytes, to| drop(socket.send_to(bytes, to))),
-            own: to.clone(),
-            waiting: waiting.clone(),
+            notify_dispatcher: Box::new(tell),
+            send_datagram: Box::new(move |bytes, to| drop(socket.send_to(bytes, to))),
+            own_inputs: to.clone(),
+            backlog: waiting.clone(),
         };
         let run = assemble(set, outside)?;
-        // From here on a thread that can't be started ends those that were.
+        // From here on, dropping `own` stops the threads already started if a later one fails to start.
         let mut own = Peers {
-            sender: ToPeers { to, waiting },
+            sender: ToPeers { inputs: to, backlog: waiting },
             socket: waking,
             server,
             threads: Vec::new(),
             control: None,
         };
         let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
-            let builder = std::thread::Builder::new().name(name.to_owned()).stack_size(STACK);
+            let builder = std::thread::Builder::new().name(name.to_owned()).stack_size(THREAD_STACK_BYTES);
             builder.spawn(work).map_err(Error::Thread)
         };
         own.threads.push(spawn("fleet", Box::new(move || run.run(&inputs, every)))?);
-        let (to, waiting) = (own.sender.to.clone(), own.sender.waiting.clone());
-        own.threads.push(spawn("fleet-link", Box::new(move || run::read(&reading, &to, &waiting)))?);
+        let (to, waiting) = (own.sender.inputs.clone(), own.sender.backlog.clone());
+        own.threads.push(spawn(
+            "fleet-link",
+            Box::new(move || event_loop::receive_datagrams(&reading, &to, &waiting)),
+        )?);
         if let Some(server) = own.server.clone() {
-            let to = own.sender.to.clone();
+            let to = own.sender.inputs.clone();
             let work = Box::new(move || control::serve(server, to, locations));
             own.control = Some(spawn("fleet-control", work)?);
         }
         Ok(own)
     }
 
-    /// As `ToPeers::send`.
+    /// See [`ToPeers::send`].
     pub fn send(&self, what: ToFleet) {
         self.sender.send(what);
     }
 
-    /// For threads that don't own this.
+    /// A sender for use on other threads.
     pub fn sender(&self) -> ToPeers {
         self.sender.clone()
     }
 
-    /// Where it listens, its port settled.
+    /// The bound address of the UDP socket.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
@@ -460,17 +449,17 @@
 
 impl Drop for Peers {
     fn drop(&mut self) {
-        let _ = self.sender.to.send(Input::Stop);
+        let _ = self.sender.inputs.send(Input::Stop);
         if let Some(server) = &self.server {
             server.unblock();
         }
         for thread in std::mem::take(&mut self.threads) {
-            // The fleet's thread comes first and says that it has ended.
+            // The event loop is joined first; the receiver ends once the flag is set.
             let _ = thread.join();
-            self.sender.waiting.ended.store(true, Relaxed);
+            self.sender.backlog.has_ended.store(true, Relaxed);
             self.wake_reader();
         }
-        // One that waits for the rest of an order is left to end by itself.
+        // The control thread may be blocked reading a request body: wait at most 0.5 s for it.
         for _ in 0..50 {
             match self.control.take_if(|control| control.is_finished()) {
                 Some(control) => drop(control.join()),
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -1,11 +1,11 @@
-//! The form of what goes between members: one datagram a message, its envelope and payload in postcard's encoding.
-//! Two forms are read; which one is written to a member follows what that one has shown that it reads.
+//! Wire format of messages between members: one datagram per message, with envelope and payload encoded by
+//! postcard. Two forms are supported; each member is sent the newest form that it has announced.
 use cherrypass::ids::LocationId;
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 
-/// The low byte of a location's place in the list. All that forms 1 and 2 have room for; it only shows whether two
-/// lists agree, so that places which share it go unnoticed there and nothing else.
+/// The low byte of a location's index. It is only compared to detect members with different lists of
+/// locations; locations that share the low byte are not told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocationByte(pub u8);
 
@@ -16,31 +16,33 @@
     }
 }
 
+/// The supported message forms.
 pub const OLDEST: u8 = 1;
 pub const NEWEST: u8 = 2;
-/// Bytes of a fleet's name, of one message's payload, and of one datagram at most.
+/// Maximum size in bytes of a fleet's name, of a payload and of a datagram.
 pub const NAME_MOST: usize = 64;
 pub const PAYLOAD_MOST: usize = 32 << 10;
 pub const DATAGRAM_MOST: usize = PAYLOAD_MOST + NAME_MOST + 64;
 
-const DIGEST: usize = 4;
+const DIGEST_BYTES: usize = 4;
 
-/// What a message says of itself. Form 1 tells no location and has no digest.
+/// Header and payload of a message. Form 1 has neither a location nor a checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope<'a> {
-    /// The newest form that the sender reads.
+    /// The newest form that the sender supports.
     pub reads: u8,
     pub fleet: &'a str,
     pub from: MemberId,
     pub incarnation: Incarnation,
-    /// Where the sender says it is; form 1 does not tell.
+    /// Location of the sender; absent in form 1.
     pub location: Option<LocationByte>,
     pub kind: u8,
     pub payload: &'a [u8],
 }
 
+/// Wire encoding of form 1.
 #[derive(Serialize, Deserialize)]
-struct One<'a> {
+struct EnvelopeForm1<'a> {
     form: u8,
     reads: u8,
     #[serde(borrow)]
@@ -52,9 +54,10 @@
     payload: &'a [u8],
 }
 
-/// Four bytes of CRC-32C, little end first, over all that stands before them follow it.
+/// Wire encoding of form 2. Followed by the CRC-32C of all preceding bytes, four bytes in little-endian
+/// order.
 #[derive(Serialize, Deserialize)]
-struct Two<'a> {
+struct EnvelopeForm2<'a> {
     form: u8,
     reads: u8,
     #[serde(borrow)]
@@ -67,39 +70,37 @@
     payload: &'a [u8],
 }
 
-/// Why a datagram was not taken. Nothing in force changes by it.
+/// Why a datagram was rejected. A rejected datagram changes no state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refused {
-    #[error("it is longer than any message; is something else sending to this port?")]
+    #[error("datagram too long; check what else sends to this port")]
     TooLong,
-    #[error(
-        "a message of this process is longer than the link carries and was not sent; tell the maintainers"
-    )]
+    #[error("an outgoing message exceeds the maximum datagram size and was not sent; report this as a bug")]
     OwnTooLong,
-    #[error("it makes no sense; is something else sending to this port?")]
+    #[error("malformed datagram; check what else sends to this port")]
     Nonsense,
-    #[error("it changed on its way; look at the link")]
+    #[error("checksum mismatch; check the network link")]
     Changed,
-    #[error("it is of form {0}, this build reads {OLDEST} to {NEWEST}; upgrade the older one, or set `form` there")]
+    #[error("message form {0} is not supported, this build supports {OLDEST} to {NEWEST}; upgrade the older build, or set `form` at the sender")]
     Form(u8),
-    #[error("it is another fleet's; check `name` and `members` here and there")]
+    #[error("message of another fleet; check `name` and `members` at both ends")]
     Fleet,
-    #[error("its sender is not listed; add it to `members`, or take this one out of its list")]
+    #[error("sender is not listed; add it to `members` here, or remove this process from its list")]
     Unlisted,
-    #[error("it is from a run that a newer one has followed; is a second process up under that name?")]
+    #[error("message of an outdated run of the sender; check for a second process with that name")]
     Void,
-    #[error("its sender started in the future; set the clock there")]
+    #[error("sender's start time is in the future; check its clock")]
     Future,
-    #[error("it carries this process's own name; end the second process, or give it a name of its own")]
+    #[error("sender uses this process's name; stop the second process or rename it")]
     OwnName,
-    #[error("its sender says it is at another location than it is listed with; make the lists agree")]
+    #[error("sender reports another location than it is listed with; make the lists match")]
     Location,
-    #[error("its content makes no sense; are both builds of one version?")]
+    #[error("malformed payload; check that both builds are compatible")]
     Content,
 }
 
 impl Refused {
-    /// Short and lasting, for alarms and searches.
+    /// A short, stable code for alerts and searches.
     pub fn code(self) -> &'static str {
         match self {
             Refused::TooLong => "link-too-long",
@@ -118,17 +119,19 @@
     }
 }
 
-/// Writes a message in a form, or none where it is too long or the form not known.
+/// Encodes a message in a form. None if it is too long or the form is unknown.
 pub fn encode(form: u8, envelope: &Envelope) -> Option<Vec<u8>> {
     let Envelope { reads, fleet, from, incarnation, location, kind, payload } = *envelope;
     if payload.len() > PAYLOAD_MOST || fleet.len() > NAME_MOST {
         return None;
     }
     match form {
-        1 => postcard::to_stdvec(&One { form, reads, fleet, from, incarnation, kind, payload }).ok(),
+        1 => {
+            postcard::to_stdvec(&EnvelopeForm1 { form, reads, fleet, from, incarnation, kind, payload }).ok()
+        }
         2 => {
             let location = location.unwrap_or(LocationByte(0));
-            let two = Two { form, reads, fleet, from, incarnation, location, kind, payload };
+            let two = EnvelopeForm2 { form, reads, fleet, from, incarnation, location, kind, payload };
             let mut bytes = postcard::to_stdvec(&two).ok()?;
             bytes.extend(crc32c::crc32c(&bytes).to_le_bytes());
             Some(bytes)
@@ -137,7 +140,7 @@
     }
 }
 
-/// Reads a datagram. Nothing is allocated: the envelope borrows from it.
+/// Decodes a datagram without allocating; the envelope borrows from it.
 pub fn decode<'a>(bytes: &'a [u8], fleet: &str) -> Result<Envelope<'a>, Refused> {
     if bytes.len() > DATAGRAM_MOST {
         return Err(Refused::TooLong);
@@ -145,17 +148,17 @@
     let envelope = match bytes.first() {
         None => return Err(Refused::Nonsense),
         Some(1) => {
-            let found: One = postcard::from_bytes(bytes).map_err(|_| Refused::Nonsense)?;
-            let One { reads, fleet, from, incarnation, kind, payload, .. } = found;
+            let found: EnvelopeForm1 = postcard::from_bytes(bytes).map_err(|_| Refused::Nonsense)?;
+            let EnvelopeForm1 { reads, fleet, from, incarnation, kind, payload, .. } = found;
             Envelope { reads, fleet, from, incarnation, location: None, kind, payload }
         }
         Some(2) => {
-            let (body, digest) = bytes.split_last_chunk::<DIGEST>().ok_or(Refused::Nonsense)?;
-            let found: Two = postcard::from_bytes(body).map_err(|_| Refused::Nonsense)?;
+            let (body, digest) = bytes.split_last_chunk::<DIGEST_BYTES>().ok_or(Refused::Nonsense)?;
+            let found: EnvelopeForm2 = postcard::from_bytes(body).map_err(|_| Refused::Nonsense)?;
             if *digest != crc32c::crc32c(body).to_le_bytes() {
                 return Err(Refused::Changed);
             }
-            let Two { reads, fleet, from, incarnation, location, kind, payload, .. } = found;
+            let EnvelopeForm2 { reads, fleet, from, incarnation, location, kind, payload, .. } = found;
             Envelope { reads, fleet, from, incarnation, location: Some(location), kind, payload }
         }
         Some(form) => return Err(Refused::Form(*form)),
@@ -169,7 +172,7 @@
     }
 }
 
-/// The form to write to one that reads up to `reads`; `own` is the newest that this process is to write.
+/// The form for a recipient that supports up to `reads`; `own` is the newest form this process may write.
 pub fn form_for(own: u8, reads: u8) -> u8 {
     own.min(reads).max(OLDEST)
 }
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -160,7 +160,7 @@
     let one = Place::start(follower("f1"));
     until("it reads the log", 6, || one.reads_log());
     let lines: Vec<String> = without.iter().flat_map(|one| one.seen.lock().unwrap().lines.clone()).collect();
-    assert!(lines.iter().all(|line| !line.contains("not taken")), "{lines:?}");
+    assert!(lines.iter().all(|line| !line.contains("rejected")), "{lines:?}");
 }
 
 #[test]
--- a/crates/peers/tests/kept.rs
+++ b/crates/peers/tests/kept.rs
@@ -66,11 +66,11 @@
 #[cfg(feature = "faults")]
 #[test]
 fn a_disk_that_lies_promotes_nothing_it_can_not_keep() {
-    use cherrypass_peers::disk::Lying;
+    use cherrypass_peers::disk::FaultyDisk;
     let (dir, orders) = (tempfile::tempdir().unwrap(), tempfile::NamedTempFile::new().unwrap());
-    let lying = || Arc::new(Lying::new(folder(dir.path()), orders.path().to_owned()));
+    let faulty = || Arc::new(FaultyDisk::new(folder(dir.path()), orders.path().to_owned()));
     let say = |what: &str| std::fs::write(orders.path(), what).unwrap();
-    let (peers, rules) = start(store(lying()));
+    let (peers, rules) = start(store(faulty()));
     std::thread::sleep(Duration::from_millis(500));
     say("stall 300\n");
     peers.send(ToFleet::Order(version(1)));
@@ -81,13 +81,14 @@
     std::thread::sleep(Duration::from_millis(500));
     drop(peers);
     say("");
-    let (peers, rules) = start(store(lying()));
+    let (peers, rules) = start(store(faulty()));
     assert_eq!(comes(&rules), Some(1));
     drop(peers);
     for fault in ["full\n", "error\n"] {
         let dir = tempfile::tempdir().unwrap();
         say("");
-        let (peers, rules) = start(store(Arc::new(Lying::new(folder(dir.path()), orders.path().to_owned()))));
+        let (peers, rules) =
+            start(store(Arc::new(FaultyDisk::new(folder(dir.path()), orders.path().to_owned()))));
         std::thread::sleep(Duration::from_millis(500));
         say(fault);
         peers.send(ToFleet::Order(version(2)));
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -260,7 +260,9 @@
     until("two know that the third is gone", 30, || {
         places[..2].iter().all(|place| place.standings() == ["d1:alive", "d2:alive", "d3:dead"])
     });
-    until("the third holds its own links for the trouble", 10, || places[2].has_line("own links are bad"));
+    until("the third holds its own links for the trouble", 10, || {
+        places[2].has_line("own links are degraded")
+    });
 
     // A second process under a listed name: the first takes no part any more, and uses nothing.
     let second = Place::start(second_run);
@@ -322,5 +324,5 @@
         assert_eq!(before[what], after[what], "{what}");
     }
     let lines = places[0].seen.lock().unwrap().lines.clone();
-    assert!(lines.iter().filter(|line| line.contains("not taken (link")).count() <= 40, "{lines:#?}");
+    assert!(lines.iter().filter(|line| line.contains("rejected (link")).count() <= 40, "{lines:#?}");
 }
