--- a/crates/peers/examples/idle.rs
+++ b/crates/peers/examples/idle.rs
@@ -1,5 +1,6 @@
-//! What members of a fleet cost while nothing happens: threads, memory and core time of each, in one process on
-//! loopback. Arguments: how many (9), for how many seconds (30), and `all` for event log and control listener too.
+//! Measures the cost of idle fleet members in one process on loopback: threads, memory and CPU time of each.
+//! Arguments: number of members (9), duration in seconds (30), and `all` to enable event log and control
+//! listener.
 use cherrypass::ids::LocationId;
 use cherrypass_fleet::{house, limits, rollout, verdicts};
 use cherrypass_peers::{Member, Peers, Set};
@@ -12,8 +13,8 @@
     line.split_whitespace().nth(1).and_then(|value| value.parse().ok()).unwrap_or_default()
 }
 
-/// Seconds of core time so far, at 100 ticks a second.
-fn core() -> f64 {
+/// CPU time so far in seconds, at 100 ticks per second.
+fn cpu_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<f64> = text.split_whitespace().skip(13).take(2).filter_map(|x| x.parse().ok()).collect();
     fields.iter().sum::<f64>() / 100.0
@@ -56,9 +57,9 @@
         all.push(Peers::start(set, None, |_| {}, |_| {})?);
     }
     std::thread::sleep(Duration::from_secs(10));
-    let (begun, used) = (Instant::now(), core());
+    let (begun, used) = (Instant::now(), cpu_seconds());
     std::thread::sleep(Duration::from_secs(seconds));
-    let used = (core() - used) / begun.elapsed().as_secs_f64() / f64::from(most);
+    let used = (cpu_seconds() - used) / begun.elapsed().as_secs_f64() / f64::from(most);
     let after = [field("/proc/self/status", "VmRSS:"), field("/proc/self/status", "Threads:")];
     let each = |i: usize| (after[i] - before[i]) / f64::from(most);
     println!(
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -10,17 +10,17 @@
     #[error("fleet: {name} is not listed as a member; add it to `members`, or set `me` to a listed name")]
     NotListed { name: String },
     #[error("fleet: {name} is listed twice; each member and follower needs a unique name")]
-    Twice { name: String },
+    DuplicateName { name: String },
     #[error(
         "fleet.{what}: {found} are listed, at most {most} are supported; split them into several fleets"
     )]
-    TooMany { what: &'static str, found: usize, most: usize },
+    TooManyListed { what: &'static str, found: usize, most: usize },
     #[error("fleet: the name has to be 1 to {most} bytes long")]
-    Name { most: usize },
+    InvalidName { most: usize },
     #[error("fleet: message form {found} is not supported; this build supports {least} to {most}")]
-    Form { found: u8, least: u8, most: u8 },
+    UnsupportedForm { found: u8, least: u8, most: u8 },
     #[error("fleet: {what} is {found}; {wanted}")]
-    Value { what: &'static str, found: String, wanted: &'static str },
+    InvalidValue { what: &'static str, found: String, wanted: &'static str },
     #[error("fleet: can't listen on {at}: {error}; check that the address is local and not in use")]
     Listen { at: SocketAddr, error: io::Error },
     #[error(
@@ -34,7 +34,7 @@
     #[error("fleet.{0}")]
     Verdicts(#[from] verdicts::SetError),
     #[error("fleet: can't open event log {}: {error}; check the path and its permissions, or remove `events`", path.display())]
-    Events { path: PathBuf, error: io::Error },
+    EventLog { path: PathBuf, error: io::Error },
     #[error("fleet: can't start a thread: {0}; check the process and memory limits")]
     Thread(io::Error),
 }
@@ -44,14 +44,14 @@
     pub fn code(&self) -> &'static str {
         match self {
             Error::NotListed { .. } => "fleet-not-listed",
-            Error::Twice { .. } => "fleet-twice",
-            Error::TooMany { .. } => "fleet-too-many",
-            Error::Name { .. } => "fleet-name",
-            Error::Form { .. } => "fleet-form",
-            Error::Value { .. } => "fleet-value",
+            Error::DuplicateName { .. } => "fleet-twice",
+            Error::TooManyListed { .. } => "fleet-too-many",
+            Error::InvalidName { .. } => "fleet-name",
+            Error::UnsupportedForm { .. } => "fleet-form",
+            Error::InvalidValue { .. } => "fleet-value",
             Error::Listen { .. } => "fleet-listen",
             Error::NotLoopback { .. } => "fleet-not-loopback",
-            Error::Events { .. } => "fleet-events",
+            Error::EventLog { .. } => "fleet-events",
             Error::Control { .. } => "fleet-control",
             Error::Limits(error) => error.code(),
             Error::Verdicts(error) => error.code(),
--- a/crates/peers/src/event_loop.rs
+++ b/crates/peers/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::control::{Answer, ControlRequest};
 use crate::delivery::{Delivered, Delivery, LogRead};
 use crate::events::{Events, Log};
-use crate::link::{self, Envelope, LocationByte, Refused};
+use crate::link::{self, Envelope, LinkError, LocationByte};
 use crate::rejection_log::{RejectionLog, Source};
 use crate::rollout_store::RolloutStore;
 use crate::{FromFleet, ToFleet};
@@ -147,13 +147,13 @@
 fn decode_as<S: DeserializeOwned>(
     message: impl Fn(S) -> Message,
     payload: &[u8],
-) -> Result<Option<Message>, Refused> {
-    let said = postcard::from_bytes(payload).map_err(|_| Refused::Content)?;
+) -> Result<Option<Message>, LinkError> {
+    let said = postcard::from_bytes(payload).map_err(|_| LinkError::MalformedPayload)?;
     Ok(Some(message(said)))
 }
 
 /// Decodes a payload by its kind; None for an unknown kind.
-fn decode_message(kind: u8, payload: &[u8]) -> Result<Option<Message>, Refused> {
+fn decode_message(kind: u8, payload: &[u8]) -> Result<Option<Message>, LinkError> {
     match kind {
         kind::MEMBERS => decode_as(Message::Members, payload),
         kind::LIMITS => decode_as(Message::Limits, payload),
@@ -306,7 +306,7 @@
         }
     }
 
-    fn reject(&mut self, now: Time, why: Refused, sender: Source) {
+    fn reject(&mut self, now: Time, why: LinkError, sender: Source) {
         let Some(count) = self.rejections.count_rejection(now, why, sender) else { return };
         let from = match sender {
             Source::Listed(id) => self.member_name(id),
@@ -333,11 +333,11 @@
         let Some(listed) =
             self.peers.get(&from).map(|peer| peer.location).or((from == self.me).then_some(self.location))
         else {
-            return self.reject(now, Refused::Unlisted, by_address);
+            return self.reject(now, LinkError::UnlistedSender, by_address);
         };
         let who = Source::Listed(from);
         if incarnation.0 > self.clock.unix(now).saturating_add(self.max_incarnation_lead.0) {
-            return self.reject(now, Refused::Future, who);
+            return self.reject(now, LinkError::FutureStart, who);
         }
         let message = match decode_message(envelope.kind, envelope.payload) {
             Ok(Some(message)) => message,
@@ -345,7 +345,7 @@
             Err(why) => return self.reject(now, why, who),
         };
         if envelope.location.is_some_and(|location| location != LocationByte::of(listed)) {
-            self.reject(now, Refused::Location, who);
+            self.reject(now, LinkError::LocationMismatch, who);
         }
         let heard = match (&mut self.role, message) {
             (Role::Member(fleet), message) => fleet.heard(now, from, incarnation, message),
@@ -356,9 +356,9 @@
             (Role::Follower(_) | Role::Unlisted, _) => Err(Void::Off),
         };
         match heard {
-            _ if from == self.me => self.reject(now, Refused::OwnName, who),
-            Err(Void::Run) => self.reject(now, Refused::Void, who),
-            Err(Void::Unlisted) => self.reject(now, Refused::Unlisted, who),
+            _ if from == self.me => self.reject(now, LinkError::OwnName, who),
+            Err(Void::Run) => self.reject(now, LinkError::OutdatedRun, who),
+            Err(Void::Unlisted) => self.reject(now, LinkError::UnlistedSender, who),
             Ok(()) | Err(Void::Off) => {
                 if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.incarnation <= incarnation) {
                     (peer.incarnation, peer.newest_form) = (incarnation, envelope.reads);
@@ -372,13 +372,13 @@
         let (from, incarnation) = (envelope.from, envelope.incarnation);
         let Some(delivery) = &mut self.delivery else { return };
         if from == self.me {
-            return self.reject(now, Refused::OwnName, Source::Address(at.ip()));
+            return self.reject(now, LinkError::OwnName, Source::Address(at.ip()));
         }
         if incarnation.0 > self.clock.unix(now).saturating_add(self.max_incarnation_lead.0) {
-            return self.reject(now, Refused::Future, Source::Address(at.ip()));
+            return self.reject(now, LinkError::FutureStart, Source::Address(at.ip()));
         }
         let Ok(said) = postcard::from_bytes::<Said>(envelope.payload) else {
-            return self.reject(now, Refused::Content, Source::Address(at.ip()));
+            return self.reject(now, LinkError::MalformedPayload, Source::Address(at.ip()));
         };
         match self.peers.get_mut(&from) {
             Some(peer) if peer.incarnation <= incarnation => {
@@ -386,7 +386,7 @@
             }
             Some(_) => {}
             None if delivery.admits_guest(now, from, at, envelope.reads) => {}
-            None => return self.reject(now, Refused::Unlisted, Source::Address(at.ip())),
+            None => return self.reject(now, LinkError::UnlistedSender, Source::Address(at.ip())),
         }
         delivery.handle_message(now, from, incarnation, said);
     }
@@ -647,7 +647,7 @@
         match link::encode(link::form_for(self.form, peer.newest_form), &envelope) {
             // Losses are tolerated: the protocols repeat their messages.
             Some(bytes) => (self.send_datagram)(&bytes, peer.address),
-            None => self.reject(now, Refused::OwnTooLong, Source::Listed(self.me)),
+            None => self.reject(now, LinkError::OutgoingTooLong, Source::Listed(self.me)),
         }
     }
 
--- a/crates/peers/src/events.rs
+++ b/crates/peers/src/events.rs
@@ -64,7 +64,7 @@
     pub fn open(path: Option<&Path>, me: &str, clock: Clock, log: Log) -> Result<Events, Error> {
         let open = |path: &Path| -> Result<_, Error> {
             let file = OpenOptions::new().append(true).create(true).open(path);
-            let file = file.map_err(|error| Error::Events { path: path.to_owned(), error })?;
+            let file = file.map_err(|error| Error::EventLog { path: path.to_owned(), error })?;
             let file =
                 EventFile { file: Some(BufWriter::new(file)), path: path.to_owned(), log: log.clone() };
             let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -202,18 +202,18 @@
     /// Checks the settings for errors that prevent a start.
     pub fn check(&self) -> Result<(), Error> {
         if !(1..=link::NAME_MOST).contains(&self.fleet.len()) {
-            return Err(Error::Name { most: link::NAME_MOST });
+            return Err(Error::InvalidName { most: link::NAME_MOST });
         }
         let members = self.members.iter().map(|member| &member.name);
         let names: Vec<&String> = members.chain(self.followers.iter().map(|one| &one.name)).collect();
         let counts =
             [("members", self.members.len(), MEMBERS), ("followers", self.followers.len(), FOLLOWERS)];
         if let Some((what, found, most)) = counts.into_iter().find(|(_, found, most)| found > most) {
-            return Err(Error::TooMany { what, found, most });
+            return Err(Error::TooManyListed { what, found, most });
         }
         let mut seen = BTreeSet::new();
         if let Some(twice) = names.iter().find(|name| !seen.insert(MemberId::of(name))) {
-            return Err(Error::Twice { name: twice.to_string() });
+            return Err(Error::DuplicateName { name: twice.to_string() });
         }
         // A process that only receives change log records need not be listed.
         let carriers = self.delivery.iter().flat_map(|delivery| &delivery.carriers);
@@ -225,11 +225,11 @@
         }
         let (least, most) = (link::OLDEST, link::NEWEST);
         if let Some(found) = self.form.filter(|form| !(least..=most).contains(form)) {
-            return Err(Error::Form { found, least, most });
+            return Err(Error::UnsupportedForm { found, least, most });
         }
         if !(Span::millis(10)..=Span::millis(1_000)).contains(&self.every) {
             let found = format!("{} ms", self.every.0 / 1000);
-            return Err(Error::Value { what: "the timer", found, wanted: "give 10 to 1000 ms" });
+            return Err(Error::InvalidValue { what: "the timer", found, wanted: "give 10 to 1000 ms" });
         }
         if let Some(at) = self.control.filter(|at| !at.ip().is_loopback()) {
             return Err(Error::NotLoopback { at });
@@ -331,12 +331,12 @@
 
 /// Sends dispatcher messages to the fleet, from any thread.
 #[derive(Clone)]
-pub struct ToPeers {
+pub struct PeersSender {
     inputs: Sender<Input>,
     backlog: Arc<Backlog>,
 }
 
-impl ToPeers {
+impl PeersSender {
     /// Never blocks. Drops the message if too many are waiting; periodic messages make up for that.
     pub fn send(&self, what: ToFleet) {
         if self.backlog.dispatcher_messages.fetch_add(1, Relaxed) < MAX_WAITING_DISPATCHER_MESSAGES
@@ -351,7 +351,7 @@
 
 /// A running member of a fleet. Dropping it leaves the fleet in order.
 pub struct Peers {
-    sender: ToPeers,
+    sender: PeersSender,
     socket: UdpSocket,
     server: Option<Arc<tiny_http::Server>>,
     threads: Vec<JoinHandle<()>>,
@@ -395,7 +395,7 @@
         let run = assemble(set, outside)?;
         // From here on, dropping `own` stops the threads already started if a later one fails to start.
         let mut own = Peers {
-            sender: ToPeers { inputs: to, backlog: waiting },
+            sender: PeersSender { inputs: to, backlog: waiting },
             socket: waking,
             server,
             threads: Vec::new(),
@@ -419,13 +419,13 @@
         Ok(own)
     }
 
-    /// See [`ToPeers::send`].
+    /// See [`PeersSender::send`].
     pub fn send(&self, what: ToFleet) {
         self.sender.send(what);
     }
 
     /// A sender for use on other threads.
-    pub fn sender(&self) -> ToPeers {
+    pub fn sender(&self) -> PeersSender {
         self.sender.clone()
     }
 
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -72,49 +72,49 @@
 
 /// Why a datagram was rejected. A rejected datagram changes no state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Refused {
+pub enum LinkError {
     #[error("datagram too long; check what else sends to this port")]
     TooLong,
     #[error("an outgoing message exceeds the maximum datagram size and was not sent; report this as a bug")]
-    OwnTooLong,
+    OutgoingTooLong,
     #[error("malformed datagram; check what else sends to this port")]
-    Nonsense,
+    Malformed,
     #[error("checksum mismatch; check the network link")]
-    Changed,
+    ChecksumMismatch,
     #[error("message form {0} is not supported, this build supports {OLDEST} to {NEWEST}; upgrade the older build, or set `form` at the sender")]
-    Form(u8),
+    UnsupportedForm(u8),
     #[error("message of another fleet; check `name` and `members` at both ends")]
-    Fleet,
+    OtherFleet,
     #[error("sender is not listed; add it to `members` here, or remove this process from its list")]
-    Unlisted,
+    UnlistedSender,
     #[error("message of an outdated run of the sender; check for a second process with that name")]
-    Void,
+    OutdatedRun,
     #[error("sender's start time is in the future; check its clock")]
-    Future,
+    FutureStart,
     #[error("sender uses this process's name; stop the second process or rename it")]
     OwnName,
     #[error("sender reports another location than it is listed with; make the lists match")]
-    Location,
+    LocationMismatch,
     #[error("malformed payload; check that both builds are compatible")]
-    Content,
+    MalformedPayload,
 }
 
-impl Refused {
+impl LinkError {
     /// A short, stable code for alerts and searches.
     pub fn code(self) -> &'static str {
         match self {
-            Refused::TooLong => "link-too-long",
-            Refused::OwnTooLong => "link-own-too-long",
-            Refused::Nonsense => "link-nonsense",
-            Refused::Changed => "link-changed",
-            Refused::Form(_) => "link-form",
-            Refused::Fleet => "link-fleet",
-            Refused::Unlisted => "link-unlisted",
-            Refused::Void => "link-void",
-            Refused::Future => "link-future",
-            Refused::OwnName => "link-own-name",
-            Refused::Location => "link-location",
-            Refused::Content => "link-content",
+            LinkError::TooLong => "link-too-long",
+            LinkError::OutgoingTooLong => "link-own-too-long",
+            LinkError::Malformed => "link-nonsense",
+            LinkError::ChecksumMismatch => "link-changed",
+            LinkError::UnsupportedForm(_) => "link-form",
+            LinkError::OtherFleet => "link-fleet",
+            LinkError::UnlistedSender => "link-unlisted",
+            LinkError::OutdatedRun => "link-void",
+            LinkError::FutureStart => "link-future",
+            LinkError::OwnName => "link-own-name",
+            LinkError::LocationMismatch => "link-location",
+            LinkError::MalformedPayload => "link-content",
         }
     }
 }
@@ -141,33 +141,33 @@
 }
 
 /// Decodes a datagram without allocating; the envelope borrows from it.
-pub fn decode<'a>(bytes: &'a [u8], fleet: &str) -> Result<Envelope<'a>, Refused> {
+pub fn decode<'a>(bytes: &'a [u8], fleet: &str) -> Result<Envelope<'a>, LinkError> {
     if bytes.len() > DATAGRAM_MOST {
-        return Err(Refused::TooLong);
+        return Err(LinkError::TooLong);
     }
     let envelope = match bytes.first() {
-        None => return Err(Refused::Nonsense),
+        None => return Err(LinkError::Malformed),
         Some(1) => {
-            let found: EnvelopeForm1 = postcard::from_bytes(bytes).map_err(|_| Refused::Nonsense)?;
+            let found: EnvelopeForm1 = postcard::from_bytes(bytes).map_err(|_| LinkError::Malformed)?;
             let EnvelopeForm1 { reads, fleet, from, incarnation, kind, payload, .. } = found;
             Envelope { reads, fleet, from, incarnation, location: None, kind, payload }
         }
         Some(2) => {
-            let (body, digest) = bytes.split_last_chunk::<DIGEST_BYTES>().ok_or(Refused::Nonsense)?;
-            let found: EnvelopeForm2 = postcard::from_bytes(body).map_err(|_| Refused::Nonsense)?;
+            let (body, digest) = bytes.split_last_chunk::<DIGEST_BYTES>().ok_or(LinkError::Malformed)?;
+            let found: EnvelopeForm2 = postcard::from_bytes(body).map_err(|_| LinkError::Malformed)?;
             if *digest != crc32c::crc32c(body).to_le_bytes() {
-                return Err(Refused::Changed);
+                return Err(LinkError::ChecksumMismatch);
             }
             let EnvelopeForm2 { reads, fleet, from, incarnation, location, kind, payload, .. } = found;
             Envelope { reads, fleet, from, incarnation, location: Some(location), kind, payload }
         }
-        Some(form) => return Err(Refused::Form(*form)),
+        Some(form) => return Err(LinkError::UnsupportedForm(*form)),
     };
     match () {
-        () if envelope.fleet.len() > NAME_MOST => Err(Refused::Nonsense),
-        () if envelope.fleet != fleet => Err(Refused::Fleet),
-        () if envelope.payload.len() > PAYLOAD_MOST => Err(Refused::TooLong),
-        () if envelope.reads < bytes[0] => Err(Refused::Nonsense),
+        () if envelope.fleet.len() > NAME_MOST => Err(LinkError::Malformed),
+        () if envelope.fleet != fleet => Err(LinkError::OtherFleet),
+        () if envelope.payload.len() > PAYLOAD_MOST => Err(LinkError::TooLong),
+        () if envelope.reads < bytes[0] => Err(LinkError::Malformed),
         () => Ok(envelope),
     }
 }
--- a/crates/peers/src/rejection_log.rs
+++ b/crates/peers/src/rejection_log.rs
@@ -1,6 +1,6 @@
 //! Rate-limits the log lines about rejected datagrams: one per cause and source, then at most one a minute
 //! with a count.
-use crate::link::Refused;
+use crate::link::LinkError;
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::MemberId;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 impl RejectionLog {
     /// Counts a rejection. If a log line is due, returns the number of rejections since the last one,
     /// including this.
-    pub fn count_rejection(&mut self, now: Time, why: Refused, sender: Source) -> Option<u64> {
+    pub fn count_rejection(&mut self, now: Time, why: LinkError, sender: Source) -> Option<u64> {
         self.total += 1;
         let mut key = (why.code(), sender);
         if self.recent.len() >= MAX_SOURCES && !self.recent.contains_key(&key) {
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Carriers, followers in no list, and a member without the delivery, on loopback.
+//! Delivery of change log records on loopback: carriers, unlisted followers, and members without delivery.
 use cherrypass::ids::LocationId;
 use cherrypass::time::Span;
 use cherrypass_fleet::delivery::{Record, Set as Room};
@@ -25,7 +25,7 @@
     lines: Vec<String>,
 }
 
-/// One process of the fleet, and what it was told.
+/// One process of the fleet and the messages it delivered.
 struct Place {
     peers: Peers,
     seen: Arc<Mutex<Seen>>,
@@ -64,7 +64,7 @@
         self.seen.lock().unwrap().known.is_some_and(|known| known.elapsed() <= most)
     }
 
-    /// It has read the log up to a number.
+    /// Reports changes `from` to `to` as read from the log.
     fn reads(&self, from: u64, to: u64) {
         let changes = (from..=to).map(|n| LogChange { number: ChangeNumber(n), record: record(n) }).collect();
         let read = LogRead { changes, last: ChangeNumber(to), asked: Some(Instant::now()) };
@@ -89,7 +89,7 @@
     }
 }
 
-/// Two members that carry, and what any follower of theirs is set to.
+/// Settings of two carriers, and of a follower by name.
 fn carriers() -> (Vec<Set>, impl Fn(&str) -> Set) {
     let at = [free(), free()];
     let names = ["c1", "c2"];
@@ -111,7 +111,7 @@
     carriers.iter().for_each(|one| one.reads(1, 3));
     let followers: Vec<Place> = ["f1", "f2", "f3", "f4"].map(|name| Place::start(follower(name))).into();
     let all = |last: u64| -> Vec<Record> { (1..=last).map(record).collect() };
-    until("all have what was there", 5, || followers.iter().all(|one| one.taken() == all(3)));
+    until("all followers have the earlier changes", 5, || followers.iter().all(|one| one.taken() == all(3)));
     let mut last = 3;
     let mut go_on = |carriers: &[Place]| {
         last += 1;
@@ -119,33 +119,38 @@
         last
     };
     let number = go_on(&carriers);
-    until("all have what came", 2, || followers.iter().all(|one| one.taken() == all(number)));
+    until("all followers have the new change", 2, || followers.iter().all(|one| one.taken() == all(number)));
     assert!(followers.iter().all(|one| one.known_within(Duration::from_millis(1_100))));
 
-    // One carrier ends in order, and all are with the other at once.
+    // One carrier ends in order: all followers switch to the other at once.
     drop(carriers.remove(0));
     let number = go_on(&carriers);
-    until("all have what came after it", 2, || followers.iter().all(|one| one.taken() == all(number)));
+    until("all followers have the change after it", 2, || {
+        followers.iter().all(|one| one.taken() == all(number))
+    });
     assert!(followers.iter().all(|one| !one.reads_log()));
 
-    // Without any the log is read directly; what was read so far isn't told again by a carrier that is back.
+    // Without a carrier the followers read the log directly. A carrier that returns does not repeat what they
+    // read.
     drop(carriers.remove(0));
-    until("all read the log", 6, || followers.iter().all(Place::reads_log));
+    until("all followers read the log", 6, || followers.iter().all(Place::reads_log));
     followers.iter().for_each(|one| {
         one.reads(number + 1, number + 2);
-        // What the thread that reads the log took itself.
+        // What a dispatcher would have read itself.
         one.seen.lock().unwrap().taken.extend((number + 1..=number + 2).map(record));
     });
     let back = Place::start(first_carrier(&follower));
-    until("all are carried again", 20, || {
+    until("all followers have a carrier again", 20, || {
         back.reads(1, number + 2);
         followers.iter().all(|one| !one.reads_log())
     });
     back.reads(number + 3, number + 3);
-    until("all have the next one", 3, || followers.iter().all(|one| one.taken() == all(number + 3)));
+    until("all followers have the next change", 3, || {
+        followers.iter().all(|one| one.taken() == all(number + 3))
+    });
 }
 
-/// The first carrier once more, where the others look for it.
+/// Settings of the first carrier at its listed address.
 fn first_carrier(follower: &impl Fn(&str) -> Set) -> Set {
     let set = follower("c1");
     let listen = set.members[0].address;
--- a/crates/peers/tests/kept.rs
+++ b/crates/peers/tests/kept.rs
@@ -1,4 +1,4 @@
-//! What the rollout keeps outlasts the process, and a store that takes nothing or loses its end promotes nothing.
+//! Rollout records survive a restart, and nothing is promoted if the store rejects or loses records.
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_fleet::{house, rollout};
@@ -21,7 +21,7 @@
     Arc::new(Folder::lock(path).unwrap())
 }
 
-/// A fleet of one, and the rules that come to be in force.
+/// Starts a fleet of one member; the receiver yields the rules put into force.
 fn start(store: Arc<Store>) -> (Peers, Receiver<(u64, String)>) {
     let listen = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut set = Set::of("shop", "d1", listen);
@@ -75,7 +75,7 @@
     say("stall 300\n");
     peers.send(ToFleet::Order(version(1)));
     assert_eq!(comes(&rules), Some(1));
-    // Acknowledged, and gone with the process.
+    // Acknowledged, but lost with the process.
     say("lose\n");
     peers.send(ToFleet::Order(Order::Halt));
     std::thread::sleep(Duration::from_millis(500));
--- a/crates/peers/tests/link.rs
+++ b/crates/peers/tests/link.rs
@@ -1,8 +1,8 @@
-//! The form of messages: what is written is read, in both forms; what was changed or is nonsense changes nothing.
+//! Wire format: round trips in both forms; corrupted or malformed datagrams are rejected.
 use cherrypass::ids::LocationId;
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_peers::link::{
-    decode, encode, form_for, Envelope, LocationByte, Refused, DATAGRAM_MOST, PAYLOAD_MOST,
+    decode, encode, form_for, Envelope, LinkError, LocationByte, DATAGRAM_MOST, PAYLOAD_MOST,
 };
 use proptest::prelude::*;
 
@@ -21,10 +21,10 @@
         prop_assert_eq!(decode(&two, FLEET), Ok(told));
         let one = encode(1, &told).unwrap();
         prop_assert_eq!(decode(&one, FLEET), Ok(Envelope { location: None, ..told }));
-        prop_assert_eq!(decode(&two, "other"), Err(Refused::Fleet));
+        prop_assert_eq!(decode(&two, "other"), Err(LinkError::OtherFleet));
     }
 
-    /// Form 2 notices any changed byte, and either form any lost end.
+    /// Form 2 detects any changed byte, and both forms any truncation.
     #[test]
     fn changes_are_noticed(payload in prop::collection::vec(any::<u8>(), 1..200), at: prop::sample::Index, bits in 1u8..) {
         let told = envelope(&payload, 9, 3);
@@ -34,7 +34,7 @@
         prop_assert!(decode(&two[..at.index(two.len())], FLEET).is_err());
         let at = at.index(two.len());
         two[at] ^= bits;
-        // Its first byte may turn it into the other form, which carries no digest.
+        // A changed first byte may turn it into form 1, which has no checksum.
         prop_assume!(two[0] == 2);
         prop_assert!(decode(&two, FLEET).is_err());
     }
@@ -46,8 +46,8 @@
     }
 }
 
-/// Builds that know no location above 255 write and read its place as one byte; wider places give their low byte,
-/// which is what those builds take them for.
+/// Older builds, limited to 256 locations, encode the index as one byte; larger indices are sent as their low
+/// byte.
 #[test]
 fn a_location_is_a_byte_as_it_was() {
     for (place, byte) in [(0, 0u8), (127, 127), (200, 200), (255, 255), (456, 200), (1_023, 255)] {
@@ -67,9 +67,9 @@
     assert_eq!(encode(2, &envelope(&long, 1, 1)), None);
     let most = encode(2, &envelope(&long[1..], u64::MAX, 255)).unwrap();
     assert!(most.len() <= DATAGRAM_MOST && decode(&most, FLEET).is_ok());
-    assert_eq!(decode(&vec![1; DATAGRAM_MOST + 1], FLEET), Err(Refused::TooLong));
-    assert_eq!(decode(&[9, 9], FLEET), Err(Refused::Form(9)));
-    // A told length of 16 GB, with nothing behind it.
-    assert_eq!(decode(&[1, 2, 0xff, 0xff, 0xff, 0xff, 0x3f], FLEET), Err(Refused::Nonsense));
+    assert_eq!(decode(&vec![1; DATAGRAM_MOST + 1], FLEET), Err(LinkError::TooLong));
+    assert_eq!(decode(&[9, 9], FLEET), Err(LinkError::UnsupportedForm(9)));
+    // A declared length of 16 GB without content.
+    assert_eq!(decode(&[1, 2, 0xff, 0xff, 0xff, 0xff, 0x3f], FLEET), Err(LinkError::Malformed));
     assert_eq!([form_for(2, 1), form_for(1, 2), form_for(2, 9), form_for(2, 0)], [1, 1, 2, 1]);
 }
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Three dispatchers' fleets in one process, on loopback.
+//! A fleet of three members in one process, on loopback.
 use cherrypass::ids::{HostId, LocationId};
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_fleet::common::{Incarnation, MemberId};
@@ -17,10 +17,10 @@
 const NAMES: [&str; 3] = ["d1", "d2", "d3"];
 const ORIGIN: f64 = 30.0;
 
-/// Passes on what comes to it, until it is cut.
+/// Forwards datagrams until it is cut.
 struct Relay {
     at: SocketAddr,
-    /// How many messages of each form came by.
+    /// Number of forwarded messages by form.
     forms: Arc<[AtomicU32; 3]>,
     cut: Arc<AtomicBool>,
 }
@@ -106,7 +106,7 @@
         found
     }
 
-    /// What it may have out at the origin at an instant.
+    /// Its allowance at the origin at an instant.
     fn part_at(&self, at: Instant) -> f64 {
         let seen = self.seen.lock().unwrap();
         let last = seen.parts.iter().rfind(|part| part.0 <= at);
@@ -141,7 +141,7 @@
     }
 }
 
-/// Their settings, and the relays round the third.
+/// Settings of three members, and the relays between the third and the others.
 fn three() -> (Vec<Set>, Vec<Relay>) {
     let free = || UdpSocket::bind("127.0.0.1:0").unwrap();
     let at: Vec<SocketAddr> = [free(), free(), free()].map(|socket| socket.local_addr().unwrap()).to_vec();
@@ -169,7 +169,7 @@
 #[test]
 fn three_find_each_other_share_and_miss_the_one_cut_off() {
     let (mut sets, relays) = three();
-    // One of them is of the older form.
+    // One of them uses the older message form.
     sets[1].form = Some(1);
     let events = tempfile::NamedTempFile::new().unwrap();
     let follower = Set {
@@ -184,7 +184,7 @@
     let alive = ["d1:alive", "d2:alive", "d3:alive"];
     until("all know all", 10, || places.iter().all(|place| place.standings() == alive));
 
-    // What one could use and the others don't goes to it; in sum it is never over.
+    // The share that others do not need goes to the one with demand; the sum never exceeds the limit.
     let begun = Instant::now();
     let mut answered = [0; 3];
     until("the first has what the others spare", 10, || {
@@ -204,7 +204,7 @@
         at += Duration::from_millis(1);
     }
 
-    // What two have found out the third is told, of this run of the host alone.
+    // The findings of two members reach the third, only for this start of the host.
     let host = HostId(0x0a00_0001_1f90);
     for place in &places {
         for i in 0..8 {
@@ -223,7 +223,7 @@
             .any(|(h, since, _)| (*h, *since) == (host, Some(UnixTime(5))))
     });
 
-    // What went to all went to the follower too.
+    // The follower receives the same feed.
     until("the follower has an item of each", 5, || {
         let text = std::fs::read_to_string(events.path()).unwrap();
         let lines = text.lines().map(|line| serde_json::from_str::<serde_json::Value>(line).unwrap());
@@ -233,7 +233,7 @@
             .all(|source| items.iter().any(|item| item["source"] == **source && item["n"] == 1))
     });
 
-    // An order that makes no sense is refused with one line.
+    // Invalid orders are rejected with one line.
     let orders = [
         r#"{"order":"start"}"#,
         r#"{"order":"up"}"#,
@@ -247,7 +247,7 @@
         assert!(answer.starts_with("HTTP/1.1 400") && body.lines().count() == 1, "{order}: {answer}");
     }
 
-    // The second, which asked for the older form, is written to in it, all others in the newer.
+    // The member with the older form receives only that; the others receive the newer one.
     let forms = |i: usize| relays[i].forms.each_ref().map(|count| count.load(SeqCst));
     assert!(
         forms(1)[1] > 0 && forms(1)[2] == 0 && forms(0)[2] > forms(0)[1],
@@ -264,7 +264,7 @@
         places[2].has_line("own links are degraded")
     });
 
-    // A second process under a listed name: the first takes no part any more, and uses nothing.
+    // A second process with a listed name: the first steps down and has no allowance.
     let second = Place::start(second_run);
     until("the first run steps down", 20, || places[0].status()["stepped_down"] == true);
     assert_eq!(places[0].part_at(Instant::now()), 0.0);
@@ -291,11 +291,11 @@
         let noise: Vec<u8> = (0..length).map(|_| chance.gen()).collect();
         let fleet = ["shop", "mall"][usize::from(chance.gen_bool(0.3))];
         let from = [d2, MemberId(chance.gen()), MemberId::of("d1")][chance.gen_range(0..3)];
-        // Of a run before, of the future, or of no kind that is known: whatever they say is void.
+        // Outdated or future incarnations and unknown kinds have to be ignored.
         let runs = [(1, 1), (u64::MAX, 1), (unix * 2, 2), (mine, 99), (7, 3)];
         let (incarnation, kind) = runs[chance.gen_range(0..5)];
         let (fleet, incarnation) = if round % 7 == 0 { ("mall", unix) } else { (fleet, incarnation) };
-        // A word that nobody would refute: the third is dead.
+        // A false claim that no running member would refute: the third is dead.
         let dead = Claim { incarnation: Incarnation(9), count: 1, standing: Standing::Dead };
         let own = Claim { incarnation: Incarnation(incarnation), count: 0, standing: Standing::Alive };
         let said = Said { own, body: Body::News, words: vec![(MemberId::of("d3"), dead)] };
