--- a/crates/faultbed/src/changelog.rs
+++ b/crates/faultbed/src/changelog.rs
@@ -1,5 +1,5 @@
-//! The change log of all dispatchers: numbered events over HTTP/1.1, asked for by long polls.
-use crate::notes::{now, Note, Notes};
+//! A simulated change log: numbered events over HTTP/1.1 with long polling.
+use crate::notes::{unix_micros, Note, Notes};
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
@@ -8,36 +8,37 @@
 use std::time::Duration;
 use tiny_http::{Request, Response, Server};
 
-/// The longest wait that may be asked for, and the one where none is.
-const POLL_MOST: Duration = Duration::from_millis(5_000);
-const SILENT_LOOK: Duration = Duration::from_millis(20);
-const POLL_USUAL: Duration = Duration::from_millis(1_000);
+/// Maximum and default time of a long poll.
+const MAX_POLL: Duration = Duration::from_millis(5_000);
+const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const DEFAULT_POLL: Duration = Duration::from_millis(1_000);
 
+/// The change log server.
 #[derive(Clone)]
 pub struct ChangeLog {
     pub address: SocketAddr,
     events: Arc<(Mutex<Vec<Value>>, Condvar)>,
     notes: Notes,
-    silent: Arc<AtomicBool>,
+    is_silent: Arc<AtomicBool>,
 }
 
-/// A host as the list names it.
+/// A host as listed in the change log.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct HostEntry {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
     pub kind: &'static str,
     pub weight: f64,
-    /// Unix milliseconds of a late start.
-    pub started: u64,
+    /// Unix time of a restart; 0 if there was none.
+    pub started_ms: u64,
 }
 
 impl ChangeLog {
     pub fn start(notes: Notes) -> io::Result<ChangeLog> {
         let server = Server::http("127.0.0.1:0").map_err(io::Error::other)?;
         let address = server.server_addr().to_ip().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        let log = ChangeLog { address, events: Arc::default(), notes, silent: Arc::default() };
+        let log = ChangeLog { address, events: Arc::default(), notes, is_silent: Arc::default() };
         let own = log.clone();
         std::thread::spawn(move || {
             for request in server.incoming_requests() {
@@ -48,15 +49,15 @@
         Ok(log)
     }
 
-    /// From now on nothing is answered, until it is set otherwise.
-    pub fn silence(&self, silent: bool) {
-        self.silent.store(silent, SeqCst);
+    /// Sets whether requests are left unanswered.
+    pub fn set_silent(&self, silent: bool) {
+        self.is_silent.store(silent, SeqCst);
     }
 
     fn answer(&self, request: Request) {
-        if self.silent.load(SeqCst) {
-            while self.silent.load(SeqCst) {
-                std::thread::sleep(SILENT_LOOK);
+        if self.is_silent.load(SeqCst) {
+            while self.is_silent.load(SeqCst) {
+                std::thread::sleep(SILENCE_POLL_INTERVAL);
             }
             return;
         }
@@ -64,23 +65,23 @@
             request.url().split(key).nth(1).and_then(|rest| rest.split('&').next()?.parse().ok())
         };
         let since = asked("since=").and_then(|since| usize::try_from(since).ok()).unwrap_or(0);
-        let wait = asked("timeout=").map_or(POLL_USUAL, Duration::from_millis).min(POLL_MOST);
+        let wait = asked("timeout=").map_or(DEFAULT_POLL, Duration::from_millis).min(MAX_POLL);
         let (events, told) = &*self.events;
         let held = events.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = told.wait_timeout_while(held, wait, |events| events.len() <= since);
-        if self.silent.load(SeqCst) {
+        if self.is_silent.load(SeqCst) {
             return;
         }
-        let text = results(&waited.unwrap_or_else(PoisonError::into_inner).0, since).to_string();
+        let text = results_json(&waited.unwrap_or_else(PoisonError::into_inner).0, since).to_string();
         let _ = request.respond(Response::from_string(text));
     }
 
-    /// All events up to now, as a dispatcher's configuration holds them.
-    pub fn known(&self) -> Value {
-        results(&self.events.0.lock().unwrap_or_else(PoisonError::into_inner), 0)
+    /// All events so far, in the format of a dispatcher's configuration.
+    pub fn all_results(&self) -> Value {
+        results_json(&self.events.0.lock().unwrap_or_else(PoisonError::into_inner), 0)
     }
 
-    fn put(&self, key: &str, what: Value) {
+    fn append(&self, key: &str, what: Value) {
         let (events, told) = &*self.events;
         let mut events = events.lock().unwrap_or_else(PoisonError::into_inner);
         let seq = events.len() + 1;
@@ -88,27 +89,29 @@
         told.notify_all();
     }
 
-    pub fn list(&self, entries: &[Entry], state: &'static str, whole: bool) {
+    /// Appends a list of hosts, complete (`whole`) or not.
+    pub fn append_hosts(&self, entries: &[HostEntry], state: &'static str, whole: bool) {
         let servers: Vec<Value> = entries
             .iter()
             .map(|entry| {
                 json!({"id": entry.name, "addr": entry.address.to_string(), "zone": entry.zone, "kind": entry.kind,
-                    "cell": 0, "state": state, "weight": entry.weight, "started_ms": entry.started})
+                    "cell": 0, "state": state, "weight": entry.weight, "started_ms": entry.started_ms})
             })
             .collect();
-        self.put("fleet", json!({"version": 1, "full": whole, "servers": servers}));
+        self.append("fleet", json!({"version": 1, "full": whole, "servers": servers}));
         for entry in entries {
-            self.notes.note(Note::Listed { host: entry.name.clone(), state });
+            self.notes.record(Note::HostListed { host: entry.name.clone(), state });
         }
     }
 
-    pub fn purge(&self, object: u64) {
-        let at = now();
-        self.notes.note(Note::Purged { object });
-        self.put("invalidate", json!({"object": format!("{object:016x}"), "time": at / 1000}));
+    /// Appends a purge of an object.
+    pub fn append_purge(&self, object: u64) {
+        let at = unix_micros();
+        self.notes.record(Note::Purged { object });
+        self.append("invalidate", json!({"object": format!("{object:016x}"), "time": at / 1000}));
     }
 }
 
-fn results(events: &[Value], since: usize) -> Value {
+fn results_json(events: &[Value], since: usize) -> Value {
     json!({"seq": events.len(), "results": events[since.min(events.len())..]})
 }
--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -1,13 +1,14 @@
-//! Two scenarios on the same seeds, side by side: what clients and the host at fault saw, and how soon it was shut out.
-use crate::judge::of_hosts;
+//! Compares two scenarios on the same seeds: client outcomes, failures at the faulty host, and how soon it
+//! was ejected.
+use crate::judge::host_log_lines;
 use crate::notation::Scenario;
-use crate::notes::{Note, Word};
-use crate::play::Played;
+use crate::notes::{Note, Outcome};
+use crate::play::PlayResult;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What is counted in each play; its names, and how many decimals are shown.
-pub const COUNTED: [(&str, usize); 8] = [
+/// The columns of the table and their number of decimals.
+pub const COLUMNS: [(&str, usize); 8] = [
     ("settled", 0),
     ("turned back", 0),
     ("written off", 0),
@@ -18,20 +19,20 @@
     ("last s", 2),
 ];
 
-/// Of one play, in the order of `COUNTED`; none where nobody shut the host out.
-pub type Counted = [Option<f64>; COUNTED.len()];
+/// The figures of one play in the order of `COLUMNS`; None where no process ejected the host.
+pub type Figures = [Option<f64>; COLUMNS.len()];
 
-/// The host that the first fault at a host names.
-pub fn faulty(scenario: &Scenario) -> Option<&str> {
+/// The host of the first fault that concerns a host.
+pub fn first_faulty_host(scenario: &Scenario) -> Option<&str> {
     let mut faults: Vec<_> = scenario.faults.iter().collect();
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
     let is_host = |name: &&str| scenario.hosts.iter().any(|hosts| hosts.names.iter().any(|own| own == name));
-    faults.into_iter().find_map(|planned| planned.fault.names().into_iter().find(is_host))
+    faults.into_iter().find_map(|planned| planned.fault.targets().into_iter().find(is_host))
 }
 
-/// When each process that did first had the host shut out, in seconds after the first fault.
-fn shut_out(played: &Played, host: &str) -> Vec<f64> {
-    // The log names a host's id; the line of the list has both.
+/// Sorted times at which processes first ejected the host, in seconds after the first fault.
+fn ejection_times(played: &PlayResult, host: &str) -> Vec<f64> {
+    // Most log lines only have a host's id; the line of the list has both id and name.
     let is = format!(" is {host},");
     let mut lines = played.logs.values().flat_map(|log| log.lines());
     let listed = lines.find(|line| line.contains("list: host ") && line.contains(&is));
@@ -39,7 +40,7 @@
     let Some(shut) = id.map(|id| format!("host {id} shut out: ")) else { return Vec::new() };
     let mut first: BTreeMap<&str, f64> = BTreeMap::new();
     for (at, who, _) in
-        of_hosts(played).into_iter().filter(|(at, _, words)| *at >= 0.0 && words.starts_with(&shut))
+        host_log_lines(played).into_iter().filter(|(at, _, words)| *at >= 0.0 && words.starts_with(&shut))
     {
         first.entry(who).or_insert(at);
     }
@@ -48,24 +49,26 @@
     found
 }
 
-pub fn counted(scenario: &Scenario, played: &Played) -> Counted {
-    let host = faulty(scenario).map(|name| format!("s-{name}")).unwrap_or_default();
-    let ended = |wanted: Word| {
-        let is = |note: &&Note| matches!(note, Note::Answered { word, .. } if *word == wanted);
-        Some(played.noted.iter().map(|(_, note)| note).filter(is).count() as f64)
+/// The figures of a play.
+pub fn figures(scenario: &Scenario, played: &PlayResult) -> Figures {
+    let host = first_faulty_host(scenario).map(|name| format!("s-{name}")).unwrap_or_default();
+    let ended = |wanted: Outcome| {
+        let is = |note: &&Note| matches!(note, Note::Answered { outcome, .. } if *outcome == wanted);
+        Some(played.notes.iter().map(|(_, note)| note).filter(is).count() as f64)
     };
-    let count = |is: &dyn Fn(&Note) -> bool| Some(played.noted.iter().filter(|(_, n)| is(n)).count() as f64);
-    let bad = |note: &Note| matches!(note, Note::Left { host: at, well: false, .. } if *at == host);
-    let shut = shut_out(played, &host);
+    let count = |is: &dyn Fn(&Note) -> bool| Some(played.notes.iter().filter(|(_, n)| is(n)).count() as f64);
+    let bad =
+        |note: &Note| matches!(note, Note::HandOffEnded { host: at, is_success: false, .. } if *at == host);
+    let times = ejection_times(played, &host);
     [
-        ended(Word::Settled),
-        ended(Word::TurnedBack),
-        ended(Word::WrittenOff),
-        count(&|note| matches!(note, Note::Broken { .. })),
+        ended(Outcome::Served),
+        ended(Outcome::Refused),
+        ended(Outcome::Failed),
+        count(&|note| matches!(note, Note::ConnectionLost { .. })),
         count(&bad),
-        Some(shut.len() as f64),
-        shut.first().copied(),
-        shut.last().copied(),
+        Some(times.len() as f64),
+        times.first().copied(),
+        times.last().copied(),
     ]
 }
 
@@ -75,20 +78,21 @@
     Some(if all.len() % 2 == 1 { upper } else { (all[all.len() / 2 - 1] + upper) / 2.0 })
 }
 
-/// Of each figure the median over the plays that have it.
-fn medians(all: &[&Counted]) -> Counted {
+/// The median of each figure over the plays that have it.
+fn medians(all: &[&Figures]) -> Figures {
     std::array::from_fn(|place| median(all.iter().filter_map(|one| one[place]).collect()))
 }
 
-/// A table: for each seed both, then the medians, and that of the differences seed by seed.
-pub fn table(names: [&str; 2], seeds: &[(u64, [Counted; 2])]) -> String {
+/// A Markdown table with both scenarios for each seed, their medians, and the medians of the differences per
+/// seed.
+pub fn table(names: [&str; 2], seeds: &[(u64, [Figures; 2])]) -> String {
     let mut text = String::from("| seed | scenario |");
-    COUNTED.iter().for_each(|(name, _)| _ = write!(text, " {name} |"));
+    COLUMNS.iter().for_each(|(name, _)| _ = write!(text, " {name} |"));
     text += "\n|---|---|";
-    COUNTED.iter().for_each(|_| text += "---|");
-    let mut row = |seed: &str, name: &str, one: &Counted| {
+    COLUMNS.iter().for_each(|_| text += "---|");
+    let mut row = |seed: &str, name: &str, figures: &Figures| {
         _ = write!(text, "\n| {seed} | {name} |");
-        for (found, (_, decimals)) in one.iter().zip(COUNTED) {
+        for (found, (_, decimals)) in figures.iter().zip(COLUMNS) {
             match found {
                 Some(found) => _ = write!(text, " {found:.decimals$} |"),
                 None => text += " - |",
@@ -102,8 +106,8 @@
         row("median", name, &medians(&seeds.iter().map(|(_, both)| &both[place]).collect::<Vec<_>>()));
     }
     let differ =
-        |[a, b]: &[Counted; 2]| -> Counted { std::array::from_fn(|place| Some(b[place]? - a[place]?)) };
-    let differences: Vec<Counted> = seeds.iter().map(|(_, both)| differ(both)).collect();
+        |[a, b]: &[Figures; 2]| -> Figures { std::array::from_fn(|place| Some(b[place]? - a[place]?)) };
+    let differences: Vec<Figures> = seeds.iter().map(|(_, both)| differ(both)).collect();
     row("median", "second - first", &medians(&differences.iter().collect::<Vec<_>>()));
     text
 }
--- a/crates/faultbed/src/hosts.rs
+++ b/crates/faultbed/src/hosts.rs
@@ -1,7 +1,7 @@
-//! Stand-in caches, parents and the origin over RESP, by the published protocol: places, a cold ramp, copies with
-//! births, effects, and what is broken about them as told.
-use crate::notation::Sort;
-use crate::notes::{now, Note, Notes};
+//! Simulated caches, parents and origins that speak RESP. They model limited transfers, reduced capacity
+//! after a cold start, copies with creation times, effects of writes, and injected faults.
+use crate::notation::HostKind;
+use crate::notes::{unix_micros, Note, Notes};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,106 +10,112 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::Duration;
 
-/// Rule 4 as the settings that the processes get name it: the cold share, the ramp, the factor and the window.
-pub const COLD_FROM: f64 = 0.2;
-pub const RAMP: f64 = 6.0;
-pub const FACTOR: f64 = 2.0;
-pub const WINDOW: f64 = 1.5;
-/// Caches drop a purged copy by then, in seconds.
-pub const PURGE_DROPPED: f64 = 3.0;
-/// One that stood still drops them so much later than it went on.
-const DROPPED_LATE: Duration = Duration::from_millis(1_000);
-const STILL_LOOK: Duration = Duration::from_millis(2);
-const BODY: usize = 2_000;
-const CROWDED: f64 = 6.0;
-
+/// Parameters of rule 4, also used in the settings of the processes.
+pub const COLD_SHARE: f64 = 0.2;
+pub const COLD_RAMP_S: f64 = 6.0;
+pub const OVERLOAD_FACTOR: f64 = 2.0;
+pub const OVERLOAD_WINDOW_S: f64 = 1.5;
+/// Time until caches drop a purged copy.
+pub const PURGE_DELAY_S: f64 = 3.0;
+/// Delay of purges at a cache after it was frozen.
+const FROZEN_PURGE_DELAY: Duration = Duration::from_millis(1_000);
+const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(2);
+const BODY_BYTES: usize = 2_000;
+const MAX_TRANSFER_FACTOR: f64 = 6.0;
+
+/// The fault that is active at a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    Well,
+    Healthy,
+    /// Fails this share of hand-offs.
     Fail(f64),
+    /// Does not answer.
     Hang,
-    /// All of it stands still, and goes on later with what it was about.
-    Still,
+    /// Processes nothing, and continues later where it was.
+    Frozen,
+    /// Takes this many times as long.
     Slow(f64),
     /// Its port is closed.
-    Gone,
+    Down,
 }
 
 #[derive(Clone, Copy)]
-struct Copy {
+struct CachedCopy {
     born: u64,
 }
 
 struct State {
     mode: Mode,
     started: Option<u64>,
-    copies: BTreeMap<(u64, u32), Copy>,
-    out: usize,
-    came: VecDeque<u64>,
-    fallen: u64,
+    copies: BTreeMap<(u64, u32), CachedCopy>,
+    active_transfers: usize,
+    arrivals: VecDeque<u64>,
+    overloaded_until: u64,
     listener: Option<TcpListener>,
     streams: Vec<TcpStream>,
-    ran: BTreeSet<String>,
-    chance: Pcg64Mcg,
+    executed: BTreeSet<String>,
+    rng: Pcg64Mcg,
 }
 
+/// A simulated host.
 pub struct Host {
     pub name: String,
-    pub sort: Sort,
+    pub kind: HostKind,
     pub address: SocketAddr,
     pub transfers: f64,
-    work: Duration,
+    work_time: Duration,
     state: Mutex<State>,
     notes: Notes,
-    all: Arc<RwLock<BTreeMap<String, Arc<Host>>>>,
+    hosts: Arc<RwLock<BTreeMap<String, Arc<Host>>>>,
 }
 
-/// All hosts by name, as they find each other.
+/// All hosts by name, shared so that hosts can fill from each other.
 pub type Hosts = Arc<RwLock<BTreeMap<String, Arc<Host>>>>;
 
-struct Want {
+struct HandOff {
     id: String,
     fields: BTreeMap<String, String>,
 }
 
-impl Want {
-    fn get(&self, name: &str) -> &str {
+impl HandOff {
+    fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", |value| value)
     }
 
-    fn part(&self) -> (u64, u32) {
-        (u64::from_str_radix(self.get("k"), 16).unwrap_or(0), self.get("p").parse().unwrap_or(0))
+    fn block(&self) -> (u64, u32) {
+        (u64::from_str_radix(self.field("k"), 16).unwrap_or(0), self.field("p").parse().unwrap_or(0))
     }
 }
 
-/// An answer: its word, the birth of a copy, and a note.
-type Said = (&'static str, Option<u64>, &'static str);
+/// An answer: status word, creation time of the copy, and note.
+type HostAnswer = (&'static str, Option<u64>, &'static str);
 
 impl Host {
     pub fn start(
-        (name, sort, transfers): (&str, Sort, f64),
-        work: Duration,
+        (name, kind, transfers): (&str, HostKind, f64),
+        work_time: Duration,
         seed: u64,
         notes: Notes,
-        all: Hosts,
+        hosts: Hosts,
     ) -> io::Result<Arc<Host>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = State {
-            mode: Mode::Well,
+            mode: Mode::Healthy,
             started: None,
             copies: BTreeMap::new(),
-            out: 0,
-            came: VecDeque::new(),
-            fallen: 0,
+            active_transfers: 0,
+            arrivals: VecDeque::new(),
+            overloaded_until: 0,
             listener: None,
             streams: Vec::new(),
-            ran: BTreeSet::new(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            executed: BTreeSet::new(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
         };
         let (name, state) = (name.to_owned(), Mutex::new(state));
-        let host = Arc::new(Host { name, sort, address, transfers, work, state, notes, all: all.clone() });
-        all.write().unwrap_or_else(PoisonError::into_inner).insert(host.name.clone(), host.clone());
+        let host =
+            Arc::new(Host { name, kind, address, transfers, work_time, state, notes, hosts: hosts.clone() });
+        hosts.write().unwrap_or_else(PoisonError::into_inner).insert(host.name.clone(), host.clone());
         host.listen(listener);
         Ok(host)
     }
@@ -123,41 +129,41 @@
         let own = self.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if own.state().mode == Mode::Gone {
+                if own.state().mode == Mode::Down {
                     return;
                 }
                 let (host, other) = (own.clone(), stream.try_clone());
                 own.state().streams.extend(other.ok());
-                std::thread::spawn(move || host.read(stream));
+                std::thread::spawn(move || host.serve_connection(stream));
             }
         });
     }
 
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
-    /// The process ends: connections are reset, and its port is closed.
-    pub fn end(&self) {
+    /// Ends the host: closes its connections and its port.
+    pub fn shut_down(&self) {
         let mut state = self.state();
-        state.mode = Mode::Gone;
+        state.mode = Mode::Down;
         state.listener = None;
         state.streams.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
-        state.out = 0;
+        state.active_transfers = 0;
         drop(state);
-        // Wakes the thread that listens, so that the port is closed.
+        // Wakes the listening thread, so that the port is closed.
         drop(TcpStream::connect(self.address));
     }
 
-    /// A new, cold process at the same address.
-    pub fn begin_anew(self: &Arc<Host>) -> io::Result<()> {
-        self.end();
+    /// Replaces the host by a new, cold process at the same address.
+    pub fn restart(self: &Arc<Host>) -> io::Result<()> {
+        self.shut_down();
         std::thread::sleep(Duration::from_millis(20));
         let listener = TcpListener::bind(self.address)?;
         let mut state = self.state();
-        (state.mode, state.started) = (Mode::Well, Some(now()));
+        (state.mode, state.started) = (Mode::Healthy, Some(unix_micros()));
         state.copies.clear();
-        state.came.clear();
+        state.arrivals.clear();
         drop(state);
         self.listen(listener);
         Ok(())
@@ -167,35 +173,35 @@
         self.state().started.map_or(0, |at| at / 1000)
     }
 
-    fn is_still(&self) -> bool {
-        self.state().mode == Mode::Still
+    fn is_frozen(&self) -> bool {
+        self.state().mode == Mode::Frozen
     }
 
-    fn wait_while_still(&self) {
-        while self.is_still() {
-            std::thread::sleep(STILL_LOOK);
+    fn wait_while_frozen(&self) {
+        while self.is_frozen() {
+            std::thread::sleep(FROZEN_POLL_INTERVAL);
         }
     }
 
-    /// The same once it goes on, and a while later, where it stands still: it hears of the purge with all else then.
-    pub fn drop_older_awake(&self, object: u64, before: u64) {
-        if self.is_still() {
-            self.wait_while_still();
-            std::thread::sleep(DROPPED_LATE);
+    /// Like `drop_copies_before`, but a frozen host does so only some time after it continues.
+    pub fn drop_copies_when_awake(&self, object: u64, before: u64) {
+        if self.is_frozen() {
+            self.wait_while_frozen();
+            std::thread::sleep(FROZEN_PURGE_DELAY);
         }
-        self.drop_older(object, before);
+        self.drop_copies_before(object, before);
     }
 
-    /// Copies born before are dropped.
-    pub fn drop_older(&self, object: u64, before: u64) {
+    /// Drops copies of an object created before a time.
+    pub fn drop_copies_before(&self, object: u64, before: u64) {
         self.state().copies.retain(|(own, _), copy| *own != object || copy.born >= before);
     }
 
-    fn read(self: Arc<Host>, stream: TcpStream) {
+    fn serve_connection(self: Arc<Host>, stream: TcpStream) {
         let Ok(writer) = stream.try_clone() else { return };
         let (writer, given_up) = (Arc::new(Mutex::new(writer)), Arc::new(Mutex::new(BTreeSet::new())));
         let mut reader = BufReader::new(stream);
-        while let Some(words) = bulk(&mut reader) {
+        while let Some(words) = read_message(&mut reader) {
             match &words[..] {
                 [word, id, ..] if word == "never_mind" => {
                     given_up.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
@@ -203,14 +209,14 @@
                 [word, id, fields, _] if word == "want" => {
                     let fields = fields.split(',').filter_map(|field| field.split_once('='));
                     let fields = fields.map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
-                    let want = Want { id: id.clone(), fields };
+                    let hand_off = HandOff { id: id.clone(), fields };
                     let (host, writer, given_up) = (self.clone(), writer.clone(), given_up.clone());
                     let run = move || {
-                        let Some(said) = host.serve(&want) else { return };
-                        if given_up.lock().unwrap_or_else(PoisonError::into_inner).remove(&want.id) {
+                        let Some(answer) = host.handle_request(&hand_off) else { return };
+                        if given_up.lock().unwrap_or_else(PoisonError::into_inner).remove(&hand_off.id) {
                             return;
                         }
-                        let text = answer(&want.id, said);
+                        let text = encode_answer(&hand_off.id, answer);
                         let _ = writer.lock().unwrap_or_else(PoisonError::into_inner).write_all(&text);
                     };
                     let _ = std::thread::Builder::new().stack_size(128 << 10).spawn(run);
@@ -224,148 +230,163 @@
         }
     }
 
-    /// How much of what it can do warm it can do now.
-    fn share(state: &State) -> f64 {
-        let age = state.started.map_or(RAMP, |at| now().saturating_sub(at) as f64 / 1e6);
-        COLD_FROM + (1.0 - COLD_FROM) * (age / RAMP).min(1.0)
+    /// The current capacity as a share of that of a warm host.
+    fn capacity_share(state: &State) -> f64 {
+        let age = state.started.map_or(COLD_RAMP_S, |at| unix_micros().saturating_sub(at) as f64 / 1e6);
+        COLD_SHARE + (1.0 - COLD_SHARE) * (age / COLD_RAMP_S).min(1.0)
     }
 
-    /// Takes a place for one visit or fill; how long it will take, or none where the host fell or has no place.
-    fn enter(&self) -> Result<Duration, &'static str> {
+    /// Starts a transfer and returns its duration, or the status word if the host is overloaded.
+    fn start_transfer(&self) -> Result<Duration, &'static str> {
         let mut state = self.state();
-        let at = now();
-        let share = Host::share(&state);
-        if at < state.fallen {
+        let at = unix_micros();
+        let share = Host::capacity_share(&state);
+        if at < state.overloaded_until {
             return Err("BROKE");
         }
-        state.came.push_back(at);
-        while state.came.front().is_some_and(|first| *first + (WINDOW * 1e6) as u64 <= at) {
-            state.came.pop_front();
+        state.arrivals.push_back(at);
+        while state.arrivals.front().is_some_and(|first| *first + (OVERLOAD_WINDOW_S * 1e6) as u64 <= at) {
+            state.arrivals.pop_front();
         }
         if share < 1.0 {
-            let borne = FACTOR * share * self.transfers * WINDOW / self.work.as_secs_f64().max(0.001);
-            if state.came.len() as f64 > borne + 3.0 * borne.sqrt() + 3.0 {
-                state.fallen = at + 1_000_000;
-                self.notes.note(Note::Fell { host: self.name.clone() });
+            let borne = OVERLOAD_FACTOR * share * self.transfers * OVERLOAD_WINDOW_S
+                / self.work_time.as_secs_f64().max(0.001);
+            if state.arrivals.len() as f64 > borne + 3.0 * borne.sqrt() + 3.0 {
+                state.overloaded_until = at + 1_000_000;
+                self.notes.record(Note::HostOverloaded { host: self.name.clone() });
                 return Err("BROKE");
             }
         }
         let places = (self.transfers * share).max(1.0);
-        if state.out as f64 >= CROWDED * places {
+        if state.active_transfers as f64 >= MAX_TRANSFER_FACTOR * places {
             return Err("WAIT");
         }
-        state.out += 1;
-        let slower = (state.out as f64 / places).max(1.0);
+        state.active_transfers += 1;
+        let slower = (state.active_transfers as f64 / places).max(1.0);
         let mode = if let Mode::Slow(times) = state.mode { times } else { 1.0 };
-        Ok(self.work.mul_f64(slower * mode))
+        Ok(self.work_time.mul_f64(slower * mode))
     }
 
-    fn leave(&self) {
+    fn end_transfer(&self) {
         let mut state = self.state();
-        state.out = state.out.saturating_sub(1);
+        state.active_transfers = state.active_transfers.saturating_sub(1);
     }
 
-    fn serve(&self, want: &Want) -> Option<Said> {
-        let visit = u64::from_str_radix(&want.id, 16).unwrap_or(0);
-        let (host, filled) = (self.name.clone(), !want.get("from").is_empty());
-        let wait = want.get("w").parse().ok();
-        self.notes.note(Note::Came { host: host.clone(), visit, filled, wait });
-        self.wait_while_still();
+    fn handle_request(&self, hand_off: &HandOff) -> Option<HostAnswer> {
+        let visit = u64::from_str_radix(&hand_off.id, 16).unwrap_or(0);
+        let (host, is_fill) = (self.name.clone(), !hand_off.field("from").is_empty());
+        let wait = hand_off.field("w").parse().ok();
+        self.notes.record(Note::HandOffArrived { host: host.clone(), visit, is_fill, wait });
+        self.wait_while_frozen();
         let mode = self.state().mode;
-        let said = match mode {
-            Mode::Gone => return None,
+        let answer = match mode {
+            Mode::Down => return None,
             Mode::Hang => {
-                std::thread::sleep(Duration::from_millis(want.get("w").parse().unwrap_or(1_000)));
+                std::thread::sleep(Duration::from_millis(hand_off.field("w").parse().unwrap_or(1_000)));
                 None
             }
-            Mode::Fail(share) if self.state().chance.gen_bool(share.min(1.0)) => {
+            Mode::Fail(share) if self.state().rng.gen_bool(share.min(1.0)) => {
                 std::thread::sleep(Duration::from_millis(4));
                 Some(("BROKE", None, ""))
             }
-            _ => Some(match self.enter() {
+            _ => Some(match self.start_transfer() {
                 Ok(takes) => {
                     std::thread::sleep(takes);
-                    let said = self.found(want, visit);
-                    self.leave();
-                    said
+                    let answer = self.answer_request(hand_off, visit);
+                    self.end_transfer();
+                    answer
                 }
                 Err(word) => (word, None, ""),
             }),
         };
-        let well = said.is_some_and(|(word, _, _)| word == "DONE");
-        self.notes.note(Note::Left { host, visit, well });
-        said
+        let is_success = answer.is_some_and(|(word, _, _)| word == "DONE");
+        self.notes.record(Note::HandOffEnded { host, visit, is_success });
+        answer
     }
 
-    fn found(&self, want: &Want, visit: u64) -> Said {
-        let band = want.get("c");
-        if self.sort == Sort::Origin {
-            let key = if want.get("i").is_empty() { want.id.clone() } else { want.get("i").to_owned() };
-            if band != "read" && (band == "once" || self.state().ran.insert(key)) {
-                self.notes.note(Note::Ran { host: self.name.clone(), visit, band: band.to_owned() });
+    fn answer_request(&self, hand_off: &HandOff, visit: u64) -> HostAnswer {
+        let class = hand_off.field("c");
+        if self.kind == HostKind::Origin {
+            let key = if hand_off.field("i").is_empty() {
+                hand_off.id.clone()
+            } else {
+                hand_off.field("i").to_owned()
+            };
+            if class != "read" && (class == "once" || self.state().executed.insert(key)) {
+                self.notes.record(Note::Executed { host: self.name.clone(), visit, class: class.to_owned() });
             }
-            return ("DONE", Some(now()), "cached");
+            return ("DONE", Some(unix_micros()), "cached");
         }
-        let (part, oldest) = (want.part(), want.get("oldest").parse().unwrap_or(0u64) * 1000);
-        let fits = |copy: &Copy| oldest == 0 || now().saturating_sub(copy.born) <= oldest;
-        if let Some(copy) = self.state().copies.get(&part).copied().filter(fits) {
+        let (block, oldest) = (hand_off.block(), hand_off.field("oldest").parse().unwrap_or(0u64) * 1000);
+        let fits = |copy: &CachedCopy| oldest == 0 || unix_micros().saturating_sub(copy.born) <= oldest;
+        if let Some(copy) = self.state().copies.get(&block).copied().filter(fits) {
             return ("DONE", Some(copy.born), "cached");
         }
-        let held = want.get("mode").split('+').any(|word| word == "only-if-cached");
-        let source = self.source(want.get("from"));
+        let only_cached = hand_off.field("mode").split('+').any(|word| word == "only-if-cached");
+        let source = self.source(hand_off.field("from"));
         let Some(source) = source else { return ("LACK", None, "") };
-        let (born, note) = match source.give(part, oldest, held) {
+        let (born, note) = match source.fill(block, oldest, only_cached) {
             Ok(found) => found,
             Err("LACK") => return ("LACK", None, "up_empty"),
             Err(_) => return ("BROKE", None, "up_refused"),
         };
-        self.state().copies.insert(part, Copy { born });
+        self.state().copies.insert(block, CachedCopy { born });
         ("DONE", Some(born), note)
     }
 
     fn source(&self, name: &str) -> Option<Arc<Host>> {
-        self.all.read().unwrap_or_else(PoisonError::into_inner).get(name).cloned()
+        self.hosts.read().unwrap_or_else(PoisonError::into_inner).get(name).cloned()
     }
 
-    /// What it gives for another's fill.
-    fn give(&self, part: (u64, u32), oldest: u64, held: bool) -> Result<(u64, &'static str), &'static str> {
-        self.wait_while_still();
+    /// Serves a fill of another host.
+    fn fill(
+        &self,
+        block: (u64, u32),
+        oldest: u64,
+        only_cached: bool,
+    ) -> Result<(u64, &'static str), &'static str> {
+        self.wait_while_frozen();
         match self.state().mode {
-            Mode::Gone | Mode::Fail(_) => return Err("BROKE"),
+            Mode::Down | Mode::Fail(_) => return Err("BROKE"),
             Mode::Hang => std::thread::sleep(Duration::from_secs(3)),
             _ => {}
         }
-        let (host, visit, filled) = (self.name.clone(), 0, true);
-        self.notes.note(Note::Came { host: host.clone(), visit, filled, wait: None });
-        let takes = self.enter()?;
+        let (host, visit, is_fill) = (self.name.clone(), 0, true);
+        self.notes.record(Note::HandOffArrived { host: host.clone(), visit, is_fill, wait: None });
+        let takes = self.start_transfer()?;
         std::thread::sleep(takes);
-        let given = self.given(part, oldest, held);
-        self.leave();
-        self.notes.note(Note::Left { host, visit, well: given.is_ok() });
+        let given = self.fill_copy(block, oldest, only_cached);
+        self.end_transfer();
+        self.notes.record(Note::HandOffEnded { host, visit, is_success: given.is_ok() });
         given
     }
 
-    fn given(&self, part: (u64, u32), oldest: u64, held: bool) -> Result<(u64, &'static str), &'static str> {
-        if self.sort == Sort::Origin {
-            return Ok((now(), "fetched_root"));
+    fn fill_copy(
+        &self,
+        block: (u64, u32),
+        oldest: u64,
+        only_cached: bool,
+    ) -> Result<(u64, &'static str), &'static str> {
+        if self.kind == HostKind::Origin {
+            return Ok((unix_micros(), "fetched_root"));
         }
-        let fits = |copy: &Copy| oldest == 0 || now().saturating_sub(copy.born) <= oldest;
-        if let Some(copy) = self.state().copies.get(&part).copied().filter(fits) {
+        let fits = |copy: &CachedCopy| oldest == 0 || unix_micros().saturating_sub(copy.born) <= oldest;
+        if let Some(copy) = self.state().copies.get(&block).copied().filter(fits) {
             return Ok((copy.born, "fetched"));
         }
-        if held {
+        if only_cached {
             return Err("LACK");
         }
-        let all = self.all.read().unwrap_or_else(PoisonError::into_inner);
-        let origin = all.values().find(|host| host.sort == Sort::Origin).cloned();
+        let all = self.hosts.read().unwrap_or_else(PoisonError::into_inner);
+        let origin = all.values().find(|host| host.kind == HostKind::Origin).cloned();
         drop(all);
-        let (born, _) = origin.ok_or("BROKE")?.give(part, oldest, false)?;
-        self.state().copies.insert(part, Copy { born });
+        let (born, _) = origin.ok_or("BROKE")?.fill(block, oldest, false)?;
+        self.state().copies.insert(block, CachedCopy { born });
         Ok((born, "fetched_root"))
     }
 }
 
-fn answer(id: &str, (word, born, note): Said) -> Vec<u8> {
+fn encode_answer(id: &str, (word, born, note): HostAnswer) -> Vec<u8> {
     let mut fields = Vec::new();
     if let Some(born) = born {
         fields.push(format!("ver={:016x}", born));
@@ -375,14 +396,14 @@
         fields.push(format!("note={note}"));
     }
     let fields = if fields.is_empty() { "-".to_owned() } else { fields.join(",") };
-    // The body tells the true birth, whatever the fields on its way say.
-    let body = born.map_or(String::new(), |born| format!("{born:016x}{}", "x".repeat(BODY)));
+    // The body starts with the true creation time, whatever the header fields say.
+    let body = born.map_or(String::new(), |born| format!("{born:016x}{}", "x".repeat(BODY_BYTES)));
     let parts = [id, word, &fields, &body].map(|part| format!("${}\r\n{part}\r\n", part.len()));
     format!("*4\r\n{}", parts.concat()).into_bytes()
 }
 
-/// A message of bulk strings; none once the connection has ended.
-fn bulk(reader: &mut impl BufRead) -> Option<Vec<String>> {
+/// Reads an array of bulk strings. None at the end of the connection.
+fn read_message(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let number = |reader: &mut dyn BufRead, mark: char| -> Option<usize> {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
--- a/crates/faultbed/src/judge.rs
+++ b/crates/faultbed/src/judge.rs
@@ -1,203 +1,223 @@
-//! Reads what processes, stand-ins and clients noted on one clock, and says what did not hold.
-use crate::notation::{Hold, Scenario};
-use crate::notes::{Absences, Event, Note, Noted, Word};
-use crate::play::Played;
+//! Checks the observations of a play against the expectations of its scenario and reports violations.
+use crate::notation::{Expectation, Scenario};
+use crate::notes::{Absences, Event, Note, Outcome, TimedNotes};
+use crate::play::PlayResult;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// On sockets every time limit is so much longer, in microseconds.
-const SLACK: u64 = 50_000;
-/// A list and a purge count as told so much later (they come at once here), and what follows has its grace.
-const TOLD: u64 = 300_000;
-/// And so much after the end of a time in which the change log was silent, or at the latest.
-const TOLD_AFTER_BREAK: u64 = 2_000_000;
-const TOLD_AT_LATEST: u64 = 7_000_000;
-/// A dispatcher may tell a host that it will wait for so much longer than its client does.
-const WAIT_SLACK: u64 = 150_000;
-const GRACE: u64 = 1_000_000;
-/// What a machine busy with other plays may be late by.
-const LATE: u64 = 150_000;
-/// What crosses the end of its connection was on its way for so long.
-const CROSSING: u64 = 50_000;
-/// Above a limit by so little is rounding.
-const ROUNDING: f64 = 1e-6;
-/// Members agree by then after the last fault, in microseconds.
-const SETTLED: u64 = 5_000_000;
+/// Tolerance for time limits over sockets.
+const TIME_LIMIT_SLACK_US: u64 = 50_000;
+/// Time until an entry of the change log counts as known to the dispatchers; the grace period starts then.
+const PROPAGATION_US: u64 = 300_000;
+/// The same after a time in which the change log did not answer, and its maximum.
+const PROPAGATION_AFTER_SILENCE_US: u64 = 2_000_000;
+const MAX_PROPAGATION_US: u64 = 7_000_000;
+/// How much longer than its client a dispatcher may announce to wait.
+const ANNOUNCED_WAIT_SLACK_US: u64 = 150_000;
+const GRACE_US: u64 = 1_000_000;
+/// Tolerance for scheduling delays on a busy machine.
+const SCHEDULING_DELAY_US: u64 = 150_000;
+/// Maximum transit time of a request that crosses the close of its connection.
+const CLOSE_CROSSING_US: u64 = 50_000;
+/// Tolerance for rounding in sums of allowances.
+const ROUNDING_ERROR: f64 = 1e-6;
+/// Time from the last fault until members have to agree.
+const AGREEMENT_US: u64 = 5_000_000;
 
-/// What did not hold, a line each; none: all held.
-pub fn judge(scenario: &Scenario, played: &Played) -> Vec<String> {
-    let mut broken = played.crashed.clone();
-    for hold in &scenario.holds {
-        broken.extend(match hold {
-            Hold::Rules => rules_with(&played.noted, &played.absences()),
-            Hold::Sum(key, most) => sum(&played.events, &played.away, key, *most),
-            Hold::Used(key, least) => used(&played.events, key, *least, played.span),
-            Hold::Age(most) => ages(&played.events, *most),
-            Hold::Feed => feed(&played.events),
-            Hold::Agreed => agreed(scenario, played),
-            Hold::Versions => versions(&played.events),
-            Hold::Taken(count) => taken(&played.orders, *count),
-            Hold::End(number) => ended(scenario, &played.away, played.span.1, &played.standings, *number),
-            Hold::Halted(number, location) => {
-                halted(scenario, &played.events, &played.standings, *number, location)
+/// Checks all expectations of a scenario; returns one line per violation.
+pub fn judge(scenario: &Scenario, played: &PlayResult) -> Vec<String> {
+    let mut violations = played.abnormal_exits.clone();
+    for expectation in &scenario.expectations {
+        violations.extend(match expectation {
+            Expectation::Rules => check_rules_with_absences(&played.notes, &played.absences()),
+            Expectation::Sum(key, most) => check_limit_sum(&played.events, &played.unavailable, key, *most),
+            Expectation::Used(key, least) => check_limit_used(&played.events, key, *least, played.load_span),
+            Expectation::Age(most) => check_verdict_ages(&played.events, *most),
+            Expectation::Feed => check_feed(&played.events),
+            Expectation::Agreed => check_agreement(scenario, played),
+            Expectation::Versions => check_versions(&played.events),
+            Expectation::Taken(count) => check_accepted_orders(&played.rollout_orders, *count),
+            Expectation::End(number) => check_final_version(
+                scenario,
+                &played.unavailable,
+                played.load_span.1,
+                &played.rollout_statuses,
+                *number,
+            ),
+            Expectation::Halted(number, location) => {
+                check_halted(scenario, &played.events, &played.rollout_statuses, *number, location)
             }
-            Hold::Never(number) => never(&played.events, *number),
+            Expectation::Never(number) => check_never_in_force(&played.events, *number),
         });
     }
-    broken
+    violations
 }
 
-/// Its word, and the birth of the copy.
-type Answer = (Word, Option<u64>);
+/// The outcome, and the creation time of the copy.
+type Answer = (Outcome, Option<u64>);
 
 #[derive(Default)]
 struct Visit<'a> {
-    asked: u64,
+    sent_at: u64,
     dispatcher: &'a str,
-    band: &'a str,
+    class: &'a str,
     limit: u64,
     object: u64,
-    /// When it had an answer, and which; none where its connection ended.
-    ends: Vec<(u64, Option<Answer>)>,
-    ran: Vec<u64>,
-    /// When and to which host it came, and how long that was told that its answer is waited for.
-    waits: Vec<(u64, &'a str, u64)>,
+    /// Times of the answers; None where the connection ended.
+    outcomes: Vec<(u64, Option<Answer>)>,
+    executions: Vec<u64>,
+    /// Time, host and announced wait of each hand-off.
+    announced_waits: Vec<(u64, &'a str, u64)>,
 }
 
-/// The five rules, by what clients and hosts saw. Visits at a process that was killed or stood still meanwhile are
-/// not its own fault for the first.
-pub fn rules(noted: &Noted, away: &[(String, u64, u64)]) -> Vec<String> {
-    rules_with(noted, &Absences { away, ended: &[], silent: &[] })
+/// Checks the five rules from the observations of clients and hosts. Rule 1 does not apply to visits at a
+/// process that was killed or stopped meanwhile.
+pub fn check_rules(notes: &TimedNotes, unavailable: &[(String, u64, u64)]) -> Vec<String> {
+    check_rules_with_absences(notes, &Absences { unavailable, terminated: &[], log_silences: &[] })
 }
 
-/// When something that the change log had then counts as told.
-fn told(absences: &Absences, at: u64) -> u64 {
-    let silent = absences.silent.iter().find(|(from, to)| at + TOLD >= *from && at < *to);
-    silent.map_or(at + TOLD, |(_, to)| to.saturating_add(TOLD_AFTER_BREAK).min(at + TOLD_AT_LATEST))
+/// When an entry added to the change log at `at` counts as known to the dispatchers.
+fn propagated_at(absences: &Absences, at: u64) -> u64 {
+    let silence = absences.log_silences.iter().find(|(from, to)| at + PROPAGATION_US >= *from && at < *to);
+    silence.map_or(at + PROPAGATION_US, |(_, to)| {
+        to.saturating_add(PROPAGATION_AFTER_SILENCE_US).min(at + MAX_PROPAGATION_US)
+    })
 }
 
-/// The same where processes ended as they were told, or the change log was silent.
-pub fn rules_with(noted: &Noted, absences: &Absences) -> Vec<String> {
-    let Absences { away, ended, .. } = absences;
+/// Like `check_rules`, also considering processes that ended after SIGTERM and times without an answer of the
+/// change log.
+pub fn check_rules_with_absences(notes: &TimedNotes, absences: &Absences) -> Vec<String> {
+    let Absences { unavailable, terminated, .. } = absences;
     let mut visits: BTreeMap<u64, Visit> = BTreeMap::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut drained: BTreeMap<&str, u64> = BTreeMap::new();
     let mut purged: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-    for (at, note) in noted {
+    for (at, note) in notes {
         match note {
-            Note::Asked { visit, dispatcher, band, object, limit } => {
-                let asked = Visit {
-                    asked: *at,
+            Note::RequestSent { visit, dispatcher, class, object, limit } => {
+                let sent = Visit {
+                    sent_at: *at,
                     dispatcher,
-                    band,
+                    class,
                     limit: *limit,
                     object: *object,
                     ..Visit::default()
                 };
-                visits.insert(*visit, asked);
+                visits.insert(*visit, sent);
             }
-            Note::Answered { visit, word, born } => match visits.get_mut(visit) {
-                Some(known) => known.ends.push((*at, Some((*word, *born)))),
-                None => broken.push("rule 1: an answer to a visit that is not open".to_owned()),
+            Note::Answered { visit, outcome, born } => match visits.get_mut(visit) {
+                Some(known) => known.outcomes.push((*at, Some((*outcome, *born)))),
+                None => violations.push("rule 1: an answer without an open visit".to_owned()),
             },
-            Note::Broken { visit } => {
-                visits.entry(*visit).and_modify(|known| known.ends.push((*at, None)));
+            Note::ConnectionLost { visit } => {
+                visits.entry(*visit).and_modify(|known| known.outcomes.push((*at, None)));
             }
-            Note::Ran { visit, .. } => {
-                visits.entry(*visit).and_modify(|known| known.ran.push(*at));
+            Note::Executed { visit, .. } => {
+                visits.entry(*visit).and_modify(|known| known.executions.push(*at));
             }
-            Note::Came { host, visit, wait, .. } => {
-                if drained.get(&host[..]).is_some_and(|since| *at > told(absences, *since) + GRACE + SLACK) {
-                    broken.push(format!("rule 3: visit {visit} came to {host}, which drains"));
+            Note::HandOffArrived { host, visit, wait, .. } => {
+                if drained.get(&host[..]).is_some_and(|since| {
+                    *at > propagated_at(absences, *since) + GRACE_US + TIME_LIMIT_SLACK_US
+                }) {
+                    violations.push(format!("rule 3: visit {visit} was handed to {host}, which is draining"));
                 }
                 if let Some((known, wait)) = visits.get_mut(visit).zip(*wait) {
-                    known.waits.push((*at, host, wait * 1000));
+                    known.announced_waits.push((*at, host, wait * 1000));
                 }
             }
-            Note::Crossed { visit } => drop(visits.remove(visit)),
-            Note::Listed { host, state } => {
+            Note::CrossedClose { visit } => drop(visits.remove(visit)),
+            Note::HostListed { host, state } => {
                 if *state == "in_service" {
                     drained.remove(&host[..]);
                 } else {
                     drained.insert(host, *at);
                 }
             }
-            Note::Fell { host } => broken.push(format!("rule 4: {host} was pushed over while cold")),
+            Note::HostOverloaded { host } => {
+                violations.push(format!("rule 4: {host} was overloaded while cold"))
+            }
             Note::Purged { object } => purged.entry(*object).or_default().push(*at),
-            Note::Left { .. } | Note::Fault { .. } => {}
+            Note::HandOffEnded { .. } | Note::Fault { .. } => {}
         }
     }
-    let is_away = |visit: &Visit| {
-        let until = visit.asked + visit.limit + SLACK + LATE;
+    let is_excused = |visit: &Visit| {
+        let until = visit.sent_at + visit.limit + TIME_LIMIT_SLACK_US + SCHEDULING_DELAY_US;
         let touches = |(who, from, to): &&(String, u64, u64)| {
-            who == visit.dispatcher && *from <= until && visit.asked <= *to + LATE
+            who == visit.dispatcher && *from <= until && visit.sent_at <= *to + SCHEDULING_DELAY_US
         };
-        let came_past = |(who, from, to): &&(String, u64, u64)| {
-            who == visit.dispatcher && visit.asked + CROSSING >= *from && visit.asked <= *to + LATE
+        let overlaps_end = |(who, from, to): &&(String, u64, u64)| {
+            who == visit.dispatcher
+                && visit.sent_at + CLOSE_CROSSING_US >= *from
+                && visit.sent_at <= *to + SCHEDULING_DELAY_US
         };
-        away.iter().any(|span| touches(&span)) || ended.iter().any(|span| came_past(&span))
+        unavailable.iter().any(|span| touches(&span)) || terminated.iter().any(|span| overlaps_end(&span))
     };
     for (number, visit) in &visits {
-        let answers: Vec<_> = visit.ends.iter().filter_map(|(at, end)| Some((*at, (*end)?))).collect();
-        let who = format!("visit {number} ({} at {})", visit.band, visit.dispatcher);
+        let answers: Vec<_> = visit.outcomes.iter().filter_map(|(at, end)| Some((*at, (*end)?))).collect();
+        let who = format!("visit {number} ({} at {})", visit.class, visit.dispatcher);
         match answers.len() {
-            0 if !is_away(visit) => broken.push(format!("rule 1: {who} had no answer")),
+            0 if !is_excused(visit) => violations.push(format!("rule 1: {who} had no answer")),
             0 | 1 => {}
-            more => broken.push(format!("rule 1: {who} had {more} answers")),
+            more => violations.push(format!("rule 1: {who} had {more} answers")),
         }
-        if let Some((at, (word, born))) = answers.first() {
-            let late = at.saturating_sub(visit.asked + visit.limit + SLACK + LATE);
-            if late > 0 && !is_away(visit) {
-                broken.push(format!("rule 1: {who} was answered {} ms late", late / 1000));
+        if let Some((at, (outcome, born))) = answers.first() {
+            let late =
+                at.saturating_sub(visit.sent_at + visit.limit + TIME_LIMIT_SLACK_US + SCHEDULING_DELAY_US);
+            if late > 0 && !is_excused(visit) {
+                violations.push(format!("rule 1: {who} was answered {} ms late", late / 1000));
             }
-            if *word == Word::Bad {
-                broken.push(format!("rule 1: {who} was called unusable"));
+            if *outcome == Outcome::InvalidAnswer {
+                violations.push(format!("rule 1: {who} was answered with an invalid status"));
             }
-            let before = |purge: &&u64| told(absences, **purge) + GRACE + SLACK < visit.asked;
+            let before = |purge: &&u64| {
+                propagated_at(absences, **purge) + GRACE_US + TIME_LIMIT_SLACK_US < visit.sent_at
+            };
             let purge = purged.get(&visit.object).and_then(|all| all.iter().filter(before).max());
-            if let (Word::Settled, Some(born), Some(purge)) = (word, born, purge) {
-                if visit.band == "read" && born < purge {
-                    broken.push(format!(
+            if let (Outcome::Served, Some(born), Some(purge)) = (outcome, born, purge) {
+                if visit.class == "read" && born < purge {
+                    violations.push(format!(
                         "rule 5: {who} got a copy {} ms older than its purge",
                         (purge - born) / 1000
                     ));
                 }
             }
         }
-        let left = |at: u64| (visit.asked + visit.limit).saturating_sub(at);
-        let too_long = visit.waits.iter().filter(|(at, _, wait)| *wait > left(*at) + WAIT_SLACK);
-        // A process that stood still can't tell when what it reads came.
-        for (at, host, wait) in too_long.filter(|_| !is_away(visit)) {
+        let left = |at: u64| (visit.sent_at + visit.limit).saturating_sub(at);
+        let too_long =
+            visit.announced_waits.iter().filter(|(at, _, wait)| *wait > left(*at) + ANNOUNCED_WAIT_SLACK_US);
+        // A process that was stopped can't know the arrival times of what it reads.
+        for (at, host, wait) in too_long.filter(|_| !is_excused(visit)) {
             let (wait, left) = (wait / 1000, left(*at) / 1000);
-            broken.push(format!("deadline: {host} was told of {wait} ms for {who}, which had {left}"));
+            violations
+                .push(format!("deadline: {host} was given {wait} ms for {who}, which had {left} ms left"));
         }
-        if visit.ran.len() > 1 {
-            broken.push(format!("rule 2: {who} ran {} times", visit.ran.len()));
+        if visit.executions.len() > 1 {
+            violations.push(format!("rule 2: {who} ran {} times", visit.executions.len()));
         }
-        if visit.ran.len() == 1 && visit.band == "once" {
-            if let Some((_, (Word::TurnedBack, _))) = answers.first() {
-                broken.push(format!("rule 2: {who} ran and was turned back"));
+        if visit.executions.len() == 1 && visit.class == "once" {
+            if let Some((_, (Outcome::Refused, _))) = answers.first() {
+                violations.push(format!("rule 2: {who} ran and was refused"));
             }
         }
     }
-    broken
+    violations
 }
 
-/// A part in force: so much until then, and so much from then on.
+/// An allowance: `amount` until `until`, then `after`.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Allowance {
     amount: f64,
     until: u64,
     after: f64,
 }
 
-impl Part {
-    fn of(event: &Event) -> Part {
+impl Allowance {
+    fn from_event(event: &Event) -> Allowance {
         let number = |name| event.number(name).unwrap_or(0.0);
-        Part { amount: number("amount"), until: number("until") as u64, after: number("after") }
+        Allowance { amount: number("amount"), until: number("until") as u64, after: number("after") }
     }
 
-    fn at(&self, t: u64) -> f64 {
+    fn amount_at(&self, t: u64) -> f64 {
         if t < self.until {
             self.amount
         } else {
@@ -206,185 +226,216 @@
     }
 }
 
-/// The sum of a limit over all processes at each instant. A process that was killed uses nothing from then on; one that
-/// stands still may go on with what it had.
-pub fn sum(events: &[Event], away: &[(String, u64, u64)], key: &str, most: f64) -> Vec<String> {
+/// Checks that the sum of a limit over all processes never exceeds `most`. A killed process uses nothing; a
+/// stopped one counts with its last allowance.
+pub fn check_limit_sum(
+    events: &[Event],
+    unavailable: &[(String, u64, u64)],
+    key: &str,
+    most: f64,
+) -> Vec<String> {
     let mut keys: BTreeSet<&str> = BTreeSet::new();
     let fits = |found: &str| found == key || key == "cold" && found.starts_with("cold:");
     keys.extend(events.iter().filter_map(|event| event.text("key")).filter(|found| fits(found)));
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     if keys.is_empty() {
-        broken.push(format!("no part of {key} was ever told"));
+        violations.push(format!("no allowance of {key} was ever issued"));
     }
     for key in keys {
-        let mut parts: BTreeMap<&str, Part> = BTreeMap::new();
+        let mut parts: BTreeMap<&str, Allowance> = BTreeMap::new();
         let mut instants: BTreeSet<u64> = BTreeSet::new();
-        let parted = |event: &&Event| event.e == "part" && event.text("key") == Some(key);
-        for event in events.iter().filter(parted) {
-            instants.insert(event.t);
+        let is_allowance = |event: &&Event| event.name == "part" && event.text("key") == Some(key);
+        for event in events.iter().filter(is_allowance) {
+            instants.insert(event.time);
             instants.insert(event.number("until").unwrap_or(0.0) as u64);
         }
         let mut next =
-            events.iter().filter(|event| parted(event) || ["start", "stop"].contains(&&event.e[..]));
+            events.iter().filter(|event| is_allowance(event) || ["start", "stop"].contains(&&event.name[..]));
         let mut coming = next.next();
         let mut worst: Option<(f64, u64)> = None;
         for t in instants {
-            while let Some(event) = coming.filter(|event| event.t <= t) {
-                match &event.e[..] {
-                    "part" => drop(parts.insert(&event.me, Part::of(event))),
-                    _ => drop(parts.remove(&event.me[..])),
+            while let Some(event) = coming.filter(|event| event.time <= t) {
+                match &event.name[..] {
+                    "part" => drop(parts.insert(&event.process, Allowance::from_event(event))),
+                    _ => drop(parts.remove(&event.process[..])),
                 }
                 coming = next.next();
             }
-            let killed = |who: &str| away.iter().any(|(own, from, to)| own == who && *from < t && t < *to);
+            let killed =
+                |who: &str| unavailable.iter().any(|(own, from, to)| own == who && *from < t && t < *to);
             let live = parts.iter().filter(|(who, _)| !killed(who));
-            let all: f64 = live.map(|(_, part)| part.at(t)).sum();
+            let all: f64 = live.map(|(_, part)| part.amount_at(t)).sum();
             if worst.is_none_or(|(sum, _)| all > sum) {
                 worst = Some((all, t));
             }
         }
-        if let Some((all, t)) = worst.filter(|(all, _)| *all > most + ROUNDING) {
-            broken.push(format!("the sum of {key} was {all:.3}, {most} at most, at {t}"));
+        if let Some((all, t)) = worst.filter(|(all, _)| *all > most + ROUNDING_ERROR) {
+            violations.push(format!("the sum of {key} was {all:.3} at {t}, exceeding {most}"));
         }
     }
-    broken
+    violations
 }
 
-/// In the last third of the load, the part in force at the process that has most.
-pub fn used(events: &[Event], key: &str, least: f64, (from, to): (u64, u64)) -> Vec<String> {
-    let begun = to - (to - from) / 3;
-    let parted = |event: &&Event| event.e == "part" && event.text("key") == Some(key) && event.t < to;
-    let mut last: BTreeMap<&str, Part> = BTreeMap::new();
+/// Checks that in the last third of the load one process always has an allowance of at least `least`.
+pub fn check_limit_used(events: &[Event], key: &str, least: f64, (from, to): (u64, u64)) -> Vec<String> {
+    let start = to - (to - from) / 3;
+    let is_allowance =
+        |event: &&Event| event.name == "part" && event.text("key") == Some(key) && event.time < to;
+    let mut last: BTreeMap<&str, Allowance> = BTreeMap::new();
     let mut lowest: BTreeMap<&str, f64> = BTreeMap::new();
-    for event in events.iter().filter(parted) {
-        let part = Part::of(event);
-        // What ran out before the next was told counts as it stood.
-        let before = last.insert(&event.me, part);
-        if event.t >= begun {
-            let was = before.map_or(part.amount, |before| before.at(event.t.saturating_sub(1)));
-            let known = lowest.entry(&event.me).or_insert(f64::MAX);
+    for event in events.iter().filter(is_allowance) {
+        let part = Allowance::from_event(event);
+        // An allowance that expired before the next one counts with its amount after expiry.
+        let before = last.insert(&event.process, part);
+        if event.time >= start {
+            let was = before.map_or(part.amount, |before| before.amount_at(event.time.saturating_sub(1)));
+            let known = lowest.entry(&event.process).or_insert(f64::MAX);
             *known = known.min(was).min(part.amount);
         }
     }
     for (who, part) in last {
-        lowest.entry(who).and_modify(|known| *known = known.min(part.at(to)));
+        lowest.entry(who).and_modify(|known| *known = known.min(part.amount_at(to)));
     }
     let best = lowest.values().copied().fold(0.0, f64::max);
     if best < least {
-        vec![format!("{best:.3} of {key} was in force where most was wanted, {least} at least")]
+        vec![format!("at most {best:.3} of {key} was in force at one process, expected at least {least}")]
     } else {
         Vec::new()
     }
 }
 
-pub fn ages(events: &[Event], most: f64) -> Vec<String> {
-    let told = events.iter().filter(|event| event.e == "hearsay");
+/// Checks that no verdict in use was older than `most` milliseconds.
+pub fn check_verdict_ages(events: &[Event], most: f64) -> Vec<String> {
+    let told = events.iter().filter(|event| event.name == "hearsay");
     let old = told.filter(|event| event.number("age_ms").is_none_or(|age| age > most));
-    old.map(|event| format!("{} used a verdict of {:?} ms, {most} at most", event.me, event.number("age_ms")))
-        .collect()
+    old.map(|event| {
+        format!(
+            "{} used a verdict with age {:?} ms, exceeding {most} ms",
+            event.process,
+            event.number("age_ms")
+        )
+    })
+    .collect()
 }
 
-/// Each process hears each source's items in order with none twice; what is missing is covered by a state.
-pub fn feed(events: &[Event]) -> Vec<String> {
+/// Checks that each process receives the items of each source in order without repeats, and that gaps are
+/// covered by a state.
+pub fn check_feed(events: &[Event]) -> Vec<String> {
     let mut last: BTreeMap<(&str, u64, String, u64), u64> = BTreeMap::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for event in events {
-        let (Some(source), Some(n)) = (event.more.get("source"), event.number("n")) else { continue };
-        let inc = event.more.get("sinc").or(event.more.get("inc")).and_then(|inc| inc.as_u64()).unwrap_or(0);
-        let place = (&event.me[..], event.inc, source.to_string(), inc);
+        let (Some(source), Some(n)) = (event.fields.get("source"), event.number("n")) else { continue };
+        let inc =
+            event.fields.get("sinc").or(event.fields.get("inc")).and_then(|inc| inc.as_u64()).unwrap_or(0);
+        let place = (&event.process[..], event.incarnation, source.to_string(), inc);
         let known = last.entry(place).or_default();
         let n = n as u64;
-        match &event.e[..] {
+        match &event.name[..] {
             "deliver" if n != *known + 1 => {
-                broken.push(format!("{} had {n} after {known} of source {source}", event.me));
+                violations.push(format!("{} received {n} after {known} of source {source}", event.process));
             }
             "state" if n < *known => {
-                broken.push(format!("{} had a state up to {n} after {known} of source {source}", event.me));
+                violations.push(format!(
+                    "{} received a state up to {n} after {known} of source {source}",
+                    event.process
+                ));
             }
             "deliver" | "state" => {}
             _ => continue,
         }
         *known = n;
     }
-    broken
+    violations
 }
 
-/// Well after the last fault all processes that run hold each other as alive; those of a build without the fleet have no
-/// part in it.
-pub fn agreed(scenario: &Scenario, played: &Played) -> Vec<String> {
+/// Checks that at the end all running processes consider each other alive. Processes of a build without fleet
+/// support must not be considered alive.
+pub fn check_agreement(scenario: &Scenario, played: &PlayResult) -> Vec<String> {
     let last =
-        played.noted.iter().filter(|(_, note)| matches!(note, Note::Fault { .. })).map(|(at, _)| *at).max();
-    let end = played.span.1;
+        played.notes.iter().filter(|(_, note)| matches!(note, Note::Fault { .. })).map(|(at, _)| *at).max();
+    let end = played.load_span.1;
     let names: Vec<&String> = scenario.dispatchers.iter().map(|(name, _)| name).collect();
-    let mut broken = Vec::new();
-    if last.is_some_and(|last| last + SETTLED > end) {
-        broken.push("the last fault is too late to tell whether all agree: play longer".to_owned());
+    let mut violations = Vec::new();
+    if last.is_some_and(|last| last + AGREEMENT_US > end) {
+        violations
+            .push("the last fault is too close to the end to check agreement: use a longer play".to_owned());
     }
-    let gone = |name: &str| played.away.iter().any(|(who, _, to)| who == name && *to >= end);
-    let apart = |name: &str| played.apart.iter().any(|own| own == name);
-    for me in names.iter().filter(|name| !gone(name) && !apart(name)) {
+    let gone = |name: &str| played.unavailable.iter().any(|(who, _, to)| who == name && *to >= end);
+    let without_fleet = |name: &str| played.without_fleet.iter().any(|own| own == name);
+    for me in names.iter().filter(|name| !gone(name) && !without_fleet(name)) {
         for who in names.iter().filter(|who| *who != me) {
             let told = |event: &&Event| {
-                event.e == "member" && event.me == **me && event.text("who") == Some(who) && event.t <= end
+                event.name == "member"
+                    && event.process == **me
+                    && event.text("who") == Some(who)
+                    && event.time <= end
             };
             let standing = played.events.iter().rfind(told).and_then(|event| event.text("standing"));
             let wanted = if gone(who) { "dead" } else { "alive" };
-            if apart(who) {
+            if without_fleet(who) {
                 if standing == Some("alive") {
-                    broken.push(format!("{me} holds {who} as alive, which is of a build without the fleet"));
+                    violations.push(format!("{me} reports {who} as alive, which has no fleet support"));
                 }
                 continue;
             }
             if standing != Some(wanted) {
-                broken.push(format!("{me} holds {who} as {}, it is {wanted}", standing.unwrap_or("unheard")));
+                violations.push(format!(
+                    "{me} reports {who} as {}, expected {wanted}",
+                    standing.unwrap_or("unheard")
+                ));
             }
         }
     }
-    broken
+    violations
 }
 
-/// No process ever goes back to an older version unless it was told to.
-pub fn versions(events: &[Event]) -> Vec<String> {
+/// Checks that no process returns to an older version unless ordered to.
+pub fn check_versions(events: &[Event]) -> Vec<String> {
     let mut known: BTreeMap<&str, f64> = BTreeMap::new();
-    let mut broken = Vec::new();
-    for event in events.iter().filter(|event| event.e == "rules") {
+    let mut violations = Vec::new();
+    for event in events.iter().filter(|event| event.name == "rules") {
         let Some(number) = event.number("number") else { continue };
-        let before = known.insert(&event.me, number).unwrap_or(0.0);
+        let before = known.insert(&event.process, number).unwrap_or(0.0);
         if number < before && event.text("why") != Some("back") {
-            broken.push(format!("{} went from version {before} to {number}", event.me));
+            violations.push(format!("{} went from version {before} to {number}", event.process));
         }
     }
-    broken
+    violations
 }
 
-pub fn taken(orders: &[(String, bool)], count: u64) -> Vec<String> {
+/// Checks the number of accepted rollout orders.
+pub fn check_accepted_orders(orders: &[(String, bool)], count: u64) -> Vec<String> {
     let found = orders.iter().filter(|(_, taken)| *taken).count() as u64;
     let said = || orders.iter().map(|(said, _)| &said[..]).collect::<Vec<_>>().join("; ");
     (found != count)
-        .then(|| format!("{found} orders were taken, {count} were to be: {}", said()))
+        .then(|| format!("{found} orders were accepted, expected {count}: {}", said()))
         .into_iter()
         .collect()
 }
 
-/// Who has had rules of a number in force.
-fn had(events: &[Event], number: u64) -> BTreeSet<&str> {
-    let ruled = |event: &&Event| event.e == "rules" && event.number("number") == Some(number as f64);
-    events.iter().filter(ruled).map(|event| &event.me[..]).collect()
+/// The processes that had rules of a number in force at any time.
+fn processes_with_rules(events: &[Event], number: u64) -> BTreeSet<&str> {
+    let has_rules = |event: &&Event| event.name == "rules" && event.number("number") == Some(number as f64);
+    events.iter().filter(has_rules).map(|event| &event.process[..]).collect()
 }
 
-pub fn never(events: &[Event], number: u64) -> Vec<String> {
-    had(events, number).into_iter().map(|me| format!("{me} had rules {number} in force")).collect()
+/// Checks that no process ever had rules of this number in force.
+pub fn check_never_in_force(events: &[Event], number: u64) -> Vec<String> {
+    processes_with_rules(events, number)
+        .into_iter()
+        .map(|me| format!("{me} had rules {number} in force"))
+        .collect()
 }
 
-/// At the end all that run have the number in force.
-pub fn ended(
+/// Checks that at the end all running processes have rules of this number in force.
+pub fn check_final_version(
     scenario: &Scenario,
-    away: &[(String, u64, u64)],
+    unavailable: &[(String, u64, u64)],
     end: u64,
     standings: &BTreeMap<String, Value>,
     number: u64,
 ) -> Vec<String> {
-    let runs = |name: &str| !away.iter().any(|(who, _, to)| who == name && *to >= end);
+    let runs = |name: &str| !unavailable.iter().any(|(who, _, to)| who == name && *to >= end);
     let names = scenario.dispatchers.iter().map(|(name, _)| name).filter(|name| runs(name));
     let bad = names.filter_map(|name| {
         let found = standings.get(name).and_then(|standing| standing["in_force"].as_u64());
@@ -393,64 +444,70 @@
     bad.collect()
 }
 
-/// Some had the rules, none outside the location ever, and all that tell say that they are halted or taken back.
-pub fn halted(
+/// Checks that rules were in force in a location and never outside it, and that all processes report them as
+/// halted or rolled back.
+pub fn check_halted(
     scenario: &Scenario,
     events: &[Event],
     standings: &BTreeMap<String, Value>,
     number: u64,
     location: &str,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
-    let had = had(events, number);
+    let mut violations = Vec::new();
+    let had = processes_with_rules(events, number);
     if had.is_empty() {
-        broken.push(format!("nobody ever had rules {number}, so there was nothing to halt"));
+        violations.push(format!("no process ever had rules {number} in force, so there was nothing to halt"));
     }
     let outside = |me: &&str| !scenario.dispatchers.iter().any(|(name, at)| name == me && at == location);
-    broken.extend(
-        had.into_iter().filter(outside).map(|me| format!("{me} is not of {location} and had rules {number}")),
+    violations.extend(
+        had.into_iter()
+            .filter(outside)
+            .map(|me| format!("{me} is not in {location} and had rules {number} in force")),
     );
     let is_halted = |standing: &Value| {
         standing["number"] == number && matches!(standing["phase"].as_str(), Some("halted" | "back"))
     };
     if standings.is_empty() {
-        broken.push("nobody told where the rollout stands".to_owned());
+        violations.push("no process reported its rollout status".to_owned());
     }
     let others = standings.iter().filter(|(_, standing)| !is_halted(standing));
-    broken.extend(others.map(|(name, standing)| {
-        format!("{name} holds rules {} as {}, not {number} as halted", standing["number"], standing["phase"])
+    violations.extend(others.map(|(name, standing)| {
+        format!(
+            "{name} reports rules {} as {}, expected {number} as halted",
+            standing["number"], standing["phase"]
+        )
     }));
-    broken
+    violations
 }
 
-/// Of each version: how many had it, which part of all visits came to them meanwhile, when it was halted, in seconds after
-/// the first had it.
-pub fn rollouts(played: &Played) -> Vec<String> {
+/// One line per version: how many processes had it, which share of all visits they received meanwhile, and
+/// when it was halted, in seconds after it was first in force.
+pub fn rollout_figures(played: &PlayResult) -> Vec<String> {
     let mut spans: BTreeMap<u64, Vec<(&str, u64, u64)>> = BTreeMap::new();
     let mut last: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-    let end = played.span.1;
+    let end = played.load_span.1;
     let mut close = |me, (number, since): (u64, u64), t: u64| {
         spans.entry(number).or_default().push((me, since, t));
     };
     for event in &played.events {
         let number =
-            if event.e == "rules" { event.number("number").map(|number| number as u64) } else { None };
+            if event.name == "rules" { event.number("number").map(|number| number as u64) } else { None };
         if let (Some(before), true) =
-            (last.get(&event.me[..]).copied(), number.is_some() || event.e == "stop")
+            (last.get(&event.process[..]).copied(), number.is_some() || event.name == "stop")
         {
-            last.remove(&event.me[..]);
-            close(&event.me[..], before, event.t);
+            last.remove(&event.process[..]);
+            close(&event.process[..], before, event.time);
         }
         if let Some(number) = number {
-            last.insert(&event.me, (number, event.t));
+            last.insert(&event.process, (number, event.time));
         }
     }
     last.into_iter().for_each(|(me, before)| close(me, before, end.max(before.1)));
     let asked: Vec<(u64, &str)> = played
-        .noted
+        .notes
         .iter()
         .filter_map(|(at, note)| match note {
-            Note::Asked { dispatcher, .. } => Some((*at, &dispatcher[..])),
+            Note::RequestSent { dispatcher, .. } => Some((*at, &dispatcher[..])),
             _ => None,
         })
         .collect();
@@ -475,44 +532,45 @@
     spans.iter().filter(|(number, _)| **number > 0).map(line).collect()
 }
 
-/// Figures of a play, a line each.
-pub fn figures(played: &Played) -> Vec<String> {
-    let mut counts: BTreeMap<Option<Word>, usize> = BTreeMap::new();
+/// Figures of a play, one line each.
+pub fn figures(played: &PlayResult) -> Vec<String> {
+    let mut counts: BTreeMap<Option<Outcome>, usize> = BTreeMap::new();
     let mut asked = 0;
     let (mut came, mut lost): (BTreeMap<&str, usize>, BTreeMap<&str, usize>) = Default::default();
-    for (_, note) in &played.noted {
+    for (_, note) in &played.notes {
         match note {
-            Note::Asked { .. } => asked += 1,
-            Note::Answered { word, .. } => *counts.entry(Some(*word)).or_default() += 1,
-            Note::Broken { .. } => *counts.entry(None).or_default() += 1,
-            Note::Came { host, .. } => *came.entry(host).or_default() += 1,
-            Note::Left { host, well: false, .. } => *lost.entry(host).or_default() += 1,
+            Note::RequestSent { .. } => asked += 1,
+            Note::Answered { outcome, .. } => *counts.entry(Some(*outcome)).or_default() += 1,
+            Note::ConnectionLost { .. } => *counts.entry(None).or_default() += 1,
+            Note::HandOffArrived { host, .. } => *came.entry(host).or_default() += 1,
+            Note::HandOffEnded { host, is_success: false, .. } => *lost.entry(host).or_default() += 1,
             _ => {}
         }
     }
-    let count = |word| counts.get(&word).copied().unwrap_or(0);
+    let count = |outcome| counts.get(&outcome).copied().unwrap_or(0);
     let mut lines = vec![format!(
-        "visits {asked}: settled {}, turned back {}, written off {}, broken {}; datagrams {}",
-        count(Some(Word::Settled)),
-        count(Some(Word::TurnedBack)),
-        count(Some(Word::WrittenOff)),
+        "visits {asked}: served {}, refused {}, failed {}, connection lost {}; datagrams {}",
+        count(Some(Outcome::Served)),
+        count(Some(Outcome::Refused)),
+        count(Some(Outcome::Failed)),
         count(None),
         played.datagrams
     )];
     for (host, came) in came {
-        lines.push(format!("{host}: {came} came, {} of them went badly", lost.get(host).unwrap_or(&0)));
+        lines.push(format!("{host}: {came} hand-offs, {} failed", lost.get(host).unwrap_or(&0)));
     }
-    lines.extend(played.orders.iter().map(|(said, _)| said.clone()));
-    lines.extend(rollouts(played));
-    lines.extend(last_shut(played));
-    lines.extend(shut(played));
+    lines.extend(played.rollout_orders.iter().map(|(said, _)| said.clone()));
+    lines.extend(rollout_figures(played));
+    lines.extend(last_ejections(played));
+    lines.extend(ejections(played));
     lines
 }
 
-/// By when the last of the processes that did so had each host shut out, in seconds after the first fault.
-pub fn last_shut(played: &Played) -> Vec<String> {
+/// For each host, the number of processes that ejected it and the time of the last one, in seconds after the
+/// first fault.
+pub fn last_ejections(played: &PlayResult) -> Vec<String> {
     let mut first: BTreeMap<&str, BTreeMap<&str, f64>> = BTreeMap::new();
-    for (at, who, words) in of_hosts(played) {
+    for (at, who, words) in host_log_lines(played) {
         let host = words.strip_prefix("host ").and_then(|words| words.split_once(" shut out: "));
         if let Some((host, _)) = host {
             first.entry(host).or_default().entry(who).or_insert(at);
@@ -520,20 +578,20 @@
     }
     let line = |(host, by): (&&str, &BTreeMap<&str, f64>)| {
         let last = by.values().copied().fold(f64::MIN, f64::max);
-        format!("host {host}: shut out by {} of {}, the last at {last:+.3} s", by.len(), played.logs.len())
+        format!("host {host}: ejected by {} of {}, the last at {last:+.3} s", by.len(), played.logs.len())
     };
     first.iter().map(line).collect()
 }
 
-/// When each process had a host shut out, in seconds after the first fault, by its own log.
-pub fn shut(played: &Played) -> Vec<String> {
+/// The log lines of each process about hosts, with seconds after the first fault.
+pub fn ejections(played: &PlayResult) -> Vec<String> {
     let line = |(at, who, words): (f64, &str, &str)| format!("{at:+.3} s {who}: {words}");
-    of_hosts(played).into_iter().map(line).collect()
+    host_log_lines(played).into_iter().map(line).collect()
 }
 
-/// What each process's own log says of hosts: seconds after the first fault, who says it, and what.
-pub fn of_hosts(played: &Played) -> Vec<(f64, &str, &str)> {
-    let fault = played.noted.iter().find(|(_, note)| matches!(note, Note::Fault { .. })).map(|(at, _)| *at);
+/// Log lines about hosts: seconds after the first fault, process and text.
+pub fn host_log_lines(played: &PlayResult) -> Vec<(f64, &str, &str)> {
+    let fault = played.notes.iter().find(|(_, note)| matches!(note, Note::Fault { .. })).map(|(at, _)| *at);
     let Some(fault) = fault else { return Vec::new() };
     let mut found = Vec::new();
     for (name, log) in &played.logs {
--- a/crates/faultbed/src/lib.rs
+++ b/crates/faultbed/src/lib.rs
@@ -1,5 +1,6 @@
-//! Several processes of the built program with stand-in hosts, clients at work and faulty links between them, by
-//! scenarios in a small notation; and a judge that reads what all of them noted on one clock. docs/faultbed.md.
+//! Fault bed: runs several processes of the built program with simulated hosts, client load and faulty links,
+//! by scenarios in a small notation, and checks the observations against the expectations of the scenario.
+//! See docs/faultbed.md.
 #![forbid(unsafe_code)]
 
 pub mod changelog;
--- a/crates/faultbed/src/links.rs
+++ b/crates/faultbed/src/links.rs
@@ -1,6 +1,6 @@
-//! Faulty links: for each ordered pair of processes a stand-in that passes datagrams on, cuts, holds, loses, repeats,
-//! delays (and so reorders) and throttles them.
-use crate::notes::now;
+//! Faulty links: one UDP relay per ordered pair of processes that can cut, hold, lose, duplicate, delay (and
+//! so reorder) and throttle datagrams.
+use crate::notes::unix_micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -10,81 +10,87 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What a link does.
+/// The active faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    pub cut: bool,
-    /// Held until this ends.
-    pub stall: bool,
-    pub lost: f64,
-    pub twice: f64,
-    /// Milliseconds, least and most.
-    pub delay: [f64; 2],
-    /// Datagrams a second; none: no bound.
-    pub most: Option<f64>,
+pub struct LinkFaults {
+    pub is_cut: bool,
+    /// Datagrams are held until this ends.
+    pub is_stalled: bool,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
+    /// Minimum and maximum.
+    pub delay_ms: [f64; 2],
+    /// Maximum number of datagrams per second.
+    pub max_per_s: Option<f64>,
 }
 
+/// A relay for datagrams to one process.
 pub struct Link {
     pub address: SocketAddr,
-    way: Arc<Mutex<Way>>,
-    ended: Arc<AtomicBool>,
-    pub passed: Arc<AtomicU64>,
+    faults: Arc<Mutex<LinkFaults>>,
+    is_stopped: Arc<AtomicBool>,
+    pub forwarded: Arc<AtomicU64>,
 }
 
-const DATAGRAM: usize = 65_536;
-const LOOK: Duration = Duration::from_millis(2);
-/// More than this isn't held; what comes then is lost.
-const HELD_MOST: usize = 20_000;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Maximum number of held datagrams; further ones are dropped.
+const MAX_HELD_DATAGRAMS: usize = 20_000;
 
 impl Link {
     pub fn start(to: SocketAddr, seed: u64) -> io::Result<Link> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        socket.set_read_timeout(Some(LOOK))?;
+        socket.set_read_timeout(Some(POLL_INTERVAL))?;
         let link = Link {
             address: socket.local_addr()?,
-            way: Arc::default(),
-            ended: Arc::default(),
-            passed: Arc::default(),
+            faults: Arc::default(),
+            is_stopped: Arc::default(),
+            forwarded: Arc::default(),
         };
-        let (way, ended, passed) = (link.way.clone(), link.ended.clone(), link.passed.clone());
-        std::thread::spawn(move || run(&socket, to, seed, &way, &ended, &passed));
+        let (faults, is_stopped, forwarded) =
+            (link.faults.clone(), link.is_stopped.clone(), link.forwarded.clone());
+        std::thread::spawn(move || forward(&socket, to, seed, &faults, &is_stopped, &forwarded));
         Ok(link)
     }
 
-    pub fn change(&self, change: impl FnOnce(&mut Way)) {
-        change(&mut self.way.lock().unwrap_or_else(PoisonError::into_inner));
+    pub fn change_faults(&self, change: impl FnOnce(&mut LinkFaults)) {
+        change(&mut self.faults.lock().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.ended.store(true, SeqCst);
+        self.is_stopped.store(true, SeqCst);
     }
 }
 
-fn run(
+fn forward(
     socket: &UdpSocket,
     to: SocketAddr,
     seed: u64,
-    way: &Mutex<Way>,
-    ended: &AtomicBool,
-    passed: &AtomicU64,
+    faults: &Mutex<LinkFaults>,
+    is_stopped: &AtomicBool,
+    forwarded: &AtomicU64,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut held: BTreeMap<(u64, u64), Vec<u8>> = BTreeMap::new();
     let (mut number, mut free) = (0, 0);
-    let mut bytes = vec![0; DATAGRAM];
-    while !ended.load(SeqCst) {
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
+    while !is_stopped.load(SeqCst) {
         let found = socket.recv(&mut bytes).ok();
-        let way = *way.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = now();
-        if let Some(length) = found.filter(|_| !way.cut && held.len() < HELD_MOST) {
-            let times = if chance.gen_bool(way.lost) { 0 } else { 1 + u32::from(chance.gen_bool(way.twice)) };
+        let faults = *faults.lock().unwrap_or_else(PoisonError::into_inner);
+        let at = unix_micros();
+        if let Some(length) = found.filter(|_| !faults.is_cut && held.len() < MAX_HELD_DATAGRAMS) {
+            let times = if rng.gen_bool(faults.loss_rate) {
+                0
+            } else {
+                1 + u32::from(rng.gen_bool(faults.duplication_rate))
+            };
             for _ in 0..times {
-                let [least, most] = way.delay;
-                let wait = (chance.gen_range(least..=most.max(least)) * 1e3) as u64;
+                let [least, most] = faults.delay_ms;
+                let wait = (rng.gen_range(least..=most.max(least)) * 1e3) as u64;
                 let mut due = at + wait;
-                if let Some(most) = way.most {
+                if let Some(most) = faults.max_per_s {
                     free = due.max(free) + (1e6 / most.max(0.1)) as u64;
                     due = free;
                 }
@@ -92,10 +98,10 @@
                 held.insert((due, number), bytes[..length].to_vec());
             }
         }
-        while let Some(first) = held.first_entry().filter(|first| !way.stall && first.key().0 <= at) {
+        while let Some(first) = held.first_entry().filter(|first| !faults.is_stalled && first.key().0 <= at) {
             let datagram = first.remove();
-            if !way.cut && socket.send_to(&datagram, to).is_ok() {
-                passed.fetch_add(1, SeqCst);
+            if !faults.is_cut && socket.send_to(&datagram, to).is_ok() {
+                forwarded.fetch_add(1, SeqCst);
             }
         }
     }
--- a/crates/faultbed/src/notes.rs
+++ b/crates/faultbed/src/notes.rs
@@ -1,135 +1,203 @@
-//! What stand-ins and clients noted, on the system's Unix clock in microseconds.
+//! Records of what simulated hosts and clients observed, with Unix timestamps in microseconds, and the event
+//! logs of processes.
 use std::collections::BTreeMap;
+use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub fn now() -> u64 {
+pub fn unix_micros() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
 /// How a visit ended for its client.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Word {
-    Settled,
-    TurnedBack,
-    WrittenOff,
-    Bad,
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Outcome {
+    Served,
+    Refused,
+    Failed,
+    InvalidAnswer,
 }
 
-#[derive(Clone, Debug, PartialEq)]
+/// The names in the file `notes` of a play.
+impl fmt::Debug for Outcome {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Outcome::Served => "Settled",
+            Outcome::Refused => "TurnedBack",
+            Outcome::Failed => "WrittenOff",
+            Outcome::InvalidAnswer => "Bad",
+        })
+    }
+}
+
+/// An observation of a simulated host, a client or the play itself.
+#[derive(Clone, PartialEq)]
 pub enum Note {
-    /// A client asked; `limit` in microseconds.
-    Asked {
+    /// A client sent a request; `limit` in microseconds.
+    RequestSent {
         visit: u64,
         dispatcher: String,
-        band: String,
+        class: String,
         object: u64,
         limit: u64,
     },
     Answered {
         visit: u64,
-        word: Word,
+        outcome: Outcome,
         born: Option<u64>,
     },
-    /// The dispatcher ended the connection in order, and the request crossed that on its way: it counts as never sent.
-    Crossed {
+    /// The request was sent while the dispatcher closed the connection in order; it counts as never sent.
+    CrossedClose {
         visit: u64,
     },
-    /// The connection ended before the answer.
-    Broken {
+    /// The connection ended before an answer.
+    ConnectionLost {
         visit: u64,
     },
-    /// A hand-off has come whole to a host, and when it began to come is not told: the later time counts.
-    Came {
+    /// A host received a complete hand-off.
+    HandOffArrived {
         host: String,
         visit: u64,
-        filled: bool,
-        /// How long the dispatcher says it will wait, in milliseconds.
+        is_fill: bool,
+        /// How long the dispatcher announced that it will wait, in milliseconds.
         wait: Option<u64>,
     },
-    /// It had its effect there.
-    Ran {
+    /// A write took effect at the origin.
+    Executed {
         host: String,
         visit: u64,
-        band: String,
+        class: String,
     },
-    /// It ended there, `well` or not.
-    Left {
+    /// A hand-off ended at a host.
+    HandOffEnded {
         host: String,
         visit: u64,
-        well: bool,
+        is_success: bool,
     },
-    /// A cold host got more than it bears.
-    Fell {
+    /// A cold host received more than it can serve.
+    HostOverloaded {
         host: String,
     },
-    /// The list was told so.
-    Listed {
+    /// The change log announced this state of a host.
+    HostListed {
         host: String,
         state: &'static str,
     },
     Purged {
         object: u64,
     },
+    /// A fault began or ended.
     Fault {
         what: String,
     },
 }
 
-pub type Noted = Vec<(u64, Note)>;
+/// The text in the file `notes` of a play.
+impl fmt::Debug for Note {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Note::RequestSent { visit, dispatcher, class, object, limit } => f
+                .debug_struct("Asked")
+                .field("visit", visit)
+                .field("dispatcher", dispatcher)
+                .field("band", class)
+                .field("object", object)
+                .field("limit", limit)
+                .finish(),
+            Note::Answered { visit, outcome, born } => f
+                .debug_struct("Answered")
+                .field("visit", visit)
+                .field("word", outcome)
+                .field("born", born)
+                .finish(),
+            Note::CrossedClose { visit } => f.debug_struct("Crossed").field("visit", visit).finish(),
+            Note::ConnectionLost { visit } => f.debug_struct("Broken").field("visit", visit).finish(),
+            Note::HandOffArrived { host, visit, is_fill, wait } => f
+                .debug_struct("Came")
+                .field("host", host)
+                .field("visit", visit)
+                .field("filled", is_fill)
+                .field("wait", wait)
+                .finish(),
+            Note::Executed { host, visit, class } => {
+                f.debug_struct("Ran").field("host", host).field("visit", visit).field("band", class).finish()
+            }
+            Note::HandOffEnded { host, visit, is_success } => f
+                .debug_struct("Left")
+                .field("host", host)
+                .field("visit", visit)
+                .field("well", is_success)
+                .finish(),
+            Note::HostOverloaded { host } => f.debug_struct("Fell").field("host", host).finish(),
+            Note::HostListed { host, state } => {
+                f.debug_struct("Listed").field("host", host).field("state", state).finish()
+            }
+            Note::Purged { object } => f.debug_struct("Purged").field("object", object).finish(),
+            Note::Fault { what } => f.debug_struct("Fault").field("what", what).finish(),
+        }
+    }
+}
+
+/// Notes with their times.
+pub type TimedNotes = Vec<(u64, Note)>;
 
-/// When who was not there, each from and to.
+/// Times, from and to, in which processes or the change log were unavailable.
 pub struct Absences<'a> {
-    /// Killed out of the blue, or stopped: what was open then is lost by no fault of the process.
-    pub away: &'a [(String, u64, u64)],
-    /// Ended after SIGTERM: only what came past the end is.
-    pub ended: &'a [(String, u64, u64)],
-    /// The change log told nothing.
-    pub silent: &'a [(u64, u64)],
+    /// Processes that were killed or stopped; requests open at that time may be lost.
+    pub unavailable: &'a [(String, u64, u64)],
+    /// Processes that ended after SIGTERM; only requests sent after the end may be lost.
+    pub terminated: &'a [(String, u64, u64)],
+    /// The change log did not answer.
+    pub log_silences: &'a [(u64, u64)],
 }
 
+/// A shared collection of notes.
 #[derive(Clone, Default)]
-pub struct Notes(Arc<Mutex<Noted>>);
+pub struct Notes(Arc<Mutex<TimedNotes>>);
 
 impl Notes {
-    pub fn note(&self, note: Note) -> u64 {
+    /// Adds a note with the current time, which it returns.
+    pub fn record(&self, note: Note) -> u64 {
         let mut noted = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = now();
+        let at = unix_micros();
         noted.push((at, note));
         at
     }
 
-    /// All that was noted, in order.
-    pub fn take(&self) -> Noted {
+    /// Removes and returns all notes in order of time.
+    pub fn take_sorted(&self) -> TimedNotes {
         let mut noted = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
         noted.sort_by_key(|(at, _)| *at);
         noted
     }
 }
 
-/// One line of a process's event log.
+/// One line of the event log of a process.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 pub struct Event {
-    pub t: u64,
-    pub me: String,
-    #[serde(default)]
-    pub inc: u64,
-    pub e: String,
+    #[serde(rename = "t")]
+    pub time: u64,
+    #[serde(rename = "me")]
+    pub process: String,
+    #[serde(rename = "inc", default)]
+    pub incarnation: u64,
+    #[serde(rename = "e")]
+    pub name: String,
     #[serde(flatten)]
-    pub more: BTreeMap<String, serde_json::Value>,
+    pub fields: BTreeMap<String, serde_json::Value>,
 }
 
 impl Event {
     pub fn number(&self, key: &str) -> Option<f64> {
-        self.more.get(key)?.as_f64()
+        self.fields.get(key)?.as_f64()
     }
 
     pub fn text(&self, key: &str) -> Option<&str> {
-        self.more.get(key)?.as_str()
+        self.fields.get(key)?.as_str()
     }
 }
 
-/// The whole lines of a log; a last one that a kill cut off is none.
-pub fn events(text: &str) -> Vec<Event> {
+/// Parses the complete lines of an event log; a last line truncated by a kill is skipped.
+pub fn parse_events(text: &str) -> Vec<Event> {
     text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
--- a/crates/faultbed/src/processes.rs
+++ b/crates/faultbed/src/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of the built program: started, stopped, continued, killed.
+//! Starts, signals and stops processes of the built program.
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::ffi::OsStr;
@@ -8,29 +8,30 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A running process; killed when dropped.
 pub struct Process {
     child: Child,
 }
 
-/// What a process is started with.
+/// The files and environment of a process.
 #[derive(Clone, Debug)]
 pub struct Files {
     pub config: PathBuf,
     pub operator: Option<PathBuf>,
-    /// Its standard error, added to.
+    /// File to which standard error is appended.
     pub log: PathBuf,
-    /// What its environment has besides.
+    /// Additional environment variables.
     pub environment: Vec<(&'static str, String)>,
 }
 
-/// Whether the program obeys orders to its disk and clock.
-pub fn has_faults(program: &Path) -> io::Result<bool> {
+/// Whether the program was built with the feature `faults`, that is, supports disk and clock faults.
+pub fn supports_faults(program: &Path) -> io::Result<bool> {
     let said = Command::new(program).arg("version").stdin(Stdio::null()).output()?;
     Ok(String::from_utf8_lossy(&said.stdout).trim_end().ends_with(" with faults"))
 }
 
-/// Whether a build takes these files: one from before the fleet refuses its section.
-pub fn takes(program: &Path, files: &Files) -> io::Result<bool> {
+/// Whether a build accepts these files. Builds without fleet support reject the `fleet` section.
+pub fn accepts_files(program: &Path, files: &Files) -> io::Result<bool> {
     let mut command = Command::new(program);
     command.arg("check").arg("--config").arg(&files.config).args(files.operator_arguments());
     let status = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).status()?;
@@ -44,7 +45,7 @@
 }
 
 impl Drop for Process {
-    /// SIGKILL, where it runs still: a play that ends early leaves none behind.
+    /// Kills the process, so that an aborted play leaves none running.
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -52,6 +53,7 @@
 }
 
 impl Process {
+    /// Starts `serve`.
     pub fn start(program: &Path, files: &Files) -> io::Result<Process> {
         let log = OpenOptions::new().create(true).append(true).open(&files.log)?;
         let mut command = Command::new(program);
@@ -60,12 +62,12 @@
         Process::spawn(command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log))
     }
 
-    /// Any command.
+    /// Starts any command.
     pub fn spawn(command: &mut Command) -> io::Result<Process> {
         Ok(Process { child: command.spawn()? })
     }
 
-    /// Its number, by which the kernel's counts of it are found.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -74,24 +76,25 @@
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Whether it ended by itself, and how.
+    /// The exit status, if the process has exited.
     pub fn ended(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// SIGTERM, and SIGKILL where that doesn't do within the time; whether it ended well by itself.
+    /// Sends SIGTERM, and SIGKILL if it has not exited in time. Returns whether it exited successfully by
+    /// itself.
     pub fn end(self, within: Duration) -> bool {
         self.signal(Signal::SIGTERM);
-        self.ends(within)
+        self.wait_for_exit(within)
     }
 
-    /// The same by the end of its standard input, where that is a pipe.
+    /// Like `end`, but closes its standard input, which has to be a pipe, instead of sending SIGTERM.
     pub fn end_input(mut self, within: Duration) -> bool {
         drop(self.child.stdin.take());
-        self.ends(within)
+        self.wait_for_exit(within)
     }
 
-    fn ends(mut self, within: Duration) -> bool {
+    fn wait_for_exit(mut self, within: Duration) -> bool {
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/crates/faultbed/src/soak_report.rs
+++ b/crates/faultbed/src/soak_report.rs
@@ -1,26 +1,27 @@
-//! What a soak came to: for each kind of fault in how many plays it was, and how many requests met it. A kind that met none
-//! is told as not played.
+//! Summary of a soak: for each kind of fault its number and how many requests were sent during it. Kinds
+//! without any request are reported as not played.
 use crate::notation::{Fault, Scenario};
 use crate::notes::Note;
-use crate::play::Played;
-use crate::soak::KINDS;
-use cherrypass_shim::control::{Call, CALLS};
+use crate::play::PlayResult;
+use crate::soak::FAULT_KINDS;
+use cherrypass_shim::control::{Call, ALL_CALLS};
 use std::collections::BTreeMap;
 
-/// A fault that does not last meets the requests of so many microseconds after it.
-const AFTER: u64 = 2_000_000;
+/// Time after a momentary fault in which requests count as affected.
+const EFFECT_US: u64 = 2_000_000;
 
+/// Number of faults of a kind, and of requests sent during them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Met {
+pub struct KindCount {
     pub faults: u64,
     pub requests: u64,
 }
 
-/// Sums over plays.
+/// Totals over all plays.
 #[derive(Default)]
 pub struct Report {
-    kinds: BTreeMap<&'static str, Met>,
-    /// How often each call was made, and how often it failed by order.
+    kinds: BTreeMap<&'static str, KindCount>,
+    /// Number of calls and of injected failures of each system call.
     calls: BTreeMap<&'static str, [u64; 2]>,
     requests: u64,
 }
@@ -49,23 +50,23 @@
 }
 
 impl Report {
-    pub fn add(&mut self, scenario: &Scenario, played: &Played) {
-        let asked: Vec<u64> = played
-            .noted
+    pub fn add(&mut self, scenario: &Scenario, played: &PlayResult) {
+        let sent: Vec<u64> = played
+            .notes
             .iter()
-            .filter(|(_, note)| matches!(note, Note::Asked { .. }))
+            .filter(|(_, note)| matches!(note, Note::RequestSent { .. }))
             .map(|(at, _)| *at)
             .collect();
-        self.requests += asked.len() as u64;
+        self.requests += sent.len() as u64;
         for planned in &scenario.faults {
             let Some(kind) = kind(&planned.fault) else { continue };
-            let from = played.span.0 + (planned.at * 1e6) as u64;
-            let to = from + planned.lasts.map_or(AFTER, |lasts| (lasts * 1e6) as u64);
-            let met = self.kinds.entry(kind).or_default();
-            met.faults += 1;
-            met.requests += asked.iter().filter(|at| (from..to).contains(at)).count() as u64;
+            let from = played.load_span.0 + (planned.at * 1e6) as u64;
+            let to = from + planned.duration.map_or(EFFECT_US, |lasts| (lasts * 1e6) as u64);
+            let count = self.kinds.entry(kind).or_default();
+            count.faults += 1;
+            count.requests += sent.iter().filter(|at| (from..to).contains(at)).count() as u64;
         }
-        for (call, [made, delivered]) in &played.delivered {
+        for (call, [made, delivered]) in &played.call_counts {
             let sum = self.calls.entry(call.name()).or_default();
             *sum = [sum[0] + made, sum[1] + delivered];
         }
@@ -73,23 +74,23 @@
 
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![format!("requests {}", self.requests)];
-        for kind in KINDS {
-            let met = self.kinds.get(kind).copied().unwrap_or_default();
-            let said = if met.requests == 0 {
+        for kind in FAULT_KINDS {
+            let count = self.kinds.get(kind).copied().unwrap_or_default();
+            let result = if count.requests == 0 {
                 "not played".to_owned()
             } else {
-                format!("{} requests met it", met.requests)
+                format!("{} requests during it", count.requests)
             };
-            lines.push(format!("{kind}: {} times, {said}", met.faults));
+            lines.push(format!("{kind}: {} times, {result}", count.faults));
         }
-        for call in CALLS {
+        for call in ALL_CALLS {
             let [made, delivered] = self.calls.get(call.name()).copied().unwrap_or_default();
-            let said = if delivered == 0 {
+            let result = if delivered == 0 {
                 "not played".to_owned()
             } else {
                 format!("{delivered} of {made} failed")
             };
-            lines.push(format!("call {}: {said}", call.name()));
+            lines.push(format!("call {}: {result}", call.name()));
         }
         lines
     }
--- a/crates/faultbed/tests/soak.rs
+++ b/crates/faultbed/tests/soak.rs
@@ -1,7 +1,7 @@
-//! A short soak with the program that stands beside the tests: seeded scenarios with steps of the clock, failing calls, frozen
-//! hosts, a silent change log and signals. The long one is played by hand (docs/faultbed.md).
-use cherrypass_faultbed::notation::read;
-use cherrypass_faultbed::play::{play, Stage};
+//! A short soak with the built program: seeded scenarios with clock steps, failing system calls, frozen
+//! hosts, a change log without answers, and signals. Long soaks are run by hand (docs/faultbed.md).
+use cherrypass_faultbed::notation::parse;
+use cherrypass_faultbed::play::{play, Setup};
 use cherrypass_faultbed::{judge, soak};
 use test_case::test_case;
 
@@ -12,10 +12,10 @@
     let program = own.parent().unwrap().parent().unwrap().join("cherrypass");
     assert!(program.exists(), "{} is not built: cargo build first", program.display());
     for seed in seeds {
-        let scenario = read(&soak::scenario(seed)).unwrap();
+        let scenario = parse(&soak::scenario(seed)).unwrap();
         let folder = tempfile::tempdir().unwrap();
-        let stage = Stage { program: &program, other: None, folder: folder.path(), seed };
-        let played = play(&scenario, stage).unwrap();
+        let setup = Setup { program: &program, older_program: None, folder: folder.path(), seed };
+        let played = play(&scenario, setup).unwrap();
         let broken = judge::judge(&scenario, &played);
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}\n{:#?}", judge::figures(&played));
     }
@@ -25,12 +25,12 @@
 fn every_seed_is_a_scenario_and_a_fault_can_be_left_out() {
     for seed in 0..500 {
         let text = soak::scenario(seed);
-        let scenario = read(&text).unwrap_or_else(|error| panic!("seed {seed}: {error}\n{text}"));
+        let scenario = parse(&text).unwrap_or_else(|error| panic!("seed {seed}: {error}\n{text}"));
         assert_eq!(text, soak::scenario(seed));
         for fault in 0..scenario.faults.len() {
-            let fewer = read(&soak::without(&text, fault).unwrap()).unwrap();
+            let fewer = parse(&soak::without_fault(&text, fault).unwrap()).unwrap();
             assert_eq!(fewer.faults.len() + 1, scenario.faults.len());
         }
-        assert!(soak::without(&text, scenario.faults.len()).is_none());
+        assert!(soak::without_fault(&text, scenario.faults.len()).is_none());
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -258,7 +258,7 @@
 }
 
 /// Builds the event loop without threads and sockets; `set` has been checked.
-fn assemble(set: Set, outside: Environment) -> Result<EventLoop, Error> {
+fn assemble(set: Set, environment: Environment) -> Result<EventLoop, Error> {
     let clock = Clock::start();
     let (me, incarnation) = (MemberId::of(&set.me), Incarnation(clock.start_unix));
     let own = set.members.iter().find(|member| member.name == set.me);
@@ -266,21 +266,21 @@
     let listed: Vec<(MemberId, LocationId)> =
         set.members.iter().map(|member| (MemberId::of(&member.name), member.location)).collect();
     let followers: Vec<MemberId> = set.followers.iter().map(|one| MemberId::of(&one.name)).collect();
-    let events = Events::open(set.events.as_deref(), &set.me, clock, outside.log.clone())?;
+    let events = Events::open(set.events.as_deref(), &set.me, clock, environment.log.clone())?;
     let peers = peers_of(&set, me);
     let seed = set.seed ^ incarnation.0;
     let ahead = set.rooms.members.ahead;
     let now = clock.now();
     let role = match own {
         Some(_) => {
-            let (kept, every) = (outside.stored_records, set.every);
+            let (records, every) = (environment.stored_records, set.every);
             Role::Member(Box::new(Fleet::new(
                 set.rooms,
                 me,
                 incarnation,
                 &listed,
                 &followers,
-                kept,
+                records,
                 every,
                 seed,
                 now,
@@ -304,14 +304,14 @@
         form: set.form.unwrap_or(link::NEWEST),
         max_incarnation_lead: ahead,
         peers,
-        send_datagram: outside.send_datagram,
+        send_datagram: environment.send_datagram,
         clock,
         events,
-        rollout_store: outside.rollout_store,
-        log: outside.log,
-        notify_dispatcher: outside.notify_dispatcher,
-        own_inputs: outside.own_inputs,
-        backlog: outside.backlog,
+        rollout_store: environment.rollout_store,
+        log: environment.log,
+        notify_dispatcher: environment.notify_dispatcher,
+        own_inputs: environment.own_inputs,
+        backlog: environment.backlog,
         rejections: RejectionLog::default(),
         allowances: BTreeMap::new(),
         last_allowance_number: 0,
@@ -379,23 +379,24 @@
         });
         let server = server.transpose()?;
         let (to, inputs) = crossbeam_channel::unbounded();
-        let waiting = Arc::new(Backlog::default());
+        let backlog = Arc::new(Backlog::default());
         let (every, locations) = (set.every, set.locations.clone());
-        let rolls = set.rooms.rollout.is_some() && set.members.iter().any(|member| member.name == set.me);
-        let (keeper, kept) = RolloutStore::open(store.filter(|_| rolls), &log);
-        let outside = Environment {
-            rollout_store: keeper,
-            stored_records: kept,
+        let has_rollout =
+            set.rooms.rollout.is_some() && set.members.iter().any(|member| member.name == set.me);
+        let (rollout_store, stored_records) = RolloutStore::open(store.filter(|_| has_rollout), &log);
+        let environment = Environment {
+            rollout_store,
+            stored_records,
             log,
             notify_dispatcher: Box::new(tell),
             send_datagram: Box::new(move |bytes, to| drop(socket.send_to(bytes, to))),
             own_inputs: to.clone(),
-            backlog: waiting.clone(),
+            backlog: backlog.clone(),
         };
-        let run = assemble(set, outside)?;
+        let run = assemble(set, environment)?;
         // From here on, dropping `own` stops the threads already started if a later one fails to start.
         let mut own = Peers {
-            sender: PeersSender { inputs: to, backlog: waiting },
+            sender: PeersSender { inputs: to, backlog },
             socket: waking,
             server,
             threads: Vec::new(),
@@ -406,10 +407,10 @@
             builder.spawn(work).map_err(Error::Thread)
         };
         own.threads.push(spawn("fleet", Box::new(move || run.run(&inputs, every)))?);
-        let (to, waiting) = (own.sender.inputs.clone(), own.sender.backlog.clone());
+        let (to, backlog) = (own.sender.inputs.clone(), own.sender.backlog.clone());
         own.threads.push(spawn(
             "fleet-link",
-            Box::new(move || event_loop::receive_datagrams(&reading, &to, &waiting)),
+            Box::new(move || event_loop::receive_datagrams(&reading, &to, &backlog)),
         )?);
         if let Some(server) = own.server.clone() {
             let to = own.sender.inputs.clone();
--- a/crates/shim-library/src/lib.rs
+++ b/crates/shim-library/src/lib.rs
@@ -1,5 +1,6 @@
-//! The library that tests load into a process by `LD_PRELOAD`: it makes system calls fail and steps the wall clock as the
-//! control file of `cherrypass-shim` says. It is a crate of its own since whatever links to it would be changed as well.
+//! Library that tests load into a process with `LD_PRELOAD`. It makes system calls fail and steps the wall
+//! clock as set in the control file of `cherrypass-shim`. It is a separate crate because any program linked
+//! to it would be affected.
 #[path = "../../shim/src/control.rs"]
 #[allow(dead_code)]
 mod control;
--- a/crates/shim/src/control.rs
+++ b/crates/shim/src/control.rs
@@ -1,40 +1,43 @@
-//! The control file: 64-bit words that tests write and the library reads, and counts that go the other way.
+//! Layout of the control file: 64-bit words with faults, written by tests, and counters, written by the
+//! library.
 
-/// The environment variable that names the control file.
-pub const FILE: &str = "CHERRYPASS_SHIM";
-pub const LIBRARY: &str = "libcherrypass_shim_library.so";
+/// Environment variable with the path of the control file.
+pub const FILE_VARIABLE: &str = "CHERRYPASS_SHIM";
+pub const LIBRARY_FILE: &str = "libcherrypass_shim_library.so";
 
-pub const WORD: usize = 8;
-/// Places of words. Chance's seed; microseconds that the wall clock is ahead (as a signed number).
-pub const SEED: usize = 0;
-pub const CLOCK_OFFSET: usize = 1;
-const FIRST_CALL: usize = 8;
-const WORDS_A_CALL: usize = 4;
-/// Places within a call's words.
-pub const RATE: usize = 0;
-pub const HOW: usize = 1;
-pub const MADE: usize = 2;
-pub const DELIVERED: usize = 3;
-pub const BYTES: usize = (FIRST_CALL + WORDS_A_CALL * CALLS.len()) * WORD;
+pub const WORD_BYTES: usize = 8;
+/// Word with the seed that determines which calls fail.
+pub const SEED_WORD: usize = 0;
+/// Word with the offset of the wall clock, in microseconds as a signed number.
+pub const CLOCK_OFFSET_WORD: usize = 1;
+const FIRST_CALL_WORD: usize = 8;
+const WORDS_PER_CALL: usize = 4;
+/// Word offsets within the words of a call: failures per million, outcome, number of calls and number of
+/// failures.
+pub const RATE_WORD: usize = 0;
+pub const OUTCOME_WORD: usize = 1;
+pub const CALL_COUNT_WORD: usize = 2;
+pub const FAILURE_COUNT_WORD: usize = 3;
+pub const FILE_BYTES: usize = (FIRST_CALL_WORD + WORDS_PER_CALL * ALL_CALLS.len()) * WORD_BYTES;
 
 /// The calls that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Call {
-    /// Reads of the wall clock; delivered are those that an offset changed.
+    /// Reads of the wall clock. Those changed by an offset count as failures.
     WallClock,
     Accept,
     Socket,
     Connect,
     /// `epoll_wait` and `poll`.
     Wait,
-    /// Reads of sockets that bring an error.
+    /// Reads from sockets that return an error.
     Read,
-    /// Reads of sockets that bring a few bytes alone.
+    /// Reads from sockets that return only a few bytes.
     ShortRead,
-    /// Writes to sockets that bring an error.
+    /// Writes to sockets that return an error.
     Write,
-    /// Writes to sockets that take a few bytes alone.
+    /// Writes to sockets that write only a few bytes.
     ShortWrite,
     /// Writes to files.
     FileWrite,
@@ -42,7 +45,7 @@
     FileSync,
 }
 
-pub const CALLS: [Call; 11] = [
+pub const ALL_CALLS: [Call; 11] = [
     Call::WallClock,
     Call::Accept,
     Call::Socket,
@@ -57,9 +60,9 @@
 ];
 
 impl Call {
-    /// Its first word.
-    pub fn place(self) -> usize {
-        FIRST_CALL + WORDS_A_CALL * self as usize
+    /// Index of the first word of this call.
+    pub fn first_word(self) -> usize {
+        FIRST_CALL_WORD + WORDS_PER_CALL * self as usize
     }
 
     pub fn name(self) -> &'static str {
@@ -79,6 +82,6 @@
     }
 
     pub fn named(name: &str) -> Option<Call> {
-        CALLS.into_iter().find(|call| call.name() == name)
+        ALL_CALLS.into_iter().find(|call| call.name() == name)
     }
 }
--- a/crates/shim/src/errors.rs
+++ b/crates/shim/src/errors.rs
@@ -1,6 +1,6 @@
-//! Names of the errors that calls are made to fail with.
+//! Names of the errors that can be injected.
 
-/// The error of a name, or a plain number (of bytes, for short reads and writes).
+/// The error number of a name, or a plain number (of bytes, for short reads and writes).
 pub fn errno(name: &str) -> Option<i32> {
     Some(match name {
         "ECONNABORTED" => libc::ECONNABORTED,
--- a/crates/shim/src/lib.rs
+++ b/crates/shim/src/lib.rs
@@ -1,95 +1,101 @@
-//! Makes system calls fail, and steps the wall clock, in processes that tests start.
+//! Fault injection for processes started by tests: failing system calls and wall clock steps.
 //!
-//! The crate has two sides. [`Shim`] is the tests': it makes a control file, hands out the environment that loads the
-//! library into a process (`LD_PRELOAD`), sets faults while the process runs, and tells how often each was delivered.
-//! `cherrypass-shim-library` is what runs inside that process. Both know the control file by [`control`]. No released program has any
-//! of it.
+//! Tests use [`Shim`], which creates a control file, provides the environment that loads the library into a
+//! process (`LD_PRELOAD`), sets faults while the process runs and reads counters. `cherrypass-shim-library`
+//! runs inside that process. Both share the layout of the control file in [`control`]. Release builds contain
+//! none of it.
 pub mod control;
 pub mod errors;
 
-use control::{Call, CALLS};
+use control::{Call, ALL_CALLS};
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How often a call fails, and how.
+/// How often a call fails, and with which outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Of a million calls so many.
+    /// Failures per million calls.
     pub per_million: u64,
-    /// The error that they return; for [`Call::ShortRead`] and [`Call::ShortWrite`] the most bytes that are moved.
+    /// The error number; for [`Call::ShortRead`] and [`Call::ShortWrite`] the maximum number of bytes.
     pub how: i32,
 }
 
-/// What a test holds of one process's shim.
+/// The test side of the shim of one process.
 pub struct Shim {
     control: File,
     folder: tempfile::TempDir,
 }
 
 impl Shim {
-    /// A shim without faults; which calls a rate hits follows from the seed.
+    /// Creates a shim without faults. The seed determines which calls fail.
     pub fn new(seed: u64) -> io::Result<Shim> {
         let folder = tempfile::tempdir()?;
         let path = folder.path().join("control");
         let control = OpenOptions::new().read(true).write(true).create_new(true).open(path)?;
-        control.set_len(control::BYTES as u64)?;
+        control.set_len(control::FILE_BYTES as u64)?;
         let shim = Shim { control, folder };
-        shim.write(control::SEED, seed)?;
+        shim.write(control::SEED_WORD, seed)?;
         Ok(shim)
     }
 
-    /// What a process's environment has to hold for it.
+    /// The environment variables that load the shim into a process.
     pub fn environment(&self) -> io::Result<[(&'static str, String); 2]> {
         let control = self.folder.path().join("control");
-        Ok([("LD_PRELOAD", library()?.display().to_string()), (control::FILE, control.display().to_string())])
+        Ok([
+            ("LD_PRELOAD", library()?.display().to_string()),
+            (control::FILE_VARIABLE, control.display().to_string()),
+        ])
     }
 
-    /// From here on the process's wall clock is so far ahead of the machine's, or behind it.
+    /// Sets how far the wall clock of the process is ahead of or behind the system clock.
     pub fn step_wall_clock(&self, ahead: Duration, behind: Duration) -> io::Result<()> {
         let micros = ahead.as_micros() as i64 - behind.as_micros() as i64;
-        self.write(control::CLOCK_OFFSET, micros as u64)
+        self.write(control::CLOCK_OFFSET_WORD, micros as u64)
     }
 
-    /// From here on a call fails so; a rate of 0 ends that.
+    /// Sets the fault of a call; a rate of 0 disables it.
     pub fn set(&self, call: Call, fault: Fault) -> io::Result<()> {
-        let at = call.place();
-        self.write(at + control::HOW, fault.how as u64)?;
-        self.write(at + control::RATE, fault.per_million)
+        let first = call.first_word();
+        self.write(first + control::OUTCOME_WORD, fault.how as u64)?;
+        self.write(first + control::RATE_WORD, fault.per_million)
     }
 
-    /// No call fails any more, and the clock shows the machine's time.
+    /// Removes all faults and the clock offset.
     pub fn clear(&self) -> io::Result<()> {
-        CALLS.iter().try_for_each(|call| self.set(*call, Fault { per_million: 0, how: 0 }))?;
-        self.write(control::CLOCK_OFFSET, 0)
+        ALL_CALLS.iter().try_for_each(|call| self.set(*call, Fault { per_million: 0, how: 0 }))?;
+        self.write(control::CLOCK_OFFSET_WORD, 0)
     }
 
-    /// How often a call was made, and how often it failed by order.
+    /// Number of calls, and of injected failures among them.
     pub fn delivered(&self, call: Call) -> io::Result<[u64; 2]> {
-        let at = call.place();
-        Ok([self.read(at + control::MADE)?, self.read(at + control::DELIVERED)?])
+        let first = call.first_word();
+        Ok([self.read(first + control::CALL_COUNT_WORD)?, self.read(first + control::FAILURE_COUNT_WORD)?])
     }
 
     fn write(&self, word: usize, value: u64) -> io::Result<()> {
-        self.control.write_all_at(&value.to_le_bytes(), (word * control::WORD) as u64)
+        self.control.write_all_at(&value.to_le_bytes(), (word * control::WORD_BYTES) as u64)
     }
 
     fn read(&self, word: usize) -> io::Result<u64> {
-        let mut bytes = [0; control::WORD];
-        self.control.read_exact_at(&mut bytes, (word * control::WORD) as u64)?;
+        let mut bytes = [0; control::WORD_BYTES];
+        self.control.read_exact_at(&mut bytes, (word * control::WORD_BYTES) as u64)?;
         Ok(u64::from_le_bytes(bytes))
     }
 }
 
-/// The built library: beside the running test, or in the folder `deps` beside a built program.
+/// Path of the library: in the folder of the running test, or in the folder `deps` beside a built program.
 fn library() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let folder = own.parent().unwrap_or(Path::new("."));
-    let places = [folder.join(control::LIBRARY), folder.join("deps").join(control::LIBRARY)];
+    let places = [folder.join(control::LIBRARY_FILE), folder.join("deps").join(control::LIBRARY_FILE)];
     let found = places.into_iter().find(|path| path.exists());
     found.ok_or_else(|| {
-        io::Error::new(io::ErrorKind::NotFound, format!("no {}: build the crate shim", control::LIBRARY))
+        io::Error::new(
+            io::ErrorKind::NotFound,
+            format!("{} not found: build the crate cherrypass-shim", control::LIBRARY_FILE),
+        )
     })
 }
--- a/crates/shim/tests/shim.rs
+++ b/crates/shim/tests/shim.rs
@@ -1,5 +1,5 @@
-//! The shim delivers what is ordered, at about the rate that is ordered, counts it, and leaves all else as it is.
-//! Each case runs this test's own program once more with the library loaded.
+//! Faults are injected at about the configured rate and counted, and other calls are unaffected. Each case
+//! runs this test program again with the library loaded.
 use cherrypass_shim::control::Call;
 use cherrypass_shim::{Fault, Shim};
 use std::io::{ErrorKind, Read, Write};
@@ -10,7 +10,7 @@
 const INSIDE: &str = "CHERRYPASS_SHIM_INSIDE";
 const TRIES: usize = 400;
 
-/// What the process with the shim does; the parent reads what it prints.
+/// The part that runs in the process with the shim; the parent reads its output.
 fn inside(what: &str) {
     match what {
         "clock" => {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The entry for the process with the shim; a plain run of it does nothing.
+/// Entry point of the process with the shim; does nothing in a normal run.
 #[test]
 fn child() {
     if let Ok(what) = std::env::var(INSIDE) {
@@ -71,7 +71,7 @@
     let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
     std::thread::sleep(Duration::from_millis(300));
     meanwhile(shim);
-    // Only the case that waits for it reads this.
+    // Only the clock case reads this.
     let _ = child.stdin.take().unwrap().write_all(b"x");
     let output = child.wait_with_output().unwrap();
     assert!(output.status.success(), "{output:?}");
