--- a/crates/faultbed/src/changelog.rs
+++ b/crates/faultbed/src/changelog.rs
@@ -61,14 +61,14 @@
             }
             return;
         }
-        let asked = |key: &str| -> Option<u64> {
+        let parameter = |key: &str| -> Option<u64> {
             request.url().split(key).nth(1).and_then(|rest| rest.split('&').next()?.parse().ok())
         };
-        let since = asked("since=").and_then(|since| usize::try_from(since).ok()).unwrap_or(0);
-        let wait = asked("timeout=").map_or(DEFAULT_POLL, Duration::from_millis).min(MAX_POLL);
-        let (events, told) = &*self.events;
-        let held = events.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = told.wait_timeout_while(held, wait, |events| events.len() <= since);
+        let since = parameter("since=").and_then(|since| usize::try_from(since).ok()).unwrap_or(0);
+        let wait = parameter("timeout=").map_or(DEFAULT_POLL, Duration::from_millis).min(MAX_POLL);
+        let (events, changed) = &*self.events;
+        let guard = events.lock().unwrap_or_else(PoisonError::into_inner);
+        let waited = changed.wait_timeout_while(guard, wait, |events| events.len() <= since);
         if self.is_silent.load(SeqCst) {
             return;
         }
@@ -82,11 +82,11 @@
     }
 
     fn append(&self, key: &str, what: Value) {
-        let (events, told) = &*self.events;
+        let (events, changed) = &*self.events;
         let mut events = events.lock().unwrap_or_else(PoisonError::into_inner);
         let seq = events.len() + 1;
         events.push(json!({"seq": seq, key: what}));
-        told.notify_all();
+        changed.notify_all();
     }
 
     /// Appends a list of hosts, complete (`whole`) or not.
--- a/crates/faultbed/src/clients.rs
+++ b/crates/faultbed/src/clients.rs
@@ -158,11 +158,11 @@
                     Err(_) => break,
                 }
                 let Ok(message) = rmpv::decode::read_value(&mut reader) else { break };
-                let Some((id, outcome, born)) = parse_answer(&message) else { break };
+                let Some((id, outcome, created_at)) = parse_answer(&message) else { break };
                 let open = own.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
                 let visit = open.map(|(visit, _)| visit);
                 // An answer without an open request is a duplicate; it is recorded without a valid visit.
-                notes.record(Note::Answered { visit: visit.unwrap_or(u64::MAX), outcome, born });
+                notes.record(Note::Answered { visit: visit.unwrap_or(u64::MAX), outcome, created_at });
             }
             end.store(true, SeqCst);
             let left = std::mem::take(&mut *own.lock().unwrap_or_else(PoisonError::into_inner));
--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -40,7 +40,7 @@
     let Some(shut) = id.map(|id| format!("host {id} shut out: ")) else { return Vec::new() };
     let mut first: BTreeMap<&str, f64> = BTreeMap::new();
     for (at, who, _) in
-        host_log_lines(played).into_iter().filter(|(at, _, words)| *at >= 0.0 && words.starts_with(&shut))
+        host_log_lines(played).into_iter().filter(|(at, _, text)| *at >= 0.0 && text.starts_with(&shut))
     {
         first.entry(who).or_insert(at);
     }
@@ -80,7 +80,7 @@
 
 /// The median of each figure over the plays that have it.
 fn medians(all: &[&Figures]) -> Figures {
-    std::array::from_fn(|place| median(all.iter().filter_map(|one| one[place]).collect()))
+    std::array::from_fn(|index| median(all.iter().filter_map(|one| one[index]).collect()))
 }
 
 /// A Markdown table with both scenarios for each seed, their medians, and the medians of the differences per
@@ -102,11 +102,11 @@
     for (seed, both) in seeds {
         both.iter().zip(names).for_each(|(one, name)| row(&seed.to_string(), name, one));
     }
-    for (place, name) in names.into_iter().enumerate() {
-        row("median", name, &medians(&seeds.iter().map(|(_, both)| &both[place]).collect::<Vec<_>>()));
+    for (index, name) in names.into_iter().enumerate() {
+        row("median", name, &medians(&seeds.iter().map(|(_, both)| &both[index]).collect::<Vec<_>>()));
     }
     let differ =
-        |[a, b]: &[Figures; 2]| -> Figures { std::array::from_fn(|place| Some(b[place]? - a[place]?)) };
+        |[a, b]: &[Figures; 2]| -> Figures { std::array::from_fn(|index| Some(b[index]? - a[index]?)) };
     let differences: Vec<Figures> = seeds.iter().map(|(_, both)| differ(both)).collect();
     row("median", "second - first", &medians(&differences.iter().collect::<Vec<_>>()));
     text
--- a/crates/faultbed/src/hosts.rs
+++ b/crates/faultbed/src/hosts.rs
@@ -41,7 +41,7 @@
 
 #[derive(Clone, Copy)]
 struct CachedCopy {
-    born: u64,
+    created_at: u64,
 }
 
 struct State {
@@ -194,7 +194,7 @@
 
     /// Drops copies of an object created before a time.
     pub fn drop_copies_before(&self, object: u64, before: u64) {
-        self.state().copies.retain(|(own, _), copy| *own != object || copy.born >= before);
+        self.state().copies.retain(|(own, _), copy| *own != object || copy.created_at >= before);
     }
 
     fn serve_connection(self: Arc<Host>, stream: TcpStream) {
@@ -318,20 +318,20 @@
             return ("DONE", Some(unix_micros()), "cached");
         }
         let (block, oldest) = (hand_off.block(), hand_off.field("oldest").parse().unwrap_or(0u64) * 1000);
-        let fits = |copy: &CachedCopy| oldest == 0 || unix_micros().saturating_sub(copy.born) <= oldest;
+        let fits = |copy: &CachedCopy| oldest == 0 || unix_micros().saturating_sub(copy.created_at) <= oldest;
         if let Some(copy) = self.state().copies.get(&block).copied().filter(fits) {
-            return ("DONE", Some(copy.born), "cached");
+            return ("DONE", Some(copy.created_at), "cached");
         }
         let only_cached = hand_off.field("mode").split('+').any(|word| word == "only-if-cached");
         let source = self.source(hand_off.field("from"));
         let Some(source) = source else { return ("LACK", None, "") };
-        let (born, note) = match source.fill(block, oldest, only_cached) {
+        let (created_at, note) = match source.fill(block, oldest, only_cached) {
             Ok(found) => found,
             Err("LACK") => return ("LACK", None, "up_empty"),
             Err(_) => return ("BROKE", None, "up_refused"),
         };
-        self.state().copies.insert(block, CachedCopy { born });
-        ("DONE", Some(born), note)
+        self.state().copies.insert(block, CachedCopy { created_at });
+        ("DONE", Some(created_at), note)
     }
 
     fn source(&self, name: &str) -> Option<Arc<Host>> {
@@ -370,9 +370,9 @@
         if self.kind == HostKind::Origin {
             return Ok((unix_micros(), "fetched_root"));
         }
-        let fits = |copy: &CachedCopy| oldest == 0 || unix_micros().saturating_sub(copy.born) <= oldest;
+        let fits = |copy: &CachedCopy| oldest == 0 || unix_micros().saturating_sub(copy.created_at) <= oldest;
         if let Some(copy) = self.state().copies.get(&block).copied().filter(fits) {
-            return Ok((copy.born, "fetched"));
+            return Ok((copy.created_at, "fetched"));
         }
         if only_cached {
             return Err("LACK");
@@ -380,24 +380,25 @@
         let all = self.hosts.read().unwrap_or_else(PoisonError::into_inner);
         let origin = all.values().find(|host| host.kind == HostKind::Origin).cloned();
         drop(all);
-        let (born, _) = origin.ok_or("BROKE")?.fill(block, oldest, false)?;
-        self.state().copies.insert(block, CachedCopy { born });
-        Ok((born, "fetched_root"))
+        let (created_at, _) = origin.ok_or("BROKE")?.fill(block, oldest, false)?;
+        self.state().copies.insert(block, CachedCopy { created_at });
+        Ok((created_at, "fetched_root"))
     }
 }
 
-fn encode_answer(id: &str, (word, born, note): HostAnswer) -> Vec<u8> {
+fn encode_answer(id: &str, (word, created_at, note): HostAnswer) -> Vec<u8> {
     let mut fields = Vec::new();
-    if let Some(born) = born {
-        fields.push(format!("ver={:016x}", born));
-        fields.push(format!("born={}", born / 1000));
+    if let Some(created_at) = created_at {
+        fields.push(format!("ver={:016x}", created_at));
+        fields.push(format!("born={}", created_at / 1000));
     }
     if !note.is_empty() {
         fields.push(format!("note={note}"));
     }
     let fields = if fields.is_empty() { "-".to_owned() } else { fields.join(",") };
     // The body starts with the true creation time, whatever the header fields say.
-    let body = born.map_or(String::new(), |born| format!("{born:016x}{}", "x".repeat(BODY_BYTES)));
+    let body =
+        created_at.map_or(String::new(), |created_at| format!("{created_at:016x}{}", "x".repeat(BODY_BYTES)));
     let parts = [id, word, &fields, &body].map(|part| format!("${}\r\n{part}\r\n", part.len()));
     format!("*4\r\n{}", parts.concat()).into_bytes()
 }
--- a/crates/faultbed/src/judge.rs
+++ b/crates/faultbed/src/judge.rs
@@ -105,8 +105,8 @@
                 };
                 visits.insert(*visit, sent);
             }
-            Note::Answered { visit, outcome, born } => match visits.get_mut(visit) {
-                Some(known) => known.outcomes.push((*at, Some((*outcome, *born)))),
+            Note::Answered { visit, outcome, created_at } => match visits.get_mut(visit) {
+                Some(known) => known.outcomes.push((*at, Some((*outcome, *created_at)))),
                 None => violations.push("rule 1: an answer without an open visit".to_owned()),
             },
             Note::ConnectionLost { visit } => {
@@ -160,7 +160,7 @@
             0 | 1 => {}
             more => violations.push(format!("rule 1: {who} had {more} answers")),
         }
-        if let Some((at, (outcome, born))) = answers.first() {
+        if let Some((at, (outcome, created_at))) = answers.first() {
             let late =
                 at.saturating_sub(visit.sent_at + visit.limit + TIME_LIMIT_SLACK_US + SCHEDULING_DELAY_US);
             if late > 0 && !is_excused(visit) {
@@ -173,11 +173,11 @@
                 propagated_at(absences, **purge) + GRACE_US + TIME_LIMIT_SLACK_US < visit.sent_at
             };
             let purge = purged.get(&visit.object).and_then(|all| all.iter().filter(before).max());
-            if let (Outcome::Served, Some(born), Some(purge)) = (outcome, born, purge) {
-                if visit.class == "read" && born < purge {
+            if let (Outcome::Served, Some(created_at), Some(purge)) = (outcome, created_at, purge) {
+                if visit.class == "read" && created_at < purge {
                     violations.push(format!(
                         "rule 5: {who} got a copy {} ms older than its purge",
-                        (purge - born) / 1000
+                        (purge - created_at) / 1000
                     ));
                 }
             }
@@ -306,8 +306,8 @@
 
 /// Checks that no verdict in use was older than `most` milliseconds.
 pub fn check_verdict_ages(events: &[Event], most: f64) -> Vec<String> {
-    let told = events.iter().filter(|event| event.name == "hearsay");
-    let old = told.filter(|event| event.number("age_ms").is_none_or(|age| age > most));
+    let verdicts = events.iter().filter(|event| event.name == "hearsay");
+    let old = verdicts.filter(|event| event.number("age_ms").is_none_or(|age| age > most));
     old.map(|event| {
         format!(
             "{} used a verdict with age {:?} ms, exceeding {most} ms",
@@ -360,27 +360,27 @@
         violations
             .push("the last fault is too close to the end to check agreement: use a longer play".to_owned());
     }
-    let gone = |name: &str| played.unavailable.iter().any(|(who, _, to)| who == name && *to >= end);
+    let is_down = |name: &str| played.unavailable.iter().any(|(who, _, to)| who == name && *to >= end);
     let without_fleet = |name: &str| played.without_fleet.iter().any(|own| own == name);
-    for me in names.iter().filter(|name| !gone(name) && !without_fleet(name)) {
+    for me in names.iter().filter(|name| !is_down(name) && !without_fleet(name)) {
         for who in names.iter().filter(|who| *who != me) {
-            let told = |event: &&Event| {
+            let concerns = |event: &&Event| {
                 event.name == "member"
                     && event.process == **me
                     && event.text("who") == Some(who)
                     && event.time <= end
             };
-            let standing = played.events.iter().rfind(told).and_then(|event| event.text("standing"));
-            let wanted = if gone(who) { "dead" } else { "alive" };
+            let standing = played.events.iter().rfind(concerns).and_then(|event| event.text("standing"));
+            let expected = if is_down(who) { "dead" } else { "alive" };
             if without_fleet(who) {
                 if standing == Some("alive") {
                     violations.push(format!("{me} reports {who} as alive, which has no fleet support"));
                 }
                 continue;
             }
-            if standing != Some(wanted) {
+            if standing != Some(expected) {
                 violations.push(format!(
-                    "{me} reports {who} as {}, expected {wanted}",
+                    "{me} reports {who} as {}, expected {expected}",
                     standing.unwrap_or("unheard")
                 ));
             }
@@ -406,9 +406,9 @@
 /// Checks the number of accepted rollout orders.
 pub fn check_accepted_orders(orders: &[(String, bool)], count: u64) -> Vec<String> {
     let found = orders.iter().filter(|(_, taken)| *taken).count() as u64;
-    let said = || orders.iter().map(|(said, _)| &said[..]).collect::<Vec<_>>().join("; ");
+    let output = || orders.iter().map(|(output, _)| &output[..]).collect::<Vec<_>>().join("; ");
     (found != count)
-        .then(|| format!("{found} orders were accepted, expected {count}: {}", said()))
+        .then(|| format!("{found} orders were accepted, expected {count}: {}", output()))
         .into_iter()
         .collect()
 }
@@ -432,13 +432,13 @@
     scenario: &Scenario,
     unavailable: &[(String, u64, u64)],
     end: u64,
-    standings: &BTreeMap<String, Value>,
+    statuses: &BTreeMap<String, Value>,
     number: u64,
 ) -> Vec<String> {
     let runs = |name: &str| !unavailable.iter().any(|(who, _, to)| who == name && *to >= end);
     let names = scenario.dispatchers.iter().map(|(name, _)| name).filter(|name| runs(name));
     let bad = names.filter_map(|name| {
-        let found = standings.get(name).and_then(|standing| standing["in_force"].as_u64());
+        let found = statuses.get(name).and_then(|standing| standing["in_force"].as_u64());
         (found != Some(number)).then(|| format!("{name} ends with rules {found:?} in force, not {number}"))
     });
     bad.collect()
@@ -449,7 +449,7 @@
 pub fn check_halted(
     scenario: &Scenario,
     events: &[Event],
-    standings: &BTreeMap<String, Value>,
+    statuses: &BTreeMap<String, Value>,
     number: u64,
     location: &str,
 ) -> Vec<String> {
@@ -467,10 +467,10 @@
     let is_halted = |standing: &Value| {
         standing["number"] == number && matches!(standing["phase"].as_str(), Some("halted" | "back"))
     };
-    if standings.is_empty() {
+    if statuses.is_empty() {
         violations.push("no process reported its rollout status".to_owned());
     }
-    let others = standings.iter().filter(|(_, standing)| !is_halted(standing));
+    let others = statuses.iter().filter(|(_, standing)| !is_halted(standing));
     violations.extend(others.map(|(name, standing)| {
         format!(
             "{name} reports rules {} as {}, expected {number} as halted",
@@ -536,14 +536,14 @@
 pub fn figures(played: &PlayResult) -> Vec<String> {
     let mut counts: BTreeMap<Option<Outcome>, usize> = BTreeMap::new();
     let mut asked = 0;
-    let (mut came, mut lost): (BTreeMap<&str, usize>, BTreeMap<&str, usize>) = Default::default();
+    let (mut arrived, mut failed): (BTreeMap<&str, usize>, BTreeMap<&str, usize>) = Default::default();
     for (_, note) in &played.notes {
         match note {
             Note::RequestSent { .. } => asked += 1,
             Note::Answered { outcome, .. } => *counts.entry(Some(*outcome)).or_default() += 1,
             Note::ConnectionLost { .. } => *counts.entry(None).or_default() += 1,
-            Note::HandOffArrived { host, .. } => *came.entry(host).or_default() += 1,
-            Note::HandOffEnded { host, is_success: false, .. } => *lost.entry(host).or_default() += 1,
+            Note::HandOffArrived { host, .. } => *arrived.entry(host).or_default() += 1,
+            Note::HandOffEnded { host, is_success: false, .. } => *failed.entry(host).or_default() += 1,
             _ => {}
         }
     }
@@ -556,10 +556,10 @@
         count(None),
         played.datagrams
     )];
-    for (host, came) in came {
-        lines.push(format!("{host}: {came} hand-offs, {} failed", lost.get(host).unwrap_or(&0)));
+    for (host, arrived) in arrived {
+        lines.push(format!("{host}: {arrived} hand-offs, {} failed", failed.get(host).unwrap_or(&0)));
     }
-    lines.extend(played.rollout_orders.iter().map(|(said, _)| said.clone()));
+    lines.extend(played.rollout_orders.iter().map(|(output, _)| output.clone()));
     lines.extend(rollout_figures(played));
     lines.extend(last_ejections(played));
     lines.extend(ejections(played));
@@ -570,8 +570,8 @@
 /// first fault.
 pub fn last_ejections(played: &PlayResult) -> Vec<String> {
     let mut first: BTreeMap<&str, BTreeMap<&str, f64>> = BTreeMap::new();
-    for (at, who, words) in host_log_lines(played) {
-        let host = words.strip_prefix("host ").and_then(|words| words.split_once(" shut out: "));
+    for (at, who, text) in host_log_lines(played) {
+        let host = text.strip_prefix("host ").and_then(|text| text.split_once(" shut out: "));
         if let Some((host, _)) = host {
             first.entry(host).or_default().entry(who).or_insert(at);
         }
@@ -585,7 +585,7 @@
 
 /// The log lines of each process about hosts, with seconds after the first fault.
 pub fn ejections(played: &PlayResult) -> Vec<String> {
-    let line = |(at, who, words): (f64, &str, &str)| format!("{at:+.3} s {who}: {words}");
+    let line = |(at, who, text): (f64, &str, &str)| format!("{at:+.3} s {who}: {text}");
     host_log_lines(played).into_iter().map(line).collect()
 }
 
@@ -597,8 +597,8 @@
     for (name, log) in &played.logs {
         for line in log.lines().filter(|line| line.contains("module: host ")) {
             let at = line.split(' ').next().and_then(|at| at.parse::<f64>().ok()).unwrap_or(0.0);
-            let words = line.split("module: ").nth(1).unwrap_or(line);
-            found.push((at - fault as f64 / 1e6, &name[..], words));
+            let text = line.split("module: ").nth(1).unwrap_or(line);
+            found.push((at - fault as f64 / 1e6, &name[..], text));
         }
     }
     found
--- a/crates/faultbed/src/notation.rs
+++ b/crates/faultbed/src/notation.rs
@@ -3,35 +3,31 @@
 //! Setup:
 //! - `dispatchers d1 d2 d3 at edge`, `caches c1 c2 at edge transfers 20`, `parents p1 transfers 40`,
 //!   `origin o1 transfers 30`
-//! - `load d1 40` (visits per second; `load all 5`), `writes 0.1` (share of visits), `objects 300`, `work 20`
-//! (ms per
-//!   hand-off at a host), `for 10` (duration in seconds)
-//! - `fleet { limits: { origin: 12 } }` (keys of the operator file's section; without this line there is no
-//! fleet)
+//! - `load d1 40` (visits per second; `load all 5`), `writes 0.1` (share of visits), `objects 300`,
+//!   `work 20` (ms per hand-off at a host), `for 10` (duration in seconds)
+//! - `fleet { limits: { origin: 12 } }` (keys of the operator file's section; without this line there is
+//!   no fleet)
 //! - `store` (each dispatcher has a store), `clock d1 0.99` (rate of its clock)
-//! - `program d2 d3 older` (start as the older build: that of `--other`, or else this build in form 1), `form
-//! 1 d4`
-//!   (this build restricted to that form)
+//! - `program d2 d3 older` (start as the older build: that of `--other`, or else this build in form 1),
+//!   `form 1 d4` (this build restricted to that form)
 //!
 //! Faults, `at 3 ...` or `at 3 for 2 ...` (seconds):
-//! - links: `cut d1 d2`, `cut d1 > d2` (one direction), `lose 0.2 d1 d2` (`all`: every link), `repeat 0.2
-//! ...`,
-//!   `delay 50 200 ...` (minimum and maximum in ms), `throttle 20 ...` (datagrams per second), `stall ...` (held, then
-//!   forwarded at once)
-//! - processes: `stop d1`, `kill d1`, `kill runner` (the current rollout runner), `restart d1 [new]` (killed
-//! and started;
-//!   `new`: with an empty store), `term d1` (SIGTERM, then SIGKILL after the shutdown time, then restarted), `hup d1`,
-//!   `upgrade d2`, `downgrade d2` (SIGTERM, then the other build), `load d1 90`
-//! - hosts: `fail c1 0.7`, `hang c1`, `freeze c1` (processes nothing, also no purges, and continues later),
-//! `slow c1 5`
-//!   (times), `vanish c1`, `fresh c1` (a new, cold process), `drain c1`
+//! - links: `cut d1 d2`, `cut d1 > d2` (one direction), `lose 0.2 d1 d2` (`all`: every link),
+//!   `repeat 0.2 ...`, `delay 50 200 ...` (minimum and maximum in ms), `throttle 20 ...` (datagrams per
+//!   second), `stall ...` (held, then forwarded at once)
+//! - processes: `stop d1`, `kill d1`, `kill runner` (the current rollout runner), `restart d1 [new]`
+//!   (killed and started; `new`: with an empty store), `term d1` (SIGTERM, then SIGKILL after the
+//!   shutdown time, then restarted), `hup d1`, `upgrade d2`, `downgrade d2` (SIGTERM, then the other
+//!   build), `load d1 90`
+//! - hosts: `fail c1 0.7`, `hang c1`, `freeze c1` (processes nothing, also no purges, and continues
+//!   later), `slow c1 5` (times), `vanish c1`, `fresh c1` (a new, cold process), `drain c1`
 //! - change log: `purge`, `silence` (no request is answered)
-//! - machine: `step d1 forward 3000`, `step d1 back 3000` (wall clock, in ms), `calls d1 accept ECONNABORTED
-//! 0.3` (share
-//!   of failing calls; `short-read` and `short-write` take a number of bytes instead of an error), `disk d1 lose`
-//!   (acknowledged writes are lost at a kill; also `error`, `full`, `flip`, `stall 2000` in ms)
-//! - `rollout d1 start { number: 2, rules: { … }, plan: { … } }` (order given at d1; also `halt`, `resume`,
-//! `back`)
+//! - machine: `step d1 forward 3000`, `step d1 back 3000` (wall clock, in ms),
+//!   `calls d1 accept ECONNABORTED 0.3` (share of failing calls; `short-read` and `short-write` take a
+//!   number of bytes instead of an error), `disk d1 lose` (acknowledged writes are lost at a kill; also
+//!   `error`, `full`, `flip`, `stall 2000` in ms)
+//! - `rollout d1 start { number: 2, rules: { … }, plan: { … } }` (order given at d1; also `halt`,
+//!   `resume`, `back`)
 //!
 //! `clock` and `disk` need a program built with the feature `faults`.
 //!
@@ -39,9 +35,8 @@
 //! - `hold rules` (the five rules), `hold sum origin 12`, `hold sum further 20`, `hold sum cold 1`,
 //!   `hold used origin 0.95`, `hold age 10000` (ms), `hold feed`, `hold agreed`
 //! - `hold versions` (no process returns to older rules unless ordered), `hold taken 1` (accepted rollout
-//! orders),
-//!   `hold end 2` (at the end rules 2 are in force everywhere), `hold halted 2 edge` (in force in `edge` only, and
-//!   halted), `hold never 2` (never in force anywhere)
+//!   orders), `hold end 2` (at the end rules 2 are in force everywhere), `hold halted 2 edge` (in force
+//!   in `edge` only, and halted), `hold never 2` (never in force anywhere)
 use cherrypass_shim::control::Call;
 use cherrypass_shim::errors::errno;
 use winnow::ascii::{alpha1, alphanumeric1, dec_uint, float, space0, space1, till_line_ending};
--- a/crates/faultbed/src/notes.rs
+++ b/crates/faultbed/src/notes.rs
@@ -44,7 +44,7 @@
     Answered {
         visit: u64,
         outcome: Outcome,
-        born: Option<u64>,
+        created_at: Option<u64>,
     },
     /// The request was sent while the dispatcher closed the connection in order; it counts as never sent.
     CrossedClose {
@@ -104,11 +104,11 @@
                 .field("object", object)
                 .field("limit", limit)
                 .finish(),
-            Note::Answered { visit, outcome, born } => f
+            Note::Answered { visit, outcome, created_at } => f
                 .debug_struct("Answered")
                 .field("visit", visit)
                 .field("word", outcome)
-                .field("born", born)
+                .field("born", created_at)
                 .finish(),
             Note::CrossedClose { visit } => f.debug_struct("Crossed").field("visit", visit).finish(),
             Note::ConnectionLost { visit } => f.debug_struct("Broken").field("visit", visit).finish(),
--- a/crates/faultbed/src/play.rs
+++ b/crates/faultbed/src/play.rs
@@ -153,8 +153,8 @@
     // Concurrent runs start at different offsets.
     let begin = std::process::id().wrapping_mul(7_919);
     for _ in 0..count {
-        let place = begin.wrapping_add(NEXT.fetch_add(1, SeqCst)) % count;
-        let address = SocketAddr::from(([127, 0, 0, 1], PORT_RANGE.start + place as u16));
+        let index = begin.wrapping_add(NEXT.fetch_add(1, SeqCst)) % count;
+        let address = SocketAddr::from(([127, 0, 0, 1], PORT_RANGE.start + index as u16));
         let free = if udp { UdpSocket::bind(address).is_ok() } else { TcpListener::bind(address).is_ok() };
         if free {
             return Ok(address);
@@ -225,12 +225,12 @@
         for name in names.iter().filter(|_| scenario.has_rollout_orders()) {
             self.control_addresses.insert(name.clone(), free_port(false).map_err(io_error("a port"))?);
         }
-        for (place, (from, to)) in
+        for (index, (from, to)) in
             names.iter().flat_map(|from| names.iter().map(move |to| (from, to))).enumerate()
         {
             let linked = names.len() <= MAX_FULLY_LINKED || scenario.has_link_fault(from, to);
             if let Some(address) = fleet.get(to).filter(|_| from != to && linked) {
-                let link = Link::start(*address, seed.wrapping_mul(31) + place as u64)
+                let link = Link::start(*address, seed.wrapping_mul(31) + index as u64)
                     .map_err(io_error("a link"))?;
                 self.links.insert((from.clone(), to.clone()), link);
             }
@@ -238,7 +238,7 @@
         self.fleet_addresses = fleet;
         let numbers = VisitNumbers::default();
         numbers.store(1, SeqCst);
-        for (place, name) in names.iter().enumerate() {
+        for (index, name) in names.iter().enumerate() {
             let address = free_port(false).map_err(io_error("a port"))?;
             let at = |what: &str| self.setup.folder.join(format!("{name}{what}"));
             let mut environment = Vec::new();
@@ -249,20 +249,20 @@
             }
             let shim = if scenario.needs_shim() {
                 let shim =
-                    Shim::new(seed.wrapping_mul(1_000_003) + place as u64).map_err(io_error("a shim"))?;
+                    Shim::new(seed.wrapping_mul(1_000_003) + index as u64).map_err(io_error("a shim"))?;
                 environment.extend(shim.environment().map_err(io_error("a shim"))?);
                 Some(shim)
             } else {
                 None
             };
             let files = Files { config: at(".json"), operator: None, log: at(".log"), environment };
-            std::fs::write(&files.config, self.config(place, name, address))
+            std::fs::write(&files.config, self.config(index, name, address))
                 .map_err(io_error("a configuration"))?;
             let of =
                 |who: &str| scenario.load.iter().rev().find(|(name, _)| name == who).map(|(_, rate)| *rate);
             let rate = of(name).or(of("all")).unwrap_or(10.0);
             let mix = Mix { write_share: scenario.write_share, objects: scenario.objects };
-            let seed = seed.wrapping_mul(1_000_003) + place as u64;
+            let seed = seed.wrapping_mul(1_000_003) + index as u64;
             let load =
                 Load::start((name.clone(), address), 0.0, mix, seed, self.notes.clone(), numbers.clone());
             let (process, store_dir, unavailable_since) = (None, at("-kept"), None);
@@ -382,10 +382,10 @@
         self.hosts.read().ok()?.get(&format!("s-{name}")).cloned()
     }
 
-    fn config(&self, place: usize, name: &str, listen: SocketAddr) -> String {
+    fn config(&self, index: usize, name: &str, listen: SocketAddr) -> String {
         let dispatchers = &self.scenario.dispatchers;
         let zone = |location: &String| self.zones.iter().position(|zone| zone == location).unwrap_or(0);
-        let own = zone(&dispatchers[place].1);
+        let own = zone(&dispatchers[index].1);
         let count = |zone: &String| dispatchers.iter().filter(|(_, location)| location == zone).count();
         let counts: Vec<usize> = self.zones.iter().map(count).collect();
         let services: Vec<_> = CLASSES
@@ -404,7 +404,7 @@
             .collect();
         let micros = |seconds: f64| (seconds * 1e6) as u64;
         let settings = json!({
-            "balancers": dispatchers.len(), "me": place, "zone": own, "zones": self.zones,
+            "balancers": dispatchers.len(), "me": index, "zone": own, "zones": self.zones,
             "weight_source": "rough", "models": ["small", "parent", "origin"], "services": services,
             "bounds": {"cancel": true, "connect_timeout": 300_000, "conn_idle": 15_000_000, "streams_per_conn": 32,
                 "max_attempts": 6, "retry_after": true, "max_retry_after": 2_000_000},
@@ -414,7 +414,7 @@
                 "obey_after": 1_000_000, "pace_kb_per_s": 0, "parent_kind": 1, "source_kind": 2,
                 "purge_done": micros(hosts::PURGE_DELAY_S + 1.0), "count_by_zone": counts},
         });
-        json!({"name": name, "listen": listen.to_string(), "seed": format!("{:x}", self.setup.seed ^ place as u64),
+        json!({"name": name, "listen": listen.to_string(), "seed": format!("{:x}", self.setup.seed ^ index as u64),
             "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 512}, "changelog": self.change_log.address.to_string(),
             "known": self.change_log.all_results(), "settings": settings})
         .to_string()
@@ -461,17 +461,17 @@
         due.sort_by(|a, b| a.0.total_cmp(&b.0));
         // Gives the members time to discover each other.
         std::thread::sleep(Duration::from_millis(if self.scenario.fleet.is_some() { 1_500 } else { 200 }));
-        let (begun, begun_at) = (Instant::now(), unix_micros());
+        let (started, start_time) = (Instant::now(), unix_micros());
         self.dispatchers.values().for_each(|dispatcher| dispatcher.load.set_rate(dispatcher.rate));
         for (at, begins, planned) in due {
             let at = Duration::from_secs_f64(at);
-            std::thread::sleep(at.saturating_sub(begun.elapsed()));
+            std::thread::sleep(at.saturating_sub(started.elapsed()));
             let what = format!("{} {:?}", if begins { "begins" } else { "ends" }, planned.fault);
             self.notes.record(Note::Fault { what });
             self.apply_fault(&planned.fault, begins)?;
         }
-        std::thread::sleep(Duration::from_secs_f64(self.scenario.duration).saturating_sub(begun.elapsed()));
-        Ok((begun_at, unix_micros()))
+        std::thread::sleep(Duration::from_secs_f64(self.scenario.duration).saturating_sub(started.elapsed()));
+        Ok((start_time, unix_micros()))
     }
 
     fn each_link(&self, between: &LinkSelection, change: impl Fn(&mut LinkFaults)) {
@@ -535,8 +535,9 @@
                 }
             }
             Fault::Kill(name) if name == "runner" && begins => {
-                let told = |name: &String| self.rollout_status(name)?["runner"].as_str().map(str::to_owned);
-                self.killed_runner = self.dispatchers.keys().find_map(told);
+                let reported_runner =
+                    |name: &String| self.rollout_status(name)?["runner"].as_str().map(str::to_owned);
+                self.killed_runner = self.dispatchers.keys().find_map(reported_runner);
                 let Some(name) = self.killed_runner.clone() else { return Ok(()) };
                 self.kill(&name);
                 self.rollout_orders.push((format!("{name} was killed as the rollout runner"), false));
@@ -780,7 +781,7 @@
             terminated: ended,
             log_silences: silent,
             call_counts: delivered,
-            without_fleet: without_fleet,
+            without_fleet,
             datagrams,
             rollout_orders: orders,
             rollout_statuses: standings,
--- a/crates/faultbed/src/processes.rs
+++ b/crates/faultbed/src/processes.rs
@@ -26,8 +26,8 @@
 
 /// Whether the program was built with the feature `faults`, that is, supports disk and clock faults.
 pub fn supports_faults(program: &Path) -> io::Result<bool> {
-    let said = Command::new(program).arg("version").stdin(Stdio::null()).output()?;
-    Ok(String::from_utf8_lossy(&said.stdout).trim_end().ends_with(" with faults"))
+    let output = Command::new(program).arg("version").stdin(Stdio::null()).output()?;
+    Ok(String::from_utf8_lossy(&output.stdout).trim_end().ends_with(" with faults"))
 }
 
 /// Whether a build accepts these files. Builds without fleet support reject the `fleet` section.
--- a/crates/faultbed/src/soak.rs
+++ b/crates/faultbed/src/soak.rs
@@ -87,8 +87,8 @@
     }
 
     fn random_process(&mut self) -> String {
-        let place = self.rng.gen_range(0..self.processes.len());
-        self.processes[place].clone()
+        let index = self.rng.gen_range(0..self.processes.len());
+        self.processes[index].clone()
     }
 
     fn random_cache(&mut self) -> String {
@@ -171,8 +171,8 @@
             }
             "hup" => {
                 let who = self.random_process();
-                for place in 0..self.rng.gen_range(1..=4) {
-                    self.push_line(format!("at {:.2} hup {who}", at + 0.05 * f64::from(place)));
+                for index in 0..self.rng.gen_range(1..=4) {
+                    self.push_line(format!("at {:.2} hup {who}", at + 0.05 * f64::from(index)));
                 }
             }
             "kill" | "stop" => {
@@ -191,10 +191,10 @@
         .lines()
         .filter(|line| {
             let is_fault = line.starts_with("at ");
-            let goes = is_fault && seen == fault;
+            let is_removed = is_fault && seen == fault;
             seen += usize::from(is_fault);
-            found |= goes;
-            !goes
+            found |= is_removed;
+            !is_removed
         })
         .collect();
     found.then(|| kept.join("\n") + "\n")
--- a/crates/faultbed/tests/bed.rs
+++ b/crates/faultbed/tests/bed.rs
@@ -18,7 +18,7 @@
 #[test_case("at 1 disk d1 burn", "line 4, column 14"; "an unknown order to a disk")]
 #[test_case("clock d1 3", "line 4, column 9"; "a clock out of bounds")]
 #[test_case("caches c1 transfers 5", "line 4"; "caches without a location")]
-fn a_mistake_has_its_place(line: &str, place: &str) {
+fn errors_name_their_position(line: &str, place: &str) {
     let said = parse(&format!("{HEAD}{line}\n")).unwrap_err().to_string();
     assert!(said.contains(place), "{said}");
 }
@@ -36,16 +36,16 @@
 
 const S: u64 = 1_000_000;
 
-fn asked(at: u64, visit: u64, band: &str) -> (u64, Note) {
-    let (dispatcher, band) = ("d1".to_owned(), band.to_owned());
-    (at, Note::RequestSent { visit, dispatcher, class: band, object: 7, limit: S })
+fn request(at: u64, visit: u64, class: &str) -> (u64, Note) {
+    let (dispatcher, class) = ("d1".to_owned(), class.to_owned());
+    (at, Note::RequestSent { visit, dispatcher, class, object: 7, limit: S })
 }
 
-fn answered(at: u64, visit: u64, word: Outcome, born: Option<u64>) -> (u64, Note) {
-    (at, Note::Answered { visit, outcome: word, born })
+fn answered(at: u64, visit: u64, outcome: Outcome, created_at: Option<u64>) -> (u64, Note) {
+    (at, Note::Answered { visit, outcome, created_at })
 }
 
-fn ran(at: u64, visit: u64) -> (u64, Note) {
+fn executed(at: u64, visit: u64) -> (u64, Note) {
     (at, Note::Executed { host: "o1".into(), visit, class: "once".into() })
 }
 
@@ -53,7 +53,7 @@
     (at, what("c1".into()))
 }
 
-fn came(host: String) -> Note {
+fn hand_off(host: String) -> Note {
     Note::HandOffArrived { host, visit: 1, is_fill: false, wait: None }
 }
 
@@ -61,51 +61,51 @@
     (at, Note::HandOffArrived { host: "c1".into(), visit: 1, is_fill: false, wait: Some(ms) })
 }
 
-fn drains(host: String) -> Note {
+fn draining(host: String) -> Note {
     Note::HostListed { host, state: "terminating" }
 }
 
-fn fell(host: String) -> Note {
+fn overloaded(host: String) -> Note {
     Note::HostOverloaded { host }
 }
 
-#[test_case(vec![asked(S, 1, "read"), answered(S + 100, 1, Outcome::Served, Some(S))], None; "all well")]
-#[test_case(vec![asked(S, 1, "read")], Some("no answer"); "rule 1, none")]
-#[test_case(vec![asked(S, 1, "read"), answered(S, 1, Outcome::Served, None), answered(S, 1, Outcome::Served, None)], Some("2 answers"); "rule 1, two")]
-#[test_case(vec![asked(S, 1, "read"), answered(3 * S, 1, Outcome::Refused, None)], Some("late"); "rule 1, late")]
-#[test_case(vec![asked(S, 1, "once"), ran(S, 1), ran(S, 1), answered(S, 1, Outcome::Served, None)], Some("ran 2 times"); "rule 2, twice")]
-#[test_case(vec![asked(S, 1, "once"), ran(S, 1), answered(S, 1, Outcome::Refused, None)], Some("was refused"); "rule 2, called harmless")]
-#[test_case(vec![host(S, drains), host(9 * S, came)], Some("which is draining"); "rule 3")]
-#[test_case(vec![host(S, drains), host(S + 1, came)], None; "rule 3, within the grace")]
-#[test_case(vec![host(S, fell)], Some("was overloaded"); "rule 4")]
-#[test_case(vec![asked(S, 1, "read"), waits(S + 1, 1_149), answered(S + 100, 1, Outcome::Served, None)], None; "the deadline told, within the slack")]
-#[test_case(vec![asked(S, 1, "read"), waits(S + S / 2, 800), answered(S + S / 2, 1, Outcome::Served, None)], Some("deadline"); "the deadline told, too long")]
-#[test_case(vec![asked(S, 1, "read"), (S + 9, Note::CrossedClose { visit: 1 })], None; "what crossed an orderly end")]
-#[test_case(vec![(S, Note::Purged { object: 7 }), asked(9 * S, 1, "read"), answered(9 * S, 1, Outcome::Served, Some(S - 9))], Some("older than its purge"); "rule 5")]
-fn the_judge_of_the_rules(noted: TimedNotes, words: Option<&str>) {
-    let broken = judge::check_rules(&noted, &[]);
+#[test_case(vec![request(S, 1, "read"), answered(S + 100, 1, Outcome::Served, Some(S))], None; "all well")]
+#[test_case(vec![request(S, 1, "read")], Some("no answer"); "rule 1, none")]
+#[test_case(vec![request(S, 1, "read"), answered(S, 1, Outcome::Served, None), answered(S, 1, Outcome::Served, None)], Some("2 answers"); "rule 1, two")]
+#[test_case(vec![request(S, 1, "read"), answered(3 * S, 1, Outcome::Refused, None)], Some("late"); "rule 1, late")]
+#[test_case(vec![request(S, 1, "once"), executed(S, 1), executed(S, 1), answered(S, 1, Outcome::Served, None)], Some("ran 2 times"); "rule 2, twice")]
+#[test_case(vec![request(S, 1, "once"), executed(S, 1), answered(S, 1, Outcome::Refused, None)], Some("was refused"); "rule 2, called harmless")]
+#[test_case(vec![host(S, draining), host(9 * S, hand_off)], Some("which is draining"); "rule 3")]
+#[test_case(vec![host(S, draining), host(S + 1, hand_off)], None; "rule 3, within the grace")]
+#[test_case(vec![host(S, overloaded)], Some("was overloaded"); "rule 4")]
+#[test_case(vec![request(S, 1, "read"), waits(S + 1, 1_149), answered(S + 100, 1, Outcome::Served, None)], None; "the deadline told, within the slack")]
+#[test_case(vec![request(S, 1, "read"), waits(S + S / 2, 800), answered(S + S / 2, 1, Outcome::Served, None)], Some("deadline"); "the deadline told, too long")]
+#[test_case(vec![request(S, 1, "read"), (S + 9, Note::CrossedClose { visit: 1 })], None; "what crossed an orderly end")]
+#[test_case(vec![(S, Note::Purged { object: 7 }), request(9 * S, 1, "read"), answered(9 * S, 1, Outcome::Served, Some(S - 9))], Some("older than its purge"); "rule 5")]
+fn checks_the_five_rules(notes: TimedNotes, words: Option<&str>) {
+    let violations = judge::check_rules(&notes, &[]);
     match words {
-        None => assert!(broken.is_empty(), "{broken:?}"),
-        Some(words) => assert!(broken.len() == 1 && broken[0].contains(words), "{broken:?}"),
+        None => assert!(violations.is_empty(), "{violations:?}"),
+        Some(words) => assert!(violations.len() == 1 && violations[0].contains(words), "{violations:?}"),
     }
 }
 
 #[test]
-fn who_was_away_is_not_blamed_for_silence() {
-    let noted = vec![asked(S, 1, "read")];
-    assert!(judge::check_rules(&noted, &[("d1".into(), S / 2, 2 * S)]).is_empty());
-    assert!(!judge::check_rules(&noted, &[("d2".into(), S / 2, 2 * S)]).is_empty());
+fn unavailable_processes_are_excused() {
+    let notes = vec![request(S, 1, "read")];
+    assert!(judge::check_rules(&notes, &[("d1".into(), S / 2, 2 * S)]).is_empty());
+    assert!(!judge::check_rules(&notes, &[("d2".into(), S / 2, 2 * S)]).is_empty());
 }
 
 /// A process that ended after SIGTERM had to answer all requests sent before.
 #[test_case(2 * S, S, true; "asked while it was gone")]
 #[test_case(S, S + 40_000, true; "crossed its end")]
 #[test_case(S, S + 60_000, false; "asked before its end")]
-fn who_ended_as_told_owes_what_came_before(asked_at: u64, gone: u64, excused: bool) {
-    let noted = vec![asked(asked_at, 1, "read")];
+fn terminated_processes_answer_earlier_requests(asked_at: u64, gone: u64, excused: bool) {
+    let notes = vec![request(asked_at, 1, "read")];
     let ended = [("d1".to_owned(), gone, 3 * S)];
     let absences = Absences { unavailable: &[], terminated: &ended, log_silences: &[] };
-    assert_eq!(judge::check_rules_with_absences(&noted, &absences).is_empty(), excused);
+    assert_eq!(judge::check_rules_with_absences(&notes, &absences).is_empty(), excused);
 }
 
 /// Entries of a change log without answers count as known after 7 s, or 2 s after it answers again.
@@ -113,41 +113,42 @@
 #[test_case((S, 20 * S), 8 * S, true; "still silent, within them")]
 #[test_case((S, 2 * S), 6 * S, false; "back, past 2 s and the grace")]
 #[test_case((S, 2 * S), 4 * S, true; "back, within them")]
-fn a_purge_in_a_silent_log_counts(silent: (u64, u64), asked_at: u64, well: bool) {
+fn purges_in_a_silent_log_count_with_a_delay(silent: (u64, u64), asked_at: u64, expected: bool) {
     let purged = (S, Note::Purged { object: 7 });
-    let noted = vec![purged, asked(asked_at, 1, "read"), answered(asked_at, 1, Outcome::Served, Some(S - 9))];
+    let notes =
+        vec![purged, request(asked_at, 1, "read"), answered(asked_at, 1, Outcome::Served, Some(S - 9))];
     let absences = Absences { unavailable: &[], terminated: &[], log_silences: &[silent] };
-    assert_eq!(judge::check_rules_with_absences(&noted, &absences).is_empty(), well);
+    assert_eq!(judge::check_rules_with_absences(&notes, &absences).is_empty(), expected);
 }
 
-fn part(t: u64, me: &str, amount: f64, until: u64, after: f64) -> String {
+fn allowance_event(t: u64, me: &str, amount: f64, until: u64, after: f64) -> String {
     format!(
         r#"{{"t":{t},"me":"{me}","inc":1,"e":"part","key":"origin","amount":{amount},"until":{until},"after":{after}}}"#
     )
 }
 
-#[test_case(&[part(1, "a", 6.0, 50, 2.0), part(2, "b", 4.0, 90, 4.0)], None; "all well")]
-#[test_case(&[part(1, "a", 6.0, 50, 2.0), part(2, "b", 4.0, 90, 4.0), part(49, "b", 5.0, 90, 5.0)], Some("11.000"); "lent before it ran out")]
-#[test_case(&[part(1, "a", 6.0, 50, 2.0), part(2, "b", 4.0, 90, 4.0), part(51, "b", 8.0, 90, 4.0)], None; "lent after it ran out")]
-#[test_case(&[part(1, "a", 6.0, 50, 6.0), part(2, "b", 4.0, 60, 9.0)], Some("15.000"); "falls back to more")]
-fn the_judge_of_a_sum(lines: &[String], words: Option<&str>) {
-    let broken = judge::check_limit_sum(&parse_events(&lines.join("\n")), &[], "origin", 10.0);
+#[test_case(&[allowance_event(1, "a", 6.0, 50, 2.0), allowance_event(2, "b", 4.0, 90, 4.0)], None; "all well")]
+#[test_case(&[allowance_event(1, "a", 6.0, 50, 2.0), allowance_event(2, "b", 4.0, 90, 4.0), allowance_event(49, "b", 5.0, 90, 5.0)], Some("11.000"); "lent before it ran out")]
+#[test_case(&[allowance_event(1, "a", 6.0, 50, 2.0), allowance_event(2, "b", 4.0, 90, 4.0), allowance_event(51, "b", 8.0, 90, 4.0)], None; "lent after it ran out")]
+#[test_case(&[allowance_event(1, "a", 6.0, 50, 6.0), allowance_event(2, "b", 4.0, 60, 9.0)], Some("15.000"); "falls back to more")]
+fn checks_the_sum_of_a_limit(lines: &[String], words: Option<&str>) {
+    let violations = judge::check_limit_sum(&parse_events(&lines.join("\n")), &[], "origin", 10.0);
     match words {
-        None => assert!(broken.is_empty(), "{broken:?}"),
-        Some(words) => assert!(broken.len() == 1 && broken[0].contains(words), "{broken:?}"),
+        None => assert!(violations.is_empty(), "{violations:?}"),
+        Some(words) => assert!(violations.len() == 1 && violations[0].contains(words), "{violations:?}"),
     }
 }
 
-#[test_case(&[part(1, "a", 2.0, 90, 1.0), part(60, "a", 9.0, 120, 1.0), part(95, "a", 9.5, 120, 1.0)], true; "held in the last third")]
-#[test_case(&[part(70, "a", 9.0, 80, 1.0), part(85, "a", 9.5, 120, 1.0)], false; "lapsed meanwhile")]
-#[test_case(&[part(70, "a", 9.5, 95, 1.0)], false; "lapsed before the end")]
-#[test_case(&[part(1, "a", 9.5, 200, 9.5), part(70, "b", 1.0, 200, 1.0)], false; "nothing told of who has most")]
-fn the_judge_of_use(lines: &[String], well: bool) {
-    let broken = judge::check_limit_used(&parse_events(&lines.join("\n")), "origin", 9.0, (0, 100));
-    assert_eq!(broken.is_empty(), well, "{broken:?}");
+#[test_case(&[allowance_event(1, "a", 2.0, 90, 1.0), allowance_event(60, "a", 9.0, 120, 1.0), allowance_event(95, "a", 9.5, 120, 1.0)], true; "held in the last third")]
+#[test_case(&[allowance_event(70, "a", 9.0, 80, 1.0), allowance_event(85, "a", 9.5, 120, 1.0)], false; "lapsed meanwhile")]
+#[test_case(&[allowance_event(70, "a", 9.5, 95, 1.0)], false; "lapsed before the end")]
+#[test_case(&[allowance_event(1, "a", 9.5, 200, 9.5), allowance_event(70, "b", 1.0, 200, 1.0)], false; "nothing told of who has most")]
+fn checks_the_use_of_a_limit(lines: &[String], expected: bool) {
+    let violations = judge::check_limit_used(&parse_events(&lines.join("\n")), "origin", 9.0, (0, 100));
+    assert_eq!(violations.is_empty(), expected, "{violations:?}");
 }
 
-fn held(me: &str, who: &str, standing: &str) -> String {
+fn member_event(me: &str, who: &str, standing: &str) -> String {
     format!(r#"{{"t":{S},"me":"{me}","inc":1,"e":"member","who":"{who}","standing":"{standing}"}}"#)
 }
 
@@ -155,52 +156,52 @@
 #[test_case(&[("d1", "d2", "dead"), ("d2", "d1", "alive")], 1, Some("reports d2 as dead"); "one is held dead")]
 #[test_case(&[("d1", "d2", "alive")], 1, Some("reports d1 as unheard"); "one never heard")]
 #[test_case(&[("d1", "d2", "alive"), ("d2", "d1", "alive")], 18, Some("too close to the end"); "a fault at the end")]
-fn the_judge_of_members(told: &[(&str, &str, &str)], fault: u64, words: Option<&str>) {
-    let lines: Vec<String> = told.iter().map(|(me, who, standing)| held(me, who, standing)).collect();
+fn checks_the_agreement_of_members(told: &[(&str, &str, &str)], fault: u64, words: Option<&str>) {
+    let lines: Vec<String> = told.iter().map(|(me, who, standing)| member_event(me, who, standing)).collect();
     let played = PlayResult {
         notes: vec![(fault * S, Note::Fault { what: "one".into() })],
         events: parse_events(&lines.join("\n")),
         load_span: (0, 20 * S),
         ..PlayResult::default()
     };
-    let broken = judge::check_agreement(&parse(TWO).unwrap(), &played);
+    let violations = judge::check_agreement(&parse(TWO).unwrap(), &played);
     match words {
-        None => assert!(broken.is_empty(), "{broken:?}"),
-        Some(words) => assert!(broken.len() == 1 && broken[0].contains(words), "{broken:?}"),
+        None => assert!(violations.is_empty(), "{violations:?}"),
+        Some(words) => assert!(violations.len() == 1 && violations[0].contains(words), "{violations:?}"),
     }
 }
 
-fn fed(e: &str, n: u64) -> String {
+fn feed_event(e: &str, n: u64) -> String {
     format!(r#"{{"t":{n},"me":"a","inc":1,"e":"{e}","source":"b","sinc":1,"n":{n}}}"#)
 }
 
-#[test_case(&[fed("deliver", 1), fed("deliver", 2)], true; "in order")]
-#[test_case(&[fed("deliver", 1), fed("deliver", 3)], false; "a gap")]
-#[test_case(&[fed("deliver", 1), fed("deliver", 1)], false; "a repeat")]
-#[test_case(&[fed("deliver", 1), fed("state", 5), fed("deliver", 6)], true; "a state covers a gap")]
-#[test_case(&[fed("deliver", 1), fed("state", 5), fed("deliver", 5)], false; "a repeat of a state")]
-fn the_judge_of_the_feed(lines: &[String], well: bool) {
-    let broken = judge::check_feed(&parse_events(&lines.join("\n")));
-    assert_eq!(broken.is_empty(), well, "{broken:?}");
+#[test_case(&[feed_event("deliver", 1), feed_event("deliver", 2)], true; "in order")]
+#[test_case(&[feed_event("deliver", 1), feed_event("deliver", 3)], false; "a gap")]
+#[test_case(&[feed_event("deliver", 1), feed_event("deliver", 1)], false; "a repeat")]
+#[test_case(&[feed_event("deliver", 1), feed_event("state", 5), feed_event("deliver", 6)], true; "a state covers a gap")]
+#[test_case(&[feed_event("deliver", 1), feed_event("state", 5), feed_event("deliver", 5)], false; "a repeat of a state")]
+fn checks_the_feed(lines: &[String], expected: bool) {
+    let violations = judge::check_feed(&parse_events(&lines.join("\n")));
+    assert_eq!(violations.is_empty(), expected, "{violations:?}");
 }
 
 #[test_case(10_000.0, true; "young enough")]
 #[test_case(900.0, false; "too old")]
-fn the_judge_of_ages(most: f64, well: bool) {
+fn checks_verdict_ages(most: f64, expected: bool) {
     let line = r#"{"t":1,"me":"a","inc":1,"e":"hearsay","host":"9","kind":"shut","tellers":2,"age_ms":950}"#;
-    assert_eq!(judge::check_verdict_ages(&parse_events(line), most).is_empty(), well);
+    assert_eq!(judge::check_verdict_ages(&parse_events(line), most).is_empty(), expected);
 }
 
 #[test_case(&[1, 2, 3], true; "forward")]
 #[test_case(&[1, 3, 2], false; "back unasked")]
-fn the_judge_of_versions(numbers: &[u64], well: bool) {
+fn checks_versions(numbers: &[u64], expected: bool) {
     let line = |n: &u64| format!(r#"{{"t":{n},"me":"a","inc":1,"e":"rules","number":{n}}}"#);
     let lines: Vec<String> = numbers.iter().map(line).collect();
-    assert_eq!(judge::check_versions(&parse_events(&lines.join("\n"))).is_empty(), well);
+    assert_eq!(judge::check_versions(&parse_events(&lines.join("\n"))).is_empty(), expected);
 }
 
 #[test]
-fn a_program_that_obeys_no_faults_is_refused() {
+fn programs_without_fault_support_are_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let setup = Setup { program: "/bin/true".as_ref(), older_program: None, folder: folder.path(), seed: 1 };
     let scenario = parse(&format!("{HEAD}at 1 disk d1 full\n")).unwrap();
@@ -208,7 +209,7 @@
     assert!(said.contains("does not support disk and clock faults"), "{said}");
 }
 
-fn ruled(me: &str, number: u64) -> String {
+fn rules_event(me: &str, number: u64) -> String {
     format!(r#"{{"t":1,"me":"{me}","inc":1,"e":"rules","number":{number}}}"#)
 }
 
@@ -218,18 +219,18 @@
 
 const TWO: &str = "dispatchers d1 at edge\ndispatchers d2 at far\norigin o1 transfers 3\nfor 5\n";
 
-#[test_case(&[ruled("d1", 2)], "halted", None; "halted in the first location")]
-#[test_case(&[ruled("d1", 2)], "back", None; "taken back")]
-#[test_case(&[ruled("d1", 2), ruled("d2", 2)], "halted", Some("d2 is not in edge"); "it came to the second")]
+#[test_case(&[rules_event("d1", 2)], "halted", None; "halted in the first location")]
+#[test_case(&[rules_event("d1", 2)], "back", None; "taken back")]
+#[test_case(&[rules_event("d1", 2), rules_event("d2", 2)], "halted", Some("d2 is not in edge"); "it reached the second")]
 #[test_case(&[], "halted", Some("no process ever had rules 2"); "it never began")]
-#[test_case(&[ruled("d1", 2)], "rolling", Some("reports rules 2 as \"rolling\""); "not halted")]
-fn the_judge_of_halts(lines: &[String], phase: &str, words: Option<&str>) {
+#[test_case(&[rules_event("d1", 2)], "rolling", Some("reports rules 2 as \"rolling\""); "not halted")]
+fn checks_halts(lines: &[String], phase: &str, words: Option<&str>) {
     let standings = [("d1".to_owned(), standing(2, phase, 0))].into();
-    let broken =
+    let violations =
         judge::check_halted(&parse(TWO).unwrap(), &parse_events(&lines.join("\n")), &standings, 2, "edge");
     match words {
-        None => assert!(broken.is_empty(), "{broken:?}"),
-        Some(words) => assert!(broken.len() == 1 && broken[0].contains(words), "{broken:?}"),
+        None => assert!(violations.is_empty(), "{violations:?}"),
+        Some(words) => assert!(violations.len() == 1 && violations[0].contains(words), "{violations:?}"),
     }
     let never = judge::check_never_in_force(&parse_events(&lines.join("\n")), 2);
     assert_eq!(never.len(), lines.len());
@@ -238,17 +239,17 @@
 #[test_case(&[("d1", 2), ("d2", 2)], 0; "all have it")]
 #[test_case(&[("d1", 2), ("d2", 0)], 1; "one has not")]
 #[test_case(&[("d1", 2)], 1; "one does not tell")]
-fn the_judge_of_the_end(told: &[(&str, u64)], broken: usize) {
+fn checks_the_final_version(told: &[(&str, u64)], violations: usize) {
     let told = told.iter().map(|(who, number)| (who.to_string(), standing(2, "full", *number))).collect();
     let scenario = parse(TWO).unwrap();
-    assert_eq!(judge::check_final_version(&scenario, &[], 9, &told, 2).len(), broken);
+    assert_eq!(judge::check_final_version(&scenario, &[], 9, &told, 2).len(), violations);
     let away = [("d2".to_owned(), 3, 9)];
     assert_eq!(
         judge::check_final_version(&scenario, &away, 9, &told, 2).len(),
         0,
         "who is away is not asked"
     );
-    assert_eq!(judge::check_accepted_orders(&[("start".to_owned(), broken == 0)], 1).len(), broken);
+    assert_eq!(judge::check_accepted_orders(&[("start".to_owned(), violations == 0)], 1).len(), violations);
 }
 
 /// Plays scenarios with the program in the tests' target folder, which the workspace's tests build.
@@ -256,7 +257,7 @@
 #[test_case(include_str!("../scenarios/forms.bed"); "two forms")]
 #[test_case(include_str!("../scenarios/delivery.bed"); "changes by carriers")]
 #[test_case(include_str!("../scenarios/stood_still.bed"); "stood still")]
-fn holds(text: &str) {
+fn scenario_holds(text: &str) {
     let own = std::env::current_exe().unwrap();
     let program = own.parent().unwrap().parent().unwrap().join("cherrypass");
     assert!(program.exists(), "{} is not built: cargo build first", program.display());
@@ -266,6 +267,6 @@
     let played =
         play(&scenario, Setup { program: &program, older_program: None, folder: folder.path(), seed })
             .unwrap();
-    let broken = judge::judge(&scenario, &played);
-    assert!(broken.is_empty(), "seed {seed}: {broken:#?}\n{:#?}", judge::figures(&played));
+    let violations = judge::judge(&scenario, &played);
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}\n{:#?}", judge::figures(&played));
 }
--- a/crates/peers/src/delivery.rs
+++ b/crates/peers/src/delivery.rs
@@ -111,10 +111,10 @@
         self.guests.get(&id).map(|guest| &guest.peer)
     }
 
-    pub fn handle_message(&mut self, now: Time, from: MemberId, incarnation: Incarnation, said: Said) {
+    pub fn handle_message(&mut self, now: Time, from: MemberId, incarnation: Incarnation, message: Said) {
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.heard(now, from, incarnation, said),
-            Role::Follower(follower) => follower.heard(now, from, said),
+            Role::Carrier(carrier) => carrier.heard(now, from, incarnation, message),
+            Role::Follower(follower) => follower.heard(now, from, message),
         }
     }
 
--- a/crates/peers/src/event_loop.rs
+++ b/crates/peers/src/event_loop.rs
@@ -145,11 +145,11 @@
 }
 
 fn decode_as<S: DeserializeOwned>(
-    message: impl Fn(S) -> Message,
+    wrap: impl Fn(S) -> Message,
     payload: &[u8],
 ) -> Result<Option<Message>, LinkError> {
-    let said = postcard::from_bytes(payload).map_err(|_| LinkError::MalformedPayload)?;
-    Ok(Some(message(said)))
+    let message = postcard::from_bytes(payload).map_err(|_| LinkError::MalformedPayload)?;
+    Ok(Some(wrap(message)))
 }
 
 /// Decodes a payload by its kind; None for an unknown kind.
@@ -165,10 +165,10 @@
 
 fn encode_message(message: &Message) -> Option<(u8, Vec<u8>)> {
     let (kind, bytes) = match message {
-        Message::Members(said) => (kind::MEMBERS, postcard::to_stdvec(said)),
-        Message::Limits(said) => (kind::LIMITS, postcard::to_stdvec(said)),
-        Message::Feed(said) => (kind::FEED, postcard::to_stdvec(said)),
-        Message::Rollout(said) => (kind::ROLLOUT, postcard::to_stdvec(said)),
+        Message::Members(message) => (kind::MEMBERS, postcard::to_stdvec(message)),
+        Message::Limits(message) => (kind::LIMITS, postcard::to_stdvec(message)),
+        Message::Feed(message) => (kind::FEED, postcard::to_stdvec(message)),
+        Message::Rollout(message) => (kind::ROLLOUT, postcard::to_stdvec(message)),
     };
     Some((kind, bytes.ok()?))
 }
@@ -347,15 +347,15 @@
         if envelope.location.is_some_and(|location| location != LocationByte::of(listed)) {
             self.reject(now, LinkError::LocationMismatch, who);
         }
-        let heard = match (&mut self.role, message) {
+        let result = match (&mut self.role, message) {
             (Role::Member(fleet), message) => fleet.heard(now, from, incarnation, message),
-            (Role::Follower(follower), Message::Feed(said)) => {
-                follower.heard(now, from, said);
+            (Role::Follower(follower), Message::Feed(message)) => {
+                follower.heard(now, from, message);
                 Ok(())
             }
             (Role::Follower(_) | Role::Unlisted, _) => Err(Void::Off),
         };
-        match heard {
+        match result {
             _ if from == self.me => self.reject(now, LinkError::OwnName, who),
             Err(Void::Run) => self.reject(now, LinkError::OutdatedRun, who),
             Err(Void::Unlisted) => self.reject(now, LinkError::UnlistedSender, who),
@@ -377,7 +377,7 @@
         if incarnation.0 > self.clock.unix(now).saturating_add(self.max_incarnation_lead.0) {
             return self.reject(now, LinkError::FutureStart, Source::Address(at.ip()));
         }
-        let Ok(said) = postcard::from_bytes::<Said>(envelope.payload) else {
+        let Ok(message) = postcard::from_bytes::<Said>(envelope.payload) else {
             return self.reject(now, LinkError::MalformedPayload, Source::Address(at.ip()));
         };
         match self.peers.get_mut(&from) {
@@ -388,7 +388,7 @@
             None if delivery.admits_guest(now, from, at, envelope.reads) => {}
             None => return self.reject(now, LinkError::UnlistedSender, Source::Address(at.ip())),
         }
-        delivery.handle_message(now, from, incarnation, said);
+        delivery.handle_message(now, from, incarnation, message);
     }
 
     fn handle_log_read(&mut self, read: LogRead) {
@@ -553,13 +553,13 @@
                 let values = json!({ "who": name, "standing": standing, "sinc": incarnation.0 });
                 self.events.write_event(now, "member", |_| values);
             }
-            Effect::OwnTrouble(trouble) => {
-                (self.log)(if trouble {
+            Effect::OwnTrouble(is_degraded) => {
+                (self.log)(if is_degraded {
                     "fleet: most members do not answer this dispatcher: its own links are degraded; check its network"
                 } else {
                     "fleet: this dispatcher's own links have recovered"
                 });
-                self.events.write_event(now, "own-trouble", |_| json!({ "trouble": trouble }));
+                self.events.write_event(now, "own-trouble", |_| json!({ "trouble": is_degraded }));
             }
             Effect::SteppedDown => {
                 (self.log)(
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -269,7 +269,7 @@
     let events = Events::open(set.events.as_deref(), &set.me, clock, environment.log.clone())?;
     let peers = peers_of(&set, me);
     let seed = set.seed ^ incarnation.0;
-    let ahead = set.rooms.members.ahead;
+    let max_incarnation_lead = set.rooms.members.ahead;
     let now = clock.now();
     let role = match own {
         Some(_) => {
@@ -302,7 +302,7 @@
         incarnation,
         location,
         form: set.form.unwrap_or(link::NEWEST),
-        max_incarnation_lead: ahead,
+        max_incarnation_lead,
         peers,
         send_datagram: environment.send_datagram,
         clock,
@@ -324,7 +324,7 @@
     let followers = set.followers.iter().map(|one| (&one.name, one.address, LocationId::default()));
     let all = members.chain(followers);
     let mut peers: BTreeMap<MemberId, Peer> =
-        all.map(|(name, at, place)| (MemberId::of(name), Peer::new(name, at, place))).collect();
+        all.map(|(name, at, location)| (MemberId::of(name), Peer::new(name, at, location))).collect();
     peers.remove(&me);
     peers
 }
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
@@ -17,62 +17,66 @@
 }
 
 #[derive(Default)]
-struct Seen {
-    taken: Vec<Record>,
+struct Observed {
+    records: Vec<Record>,
     first: Option<u64>,
     reads_log: bool,
-    known: Option<Instant>,
+    complete_up_to: Option<Instant>,
     lines: Vec<String>,
 }
 
 /// One process of the fleet and the messages it delivered.
-struct Place {
+struct Node {
     peers: Peers,
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<Observed>>,
 }
 
-impl Place {
-    fn start(set: Set) -> Place {
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let (told, logged) = (seen.clone(), seen.clone());
+impl Node {
+    fn start(set: Set) -> Node {
+        let observed = Arc::new(Mutex::new(Observed::default()));
+        let (messages, logged) = (observed.clone(), observed.clone());
         let tell = move |what| {
-            let mut seen = told.lock().unwrap();
+            let mut observed = messages.lock().unwrap();
             match what {
                 FromFleet::Delivered(Delivered::Changes { first, records }) => {
-                    let next = *seen.first.get_or_insert(first.0) + seen.taken.len() as u64;
+                    let next = *observed.first.get_or_insert(first.0) + observed.records.len() as u64;
                     assert_eq!(first.0, next, "a gap or a repeat");
-                    seen.taken.extend(records);
+                    observed.records.extend(records);
                 }
-                FromFleet::Delivered(Delivered::ReadLog(reads)) => seen.reads_log = reads,
-                FromFleet::Delivered(Delivered::KnownUpTo(at)) => seen.known = Some(at),
+                FromFleet::Delivered(Delivered::ReadLog(reads)) => observed.reads_log = reads,
+                FromFleet::Delivered(Delivered::KnownUpTo(at)) => observed.complete_up_to = Some(at),
                 _ => {}
             }
         };
         let log = move |line: &str| logged.lock().unwrap().lines.push(line.to_owned());
-        Place { peers: Peers::start(set, None, tell, log).unwrap(), seen }
+        Node { peers: Peers::start(set, None, tell, log).unwrap(), observed }
     }
 
-    fn taken(&self) -> Vec<Record> {
-        self.seen.lock().unwrap().taken.clone()
+    fn received(&self) -> Vec<Record> {
+        self.observed.lock().unwrap().records.clone()
     }
 
     fn reads_log(&self) -> bool {
-        self.seen.lock().unwrap().reads_log
+        self.observed.lock().unwrap().reads_log
     }
 
-    fn known_within(&self, most: Duration) -> bool {
-        self.seen.lock().unwrap().known.is_some_and(|known| known.elapsed() <= most)
+    fn complete_within(&self, most: Duration) -> bool {
+        self.observed
+            .lock()
+            .unwrap()
+            .complete_up_to
+            .is_some_and(|complete_up_to| complete_up_to.elapsed() <= most)
     }
 
     /// Reports changes `from` to `to` as read from the log.
-    fn reads(&self, from: u64, to: u64) {
+    fn report_log_read(&self, from: u64, to: u64) {
         let changes = (from..=to).map(|n| LogChange { number: ChangeNumber(n), record: record(n) }).collect();
         let read = LogRead { changes, last: ChangeNumber(to), asked: Some(Instant::now()) };
         self.peers.send(ToFleet::LogRead(read));
     }
 }
 
-fn until(what: &str, seconds: u64, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, seconds: u64, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(seconds);
     while !holds() {
         assert!(Instant::now() < end, "not within {seconds} s: {what}");
@@ -91,7 +95,7 @@
 
 /// Settings of two carriers, and of a follower by name.
 fn carriers() -> (Vec<Set>, impl Fn(&str) -> Set) {
-    let at = [free(), free()];
+    let at = [free_address(), free_address()];
     let names = ["c1", "c2"];
     let member = |i: usize| Member { name: names[i].into(), address: at[i], location: LocationId(0) };
     let members: Vec<Member> = (0..2).map(member).collect();
@@ -105,48 +109,52 @@
 }
 
 #[test]
-fn followers_in_no_list_are_carried_and_go_on_without_their_carrier() {
+fn unlisted_followers_receive_changes_and_survive_the_loss_of_carriers() {
     let (sets, follower) = carriers();
-    let mut carriers: Vec<Place> = sets.into_iter().map(Place::start).collect();
-    carriers.iter().for_each(|one| one.reads(1, 3));
-    let followers: Vec<Place> = ["f1", "f2", "f3", "f4"].map(|name| Place::start(follower(name))).into();
+    let mut carriers: Vec<Node> = sets.into_iter().map(Node::start).collect();
+    carriers.iter().for_each(|one| one.report_log_read(1, 3));
+    let followers: Vec<Node> = ["f1", "f2", "f3", "f4"].map(|name| Node::start(follower(name))).into();
     let all = |last: u64| -> Vec<Record> { (1..=last).map(record).collect() };
-    until("all followers have the earlier changes", 5, || followers.iter().all(|one| one.taken() == all(3)));
+    wait_until("all followers have the earlier changes", 5, || {
+        followers.iter().all(|one| one.received() == all(3))
+    });
     let mut last = 3;
-    let mut go_on = |carriers: &[Place]| {
+    let mut go_on = |carriers: &[Node]| {
         last += 1;
-        carriers.iter().for_each(|one| one.reads(last, last));
+        carriers.iter().for_each(|one| one.report_log_read(last, last));
         last
     };
     let number = go_on(&carriers);
-    until("all followers have the new change", 2, || followers.iter().all(|one| one.taken() == all(number)));
-    assert!(followers.iter().all(|one| one.known_within(Duration::from_millis(1_100))));
+    wait_until("all followers have the new change", 2, || {
+        followers.iter().all(|one| one.received() == all(number))
+    });
+    assert!(followers.iter().all(|one| one.complete_within(Duration::from_millis(1_100))));
 
     // One carrier ends in order: all followers switch to the other at once.
     drop(carriers.remove(0));
     let number = go_on(&carriers);
-    until("all followers have the change after it", 2, || {
-        followers.iter().all(|one| one.taken() == all(number))
+    wait_until("all followers have the change after it", 2, || {
+        followers.iter().all(|one| one.received() == all(number))
     });
     assert!(followers.iter().all(|one| !one.reads_log()));
 
     // Without a carrier the followers read the log directly. A carrier that returns does not repeat what they
     // read.
     drop(carriers.remove(0));
-    until("all followers read the log", 6, || followers.iter().all(Place::reads_log));
+    wait_until("all followers read the log", 6, || followers.iter().all(Node::reads_log));
     followers.iter().for_each(|one| {
-        one.reads(number + 1, number + 2);
+        one.report_log_read(number + 1, number + 2);
         // What a dispatcher would have read itself.
-        one.seen.lock().unwrap().taken.extend((number + 1..=number + 2).map(record));
+        one.observed.lock().unwrap().records.extend((number + 1..=number + 2).map(record));
     });
-    let back = Place::start(first_carrier(&follower));
-    until("all followers have a carrier again", 20, || {
-        back.reads(1, number + 2);
+    let back = Node::start(first_carrier(&follower));
+    wait_until("all followers have a carrier again", 20, || {
+        back.report_log_read(1, number + 2);
         followers.iter().all(|one| !one.reads_log())
     });
-    back.reads(number + 3, number + 3);
-    until("all followers have the next change", 3, || {
-        followers.iter().all(|one| one.taken() == all(number + 3))
+    back.report_log_read(number + 3, number + 3);
+    wait_until("all followers have the next change", 3, || {
+        followers.iter().all(|one| one.received() == all(number + 3))
     });
 }
 
@@ -158,18 +166,18 @@
 }
 
 #[test]
-fn a_member_without_the_delivery_leaves_what_it_asks_unanswered() {
+fn members_without_delivery_ignore_delivery_requests() {
     let (sets, follower) = carriers();
-    let without: Vec<Place> =
-        sets.into_iter().map(|set| Place::start(Set { delivery: None, ..set })).collect();
-    let one = Place::start(follower("f1"));
-    until("it reads the log", 6, || one.reads_log());
-    let lines: Vec<String> = without.iter().flat_map(|one| one.seen.lock().unwrap().lines.clone()).collect();
+    let without: Vec<Node> = sets.into_iter().map(|set| Node::start(Set { delivery: None, ..set })).collect();
+    let one = Node::start(follower("f1"));
+    wait_until("the follower reads the log", 6, || one.reads_log());
+    let lines: Vec<String> =
+        without.iter().flat_map(|one| one.observed.lock().unwrap().lines.clone()).collect();
     assert!(lines.iter().all(|line| !line.contains("rejected")), "{lines:?}");
 }
 
 #[test]
-fn a_carrier_has_to_be_a_member() {
+fn carriers_must_be_members() {
     let (_, follower) = carriers();
     let set = Set { delivery: Some(delivery(&["c1", "c9"])), ..follower("f1") };
     let found = set.check().unwrap_err();
--- a/crates/peers/tests/link.rs
+++ b/crates/peers/tests/link.rs
@@ -15,32 +15,32 @@
 
 proptest! {
     #[test]
-    fn read_as_written(payload in prop::collection::vec(any::<u8>(), 0..2000), from: u64, kind: u8) {
-        let told = envelope(&payload, from, kind);
-        let two = encode(2, &told).unwrap();
-        prop_assert_eq!(decode(&two, FLEET), Ok(told));
-        let one = encode(1, &told).unwrap();
-        prop_assert_eq!(decode(&one, FLEET), Ok(Envelope { location: None, ..told }));
-        prop_assert_eq!(decode(&two, "other"), Err(LinkError::OtherFleet));
+    fn messages_round_trip(payload in prop::collection::vec(any::<u8>(), 0..2000), from: u64, kind: u8) {
+        let sent = envelope(&payload, from, kind);
+        let form2 = encode(2, &sent).unwrap();
+        prop_assert_eq!(decode(&form2, FLEET), Ok(sent));
+        let form1 = encode(1, &sent).unwrap();
+        prop_assert_eq!(decode(&form1, FLEET), Ok(Envelope { location: None, ..sent }));
+        prop_assert_eq!(decode(&form2, "other"), Err(LinkError::OtherFleet));
     }
 
     /// Form 2 detects any changed byte, and both forms any truncation.
     #[test]
-    fn changes_are_noticed(payload in prop::collection::vec(any::<u8>(), 1..200), at: prop::sample::Index, bits in 1u8..) {
-        let told = envelope(&payload, 9, 3);
-        let mut two = encode(2, &told).unwrap();
-        let one = encode(1, &told).unwrap();
-        prop_assert!(decode(&one[..at.index(one.len())], FLEET).is_err());
-        prop_assert!(decode(&two[..at.index(two.len())], FLEET).is_err());
-        let at = at.index(two.len());
-        two[at] ^= bits;
+    fn corruption_is_detected(payload in prop::collection::vec(any::<u8>(), 1..200), at: prop::sample::Index, bits in 1u8..) {
+        let sent = envelope(&payload, 9, 3);
+        let mut form2 = encode(2, &sent).unwrap();
+        let form1 = encode(1, &sent).unwrap();
+        prop_assert!(decode(&form1[..at.index(form1.len())], FLEET).is_err());
+        prop_assert!(decode(&form2[..at.index(form2.len())], FLEET).is_err());
+        let at = at.index(form2.len());
+        form2[at] ^= bits;
         // A changed first byte may turn it into form 1, which has no checksum.
-        prop_assume!(two[0] == 2);
-        prop_assert!(decode(&two, FLEET).is_err());
+        prop_assume!(form2[0] == 2);
+        prop_assert!(decode(&form2, FLEET).is_err());
     }
 
     #[test]
-    fn nonsense_is_refused(mut bytes in prop::collection::vec(any::<u8>(), 0..300), form in 0u8..4) {
+    fn malformed_datagrams_are_rejected(mut bytes in prop::collection::vec(any::<u8>(), 0..300), form in 0u8..4) {
         bytes.insert(0, form);
         prop_assert!(decode(&bytes, FLEET).is_err());
     }
@@ -49,20 +49,20 @@
 /// Older builds, limited to 256 locations, encode the index as one byte; larger indices are sent as their low
 /// byte.
 #[test]
-fn a_location_is_a_byte_as_it_was() {
+fn location_is_encoded_as_its_low_byte() {
     for (place, byte) in [(0, 0u8), (127, 127), (200, 200), (255, 255), (456, 200), (1_023, 255)] {
         let location = Some(LocationByte::of(LocationId(place)));
-        let told = Envelope { location, ..envelope(b"word", 9, 3) };
-        let two = encode(2, &told).unwrap();
-        let before = (2u8, 2u8, FLEET, MemberId(9), Incarnation(9 ^ 77), byte, 3u8, &b"word"[..]);
-        let before = postcard::to_stdvec(&before).unwrap();
-        assert_eq!(two[..two.len() - 4], before);
-        assert_eq!(decode(&two, FLEET).unwrap().location, Some(LocationByte(byte)));
+        let sent = Envelope { location, ..envelope(b"word", 9, 3) };
+        let form2 = encode(2, &sent).unwrap();
+        let expected = (2u8, 2u8, FLEET, MemberId(9), Incarnation(9 ^ 77), byte, 3u8, &b"word"[..]);
+        let expected = postcard::to_stdvec(&expected).unwrap();
+        assert_eq!(form2[..form2.len() - 4], expected);
+        assert_eq!(decode(&form2, FLEET).unwrap().location, Some(LocationByte(byte)));
     }
 }
 
 #[test]
-fn lengths_have_an_end() {
+fn size_limits_are_enforced() {
     let long = vec![0; PAYLOAD_MOST + 1];
     assert_eq!(encode(2, &envelope(&long, 1, 1)), None);
     let most = encode(2, &envelope(&long[1..], u64::MAX, 255)).unwrap();
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -30,12 +30,12 @@
     socket.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     let (at, cut) = (socket.local_addr().unwrap(), Arc::new(AtomicBool::new(false)));
     let forms = Arc::<[AtomicU32; 3]>::default();
-    let (ended, seen) = (cut.clone(), forms.clone());
+    let (ended, observed) = (cut.clone(), forms.clone());
     std::thread::spawn(move || {
         let mut bytes = [0; 65536];
         while !ended.load(SeqCst) {
             if let Ok((length, _)) = socket.recv_from(&mut bytes) {
-                seen[usize::from(bytes[0])].fetch_add(1, SeqCst);
+                observed[usize::from(bytes[0])].fetch_add(1, SeqCst);
                 let _ = socket.send_to(&bytes[..length], to);
             }
         }
@@ -44,37 +44,37 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct Observed {
     lines: Vec<String>,
     parts: Vec<(Instant, u64, f64, Instant, f64)>,
     hearsay: Vec<(HostId, Option<UnixTime>, Instant)>,
 }
 
-struct Place {
+struct Node {
     peers: Option<Peers>,
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<Observed>>,
     control: SocketAddr,
 }
 
-impl Place {
-    fn start(mut set: Set) -> Place {
+impl Node {
+    fn start(mut set: Set) -> Node {
         let control = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         set.control = Some(control);
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let (told, logged) = (seen.clone(), seen.clone());
+        let observed = Arc::new(Mutex::new(Observed::default()));
+        let (messages, logged) = (observed.clone(), observed.clone());
         let tell = move |what| {
-            let mut seen = told.lock().unwrap();
+            let mut observed = messages.lock().unwrap();
             match what {
                 FromFleet::Part { key: Key::Origin, number, amount, until, after } => {
-                    seen.parts.push((Instant::now(), number, amount, until, after));
+                    observed.parts.push((Instant::now(), number, amount, until, after));
                 }
-                FromFleet::Hearsay { host, since, until, .. } => seen.hearsay.push((host, since, until)),
+                FromFleet::Hearsay { host, since, until, .. } => observed.hearsay.push((host, since, until)),
                 _ => {}
             }
         };
         let log = move |line: &str| logged.lock().unwrap().lines.push(line.to_owned());
         let peers = Some(Peers::start(set, None, tell, log).unwrap());
-        Place { peers, seen, control }
+        Node { peers, observed, control }
     }
 
     fn send(&self, what: ToFleet) {
@@ -97,7 +97,7 @@
         serde_json::from_str(answer.split("\r\n\r\n").nth(1).unwrap()).unwrap()
     }
 
-    fn standings(&self) -> Vec<String> {
+    fn member_states(&self) -> Vec<String> {
         let status = self.status();
         let members = status["members"].as_array().unwrap().iter();
         let mut found: Vec<String> =
@@ -107,18 +107,18 @@
     }
 
     /// Its allowance at the origin at an instant.
-    fn part_at(&self, at: Instant) -> f64 {
-        let seen = self.seen.lock().unwrap();
-        let last = seen.parts.iter().rfind(|part| part.0 <= at);
+    fn allowance_at(&self, at: Instant) -> f64 {
+        let observed = self.observed.lock().unwrap();
+        let last = observed.parts.iter().rfind(|part| part.0 <= at);
         last.map_or(0.0, |(_, _, amount, until, after)| if at < *until { *amount } else { *after })
     }
 
     fn has_line(&self, what: &str) -> bool {
-        self.seen.lock().unwrap().lines.iter().any(|line| line.contains(what))
+        self.observed.lock().unwrap().lines.iter().any(|line| line.contains(what))
     }
 }
 
-fn until(what: &str, seconds: u64, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, seconds: u64, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(seconds);
     while !holds() {
         assert!(Instant::now() < end, "not within {seconds} s: {what}");
@@ -126,7 +126,7 @@
     }
 }
 
-fn rooms() -> house::Set {
+fn protocol_settings() -> house::Set {
     let limits = limits::Set {
         origin: Some(ORIGIN),
         lease: Span::millis(1000),
@@ -142,14 +142,14 @@
 }
 
 /// Settings of three members, and the relays between the third and the others.
-fn three() -> (Vec<Set>, Vec<Relay>) {
+fn three_members() -> (Vec<Set>, Vec<Relay>) {
     let free = || UdpSocket::bind("127.0.0.1:0").unwrap();
     let at: Vec<SocketAddr> = [free(), free(), free()].map(|socket| socket.local_addr().unwrap()).to_vec();
     let follows = free().local_addr().unwrap();
     let relays: Vec<Relay> = at.iter().map(|at| relay(*at)).collect();
     let set = |i: usize| {
         let mut set = Set::of("shop", NAMES[i], at[i]);
-        set.rooms = rooms();
+        set.rooms = protocol_settings();
         set.seed = 7 + i as u64;
         let address = |j: usize| if i == 2 || j == 2 { relays[j].at } else { at[j] };
         let member =
@@ -161,14 +161,14 @@
     ((0..3).map(set).collect(), relays)
 }
 
-fn found(host: HostId) -> ToFleet {
+fn finding(host: HostId) -> ToFleet {
     let (since, kind) = (Some(UnixTime(5)), Kind::ShutOut);
     ToFleet::Found(Finding { host, since, kind, evidence: 20, age: Span::ZERO })
 }
 
 #[test]
-fn three_find_each_other_share_and_miss_the_one_cut_off() {
-    let (mut sets, relays) = three();
+fn members_share_limits_and_findings_and_detect_a_cut_off_member() {
+    let (mut sets, relays) = three_members();
     // One of them uses the older message form.
     sets[1].form = Some(1);
     let events = tempfile::NamedTempFile::new().unwrap();
@@ -178,44 +178,46 @@
         events: Some(events.path().to_owned()),
         ..sets[0].clone()
     };
-    let _follower = Place::start(follower);
+    let _follower = Node::start(follower);
     let second_run = Set { listen: "127.0.0.1:0".parse().unwrap(), ..sets[0].clone() };
-    let places: Vec<Place> = sets.into_iter().map(Place::start).collect();
+    let nodes: Vec<Node> = sets.into_iter().map(Node::start).collect();
     let alive = ["d1:alive", "d2:alive", "d3:alive"];
-    until("all know all", 10, || places.iter().all(|place| place.standings() == alive));
+    wait_until("all members see each other alive", 10, || {
+        nodes.iter().all(|node| node.member_states() == alive)
+    });
 
     // The share that others do not need goes to the one with demand; the sum never exceeds the limit.
     let begun = Instant::now();
     let mut answered = [0; 3];
-    until("the first has what the others spare", 10, || {
-        for (i, place) in places.iter().enumerate() {
-            place.send(ToFleet::Wants { key: Key::Origin, amount: if i == 0 { ORIGIN } else { 0.0 } });
-            let last = place.seen.lock().unwrap().parts.last().map_or(0, |part| part.1);
+    wait_until("the first has the share the others do not need", 10, || {
+        for (i, node) in nodes.iter().enumerate() {
+            node.send(ToFleet::Wants { key: Key::Origin, amount: if i == 0 { ORIGIN } else { 0.0 } });
+            let last = node.observed.lock().unwrap().parts.last().map_or(0, |part| part.1);
             if last != std::mem::replace(&mut answered[i], last) {
-                place.send(ToFleet::Taken { key: Key::Origin, number: last });
+                node.send(ToFleet::Taken { key: Key::Origin, number: last });
             }
         }
-        places[0].part_at(Instant::now()) > 0.9 * ORIGIN
+        nodes[0].allowance_at(Instant::now()) > 0.9 * ORIGIN
     });
     let mut at = begun;
     while at < Instant::now() {
-        let sum: f64 = places.iter().map(|place| place.part_at(at)).sum();
+        let sum: f64 = nodes.iter().map(|node| node.allowance_at(at)).sum();
         assert!(sum <= ORIGIN * (1.0 + 1e-9), "{sum} at {:?}", at - begun);
         at += Duration::from_millis(1);
     }
 
     // The findings of two members reach the third, only for this start of the host.
     let host = HostId(0x0a00_0001_1f90);
-    for place in &places {
+    for node in &nodes {
         for i in 0..8 {
             let (host, used_by) = (HostId(host.0 + i), UsedBy::Location(LocationId(0)));
-            place.send(ToFleet::Listed { host, since: Some(UnixTime(5)), used_by });
+            node.send(ToFleet::Listed { host, since: Some(UnixTime(5)), used_by });
         }
     }
-    places[..2].iter().for_each(|place| place.send(found(host)));
-    until("the third is told of the host", 5, || {
-        places[2]
-            .seen
+    nodes[..2].iter().for_each(|node| node.send(finding(host)));
+    wait_until("the third receives the verdict", 5, || {
+        nodes[2]
+            .observed
             .lock()
             .unwrap()
             .hearsay
@@ -224,7 +226,7 @@
     });
 
     // The follower receives the same feed.
-    until("the follower has an item of each", 5, || {
+    wait_until("the follower has an item of each", 5, || {
         let text = std::fs::read_to_string(events.path()).unwrap();
         let lines = text.lines().map(|line| serde_json::from_str::<serde_json::Value>(line).unwrap());
         let items: Vec<_> = lines.filter(|line| line["e"] == "deliver" && line["me"] == "f1").collect();
@@ -242,7 +244,7 @@
         r#"{"order":"halt"}"#,
     ];
     for order in orders {
-        let answer = places[0].http("POST /rollout", order);
+        let answer = nodes[0].http("POST /rollout", order);
         let body = answer.split("\r\n\r\n").nth(1).unwrap();
         assert!(answer.starts_with("HTTP/1.1 400") && body.lines().count() == 1, "{order}: {answer}");
     }
@@ -257,59 +259,59 @@
     );
 
     relays.iter().for_each(|relay| relay.cut.store(true, SeqCst));
-    until("two know that the third is gone", 30, || {
-        places[..2].iter().all(|place| place.standings() == ["d1:alive", "d2:alive", "d3:dead"])
+    wait_until("two members detect that the third is gone", 30, || {
+        nodes[..2].iter().all(|node| node.member_states() == ["d1:alive", "d2:alive", "d3:dead"])
     });
-    until("the third holds its own links for the trouble", 10, || {
-        places[2].has_line("own links are degraded")
+    wait_until("the third detects that its own links are degraded", 10, || {
+        nodes[2].has_line("own links are degraded")
     });
 
     // A second process with a listed name: the first steps down and has no allowance.
-    let second = Place::start(second_run);
-    until("the first run steps down", 20, || places[0].status()["stepped_down"] == true);
-    assert_eq!(places[0].part_at(Instant::now()), 0.0);
+    let second = Node::start(second_run);
+    wait_until("the first run steps down", 20, || nodes[0].status()["stepped_down"] == true);
+    assert_eq!(nodes[0].allowance_at(Instant::now()), 0.0);
     drop(second);
 
-    assert!(places[1].has_line("d3 does not answer"));
+    assert!(nodes[1].has_line("d3 does not answer"));
 }
 
 #[test]
-fn bad_datagrams_change_nothing() {
-    let (sets, _relays) = three();
+fn invalid_datagrams_change_no_state() {
+    let (sets, _relays) = three_members();
     let at = sets[0].listen;
-    let places: Vec<Place> = sets.into_iter().take(2).map(Place::start).collect();
-    until("two know each other", 10, || {
-        places[..2].iter().all(|place| place.standings() == ["d1:alive", "d2:alive", "d3:unheard"])
+    let nodes: Vec<Node> = sets.into_iter().take(2).map(Node::start).collect();
+    wait_until("two members see each other alive", 10, || {
+        nodes[..2].iter().all(|node| node.member_states() == ["d1:alive", "d2:alive", "d3:unheard"])
     });
-    let before = places[0].status();
+    let before = nodes[0].status();
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
-    let mut chance = Pcg64Mcg::seed_from_u64(11);
+    let mut rng = Pcg64Mcg::seed_from_u64(11);
     let (d2, mine) = (MemberId::of("d2"), before["inc"].as_u64().unwrap());
     for round in 0..4_000 {
-        let length = chance.gen_range(0..if round % 50 == 0 { 32_000 } else { 200 });
-        let noise: Vec<u8> = (0..length).map(|_| chance.gen()).collect();
-        let fleet = ["shop", "mall"][usize::from(chance.gen_bool(0.3))];
-        let from = [d2, MemberId(chance.gen()), MemberId::of("d1")][chance.gen_range(0..3)];
+        let length = rng.gen_range(0..if round % 50 == 0 { 32_000 } else { 200 });
+        let noise: Vec<u8> = (0..length).map(|_| rng.gen()).collect();
+        let fleet = ["shop", "mall"][usize::from(rng.gen_bool(0.3))];
+        let from = [d2, MemberId(rng.gen()), MemberId::of("d1")][rng.gen_range(0..3)];
         // Outdated or future incarnations and unknown kinds have to be ignored.
         let runs = [(1, 1), (u64::MAX, 1), (unix * 2, 2), (mine, 99), (7, 3)];
-        let (incarnation, kind) = runs[chance.gen_range(0..5)];
+        let (incarnation, kind) = runs[rng.gen_range(0..5)];
         let (fleet, incarnation) = if round % 7 == 0 { ("mall", unix) } else { (fleet, incarnation) };
         // A false claim that no running member would refute: the third is dead.
         let dead = Claim { incarnation: Incarnation(9), count: 1, standing: Standing::Dead };
         let own = Claim { incarnation: Incarnation(incarnation), count: 0, standing: Standing::Alive };
         let said = Said { own, body: Body::News, words: vec![(MemberId::of("d3"), dead)] };
         let payload = if kind == 1 && round % 2 == 0 { postcard::to_stdvec(&said).unwrap() } else { noise };
-        let location = Some(LocationByte(chance.gen_range(0..2)));
+        let location = Some(LocationByte(rng.gen_range(0..2)));
         let reads = 2;
         let incarnation = Incarnation(incarnation);
         let envelope = Envelope { reads, fleet, from, incarnation, location, kind, payload: &payload };
-        let mut bytes = encode(chance.gen_range(1..=2), &envelope).unwrap();
-        if chance.gen_bool(0.5) {
-            let place = chance.gen_range(0..bytes.len().min(60));
-            bytes[place] = chance.gen();
+        let mut bytes = encode(rng.gen_range(1..=2), &envelope).unwrap();
+        if rng.gen_bool(0.5) {
+            let index = rng.gen_range(0..bytes.len().min(60));
+            bytes[index] = rng.gen();
         }
-        if chance.gen_bool(0.2) {
+        if rng.gen_bool(0.2) {
             bytes = payload;
         }
         let _ = socket.send_to(&bytes, at);
@@ -318,11 +320,11 @@
         }
     }
     std::thread::sleep(Duration::from_millis(300));
-    let after = places[0].status();
+    let after = nodes[0].status();
     assert!(after["refused"].as_u64().unwrap() > 1_000, "{after}");
     for what in ["members", "rollout", "stepped_down", "own_trouble"] {
         assert_eq!(before[what], after[what], "{what}");
     }
-    let lines = places[0].seen.lock().unwrap().lines.clone();
+    let lines = nodes[0].observed.lock().unwrap().lines.clone();
     assert!(lines.iter().filter(|line| line.contains("rejected (link")).count() <= 40, "{lines:#?}");
 }
--- a/crates/peers/tests/kept.rs
+++ b/crates/peers/tests/rollout_store.rs
@@ -44,7 +44,7 @@
     Order::Start(Version { number, text: format!("{{\"n\":{number}}}"), plan })
 }
 
-fn comes(rules: &Receiver<(u64, String)>) -> Option<u64> {
+fn next_rules(rules: &Receiver<(u64, String)>) -> Option<u64> {
     rules.recv_timeout(Duration::from_secs(5)).ok().map(|(number, text)| {
         assert_eq!(text, format!("{{\"n\":{number}}}"));
         number
@@ -52,45 +52,45 @@
 }
 
 #[test]
-fn rules_come_up_again() {
+fn rules_survive_a_restart() {
     let dir = tempfile::tempdir().unwrap();
     let (peers, rules) = start(store(folder(dir.path())));
     std::thread::sleep(Duration::from_millis(500));
     peers.send(ToFleet::Order(version(7)));
-    assert_eq!(comes(&rules), Some(7));
+    assert_eq!(next_rules(&rules), Some(7));
     drop(peers);
     let (_peers, rules) = start(store(folder(dir.path())));
-    assert_eq!(comes(&rules), Some(7));
+    assert_eq!(next_rules(&rules), Some(7));
 }
 
 #[cfg(feature = "faults")]
 #[test]
-fn a_disk_that_lies_promotes_nothing_it_can_not_keep() {
+fn disk_faults_prevent_promotion() {
     use cherrypass_peers::disk::FaultyDisk;
     let (dir, orders) = (tempfile::tempdir().unwrap(), tempfile::NamedTempFile::new().unwrap());
     let faulty = || Arc::new(FaultyDisk::new(folder(dir.path()), orders.path().to_owned()));
-    let say = |what: &str| std::fs::write(orders.path(), what).unwrap();
+    let set_orders = |what: &str| std::fs::write(orders.path(), what).unwrap();
     let (peers, rules) = start(store(faulty()));
     std::thread::sleep(Duration::from_millis(500));
-    say("stall 300\n");
+    set_orders("stall 300\n");
     peers.send(ToFleet::Order(version(1)));
-    assert_eq!(comes(&rules), Some(1));
+    assert_eq!(next_rules(&rules), Some(1));
     // Acknowledged, but lost with the process.
-    say("lose\n");
+    set_orders("lose\n");
     peers.send(ToFleet::Order(Order::Halt));
     std::thread::sleep(Duration::from_millis(500));
     drop(peers);
-    say("");
+    set_orders("");
     let (peers, rules) = start(store(faulty()));
-    assert_eq!(comes(&rules), Some(1));
+    assert_eq!(next_rules(&rules), Some(1));
     drop(peers);
     for fault in ["full\n", "error\n"] {
         let dir = tempfile::tempdir().unwrap();
-        say("");
+        set_orders("");
         let (peers, rules) =
             start(store(Arc::new(FaultyDisk::new(folder(dir.path()), orders.path().to_owned()))));
         std::thread::sleep(Duration::from_millis(500));
-        say(fault);
+        set_orders(fault);
         peers.send(ToFleet::Order(version(2)));
         assert!(rules.recv_timeout(Duration::from_secs(1)).is_err(), "{fault}");
     }
