--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -1,4 +1,5 @@
-//! What a decision costs by the number of hosts: the module on made-up visits, in one thread, without sockets.
+//! Measures the processor time of decisions by number of hosts: runs the decision module on synthetic visits
+//! in one thread, without sockets.
 use cherrypass::brain::Brain;
 use cherrypass::calls::{Decision, Ended, Listing, Note, Outcome, Phase, Report, Visit};
 use cherrypass::ids::{BandId, CellId, GroupId, HandOffNo, HostId, KindId, LocationId, ObjectId, VisitId};
@@ -9,26 +10,26 @@
 const CACHE: KindId = KindId(0);
 const PARENT: KindId = KindId(1);
 const ORIGIN: KindId = KindId(2);
-/// One parent for so many caches, and one origin.
-const CACHES_A_PARENT: usize = 10;
-const OBJECTS: u64 = 10_000;
-/// Between two visits: 750 a second.
-const GAP: Span = Span(1_333);
-const TOOK: Span = Span::millis(20);
-const LIMIT: Span = Span::millis(2_000);
-/// The part of all visits that go before any are timed.
-const WARMS: u32 = 5;
+const CACHES_PER_PARENT: usize = 10;
+const OBJECT_COUNT: u64 = 10_000;
+/// Time between two visits: 750 per second.
+const VISIT_INTERVAL: Span = Span(1_333);
+const HAND_OFF_TIME: Span = Span::millis(20);
+const VISIT_DEADLINE: Span = Span::millis(2_000);
+/// One in so many visits is run as warm-up before timing starts.
+const WARM_UP_DIVISOR: u32 = 5;
 
-/// What one number of hosts came to.
+/// Result for one number of hosts.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct Cost {
+pub struct DecisionCost {
     pub hosts: usize,
-    /// Locations that they are spread over, the own one first.
+    /// Locations that the hosts are spread over; the dispatcher's own is the first.
     pub locations: usize,
     pub visits: u32,
-    /// Processor microseconds of a visit: arrival, decision, end.
-    pub micros: f64,
-    /// Hand-offs that came of the timed visits; near one each.
+    /// Processor time per visit: arrival, decision and end.
+    #[serde(rename = "micros")]
+    pub micros_per_visit: f64,
+    /// Hand-offs of the timed visits; about one per visit.
     pub hand_offs: u32,
 }
 
@@ -61,9 +62,9 @@
     Listing { host: HostId(host), location, kind, cell, weight, since: None, phase: Phase::Ready }
 }
 
-/// So many hosts: caches with a parent for each ten, and an origin.
-fn list(hosts: usize, locations: usize) -> Vec<Listing> {
-    let parents = (hosts / (CACHES_A_PARENT + 1)).max(1);
+/// A list of hosts: caches, a parent for every `CACHES_PER_PARENT` of them, and an origin.
+fn host_list(hosts: usize, locations: usize) -> Vec<Listing> {
+    let parents = (hosts / (CACHES_PER_PARENT + 1)).max(1);
     let kind = |host: usize| match host {
         0 => ORIGIN,
         host if host <= parents => PARENT,
@@ -73,56 +74,58 @@
     (0..hosts).map(|host| listing(id(host), kind(host), host % locations)).collect()
 }
 
-/// This thread's processor seconds.
-fn processor() -> f64 {
+/// Processor seconds of this thread.
+fn thread_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanoseconds = text.split_whitespace().next().and_then(|text| text.parse::<f64>().ok());
     nanoseconds.unwrap_or(0.0) / 1e9
 }
 
-struct Play {
+struct Benchmark {
     brain: Brain,
     now: Time,
     hand_offs: u32,
-    chance: u64,
+    random_state: u64,
 }
 
-impl Play {
-    fn visit(&mut self, id: u32) {
-        self.now = self.now + GAP;
-        // A multiplicative step is chance enough for which object.
-        self.chance =
-            self.chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let object = ObjectId((self.chance >> 33) % OBJECTS);
-        let (band, group, deadline) = (BandId(0), GroupId(0), self.now + LIMIT);
+impl Benchmark {
+    fn run_visit(&mut self, id: u32) {
+        self.now = self.now + VISIT_INTERVAL;
+        // A linear congruential step picks the object.
+        self.random_state =
+            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let object = ObjectId((self.random_state >> 33) % OBJECT_COUNT);
+        let (band, group, deadline) = (BandId(0), GroupId(0), self.now + VISIT_DEADLINE);
         let id = VisitId(id);
         self.brain.arrived(self.now, Visit { id, band, object, group, part: 0, kilobytes: None, deadline });
-        let mut handed = false;
+        let mut handed_off = false;
         while let Some(decision) = self.brain.next(self.now) {
-            handed |= matches!(decision, Decision::HandOff { visit, .. } if visit == id);
+            handed_off |= matches!(decision, Decision::HandOff { visit, .. } if visit == id);
         }
-        if handed {
+        if handed_off {
             self.hand_offs += 1;
             let (outcome, note, report) = (Outcome::Settled, Note::Hit, Report::default());
             let number = HandOffNo(0);
-            self.brain
-                .ended(self.now, Ended { visit: id, number, outcome, note, took: TOOK, report, last: true });
+            self.brain.ended(
+                self.now,
+                Ended { visit: id, number, outcome, note, took: HAND_OFF_TIME, report, last: true },
+            );
             while self.brain.next(self.now).is_some() {}
         }
     }
 }
 
-/// Times so many visits with so many hosts, spread over so many locations.
-pub fn time(hosts: usize, locations: usize, visits: u32, seed: u64) -> Cost {
+/// Measures the cost per visit with `hosts` hosts spread over `locations` locations.
+pub fn measure(hosts: usize, locations: usize, visits: u32, seed: u64) -> DecisionCost {
     let now = Time(1_000_000_000);
     let mut brain = Brain::start(settings(), seed, now);
-    brain.listed(now, &list(hosts, locations), true);
-    let mut play = Play { brain, now, hand_offs: 0, chance: seed | 1 };
-    let warm = visits / WARMS;
-    (0..warm).for_each(|id| play.visit(id));
-    play.hand_offs = 0;
-    let before = processor();
-    (warm..warm + visits).for_each(|id| play.visit(id));
-    let micros = (processor() - before) * 1e6 / f64::from(visits);
-    Cost { hosts, locations, visits, micros, hand_offs: play.hand_offs }
+    brain.listed(now, &host_list(hosts, locations), true);
+    let mut benchmark = Benchmark { brain, now, hand_offs: 0, random_state: seed | 1 };
+    let warm_up = visits / WARM_UP_DIVISOR;
+    (0..warm_up).for_each(|id| benchmark.run_visit(id));
+    benchmark.hand_offs = 0;
+    let before = thread_seconds();
+    (warm_up..warm_up + visits).for_each(|id| benchmark.run_visit(id));
+    let micros_per_visit = (thread_seconds() - before) * 1e6 / f64::from(visits);
+    DecisionCost { hosts, locations, visits, micros_per_visit, hand_offs: benchmark.hand_offs }
 }
--- a/crates/scale/src/delivery_sockets.rs
+++ b/crates/scale/src/delivery_sockets.rs
@@ -1,11 +1,12 @@
-//! The delivery of changes on loopback: hollow carriers and followers by the product's own code (`Driven`), a socket each,
-//! on a few threads, and a change log that is written here. A check of what virtual time tells.
-use crate::error::{doing, Error};
-use crate::rooms;
-use crate::settings::DeliveryPlay;
+//! Runs the delivery of changes on loopback to validate the results of virtual time: simulated carriers and
+//! followers by the product's own code (`Driven`), one socket each, on a few threads, with a change log in
+//! memory.
+use crate::error::{io_error, Error};
+use crate::settings::DeliveryRun;
+use crate::subsystems;
 use cherrypass::ids::LocationId;
 use cherrypass_dispatcher::carried;
-use cherrypass_fleet::delivery::Set as Room;
+use cherrypass_fleet::delivery::Set as DeliveryParameters;
 use cherrypass_peers::delivery::{Delivered, LogChange, LogRead, Set as Delivery};
 use cherrypass_peers::driven::Driven;
 use cherrypass_peers::{ChangeNumber, FromFleet, Member, Set, ToFleet};
@@ -19,16 +20,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Carriers have read what is in the log within this time: about what a poll leaves between two answers.
-const LOG_READ: Duration = Duration::from_millis(40);
-/// A thread's rest between two looks at its sockets.
-const REST: Duration = Duration::from_millis(1);
-const DATAGRAM_MOST: usize = 64 << 10;
+/// Interval at which carriers read the log; comparable to a poll's round trip.
+const LOG_READ_INTERVAL: Duration = Duration::from_millis(40);
+/// Sleep between two rounds over a thread's sockets.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 const FOLLOWER_THREADS: usize = 3;
 
-/// What one size came to; amounts are of the mean follower, a second, counted with the bytes of datagrams.
+/// Result for one size; traffic is per second of the mean follower, in bytes of datagrams.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OnSockets {
+pub struct SocketDeliveryResult {
     pub followers: usize,
     pub carriers: usize,
     pub seconds: f64,
@@ -37,59 +38,61 @@
     pub delay_p50_ms: u64,
     pub delay_p99_ms: u64,
     pub delay_max_ms: u64,
-    /// Followers that have all changes of two seconds before the end.
-    pub complete: usize,
-    /// Those that read the log themselves at any time.
-    pub reading: usize,
+    /// Followers that had all changes published up to two seconds before the end.
+    #[serde(rename = "complete")]
+    pub complete_followers: usize,
+    /// How often a follower began to read the log itself.
+    #[serde(rename = "reading")]
+    pub log_read_starts: usize,
 }
 
-/// What all of a play share.
+/// State shared by all threads of a run.
 #[derive(Default)]
 struct Shared {
-    ended: AtomicBool,
-    counts: AtomicBool,
+    is_stopping: AtomicBool,
+    is_counting: AtomicBool,
     messages: AtomicU64,
     bytes: AtomicU64,
-    reading: AtomicU64,
-    written: Mutex<Vec<Instant>>,
+    log_read_starts: AtomicU64,
+    published: Mutex<Vec<Instant>>,
     delays: Mutex<Vec<u64>>,
 }
 
-fn held<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Shared {
     fn count(&self, is_follower: bool, bytes: usize) {
-        if is_follower && self.counts.load(Relaxed) {
+        if is_follower && self.is_counting.load(Relaxed) {
             self.messages.fetch_add(1, Relaxed);
             self.bytes.fetch_add(bytes as u64, Relaxed);
         }
     }
 
-    fn came(&self, first: u64, count: usize) {
-        if !self.counts.load(Relaxed) {
+    fn record_received(&self, first: u64, count: usize) {
+        if !self.is_counting.load(Relaxed) {
             return;
         }
-        let written = held(&self.written);
+        let published = lock(&self.published);
         let from = usize::try_from(first).unwrap_or(usize::MAX).saturating_sub(1);
-        let new = written.iter().skip(from).take(count).map(|at| at.elapsed().as_millis() as u64);
-        held(&self.delays).extend(new);
+        let new = published.iter().skip(from).take(count).map(|at| at.elapsed().as_millis() as u64);
+        lock(&self.delays).extend(new);
     }
 }
 
-/// One process without a process.
-struct Hollow {
+/// A carrier or follower driven by a shared thread.
+struct SimulatedProcess {
     driven: Driven,
     socket: Arc<UdpSocket>,
     is_follower: bool,
-    /// What a carrier reads of the log.
+    /// Changes read from the log, for a carrier.
     log: Receiver<LogRead>,
 }
 
-impl Hollow {
-    /// Does what is due.
-    fn work(&mut self, shared: &Shared, bytes: &mut [u8]) {
+impl SimulatedProcess {
+    /// Handles received datagrams, log reads and timers.
+    fn poll(&mut self, shared: &Shared, bytes: &mut [u8]) {
         while let Ok((length, from)) = self.socket.recv_from(bytes) {
             shared.count(self.is_follower, length);
             self.driven.datagram(&bytes[..length], from);
@@ -104,117 +107,135 @@
 }
 
 fn bind() -> Result<(Arc<UdpSocket>, SocketAddr), Error> {
-    let at = SocketAddr::from(([127, 0, 0, 1], 0));
-    let socket =
-        UdpSocket::bind(at).map_err(|error| Error::InUse { what: "a hollow follower", at, error })?;
-    socket.set_nonblocking(true).map_err(doing("a hollow follower's socket"))?;
-    let at = socket.local_addr().map_err(doing("a hollow follower's address"))?;
-    Ok((Arc::new(socket), at))
+    let address = SocketAddr::from(([127, 0, 0, 1], 0));
+    let socket = UdpSocket::bind(address).map_err(|error| Error::AddressInUse {
+        listener: "a simulated process",
+        address,
+        error,
+    })?;
+    socket.set_nonblocking(true).map_err(io_error("a simulated process's socket"))?;
+    let address = socket.local_addr().map_err(io_error("a simulated process's address"))?;
+    Ok((Arc::new(socket), address))
 }
 
-struct Play {
+struct SocketRun {
     shared: Arc<Shared>,
-    logs: Vec<Sender<LogRead>>,
+    log_senders: Vec<Sender<LogRead>>,
     threads: Vec<JoinHandle<()>>,
-    last: Vec<Arc<AtomicU64>>,
+    last_changes: Vec<Arc<AtomicU64>>,
 }
 
-impl Drop for Play {
-    /// Nothing is left running, however the play ends.
+impl Drop for SocketRun {
+    /// Stops and joins all threads, however the run ends.
     fn drop(&mut self) {
-        self.shared.ended.store(true, Relaxed);
+        self.shared.is_stopping.store(true, Relaxed);
         self.threads.drain(..).for_each(|thread| drop(thread.join()));
     }
 }
 
-impl Play {
-    fn start(form: &DeliveryPlay, seed: u64) -> Result<Play, Error> {
-        let bound = (0..form.carriers).map(|_| bind()).collect::<Result<Vec<_>, _>>()?;
-        let member = |(place, (_, address)): (usize, &(Arc<UdpSocket>, SocketAddr))| Member {
-            name: format!("c{place}"),
+impl SocketRun {
+    fn start(settings: &DeliveryRun, seed: u64) -> Result<SocketRun, Error> {
+        let bound = (0..settings.carriers).map(|_| bind()).collect::<Result<Vec<_>, _>>()?;
+        let member = |(index, (_, address)): (usize, &(Arc<UdpSocket>, SocketAddr))| Member {
+            name: format!("c{index}"),
             address: *address,
             location: LocationId(0),
         };
         let members: Vec<Member> = bound.iter().enumerate().map(member).collect();
-        let room = Room { followers: form.followers_a_carrier, ..Room::default() };
-        let carriers = members.iter().map(|one| one.name.clone()).collect();
+        let room = DeliveryParameters {
+            followers: settings.max_followers_per_carrier,
+            ..DeliveryParameters::default()
+        };
+        let carriers = members.iter().map(|process| process.name.clone()).collect();
         let delivery = Delivery { carriers, last: ChangeNumber(0), room };
-        let mut play =
-            Play { shared: Arc::default(), logs: Vec::new(), threads: Vec::new(), last: Vec::new() };
-        let mut groups: Vec<Vec<Hollow>> = (0..=FOLLOWER_THREADS).map(|_| Vec::new()).collect();
-        for place in 0..form.carriers + form.followers {
-            let is_follower = place >= form.carriers;
-            let name = if is_follower { format!("d{place}") } else { format!("c{place}") };
-            let (socket, address) = if is_follower { bind()? } else { bound[place].clone() };
-            let mut set = Set::of(rooms::FLEET, &name, address);
+        let mut run = SocketRun {
+            shared: Arc::default(),
+            log_senders: Vec::new(),
+            threads: Vec::new(),
+            last_changes: Vec::new(),
+        };
+        let mut groups: Vec<Vec<SimulatedProcess>> = (0..=FOLLOWER_THREADS).map(|_| Vec::new()).collect();
+        for index in 0..settings.carriers + settings.followers {
+            let is_follower = index >= settings.carriers;
+            let name = if is_follower { format!("d{index}") } else { format!("c{index}") };
+            let (socket, address) = if is_follower { bind()? } else { bound[index].clone() };
+            let mut set = Set::of(subsystems::FLEET_NAME, &name, address);
             (set.members, set.delivery) = (members.clone(), Some(delivery.clone()));
-            (set.every, set.seed) = (rooms::EVERY, seed ^ place as u64);
-            let hollow = play.hollow(set, socket, is_follower)?;
-            groups[if is_follower { 1 + place % FOLLOWER_THREADS } else { 0 }].push(hollow);
+            (set.every, set.seed) = (subsystems::TIMER_INTERVAL, seed ^ index as u64);
+            let simulated = run.start_process(set, socket, is_follower)?;
+            groups[if is_follower { 1 + index % FOLLOWER_THREADS } else { 0 }].push(simulated);
         }
         for (number, group) in groups.into_iter().enumerate() {
-            play.spawn(number, group)?;
+            run.spawn(number, group)?;
         }
-        Ok(play)
+        Ok(run)
     }
 
-    fn hollow(&mut self, set: Set, socket: Arc<UdpSocket>, is_follower: bool) -> Result<Hollow, Error> {
-        let (sends, counted, told) = (socket.clone(), self.shared.clone(), self.shared.clone());
+    fn start_process(
+        &mut self,
+        set: Set,
+        socket: Arc<UdpSocket>,
+        is_follower: bool,
+    ) -> Result<SimulatedProcess, Error> {
+        let (send_socket, send_shared, event_shared) =
+            (socket.clone(), self.shared.clone(), self.shared.clone());
         let out = move |bytes: &[u8], to| {
-            counted.count(is_follower, bytes.len());
-            let _ = sends.send_to(bytes, to);
+            send_shared.count(is_follower, bytes.len());
+            let _ = send_socket.send_to(bytes, to);
         };
-        let last = Arc::new(AtomicU64::new(0));
+        let last_change = Arc::new(AtomicU64::new(0));
         if is_follower {
-            self.last.push(last.clone());
+            self.last_changes.push(last_change.clone());
         }
         let tell = move |what| match what {
             FromFleet::Delivered(Delivered::Changes { first, records }) => {
-                last.store(first.0 + records.len() as u64 - 1, Relaxed);
-                told.came(first.0, records.len());
+                last_change.store(first.0 + records.len() as u64 - 1, Relaxed);
+                event_shared.record_received(first.0, records.len());
+            }
+            FromFleet::Delivered(Delivered::ReadLog(true)) => {
+                event_shared.log_read_starts.fetch_add(1, Relaxed);
             }
-            FromFleet::Delivered(Delivered::ReadLog(true)) => drop(told.reading.fetch_add(1, Relaxed)),
             _ => {}
         };
-        let (to, log) = unbounded();
+        let (log_sender, log) = unbounded();
         if !is_follower {
-            self.logs.push(to);
+            self.log_senders.push(log_sender);
         }
-        Ok(Hollow { driven: Driven::start(set, out, tell, |_| {})?, socket, is_follower, log })
+        Ok(SimulatedProcess { driven: Driven::start(set, out, tell, |_| {})?, socket, is_follower, log })
     }
 
-    fn spawn(&mut self, number: usize, mut group: Vec<Hollow>) -> Result<(), Error> {
+    fn spawn(&mut self, number: usize, mut group: Vec<SimulatedProcess>) -> Result<(), Error> {
         let shared = self.shared.clone();
-        let work = move || {
-            let mut bytes = vec![0; DATAGRAM_MOST];
-            while !shared.ended.load(Relaxed) {
-                group.iter_mut().for_each(|one| one.work(&shared, &mut bytes));
-                std::thread::sleep(REST);
+        let poll_loop = move || {
+            let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
+            while !shared.is_stopping.load(Relaxed) {
+                group.iter_mut().for_each(|process| process.poll(&shared, &mut bytes));
+                std::thread::sleep(POLL_INTERVAL);
             }
         };
-        let thread = std::thread::Builder::new().name(format!("delivery-{number}")).spawn(work);
-        self.threads.push(thread.map_err(doing("a thread"))?);
+        let thread = std::thread::Builder::new().name(format!("delivery-{number}")).spawn(poll_loop);
+        self.threads.push(thread.map_err(io_error("a delivery thread"))?);
         Ok(())
     }
 
-    /// Writes the log at its rates for so long, and has carriers read it.
-    fn pass(&self, form: &DeliveryPlay, seconds: f64) {
-        let begun = Instant::now();
-        let before = held(&self.shared.written).len();
-        while begun.elapsed().as_secs_f64() < seconds {
-            let asked = Instant::now();
-            std::thread::sleep(LOG_READ);
+    /// Appends to the log at its rates for `seconds`, and passes the changes to the carriers.
+    fn publish(&self, settings: &DeliveryRun, seconds: f64) {
+        let start = Instant::now();
+        let before = lock(&self.shared.published).len();
+        while start.elapsed().as_secs_f64() < seconds {
+            let requested_at = Instant::now();
+            std::thread::sleep(LOG_READ_INTERVAL);
             let mut changes = Vec::new();
-            let mut written = held(&self.shared.written);
-            let due = before + (form.purges_per_s * begun.elapsed().as_secs_f64()) as usize;
-            while written.len() < due {
-                written.push(Instant::now());
-                changes.push(change(written.len() as u64));
+            let mut published = lock(&self.shared.published);
+            let due = before + (settings.purges_per_s * start.elapsed().as_secs_f64()) as usize;
+            while published.len() < due {
+                published.push(Instant::now());
+                changes.push(change(published.len() as u64));
             }
-            let last = ChangeNumber(written.len() as u64);
-            drop(written);
-            for log in &self.logs {
-                let _ = log.send(LogRead { changes: changes.clone(), last, asked: Some(asked) });
+            let last = ChangeNumber(published.len() as u64);
+            drop(published);
+            for log in &self.log_senders {
+                let _ = log.send(LogRead { changes: changes.clone(), last, asked: Some(requested_at) });
             }
         }
     }
@@ -227,28 +248,33 @@
     LogChange { number: ChangeNumber(number), record: carried::encode(&purge).into() }
 }
 
-/// Plays one size: some seconds until all are carried, then those that are counted.
-pub fn play(form: &DeliveryPlay, settle_s: f64, seconds: f64, seed: u64) -> Result<OnSockets, Error> {
-    let play = Play::start(form, seed)?;
-    play.pass(form, settle_s);
-    play.shared.counts.store(true, Relaxed);
-    play.pass(form, seconds);
-    play.shared.counts.store(false, Relaxed);
-    let wanted = held(&play.shared.written).len() as f64 - 2.0 * form.purges_per_s;
-    let complete = play.last.iter().filter(|last| last.load(Relaxed) as f64 >= wanted).count();
+/// Runs one size: `settle_s` until all followers have a carrier, then `seconds` that are counted.
+pub fn run(
+    settings: &DeliveryRun,
+    settle_s: f64,
+    seconds: f64,
+    seed: u64,
+) -> Result<SocketDeliveryResult, Error> {
+    let run = SocketRun::start(settings, seed)?;
+    run.publish(settings, settle_s);
+    run.shared.is_counting.store(true, Relaxed);
+    run.publish(settings, seconds);
+    run.shared.is_counting.store(false, Relaxed);
+    let expected = lock(&run.shared.published).len() as f64 - 2.0 * settings.purges_per_s;
+    let complete = run.last_changes.iter().filter(|last| last.load(Relaxed) as f64 >= expected).count();
     let mut delays = Histogram::<u64>::new_with_bounds(1, 600_000, 2).unwrap_or_else(|_| unreachable!());
-    held(&play.shared.delays).iter().for_each(|delay_ms| delays.saturating_record((*delay_ms).max(1)));
-    let each = 1.0 / (form.followers as f64 * seconds);
-    Ok(OnSockets {
-        followers: form.followers,
-        carriers: form.carriers,
+    lock(&run.shared.delays).iter().for_each(|delay_ms| delays.saturating_record((*delay_ms).max(1)));
+    let per_follower = 1.0 / (settings.followers as f64 * seconds);
+    Ok(SocketDeliveryResult {
+        followers: settings.followers,
+        carriers: settings.carriers,
         seconds,
-        bytes: play.shared.bytes.load(Relaxed) as f64 * each,
-        messages: play.shared.messages.load(Relaxed) as f64 * each,
+        bytes: run.shared.bytes.load(Relaxed) as f64 * per_follower,
+        messages: run.shared.messages.load(Relaxed) as f64 * per_follower,
         delay_p50_ms: delays.value_at_quantile(0.5),
         delay_p99_ms: delays.value_at_quantile(0.99),
         delay_max_ms: delays.max(),
-        complete,
-        reading: play.shared.reading.load(Relaxed) as usize,
+        complete_followers: complete,
+        log_read_starts: run.shared.log_read_starts.load(Relaxed) as usize,
     })
 }
--- a/crates/scale/src/follower.rs
+++ b/crates/scale/src/follower.rs
@@ -1,8 +1,8 @@
-//! A hollow dispatcher's reading of the change log: the dispatcher's own decoding (`cherrypass_dispatcher::changes`) on
-//! a connection that shares its thread with others. When it asks again is as there; what connections do that come up
-//! late, stop or drip is left out.
+//! Change log client of a simulated dispatcher. Uses the dispatcher's own decoder
+//! (`cherrypass_dispatcher::changes`) on a non-blocking connection that shares its thread with others. Polls
+//! and retries at the dispatcher's intervals, without its handling of slow or stalled connections.
 use crate::changelog::Shared;
-use crate::traffic::{Tally, Way, With, CHANGE_LOG};
+use crate::traffic::{Direction, PeerKind, TrafficCounters, CHANGE_LOG_KIND};
 use cherrypass_dispatcher::changes::{answer, decode, Fault};
 use cherrypass_dispatcher::config::Names;
 use rand::{Rng, SeedableRng};
@@ -13,165 +13,164 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// As in the dispatcher: the wait asked for, the first and the longest wait before it asks again, and the least
-/// time between two asks without one.
-const POLL_MS: u64 = 250;
-const WAIT_FIRST: Duration = Duration::from_millis(50);
-const WAIT_MOST: Duration = Duration::from_millis(500);
-const AT_ONCE: Duration = Duration::from_millis(2);
-/// A change's bytes, at most.
-const CHANGE_MOST: usize = 1 << 20;
+/// Same values as in the dispatcher: the poll's timeout, first and longest retry delay, and an answer that
+/// comes sooner than `MIN_POLL_INTERVAL` is followed by a delay.
+const POLL_TIMEOUT_MS: u64 = 250;
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
+const MAX_CHANGE_BYTES: usize = 1 << 20;
 
-enum State {
-    /// Asks again at that time.
-    Rests(Instant),
-    Asked,
+enum PollState {
+    /// Sends the next request at that time.
+    Idle(Instant),
+    Pending,
 }
 
-/// One follower of the change log.
+/// One client of the change log.
 pub struct Follower {
-    at: SocketAddr,
+    address: SocketAddr,
     names: Names,
     shared: Arc<Shared>,
-    tally: Arc<Tally>,
-    line: Option<TcpStream>,
-    state: State,
-    asked: Instant,
-    wait: Duration,
-    last: u64,
-    read: Vec<u8>,
-    chance: Pcg64Mcg,
+    counters: Arc<TrafficCounters>,
+    connection: Option<TcpStream>,
+    state: PollState,
+    requested_at: Instant,
+    retry_delay: Duration,
+    last_change: u64,
+    received: Vec<u8>,
+    rng: Pcg64Mcg,
 }
 
 impl Follower {
-    /// `last`: the last change that is known from the configuration.
+    /// `last_change` is the number of the last change known from the configuration.
     pub fn new(
-        at: SocketAddr,
+        address: SocketAddr,
         names: Names,
-        last: u64,
+        last_change: u64,
         shared: Arc<Shared>,
-        tally: Arc<Tally>,
+        counters: Arc<TrafficCounters>,
         seed: u64,
     ) -> Follower {
         let now = Instant::now();
         Follower {
-            at,
+            address,
             names,
             shared,
-            tally,
-            line: None,
-            state: State::Rests(now),
-            asked: now,
-            wait: WAIT_FIRST,
-            last,
-            read: Vec::new(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            counters,
+            connection: None,
+            state: PollState::Idle(now),
+            requested_at: now,
+            retry_delay: FIRST_RETRY_DELAY,
+            last_change,
+            received: Vec::new(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// The connection, if it is new since the last look.
-    pub fn line(&self) -> Option<&TcpStream> {
-        self.line.as_ref()
+    /// The current connection.
+    pub fn connection(&self) -> Option<&TcpStream> {
+        self.connection.as_ref()
     }
 
-    /// When it asks again; none while it waits for an answer.
+    /// When to send the next request; `None` while an answer is pending.
     pub fn due(&self) -> Option<Instant> {
         match self.state {
-            State::Rests(until) => Some(until),
-            State::Asked => None,
+            PollState::Idle(until) => Some(until),
+            PollState::Pending => None,
         }
     }
 
-    /// Asks where that is due; whether there is a new connection.
-    pub fn woken(&mut self) -> bool {
+    /// Sends a request if one is due; returns whether it opened a new connection.
+    pub fn send_if_due(&mut self) -> bool {
         if self.due().is_none_or(|due| Instant::now() < due) {
             return false;
         }
-        let is_new = self.line.is_none();
-        self.asked = Instant::now();
-        if self.ask().is_err() {
-            self.failed();
+        let is_new = self.connection.is_none();
+        self.requested_at = Instant::now();
+        if self.send_request().is_err() {
+            self.disconnect();
             return false;
         }
-        self.state = State::Asked;
+        self.state = PollState::Pending;
         is_new
     }
 
-    fn ask(&mut self) -> std::io::Result<()> {
-        let line = match self.line.take() {
-            Some(line) => line,
+    fn send_request(&mut self) -> std::io::Result<()> {
+        let connection = match self.connection.take() {
+            Some(connection) => connection,
             None => {
-                let line = TcpStream::connect_timeout(&self.at, WAIT_MOST)?;
-                line.set_nonblocking(true)?;
-                line.set_nodelay(true)?;
-                line
+                let connection = TcpStream::connect_timeout(&self.address, MAX_RETRY_DELAY)?;
+                connection.set_nonblocking(true)?;
+                connection.set_nodelay(true)?;
+                connection
             }
         };
-        let (since, at) = (self.last, self.at);
+        let (since, address) = (self.last_change, self.address);
         let request = format!(
-            "GET /changes?since={since}&timeout={POLL_MS} HTTP/1.1\r\nHost: {at}\r\n\
+            "GET /changes?since={since}&timeout={POLL_TIMEOUT_MS} HTTP/1.1\r\nHost: {address}\r\n\
              Accept: application/json\r\n\r\n"
         );
-        (&line).write_all(request.as_bytes())?;
-        self.tally.count(With::Hollow, Way::Out, CHANGE_LOG, request.len());
-        self.line = Some(line);
+        (&connection).write_all(request.as_bytes())?;
+        self.counters.count(PeerKind::Simulated, Direction::Out, CHANGE_LOG_KIND, request.len());
+        self.connection = Some(connection);
         Ok(())
     }
 
-    fn failed(&mut self) {
-        self.line = None;
-        self.read.clear();
-        self.wait = (self.wait * 2).min(WAIT_MOST);
-        self.rest();
+    fn disconnect(&mut self) {
+        self.connection = None;
+        self.received.clear();
+        self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
+        self.schedule_retry();
     }
 
-    fn rest(&mut self) {
-        let part = self.chance.gen_range(0.5..1.0);
-        self.state = State::Rests(Instant::now() + self.wait.mul_f64(part));
+    fn schedule_retry(&mut self) {
+        let fraction = self.rng.gen_range(0.5..1.0);
+        self.state = PollState::Idle(Instant::now() + self.retry_delay.mul_f64(fraction));
     }
 
-    /// The connection has something.
-    pub fn came(&mut self) {
+    /// Handles a readable connection.
+    pub fn receive(&mut self) {
         let mut bytes = [0; 16 << 10];
         loop {
-            let Some(line) = self.line.as_mut() else { return };
-            match line.read(&mut bytes) {
-                Ok(0) => return self.failed(),
-                Ok(length) => self.read.extend_from_slice(&bytes[..length]),
+            let Some(connection) = self.connection.as_mut() else { return };
+            match connection.read(&mut bytes) {
+                Ok(0) => return self.disconnect(),
+                Ok(length) => self.received.extend_from_slice(&bytes[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.failed(),
+                Err(_) => return self.disconnect(),
             }
         }
-        if !self.read.is_empty() {
-            self.take();
+        if !self.received.is_empty() {
+            self.handle_answer();
         }
     }
 
-    fn take(&mut self) {
+    fn handle_answer(&mut self) {
         let mut results: Vec<Value> = Vec::new();
-        let each = &mut |result: &Value| {
+        let collect = &mut |result: &Value| {
             results.push(result.clone());
             Ok(())
         };
-        match answer(&self.read[..], self.last, CHANGE_MOST, each) {
-            // It is not here whole yet.
+        match answer(&self.received[..], self.last_change, MAX_CHANGE_BYTES, collect) {
+            // The answer is still incomplete.
             Err(Fault::Cut(_)) => return,
-            Err(_) => return self.failed(),
+            Err(_) => return self.disconnect(),
             Ok(_) => {}
         }
-        self.tally.count(With::Hollow, Way::In, CHANGE_LOG, self.read.len());
-        self.read.clear();
-        let before = self.last;
-        let (_, fault) = decode(&json!({ "results": results }), &self.names, &mut self.last, None);
-        (before + 1..=self.last).for_each(|number| self.shared.told.came(number));
+        self.counters.count(PeerKind::Simulated, Direction::In, CHANGE_LOG_KIND, self.received.len());
+        self.received.clear();
+        let previous = self.last_change;
+        let (_, fault) = decode(&json!({ "results": results }), &self.names, &mut self.last_change, None);
+        (previous + 1..=self.last_change).for_each(|number| self.shared.propagation.record_received(number));
         if fault.is_some() {
-            return self.failed();
+            return self.disconnect();
         }
-        self.wait = WAIT_FIRST;
-        match self.asked.elapsed() < AT_ONCE {
-            true => self.rest(),
-            false => self.state = State::Rests(Instant::now()),
+        self.retry_delay = FIRST_RETRY_DELAY;
+        match self.requested_at.elapsed() < MIN_POLL_INTERVAL {
+            true => self.schedule_retry(),
+            false => self.state = PollState::Idle(Instant::now()),
         }
     }
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,5 +1,6 @@
-//! What the control work of many dispatchers costs (docs/CAPACITY.md): hollow dispatchers and real ones side by side on
-//! loopback, the same rooms in virtual time, the cost of decisions, and the slopes of all that by size.
+//! Measures the cost of control traffic in large fleets (docs/CAPACITY.md): simulated and real dispatchers on
+//! loopback, the same subsystems in virtual time, the cost of decisions, and linear fits of the results by
+//! size.
 #![forbid(unsafe_code)]
 
 pub mod changelog;
@@ -8,19 +9,19 @@
 pub mod delivery_sockets;
 pub mod error;
 pub mod follower;
-pub mod hollow;
 pub mod network;
 pub mod pool;
 pub mod process;
 pub mod processes;
+pub mod propagation;
 pub mod real;
 pub mod report;
-pub mod rooms;
 pub mod run;
 pub mod settings;
+pub mod simulated;
 pub mod slopes;
 pub mod state;
-pub mod told;
+pub mod subsystems;
 pub mod topology;
 pub mod traffic;
-pub mod virtually;
+pub mod virtual_time;
--- a/crates/scale/src/network.rs
+++ b/crates/scale/src/network.rs
@@ -1,39 +1,39 @@
-//! Who sits behind which port, and which region is cut off from the others. Both ends of a hollow dispatcher's
-//! messages are looked at there, so nothing has to stand between the processes.
+//! Maps ports to dispatchers and tracks which region is partitioned from the others. Simulated dispatchers
+//! check it when they send and when they receive, so no proxy is needed between processes.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
-const NONE: usize = usize::MAX;
+const NO_REGION: usize = usize::MAX;
 
-/// A dispatcher behind a port.
+/// The dispatcher that listens on a port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Behind {
+pub struct Endpoint {
     pub region: usize,
-    /// Which of the real ones it is; a hollow one has none.
-    pub real: Option<usize>,
+    /// Index among the real dispatchers; `None` for a simulated one.
+    pub real_index: Option<usize>,
 }
 
-/// All dispatchers of a run by their ports.
+/// All dispatchers of a run by port.
 pub struct Network {
-    behind: BTreeMap<u16, Behind>,
-    cut: AtomicUsize,
+    endpoints: BTreeMap<u16, Endpoint>,
+    partitioned_region: AtomicUsize,
 }
 
 impl Network {
-    pub fn new(behind: BTreeMap<u16, Behind>) -> Network {
-        Network { behind, cut: AtomicUsize::new(NONE) }
+    pub fn new(endpoints: BTreeMap<u16, Endpoint>) -> Network {
+        Network { endpoints, partitioned_region: AtomicUsize::new(NO_REGION) }
     }
 
-    /// Cuts one region off from all others, or none.
-    pub fn cut(&self, region: Option<usize>) {
-        self.cut.store(region.unwrap_or(NONE), Relaxed);
+    /// Partitions one region from all others; `None` heals the partition.
+    pub fn partition(&self, region: Option<usize>) {
+        self.partitioned_region.store(region.unwrap_or(NO_REGION), Relaxed);
     }
 
-    /// The dispatcher at an address, where messages between it and one of that region pass.
-    pub fn passes(&self, region: usize, other: SocketAddr) -> Option<Behind> {
-        let behind = self.behind.get(&other.port()).copied()?;
-        let cut = self.cut.load(Relaxed);
-        ((region == cut) == (behind.region == cut)).then_some(behind)
+    /// The dispatcher at `other`, if messages between it and `region` pass.
+    pub fn reachable_endpoint(&self, region: usize, other: SocketAddr) -> Option<Endpoint> {
+        let endpoint = self.endpoints.get(&other.port()).copied()?;
+        let partitioned_region = self.partitioned_region.load(Relaxed);
+        ((region == partitioned_region) == (endpoint.region == partitioned_region)).then_some(endpoint)
     }
 }
--- a/crates/scale/src/pool.rs
+++ b/crates/scale/src/pool.rs
@@ -1,7 +1,7 @@
-//! A few threads that many hollow dispatchers and their followers of the change log share.
-use crate::error::{doing, Error};
+//! Worker threads that each drive many simulated dispatchers and their change log followers.
+use crate::error::{io_error, Error};
 use crate::follower::Follower;
-use crate::hollow::{Common, Hollow};
+use crate::simulated::{Shared, SimulatedDispatcher};
 use cherrypass_peers::link;
 use crossbeam_channel::{Receiver, Sender};
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
@@ -13,130 +13,132 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The names of the threads begin so; their processor time is found by it.
-pub const THREAD: &str = "hollow";
-/// Sockets looked at in one turn.
-const EVENTS: usize = 512;
-/// The longest wait for a socket.
-const WAIT_MOST: Duration = Duration::from_millis(20);
-/// Tokens of followers come after those of members.
-const FOLLOWERS: u64 = 1 << 32;
+/// Prefix of the thread names, used to find their processor time.
+pub const THREAD_PREFIX: &str = "hollow";
+/// Most events handled per `epoll` call.
+const MAX_EVENTS: usize = 512;
+const MAX_WAIT: Duration = Duration::from_millis(20);
+/// Event tokens from here on belong to followers, those below to members.
+const FIRST_FOLLOWER_TOKEN: u64 = 1 << 32;
 
-/// A made-up finding: which of the thread's members finds which host.
-pub type Find = (usize, u64);
+/// A synthetic finding: index of the member in its worker, and the host.
+pub type SyntheticFinding = (usize, u64);
 
-/// One thread of the pool.
+/// A thread of the pool.
 pub struct Worker {
-    pub finds: Sender<Find>,
-    pub members: usize,
+    pub findings: Sender<SyntheticFinding>,
+    pub member_count: usize,
     thread: JoinHandle<()>,
 }
 
 impl Worker {
     pub fn start(
         number: usize,
-        members: Vec<Hollow>,
+        members: Vec<SimulatedDispatcher>,
         followers: Vec<Follower>,
-        common: Arc<Common>,
+        shared: Arc<Shared>,
     ) -> Result<Worker, Error> {
-        let epoll = Epoll::new(EpollCreateFlags::empty()).map_err(|error| doing("a poll")(error.into()))?;
-        for (place, member) in members.iter().enumerate() {
-            let event = EpollEvent::new(EpollFlags::EPOLLIN, place as u64);
-            epoll.add(member.socket(), event).map_err(|error| doing("a poll")(error.into()))?;
+        let epoll = Epoll::new(EpollCreateFlags::empty())
+            .map_err(|error| io_error("an epoll instance")(error.into()))?;
+        for (index, member) in members.iter().enumerate() {
+            let event = EpollEvent::new(EpollFlags::EPOLLIN, index as u64);
+            epoll.add(member.socket(), event).map_err(|error| io_error("an epoll instance")(error.into()))?;
         }
-        let (finds, found) = crossbeam_channel::unbounded();
-        let count = members.len();
-        let work = Work { epoll, members, followers, common, found, due: BinaryHeap::new() };
-        let builder = std::thread::Builder::new().name(format!("{THREAD}-{number}"));
-        let thread = builder.spawn(move || work.run()).map_err(doing("a thread"))?;
-        Ok(Worker { finds, members: count, thread })
+        let (sender, findings) = crossbeam_channel::unbounded();
+        let member_count = members.len();
+        let state = WorkerState { epoll, members, followers, shared, findings, timers: BinaryHeap::new() };
+        let builder = std::thread::Builder::new().name(format!("{THREAD_PREFIX}-{number}"));
+        let thread = builder.spawn(move || state.run()).map_err(io_error("a worker thread"))?;
+        Ok(Worker { findings: sender, member_count, thread })
     }
 
-    /// Waits for its end, which `Common::ended` brings.
+    /// Waits for the thread, which ends once `Shared::is_stopping` is set.
     pub fn join(self) {
         let _ = self.thread.join();
     }
 }
 
-struct Work {
+struct WorkerState {
     epoll: Epoll,
-    members: Vec<Hollow>,
+    members: Vec<SimulatedDispatcher>,
     followers: Vec<Follower>,
-    common: Arc<Common>,
-    found: Receiver<Find>,
-    due: BinaryHeap<Reverse<(Instant, u64)>>,
+    shared: Arc<Shared>,
+    findings: Receiver<SyntheticFinding>,
+    timers: BinaryHeap<Reverse<(Instant, u64)>>,
 }
 
-impl Work {
+impl WorkerState {
     fn run(mut self) {
         let mut bytes = vec![0; link::DATAGRAM_MOST + 1];
-        let mut events = vec![EpollEvent::empty(); EVENTS];
-        for place in 0..self.members.len() {
-            self.due.push(Reverse((self.members[place].due(), place as u64)));
+        let mut events = vec![EpollEvent::empty(); MAX_EVENTS];
+        for index in 0..self.members.len() {
+            self.timers.push(Reverse((self.members[index].due(), index as u64)));
         }
-        for place in 0..self.followers.len() {
-            self.due_again(FOLLOWERS + place as u64);
+        for index in 0..self.followers.len() {
+            self.schedule_follower(FIRST_FOLLOWER_TOKEN + index as u64);
         }
-        while !self.common.ended.load(Relaxed) {
-            self.wake_due();
-            while let Ok((member, host)) = self.found.try_recv() {
+        while !self.shared.is_stopping.load(Relaxed) {
+            self.run_due_timers();
+            while let Ok((member, host)) = self.findings.try_recv() {
                 if let Some(member) = self.members.get_mut(member) {
-                    member.find(host);
+                    member.report_finding(host);
                 }
             }
-            let next = self.due.peek().map_or(WAIT_MOST, |Reverse((at, _))| {
-                at.saturating_duration_since(Instant::now()).min(WAIT_MOST)
+            let next = self.timers.peek().map_or(MAX_WAIT, |Reverse((at, _))| {
+                at.saturating_duration_since(Instant::now()).min(MAX_WAIT)
             });
-            // Whole milliseconds, and what is left of one counts as one: the thread does not turn without work.
+            // `epoll` takes whole milliseconds; rounding up avoids busy-looping.
             let wait = Duration::from_millis(next.as_micros().div_ceil(1000) as u64);
             let wait = EpollTimeout::try_from(wait).unwrap_or(EpollTimeout::ZERO);
             let ready = self.epoll.wait(&mut events, wait).unwrap_or(0);
             for event in &events[..ready] {
-                self.came(event.data(), &mut bytes);
+                self.handle_readable(event.data(), &mut bytes);
             }
         }
     }
 
-    fn came(&mut self, token: u64, bytes: &mut [u8]) {
-        if token < FOLLOWERS {
-            self.members[token as usize].came(bytes);
+    fn handle_readable(&mut self, token: u64, bytes: &mut [u8]) {
+        if token < FIRST_FOLLOWER_TOKEN {
+            self.members[token as usize].receive(bytes);
             return;
         }
-        let follower = &mut self.followers[(token - FOLLOWERS) as usize];
-        follower.came();
-        self.due_again(token);
+        let follower = &mut self.followers[(token - FIRST_FOLLOWER_TOKEN) as usize];
+        follower.receive();
+        self.schedule_follower(token);
     }
 
-    fn due_again(&mut self, token: u64) {
-        if let Some(due) = self.followers[(token - FOLLOWERS) as usize].due() {
-            self.due.push(Reverse((due, token)));
+    fn schedule_follower(&mut self, token: u64) {
+        if let Some(due) = self.followers[(token - FIRST_FOLLOWER_TOKEN) as usize].due() {
+            self.timers.push(Reverse((due, token)));
         }
     }
 
-    /// Wakes all that are due now. Guards against a thread that is late and does nothing but wake: what is due again
-    /// meanwhile waits until sockets had their turn.
-    fn wake_due(&mut self) {
+    /// Runs all timers that are due now. Timers that become due again meanwhile wait until sockets have been
+    /// served, so that a late thread doesn't starve them.
+    fn run_due_timers(&mut self) {
         let now = Instant::now();
-        while let Some(Reverse((at, token))) = self.due.peek().copied() {
+        while let Some(Reverse((at, token))) = self.timers.peek().copied() {
             if at > now {
                 return;
             }
-            self.due.pop();
-            if token < FOLLOWERS {
+            self.timers.pop();
+            if token < FIRST_FOLLOWER_TOKEN {
                 let member = &mut self.members[token as usize];
-                member.woken();
-                self.due.push(Reverse((member.due(), token)));
+                member.run_timers();
+                self.timers.push(Reverse((member.due(), token)));
                 continue;
             }
-            if self.followers[(token - FOLLOWERS) as usize].woken() {
-                let _ = self.watch(token);
+            if self.followers[(token - FIRST_FOLLOWER_TOKEN) as usize].send_if_due() {
+                let _ = self.register_connection(token);
             }
-            self.due_again(token);
+            self.schedule_follower(token);
         }
     }
 
-    fn watch(&self, token: u64) -> io::Result<()> {
-        let Some(line) = self.followers[(token - FOLLOWERS) as usize].line() else { return Ok(()) };
-        Ok(self.epoll.add(line, EpollEvent::new(EpollFlags::EPOLLIN, token))?)
+    fn register_connection(&self, token: u64) -> io::Result<()> {
+        let Some(connection) = self.followers[(token - FIRST_FOLLOWER_TOKEN) as usize].connection() else {
+            return Ok(());
+        };
+        Ok(self.epoll.add(connection, EpollEvent::new(EpollFlags::EPOLLIN, token))?)
     }
 }
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -1,17 +1,17 @@
-//! A process of followers: each takes the log's changes as a dispatcher does, by the product's own code of the fleet
-//! (`Driven`) and of the thread that follows the log (`changes::follow`), over a socket of its own. It has no clients,
-//! no connections to hosts and no module.
+//! A process of followers: each takes changes as a dispatcher does, with the product's fleet code (`Driven`)
+//! and log client (`changes::follow`), over its own socket. It has no clients, host connections or decision
+//! module.
 use super::clock::{Clock, Micros};
 use super::link::{Link, LinkFault};
 use super::notes::{Event, Note, Notes};
-use crate::error::{doing, Error};
+use crate::error::{io_error, Error};
 use crate::real;
-use crate::rooms;
+use crate::subsystems;
 use cherrypass::ids::LocationId;
 use cherrypass_dispatcher::carried;
 use cherrypass_dispatcher::changes::{self, Following};
 use cherrypass_dispatcher::inbox::{Change, Input};
-use cherrypass_fleet::delivery::{LogId, Set as Room};
+use cherrypass_fleet::delivery::{LogId, Set as DeliveryParameters};
 use cherrypass_peers::delivery::{Delivered, Set as Delivery};
 use cherrypass_peers::driven::Driven;
 use cherrypass_peers::{ChangeNumber, FromFleet, Member, Set, ToFleet};
@@ -24,79 +24,86 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The rest between two looks at all sockets.
-const REST: Duration = Duration::from_millis(1);
-const DATAGRAM_MOST: usize = 64 << 10;
-/// A change's bytes at most.
-const CHANGE_MOST: usize = 1 << 20;
+/// Sleep between two rounds over all sockets.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
+const MAX_CHANGE_BYTES: usize = 1 << 20;
 const STACK_BYTES: usize = 256 << 10;
-const TRAFFIC_EVERY_US: Micros = 1_000_000;
+const TRAFFIC_NOTE_INTERVAL_US: Micros = 1_000_000;
 
-/// A carrier as followers know it.
+/// A carrier's name and address.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Carrier {
     pub name: String,
     pub address: SocketAddr,
 }
 
-/// What a process of followers is told, as a file.
+/// Parameters of a process of followers, passed as a JSON file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Orders {
-    /// The first follower's number, and how many there are.
+pub struct FollowersConfig {
+    /// Number of the first follower, and how many there are.
     pub first: usize,
     pub count: usize,
     pub carriers: Vec<Carrier>,
     pub log_name: String,
-    pub followers_a_carrier: usize,
+    #[serde(rename = "followers_a_carrier")]
+    pub max_followers_per_carrier: usize,
     pub fallback_ms: u64,
-    /// Where the log is read.
-    pub log: SocketAddr,
-    /// The last change that is known at the start.
-    pub known: u64,
+    /// Address of the change log.
+    #[serde(rename = "log")]
+    pub log_address: SocketAddr,
+    /// The last change known at the start.
+    #[serde(rename = "known")]
+    pub known_change: u64,
     pub zones: Vec<String>,
     pub faults: Vec<LinkFault>,
-    pub notes: PathBuf,
+    #[serde(rename = "notes")]
+    pub notes_file: PathBuf,
     pub seed: u64,
 }
 
-fn held<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 struct Follower {
     number: usize,
     driven: Driven,
     link: Arc<Mutex<Link>>,
-    /// What its thread that follows the log tells the fleet, and the router.
+    /// From its log client thread, to the fleet code and to the router.
     to_fleet: Receiver<ToFleet>,
     router: Receiver<Input>,
-    /// What the fleet tells it.
+    /// From the fleet code, to its log client thread.
     from_fleet: Receiver<Delivered>,
     to_thread: Sender<Delivered>,
 }
 
 impl Follower {
     fn start(
-        orders: &Orders,
+        config: &FollowersConfig,
         number: usize,
         clock: Clock,
         faults: Arc<[LinkFault]>,
     ) -> Result<Follower, Error> {
-        let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let socket = UdpSocket::bind(at).map_err(|error| Error::InUse { what: "a follower", at, error })?;
-        socket.set_nonblocking(true).map_err(doing("a follower's socket"))?;
-        let address = socket.local_addr().map_err(doing("a follower's address"))?;
-        let seed = orders.seed ^ number as u64;
+        let address = SocketAddr::from(([127, 0, 0, 1], 0));
+        let socket = UdpSocket::bind(address).map_err(|error| Error::AddressInUse {
+            listener: "a follower",
+            address,
+            error,
+        })?;
+        socket.set_nonblocking(true).map_err(io_error("a follower's socket"))?;
+        let address = socket.local_addr().map_err(io_error("a follower's address"))?;
+        let seed = config.seed ^ number as u64;
         let link = Arc::new(Mutex::new(Link::new(Arc::new(socket), faults, seed)));
-        let sends = link.clone();
-        let out = move |bytes: &[u8], to| held(&sends).send(clock.now(), to, bytes);
+        let send_link = link.clone();
+        let out = move |bytes: &[u8], to| lock(&send_link).send(clock.now(), to, bytes);
         let (tell, from_fleet) = unbounded();
         let tell = move |what| {
             if let FromFleet::Delivered(delivered) = what {
                 let _ = tell.send(delivered);
             }
         };
-        let driven = Driven::start(set(orders, number, address), out, tell, |_| {})?;
+        let driven = Driven::start(fleet_settings(config, number, address), out, tell, |_| {})?;
         let (to_thread, delivered) = unbounded();
         let (tell_fleet, to_fleet) = unbounded();
         let (tell_router, router) = unbounded();
@@ -106,26 +113,26 @@
             is_carrier: false,
         };
         let following = Following {
-            at: orders.log,
+            at: config.log_address,
             moved: never(),
-            names: real::names(&orders.zones),
-            last: orders.known,
-            most: CHANGE_MOST,
+            names: real::change_names(&config.zones),
+            last: config.known_change,
+            most: MAX_CHANGE_BYTES,
             seed,
             router: tell_router,
             delivery: Some(delivery),
         };
         let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-        thread.spawn(move || changes::follow(following)).map_err(doing("a follower's thread"))?;
+        thread.spawn(move || changes::follow(following)).map_err(io_error("a follower's thread"))?;
         Ok(Follower { number, driven, link, to_fleet, router, from_fleet, to_thread })
     }
 
-    /// Does what is due.
-    fn work(&mut self, clock: Clock, buffer: &mut [u8], notes: &mut Notes) -> Result<(), Error> {
-        held(&self.link).receive(clock.now(), buffer);
+    /// Handles received datagrams and timers, and writes notes.
+    fn poll(&mut self, clock: Clock, buffer: &mut [u8], notes: &mut Notes) -> Result<(), Error> {
+        lock(&self.link).receive(clock.now(), buffer);
         loop {
-            let came = held(&self.link).next(clock.now());
-            let Some((bytes, from)) = came else { break };
+            let received = lock(&self.link).next_received(clock.now());
+            let Some((bytes, from)) = received else { break };
             self.driven.datagram(&bytes, from);
         }
         while let Ok(what) = self.to_fleet.try_recv() {
@@ -142,7 +149,7 @@
             let _ = self.to_thread.send(delivered);
         }
         while let Ok(input) = self.router.try_recv() {
-            if let Some(event) = event(&input, clock) {
+            if let Some(event) = event_of(&input, clock) {
                 notes.add(&self.note(at, event))?;
             }
         }
@@ -150,73 +157,79 @@
     }
 
     fn note(&self, at: Micros, event: Event) -> Note {
-        Note { follower: self.number, at, event }
+        Note { follower: self.number, at_us: at, event }
     }
 
-    fn traffic(&self, at: Micros) -> Note {
-        let mut link = held(&self.link);
+    fn take_traffic(&self, at: Micros) -> Note {
+        let mut link = lock(&self.link);
         let (messages, bytes) = (std::mem::take(&mut link.messages), std::mem::take(&mut link.bytes));
         self.note(at, Event::Traffic { messages, bytes })
     }
 }
 
-fn set(orders: &Orders, number: usize, address: SocketAddr) -> Set {
-    let member =
-        |one: &Carrier| Member { name: one.name.clone(), address: one.address, location: LocationId(0) };
-    let mut set = Set::of(rooms::FLEET, &format!("f{number}"), address);
-    set.members = orders.carriers.iter().map(member).collect();
-    (set.every, set.seed) = (rooms::EVERY, orders.seed ^ number as u64);
-    let room = Room {
-        log: LogId::of(&orders.log_name),
-        followers: orders.followers_a_carrier,
-        fallback: cherrypass::time::Span::millis(orders.fallback_ms),
-        ..Room::default()
+fn fleet_settings(config: &FollowersConfig, number: usize, address: SocketAddr) -> Set {
+    let member = |carrier: &Carrier| Member {
+        name: carrier.name.clone(),
+        address: carrier.address,
+        location: LocationId(0),
     };
-    let carriers = orders.carriers.iter().map(|one| one.name.clone()).collect();
-    set.delivery = Some(Delivery { carriers, last: ChangeNumber(orders.known), room });
+    let mut set = Set::of(subsystems::FLEET_NAME, &format!("f{number}"), address);
+    set.members = config.carriers.iter().map(member).collect();
+    (set.every, set.seed) = (subsystems::TIMER_INTERVAL, config.seed ^ number as u64);
+    let room = DeliveryParameters {
+        log: LogId::of(&config.log_name),
+        followers: config.max_followers_per_carrier,
+        fallback: cherrypass::time::Span::millis(config.fallback_ms),
+        ..DeliveryParameters::default()
+    };
+    let carriers = config.carriers.iter().map(|carrier| carrier.name.clone()).collect();
+    set.delivery = Some(Delivery { carriers, last: ChangeNumber(config.known_change), room });
     set
 }
 
-/// What the dispatcher's router would do with it, as far as it is noted.
-fn event(input: &Input, clock: Clock) -> Option<Event> {
+/// The event to note for an input of the dispatcher's router.
+fn event_of(input: &Input, clock: Clock) -> Option<Event> {
     match input {
         Input::Changed(Change::Purge(purge)) => Some(Event::Took(purge.change)),
-        Input::Fleet(FromFleet::Delivered(Delivered::KnownUpTo(at))) => Some(Event::KnownUpTo(clock.of(*at))),
+        Input::Fleet(FromFleet::Delivered(Delivered::KnownUpTo(at))) => {
+            Some(Event::KnownUpTo(clock.micros(*at)))
+        }
         _ => None,
     }
 }
 
-/// Runs followers by a file of orders until standard input ends, which the run's own end brings about in any case.
-pub fn run(orders: &Path) -> Result<(), Error> {
-    let text = std::fs::read_to_string(orders).map_err(doing("a file of orders"))?;
-    let orders: Orders =
-        serde_json::from_str(&text).map_err(|error| doing("a file of orders")(error.into()))?;
-    let ended = Arc::new(AtomicBool::new(false));
-    let ends = ended.clone();
+/// Runs followers until standard input closes, which also happens when the parent process dies.
+pub fn run(config_file: &Path) -> Result<(), Error> {
+    let text =
+        std::fs::read_to_string(config_file).map_err(io_error("a configuration file for followers"))?;
+    let config: FollowersConfig = serde_json::from_str(&text)
+        .map_err(|error| io_error("a configuration file for followers")(error.into()))?;
+    let is_stopping = Arc::new(AtomicBool::new(false));
+    let stop_flag = is_stopping.clone();
     std::thread::spawn(move || {
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
-        ends.store(true, Relaxed);
+        stop_flag.store(true, Relaxed);
     });
     let clock = Clock::start()?;
-    let mut notes = Notes::create(&orders.notes)?;
-    let faults: Arc<[LinkFault]> = orders.faults.clone().into();
+    let mut notes = Notes::create(&config.notes_file)?;
+    let faults: Arc<[LinkFault]> = config.faults.clone().into();
     let mut followers = Vec::new();
-    for number in orders.first..orders.first + orders.count {
-        notes.add(&Note { follower: number, at: clock.now(), event: Event::Started })?;
-        followers.push(Follower::start(&orders, number, clock, faults.clone())?);
+    for number in config.first..config.first + config.count {
+        notes.add(&Note { follower: number, at_us: clock.now(), event: Event::Started })?;
+        followers.push(Follower::start(&config, number, clock, faults.clone())?);
     }
-    let mut buffer = vec![0; DATAGRAM_MOST];
-    let mut counted = clock.now();
-    while !ended.load(Relaxed) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    let mut last_traffic = clock.now();
+    while !is_stopping.load(Relaxed) {
         for follower in &mut followers {
-            follower.work(clock, &mut buffer, &mut notes)?;
+            follower.poll(clock, &mut buffer, &mut notes)?;
         }
-        if clock.now() >= counted + TRAFFIC_EVERY_US {
-            counted = clock.now();
-            followers.iter().try_for_each(|one| notes.add(&one.traffic(counted)))?;
+        if clock.now() >= last_traffic + TRAFFIC_NOTE_INTERVAL_US {
+            last_traffic = clock.now();
+            followers.iter().try_for_each(|follower| notes.add(&follower.take_traffic(last_traffic)))?;
         }
         notes.flush()?;
-        std::thread::sleep(REST);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/scale/src/processes/link.rs
+++ b/crates/scale/src/processes/link.rs
@@ -1,4 +1,4 @@
-//! The link between one follower and the carriers, with faults at the follower's end that hold for both ways.
+//! A follower's UDP socket with fault injection in both directions.
 use super::clock::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -8,64 +8,66 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// Which way a fault holds.
+/// Direction in which a fault applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum Direction {
     #[default]
     Both,
     ToCarriers,
     FromCarriers,
 }
 
-/// What happens to datagrams.
+/// The effect of a fault on datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Harm {
-    /// This part is lost; 1: a cut.
+pub enum LinkEffect {
+    /// This fraction is lost; 1 drops all.
     Lose(f64),
-    /// Each is late by a time between the two, in milliseconds.
+    /// Each is delayed by a random time between the two, in milliseconds.
     Delay(u64, u64),
-    /// All are held until the end of the fault and come at once then.
+    /// All are held back until the end of the fault.
     Stall,
 }
 
-/// A fault of a link between two times.
+/// A link fault and the time span in which it applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinkFault {
     pub from: Micros,
     pub until: Micros,
-    pub way: Way,
-    /// The carrier it concerns; none: all.
+    #[serde(rename = "way")]
+    pub direction: Direction,
+    /// The affected carrier; `None` affects all.
     pub carrier: Option<SocketAddr>,
-    pub harm: Harm,
+    #[serde(rename = "harm")]
+    pub effect: LinkEffect,
 }
 
 impl LinkFault {
-    fn holds(&self, now: Micros, way: Way, carrier: SocketAddr) -> bool {
-        let is_way = self.way == Way::Both || self.way == way;
-        let is_carrier = self.carrier.is_none_or(|one| one == carrier);
-        is_way && is_carrier && (self.from..self.until).contains(&now)
+    fn applies(&self, now: Micros, direction: Direction, carrier: SocketAddr) -> bool {
+        let is_direction = self.direction == Direction::Both || self.direction == direction;
+        let is_carrier = self.carrier.is_none_or(|affected| affected == carrier);
+        is_direction && is_carrier && (self.from..self.until).contains(&now)
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Late {
+struct DelayedDatagram {
     due: Micros,
     to_carriers: bool,
-    other: SocketAddr,
+    peer: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// A datagram that came, and whence.
-pub type Came = (Vec<u8>, SocketAddr);
+/// A received datagram and its sender.
+pub type ReceivedDatagram = (Vec<u8>, SocketAddr);
 
-/// A follower's socket with its faults.
+/// See the module's description.
 pub struct Link {
     socket: Arc<UdpSocket>,
     faults: Arc<[LinkFault]>,
-    late: BinaryHeap<Reverse<Late>>,
-    came: VecDeque<Came>,
-    chance: Pcg64Mcg,
+    delayed: BinaryHeap<Reverse<DelayedDatagram>>,
+    received: VecDeque<ReceivedDatagram>,
+    rng: Pcg64Mcg,
     pub messages: u64,
     pub bytes: u64,
 }
@@ -75,36 +77,36 @@
         Link {
             socket,
             faults,
-            late: BinaryHeap::new(),
-            came: VecDeque::new(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            delayed: BinaryHeap::new(),
+            received: VecDeque::new(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             messages: 0,
             bytes: 0,
         }
     }
 
-    /// Sends a datagram as far as the faults let it pass.
+    /// Sends a datagram, subject to the faults.
     pub fn send(&mut self, now: Micros, to: SocketAddr, bytes: &[u8]) {
         self.count(bytes.len());
-        self.pass(now, Way::ToCarriers, to, bytes.to_vec());
+        self.apply_faults(now, Direction::ToCarriers, to, bytes.to_vec());
     }
 
-    /// Takes all that is there to be read.
+    /// Reads all datagrams available on the socket.
     pub fn receive(&mut self, now: Micros, buffer: &mut [u8]) {
         while let Ok((length, from)) = self.socket.recv_from(buffer) {
-            self.pass(now, Way::FromCarriers, from, buffer[..length].to_vec());
+            self.apply_faults(now, Direction::FromCarriers, from, buffer[..length].to_vec());
         }
     }
 
-    /// The next datagram that has come through.
-    pub fn next(&mut self, now: Micros) -> Option<Came> {
-        while self.late.peek().is_some_and(|Reverse(late)| late.due <= now) {
-            let Some(Reverse(late)) = self.late.pop() else { break };
-            self.through(late);
+    /// The next received datagram that is due.
+    pub fn next_received(&mut self, now: Micros) -> Option<ReceivedDatagram> {
+        while self.delayed.peek().is_some_and(|Reverse(delayed)| delayed.due <= now) {
+            let Some(Reverse(delayed)) = self.delayed.pop() else { break };
+            self.deliver(delayed);
         }
-        let came = self.came.pop_front()?;
-        self.count(came.0.len());
-        Some(came)
+        let received = self.received.pop_front()?;
+        self.count(received.0.len());
+        Some(received)
     }
 
     fn count(&mut self, bytes: usize) {
@@ -112,27 +114,29 @@
         self.bytes += bytes as u64;
     }
 
-    fn pass(&mut self, now: Micros, way: Way, other: SocketAddr, bytes: Vec<u8>) {
+    fn apply_faults(&mut self, now: Micros, direction: Direction, peer: SocketAddr, bytes: Vec<u8>) {
         let mut due = now;
-        for fault in self.faults.iter().filter(|fault| fault.holds(now, way, other)) {
-            match fault.harm {
-                Harm::Lose(part) if self.chance.gen_bool(part.clamp(0.0, 1.0)) => return,
-                Harm::Lose(_) => {}
-                Harm::Delay(least, most) => due += 1_000 * self.chance.gen_range(least..=most.max(least)),
-                Harm::Stall => due = due.max(fault.until),
+        for fault in self.faults.iter().filter(|fault| fault.applies(now, direction, peer)) {
+            match fault.effect {
+                LinkEffect::Lose(fraction) if self.rng.gen_bool(fraction.clamp(0.0, 1.0)) => return,
+                LinkEffect::Lose(_) => {}
+                LinkEffect::Delay(min_ms, max_ms) => {
+                    due += 1_000 * self.rng.gen_range(min_ms..=max_ms.max(min_ms))
+                }
+                LinkEffect::Stall => due = due.max(fault.until),
             }
         }
-        let late = Late { due, to_carriers: way == Way::ToCarriers, other, bytes };
+        let delayed = DelayedDatagram { due, to_carriers: direction == Direction::ToCarriers, peer, bytes };
         match due > now {
-            true => self.late.push(Reverse(late)),
-            false => self.through(late),
+            true => self.delayed.push(Reverse(delayed)),
+            false => self.deliver(delayed),
         }
     }
 
-    fn through(&mut self, late: Late) {
-        match late.to_carriers {
-            true => drop(self.socket.send_to(&late.bytes, late.other)),
-            false => self.came.push_back((late.bytes, late.other)),
+    fn deliver(&mut self, delayed: DelayedDatagram) {
+        match delayed.to_carriers {
+            true => drop(self.socket.send_to(&delayed.bytes, delayed.peer)),
+            false => self.received.push_back((delayed.bytes, delayed.peer)),
         }
     }
 }
--- a/crates/scale/src/processes/mod.rs
+++ b/crates/scale/src/processes/mod.rs
@@ -1,117 +1,125 @@
-//! Changes by carriers between processes with faults: real dispatchers carry, processes of followers take, the change log
-//! is the stand-in's; processes are killed, stopped and started anew, links lose, delay and stall. What followers noted is
-//! judged at the end (`judge`).
+//! Runs the delivery of changes between processes with faults: real dispatchers carry changes from the change
+//! log server to processes of followers. Processes are killed, stopped and restarted; links drop, delay and
+//! stall datagrams. The followers' notes are checked at the end (`checker`).
+pub mod checker;
 pub mod clock;
 pub mod followers;
-pub mod judge;
 pub mod link;
 pub mod notes;
 pub mod settings;
 
 use crate::changelog::ChangeLog;
-use crate::error::{doing, Error};
-use crate::real::{self, Real};
-use crate::settings::{Bounds, Load};
+use crate::error::{io_error, Error};
+use crate::real::{self, RealDispatcher};
+use crate::settings::{Bounds, ChangeLoad};
+use checker::{Findings, History, Incarnation};
 use cherrypass::ids::LocationId;
 use cherrypass_faultbed::processes::Process;
 use cherrypass_peers::Member;
 use clock::{Clock, Micros};
-use followers::{Carrier, Orders};
+use followers::{Carrier, FollowersConfig};
 use hdrhistogram::Histogram;
-use judge::{History, Incarnation, Judged};
-use link::{Harm, LinkFault};
+use link::{LinkEffect, LinkFault};
 use nix::sys::signal::Signal;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use settings::{Between, Delayed, Lossy, ProcessesPlay, Timed, What};
+use settings::{Delay, FaultKind, LinkSelector, Loss, ProcessesRun, TimedFault};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// The log as carriers and followers name it.
-const LOG: &str = "scale";
-const HOSTS: usize = 4;
-/// The list is the first change, and all start with it.
-const KNOWN: u64 = 1;
-const LOOK: Duration = Duration::from_millis(10);
-/// What was told so long before the end has come to all by then.
-const COMPLETE_BEFORE_US: Micros = 2_000_000;
-/// How long a process of followers may take to end.
-const END_MOST: Duration = Duration::from_secs(5);
-/// Broken rules that are told word for word.
-const TOLD_MOST: usize = 20;
+/// Name of the change log in carriers' and followers' settings.
+const LOG_NAME: &str = "scale";
+const HOST_COUNT: usize = 4;
+/// All processes start with the first change, the list of hosts.
+const INITIAL_CHANGE: u64 = 1;
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Changes published this long before the end must have reached all followers.
+const COMPLETION_MARGIN_US: Micros = 2_000_000;
+/// Limit for a process of followers to exit.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
+/// Violations included in the result as text.
+const MAX_REPORTED_VIOLATIONS: usize = 20;
 const SECOND_US: f64 = 1e6;
 
-/// What a run is made for.
-pub struct Stage<'a> {
-    /// The built dispatcher, and this tool.
+/// Input of a run.
+pub struct RunContext<'a> {
+    /// The dispatcher's binary, and this tool's own.
     pub program: &'a Path,
     pub tool: &'a Path,
-    pub play: &'a ProcessesPlay,
-    /// Names of zones; all are in the first.
+    pub settings: &'a ProcessesRun,
+    /// Names of zones; all processes are in the first.
     pub zones: &'a [String],
     pub seed: u64,
     pub bounds: &'a Bounds,
     pub progress: &'a dyn Fn(&str),
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OnProcesses {
+pub struct ProcessesResult {
     pub carriers: usize,
     pub processes: usize,
     pub followers: usize,
     pub seconds: f64,
     pub changes: usize,
     pub faults: usize,
-    /// What must not be, in words; the first twenty, and how many there were.
-    pub broken: Vec<String>,
-    pub broken_count: usize,
+    /// Violations as text: the first twenty, and how many there were.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
+    #[serde(rename = "broken_count")]
+    pub violation_count: usize,
     /// Followers that ran to the end.
-    pub at_end: usize,
+    #[serde(rename = "at_end")]
+    pub followers_at_end: usize,
     pub delay_p50_ms: f64,
     pub delay_p99_ms: f64,
     pub delay_max_ms: f64,
-    /// Followers that caught up after their start, and the longest that took.
-    pub caught_up: usize,
-    pub caught_up_max_ms: f64,
+    /// Catch-ups of followers after a start, and the longest.
+    #[serde(rename = "caught_up")]
+    pub catch_ups: usize,
+    #[serde(rename = "caught_up_max_ms")]
+    pub catch_up_max_ms: f64,
     /// How often a follower began to read the log itself.
-    pub reads: usize,
+    #[serde(rename = "reads")]
+    pub log_read_starts: usize,
     pub unproven_max_ms: f64,
-    /// Of the mean follower, a second, both ways.
+    /// Traffic of the mean follower per second, in both directions.
     pub bytes: f64,
     pub messages: f64,
-    /// The busiest carrier since its last start: parts of a core, and what it holds.
-    pub carrier_core: f64,
+    /// Cores used and resident memory of the busiest carrier since its last start.
+    #[serde(rename = "carrier_core")]
+    pub carrier_cores: f64,
     pub carrier_kb: u64,
     pub log_requests_per_s: f64,
 }
 
-/// One process of followers; it is killed when this is dropped.
+/// A process of followers; it is killed when this is dropped.
 struct Group {
     process: Option<Process>,
-    orders: Orders,
-    /// The notes of each incarnation, and whether it was killed.
+    config: FollowersConfig,
+    /// The notes file of each incarnation, and whether it was killed.
     incarnations: Vec<(PathBuf, bool)>,
 }
 
 impl Group {
     fn start(&mut self, tool: &Path, folder: &Path) -> Result<(), Error> {
         let incarnation = self.incarnations.len();
-        let at = |what: &str| folder.join(format!("followers-{}-{incarnation}.{what}", self.orders.first));
-        self.orders.notes = at("notes");
-        let text =
-            serde_json::to_vec(&self.orders).map_err(|error| doing("a file of orders")(error.into()))?;
-        std::fs::write(at("orders"), text).map_err(doing("a file of orders"))?;
-        let said = std::fs::File::create(at("log")).map_err(doing("a process's log"))?;
+        let path =
+            |suffix: &str| folder.join(format!("followers-{}-{incarnation}.{suffix}", self.config.first));
+        self.config.notes_file = path("notes");
+        let text = serde_json::to_vec(&self.config)
+            .map_err(|error| io_error("a configuration file for followers")(error.into()))?;
+        std::fs::write(path("orders"), text).map_err(io_error("a configuration file for followers"))?;
+        let stderr = std::fs::File::create(path("log")).map_err(io_error("a log file of a process"))?;
         let mut command = Command::new(tool);
-        command.arg("--followers").arg(at("orders"));
-        command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(said);
+        command.arg("--followers").arg(path("orders"));
+        command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(stderr);
         let program = || tool.display().to_string();
         let process = Process::spawn(&mut command);
         self.process = Some(process.map_err(|error| Error::Program { program: program(), error })?);
-        self.incarnations.push((self.orders.notes.clone(), false));
+        self.incarnations.push((self.config.notes_file.clone(), false));
         Ok(())
     }
 
@@ -125,207 +133,224 @@
         self.process.iter().for_each(|process| process.signal(signal));
     }
 
-    /// An error where it has ended by itself.
-    fn is_well(&mut self) -> Result<(), Error> {
+    /// Fails if the process has exited.
+    fn check_running(&mut self) -> Result<(), Error> {
         let Some(status) = self.process.as_mut().and_then(Process::ended) else { return Ok(()) };
-        let log = self.orders.notes.with_extension("log");
-        let said = std::fs::read_to_string(log).unwrap_or_default();
-        let name = format!("followers from {}", self.orders.first);
-        Err(Error::Ended { name, status, said: said.lines().last().unwrap_or("nothing").to_owned() })
+        let log = self.config.notes_file.with_extension("log");
+        let log_text = std::fs::read_to_string(log).unwrap_or_default();
+        let name = format!("followers from {}", self.config.first);
+        Err(Error::ProcessExited {
+            name,
+            status,
+            last_line: log_text.lines().last().unwrap_or("nothing").to_owned(),
+        })
     }
 
-    /// Ends it in order.
-    fn end(&mut self) -> Result<(), Error> {
-        if self.process.take().is_none_or(|process| process.end_input(END_MOST)) {
+    /// Closes its standard input and waits for a clean exit.
+    fn stop(&mut self) -> Result<(), Error> {
+        if self.process.take().is_none_or(|process| process.end_input(STOP_TIMEOUT)) {
             return Ok(());
         }
-        let status = "it did not end well when asked to".to_owned();
-        Err(Error::Ended { name: "followers".into(), status, said: "nothing".into() })
+        let status = "it did not exit cleanly when asked to".to_owned();
+        Err(Error::ProcessExited { name: "followers".into(), status, last_line: "nothing".into() })
     }
 }
 
 struct Run<'a> {
-    stage: &'a Stage<'a>,
+    context: &'a RunContext<'a>,
     folder: &'a Path,
     clock: Clock,
-    log: ChangeLog,
+    change_log: ChangeLog,
     addresses: Vec<real::Addresses>,
     members: Vec<Member>,
-    carriers: Vec<Option<Real>>,
+    carriers: Vec<Option<RealDispatcher>>,
     groups: Vec<Group>,
 }
 
-fn load(play: &ProcessesPlay) -> Load {
-    Load {
-        purges_per_s: play.purges_per_s,
+fn load(run_settings: &ProcessesRun) -> ChangeLoad {
+    ChangeLoad {
+        purges_per_s: run_settings.purges_per_s,
         configurations_per_day: 0.0,
         configuration_bytes: 0,
         list_changes_per_day: 0.0,
-        hosts: HOSTS,
+        hosts: HOST_COUNT,
     }
 }
 
 impl<'a> Run<'a> {
-    fn start(stage: &'a Stage<'a>, folder: &'a Path) -> Result<Run<'a>, Error> {
-        let play = stage.play;
-        let log = ChangeLog::start(None, &load(play), &stage.zones[0], stage.seed)?;
-        let addresses = real::addresses(play.carriers, None)?;
-        let member = |(place, one): (usize, &real::Addresses)| Member {
-            name: settings::carrier(place),
-            address: one.fleet,
+    fn start(context: &'a RunContext<'a>, folder: &'a Path) -> Result<Run<'a>, Error> {
+        let run_settings = context.settings;
+        let change_log = ChangeLog::start(None, &load(run_settings), &context.zones[0], context.seed)?;
+        let addresses = real::addresses(run_settings.carriers, None)?;
+        let member = |(index, carrier): (usize, &real::Addresses)| Member {
+            name: settings::carrier_name(index),
+            address: carrier.fleet,
             location: LocationId(0),
         };
         let members = addresses.iter().enumerate().map(member).collect();
         let (clock, carriers, groups) = (Clock::start()?, Vec::new(), Vec::new());
-        let mut run = Run { stage, folder, clock, log, addresses, members, carriers, groups };
-        for place in 0..play.carriers {
-            (stage.progress)(&format!("carrier {place} starts"));
-            let carrier = run.carrier(place)?;
+        let mut run = Run { context, folder, clock, change_log, addresses, members, carriers, groups };
+        for index in 0..run_settings.carriers {
+            (context.progress)(&format!("starting carrier {index}"));
+            let carrier = run.start_carrier(index)?;
             run.carriers.push(Some(carrier));
         }
         Ok(run)
     }
 
-    fn carrier(&self, place: usize) -> Result<Real, Error> {
-        let play = self.stage.play;
-        let names: Vec<&str> = self.members.iter().map(|one| one.name.as_str()).collect();
-        let delivery = json!({ "log": LOG, "carriers": names, "followers": play.followers_a_carrier,
-            "fallback_ms": play.fallback_ms });
+    fn start_carrier(&self, index: usize) -> Result<RealDispatcher, Error> {
+        let run_settings = self.context.settings;
+        let names: Vec<&str> = self.members.iter().map(|carrier| carrier.name.as_str()).collect();
+        let delivery = json!({ "log": LOG_NAME, "carriers": names,
+            "followers": run_settings.max_followers_per_carrier, "fallback_ms": run_settings.fallback_ms });
         let section: Value = json!({ "delivery": delivery });
-        let told = real::Told {
-            name: names[place],
-            addresses: self.addresses[place],
-            zones: self.stage.zones,
+        let spec = real::DispatcherSpec {
+            name: names[index],
+            addresses: self.addresses[index],
+            zones: self.context.zones,
             zone: 0,
             members: &self.members,
-            rooms: &section,
-            changelog: self.log.addresses[1],
-            known: &self.log.known,
-            seed: self.stage.seed ^ place as u64,
+            subsystems: &section,
+            changelog: self.change_log.addresses[1],
+            known_change: &self.change_log.known,
+            seed: self.context.seed ^ index as u64,
         };
-        Real::start(self.stage.program, self.folder, &told)
+        RealDispatcher::start(self.context.program, self.folder, &spec)
     }
 
-    /// Starts all followers; `begun`: when faults are counted from.
-    fn start_followers(&mut self, begun: Micros) -> Result<(), Error> {
-        let play = self.stage.play;
-        for place in 0..play.processes {
-            let (first, next) =
-                (place * play.followers / play.processes, (place + 1) * play.followers / play.processes);
-            let carriers =
-                self.members.iter().map(|one| Carrier { name: one.name.clone(), address: one.address });
-            let orders = Orders {
+    /// Starts all followers; `start` is the time that faults are scheduled from.
+    fn start_followers(&mut self, start: Micros) -> Result<(), Error> {
+        let run_settings = self.context.settings;
+        for index in 0..run_settings.processes {
+            let (first, next) = (
+                index * run_settings.followers / run_settings.processes,
+                (index + 1) * run_settings.followers / run_settings.processes,
+            );
+            let carriers = self
+                .members
+                .iter()
+                .map(|carrier| Carrier { name: carrier.name.clone(), address: carrier.address });
+            let config = FollowersConfig {
                 first,
                 count: next - first,
                 carriers: carriers.collect(),
-                log_name: LOG.to_owned(),
-                followers_a_carrier: play.followers_a_carrier,
-                fallback_ms: play.fallback_ms,
-                log: self.log.addresses[0],
-                known: KNOWN,
-                zones: self.stage.zones.to_vec(),
-                faults: self.link_faults(&settings::process(place), begun),
-                notes: PathBuf::new(),
-                seed: self.stage.seed,
+                log_name: LOG_NAME.to_owned(),
+                max_followers_per_carrier: run_settings.max_followers_per_carrier,
+                fallback_ms: run_settings.fallback_ms,
+                log_address: self.change_log.addresses[0],
+                known_change: INITIAL_CHANGE,
+                zones: self.context.zones.to_vec(),
+                faults: self.link_faults(&settings::process_name(index), start),
+                notes_file: PathBuf::new(),
+                seed: self.context.seed,
             };
-            let mut group = Group { process: None, orders, incarnations: Vec::new() };
-            group.start(self.stage.tool, self.folder)?;
+            let mut group = Group { process: None, config, incarnations: Vec::new() };
+            group.start(self.context.tool, self.folder)?;
             self.groups.push(group);
         }
         Ok(())
     }
 
-    fn link_faults(&self, process: &str, begun: Micros) -> Vec<LinkFault> {
-        let of = |timed: &Timed| {
-            let between = timed.what.between().filter(|between| between.process == process)?;
-            let harm = match &timed.what {
-                What::Lose(Lossy { part, .. }) => Harm::Lose(*part),
-                What::Delay(Delayed { least_ms, most_ms, .. }) => Harm::Delay(*least_ms, *most_ms),
-                _ => Harm::Stall,
+    fn link_faults(&self, process: &str, start: Micros) -> Vec<LinkFault> {
+        let link_fault = |timed: &TimedFault| {
+            let link = timed.fault.link().filter(|link| link.process == process)?;
+            let effect = match &timed.fault {
+                FaultKind::Lose(Loss { fraction, .. }) => LinkEffect::Lose(*fraction),
+                FaultKind::Delay(Delay { min_ms, max_ms, .. }) => LinkEffect::Delay(*min_ms, *max_ms),
+                _ => LinkEffect::Stall,
             };
-            let Between { carrier, way, .. } = between;
-            let address = |name: &String| self.members.iter().find(|one| one.name == *name);
-            let carrier = carrier.as_ref().and_then(address).map(|one| one.address);
-            let at = |seconds: f64| begun + (seconds * SECOND_US) as Micros;
+            let LinkSelector { carrier, direction, .. } = link;
+            let member = |name: &String| self.members.iter().find(|carrier| carrier.name == *name);
+            let carrier = carrier.as_ref().and_then(member).map(|carrier| carrier.address);
+            let at = |seconds: f64| start + (seconds * SECOND_US) as Micros;
             Some(LinkFault {
-                from: at(timed.at_s),
-                until: at(timed.at_s + timed.for_s),
-                way: *way,
+                from: at(timed.start_s),
+                until: at(timed.start_s + timed.duration_s),
+                direction: *direction,
                 carrier,
-                harm,
+                effect,
             })
         };
-        self.stage.play.faults.iter().filter_map(of).collect()
+        self.context.settings.faults.iter().filter_map(link_fault).collect()
     }
 
-    /// A fault of processes or of the log begins, or is over.
-    fn apply(&mut self, what: &What, begins: bool) -> Result<(), Error> {
-        match what {
-            What::LogLost => self.log.shared.lost.store(begins, Relaxed),
-            What::Kill(name) => match (self.place(name), begins) {
-                (Some(Place::Carrier(place)), true) => self.carriers[place] = None,
-                (Some(Place::Carrier(place)), false) => self.carriers[place] = Some(self.carrier(place)?),
-                (Some(Place::Group(place)), true) => self.groups[place].kill(),
-                (Some(Place::Group(place)), false) => {
-                    self.groups[place].start(self.stage.tool, self.folder)?
+    /// Starts or ends a fault of processes or of the log.
+    fn apply_fault(&mut self, fault: &FaultKind, begins: bool) -> Result<(), Error> {
+        match fault {
+            FaultKind::LogLost => self.change_log.shared.is_down.store(begins, Relaxed),
+            FaultKind::Kill(name) => match (self.target(name), begins) {
+                (Some(Target::Carrier(index)), true) => self.carriers[index] = None,
+                (Some(Target::Carrier(index)), false) => {
+                    self.carriers[index] = Some(self.start_carrier(index)?)
+                }
+                (Some(Target::Group(index)), true) => self.groups[index].kill(),
+                (Some(Target::Group(index)), false) => {
+                    self.groups[index].start(self.context.tool, self.folder)?
                 }
                 (None, _) => {}
             },
-            What::Stop(name) => {
+            FaultKind::Stop(name) => {
                 let signal = if begins { Signal::SIGSTOP } else { Signal::SIGCONT };
-                match self.place(name) {
-                    Some(Place::Carrier(place)) => {
-                        self.carriers[place].iter().for_each(|one| one.signal(signal))
+                match self.target(name) {
+                    Some(Target::Carrier(index)) => {
+                        self.carriers[index].iter().for_each(|carrier| carrier.signal(signal))
                     }
-                    Some(Place::Group(place)) => self.groups[place].signal(signal),
+                    Some(Target::Group(index)) => self.groups[index].signal(signal),
                     None => {}
                 }
             }
-            What::Lose(_) | What::Delay(_) | What::Stall(_) => {}
+            FaultKind::Lose(_) | FaultKind::Delay(_) | FaultKind::Stall(_) => {}
         }
         Ok(())
     }
 
-    fn place(&self, name: &str) -> Option<Place> {
-        let carrier = (0..self.carriers.len()).find(|place| settings::carrier(*place) == name);
-        let group = (0..self.groups.len()).find(|place| settings::process(*place) == name);
-        carrier.map(Place::Carrier).or(group.map(Place::Group))
+    fn target(&self, name: &str) -> Option<Target> {
+        let carrier = (0..self.carriers.len()).find(|index| settings::carrier_name(*index) == name);
+        let group = (0..self.groups.len()).find(|index| settings::process_name(*index) == name);
+        carrier.map(Target::Carrier).or(group.map(Target::Group))
     }
 
-    fn is_well(&mut self) -> Result<(), Error> {
-        self.carriers.iter_mut().flatten().try_for_each(Real::is_well)?;
-        self.groups.iter_mut().try_for_each(Group::is_well)
+    fn check_running(&mut self) -> Result<(), Error> {
+        self.carriers.iter_mut().flatten().try_for_each(RealDispatcher::check_running)?;
+        self.groups.iter_mut().try_for_each(Group::check_running)
     }
 
-    /// Plays all faults at their times.
-    fn pass(&mut self, begun: Micros) -> Result<(), Error> {
-        let play = self.stage.play;
-        let at = |seconds: f64| begun + (seconds * SECOND_US) as Micros;
-        let begins = play.faults.iter().map(|one| (at(one.at_s), &one.what, true));
-        let ends = play.faults.iter().map(|one| (at(one.at_s + one.for_s), &one.what, false));
-        let mut due: Vec<(Micros, &What, bool)> = begins.chain(ends).collect();
+    /// Starts and ends all faults at their times.
+    fn run_faults(&mut self, start: Micros) -> Result<(), Error> {
+        let run_settings = self.context.settings;
+        let at = |seconds: f64| start + (seconds * SECOND_US) as Micros;
+        let begins = run_settings.faults.iter().map(|timed| (at(timed.start_s), &timed.fault, true));
+        let ends = run_settings
+            .faults
+            .iter()
+            .map(|timed| (at(timed.start_s + timed.duration_s), &timed.fault, false));
+        let mut due: Vec<(Micros, &FaultKind, bool)> = begins.chain(ends).collect();
         due.sort_by_key(|(at, _, _)| std::cmp::Reverse(*at));
-        let (mut next_line, mut second) = (begun, 0);
-        while self.clock.now() < at(play.seconds) {
-            while let Some((_, what, begins)) = due.pop_if(|(at, _, _)| *at <= self.clock.now()) {
-                self.apply(what, begins)?;
+        let (mut next_progress, mut second) = (start, 0);
+        while self.clock.now() < at(run_settings.seconds) {
+            while let Some((_, fault, begins)) = due.pop_if(|(at, _, _)| *at <= self.clock.now()) {
+                self.apply_fault(fault, begins)?;
             }
-            if self.clock.now() >= next_line {
-                (self.stage.progress)(&format!("followers on processes: {second} of {:.0} s", play.seconds));
-                next_line += SECOND_US as Micros;
+            if self.clock.now() >= next_progress {
+                (self.context.progress)(&format!(
+                    "followers on processes: {second} of {:.0} s",
+                    run_settings.seconds
+                ));
+                next_progress += SECOND_US as Micros;
                 second += 1;
-                self.is_well()?;
+                self.check_running()?;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(CHECK_INTERVAL);
         }
         Ok(())
     }
 
-    fn end(mut self) -> Result<(Vec<Incarnation>, (f64, u64)), Error> {
-        self.groups.iter_mut().try_for_each(Group::end)?;
-        let used = self.carriers.iter_mut().flatten().map(Real::look);
-        let used = used.map(|used| (used.core.values().sum::<f64>(), used.resident_kb));
-        let most = used.fold((0.0, 0), |(core, kb), one| (f64::max(core, one.0), u64::max(kb, one.1)));
+    fn stop(mut self) -> Result<(Vec<Incarnation>, (f64, u64)), Error> {
+        self.groups.iter_mut().try_for_each(Group::stop)?;
+        let used = self.carriers.iter_mut().flatten().map(RealDispatcher::sample_usage);
+        let used = used.map(|used| (used.cores.values().sum::<f64>(), used.resident_kb));
+        let busiest =
+            used.fold((0.0, 0), |(cores, kb), used| (f64::max(cores, used.0), u64::max(kb, used.1)));
         let files = self.groups.iter().flat_map(|group| &group.incarnations);
         let read = |(path, was_killed): &(PathBuf, bool)| {
             Ok(Incarnation { notes: notes::read(path)?, was_killed: *was_killed })
@@ -333,80 +358,95 @@
         let incarnations = files.map(read).collect::<Result<Vec<_>, Error>>()?;
         for carrier in self.carriers.drain(..).flatten() {
             let name = carrier.name.clone();
-            if !carrier.end() {
-                let status = "it did not end well when asked to".to_owned();
-                return Err(Error::Ended { name, status, said: "nothing".into() });
+            if !carrier.stop() {
+                let status = "it did not exit cleanly when asked to".to_owned();
+                return Err(Error::ProcessExited { name, status, last_line: "nothing".into() });
             }
         }
-        Ok((incarnations, most))
+        Ok((incarnations, busiest))
     }
 }
 
-enum Place {
+enum Target {
     Carrier(usize),
     Group(usize),
 }
 
-/// Whether the run would pass its bounds.
-pub fn check(play: &ProcessesPlay, bounds: &Bounds) -> Result<(), Error> {
-    let found = (play.carriers + play.processes + 1) as u64;
-    let most = bounds.processes;
-    match found > most {
-        true => Err(Error::Bound { bound: "processes", found, most, remedy: "set fewer `processes`" }),
+/// Fails if the run would exceed its bounds.
+pub fn check_bounds(run_settings: &ProcessesRun, bounds: &Bounds) -> Result<(), Error> {
+    let needed = (run_settings.carriers + run_settings.processes + 1) as u64;
+    let limit = bounds.processes;
+    match needed > limit {
+        true => Err(Error::BoundExceeded {
+            bound: "processes",
+            value: needed,
+            limit,
+            remedy: "set fewer `processes`",
+        }),
         false => Ok(()),
     }
 }
 
-/// Plays one run and judges it.
-pub fn play(stage: &Stage) -> Result<OnProcesses, Error> {
-    check(stage.play, stage.bounds)?;
-    let folder = tempfile::tempdir().map_err(doing("a folder for the run"))?;
-    let mut run = Run::start(stage, folder.path())?;
-    run.log.shared.tells.store(true, Relaxed);
-    let begun = run.clock.now();
-    run.start_followers(begun)?;
-    run.pass(begun)?;
-    let complete = run.clock.now() - COMPLETE_BEFORE_US;
+/// Runs and checks one set of settings.
+pub fn run(context: &RunContext) -> Result<ProcessesResult, Error> {
+    check_bounds(context.settings, context.bounds)?;
+    let folder = tempfile::tempdir().map_err(io_error("a folder for the run"))?;
+    let mut run = Run::start(context, folder.path())?;
+    run.change_log.shared.is_publishing.store(true, Relaxed);
+    let start = run.clock.now();
+    run.start_followers(start)?;
+    run.run_faults(start)?;
+    let complete_until = run.clock.now() - COMPLETION_MARGIN_US;
     let clock = run.clock;
-    let log = run.log.shared.clone();
-    let (incarnations, (carrier_core, carrier_kb)) = run.end()?;
-    let told = log.told.times().into_iter().map(|at| clock.of(at)).collect();
-    let history = History { told, known: KNOWN, complete };
-    let judged = judge::judge(&history, &incarnations);
-    let requests: f64 = [crate::traffic::With::Hollow, crate::traffic::With::Real]
-        .map(|with| log.counted(with).requests.messages)
+    let log = run.change_log.shared.clone();
+    let (incarnations, (carrier_cores, carrier_kb)) = run.stop()?;
+    let published_at = log.propagation.published_at().into_iter().map(|at| clock.micros(at)).collect();
+    let history = History { published_at, known_change: INITIAL_CHANGE, complete_until };
+    let findings = checker::check_notes(&history, &incarnations);
+    let requests: f64 = [crate::traffic::PeerKind::Simulated, crate::traffic::PeerKind::Real]
+        .map(|peer| log.traffic(peer).requests.messages)
         .iter()
         .sum();
-    let found = figures(stage.play, &history, judged);
-    Ok(OnProcesses { carrier_core, carrier_kb, log_requests_per_s: requests / stage.play.seconds, ..found })
+    let result = result_of(context.settings, &history, findings);
+    Ok(ProcessesResult {
+        carrier_cores,
+        carrier_kb,
+        log_requests_per_s: requests / context.settings.seconds,
+        ..result
+    })
 }
 
-fn figures(play: &ProcessesPlay, history: &History, judged: Judged) -> OnProcesses {
+fn result_of(run_settings: &ProcessesRun, history: &History, findings: Findings) -> ProcessesResult {
     let ms = |micros: Micros| micros as f64 / 1e3;
     let mut delays = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3)
         .unwrap_or_else(|_| unreachable!("constant bounds"));
-    judged.delays.iter().for_each(|delay| delays.saturating_record((*delay).max(1)));
-    let each = 1.0 / (play.followers as f64 * play.seconds);
-    OnProcesses {
-        carriers: play.carriers,
-        processes: play.processes,
-        followers: play.followers,
-        seconds: play.seconds,
-        changes: history.told.len(),
-        faults: play.faults.len(),
-        broken: judged.faults.iter().take(TOLD_MOST).map(ToString::to_string).collect(),
-        broken_count: judged.faults.len(),
-        at_end: judged.at_end,
+    findings.delays.iter().for_each(|delay| delays.saturating_record((*delay).max(1)));
+    let per_follower = 1.0 / (run_settings.followers as f64 * run_settings.seconds);
+    ProcessesResult {
+        carriers: run_settings.carriers,
+        processes: run_settings.processes,
+        followers: run_settings.followers,
+        seconds: run_settings.seconds,
+        changes: history.published_at.len(),
+        faults: run_settings.faults.len(),
+        violations: findings
+            .violations
+            .iter()
+            .take(MAX_REPORTED_VIOLATIONS)
+            .map(ToString::to_string)
+            .collect(),
+        violation_count: findings.violations.len(),
+        followers_at_end: findings.followers_at_end,
         delay_p50_ms: ms(delays.value_at_quantile(0.5)),
         delay_p99_ms: ms(delays.value_at_quantile(0.99)),
         delay_max_ms: ms(delays.max()),
-        caught_up: judged.caught_up.len(),
-        caught_up_max_ms: ms(judged.caught_up.into_iter().max().unwrap_or(0)),
-        reads: judged.reads,
-        unproven_max_ms: ms(judged.unproven_most),
-        bytes: judged.bytes as f64 * each,
-        messages: judged.messages as f64 * each,
-        carrier_core: 0.0,
+        catch_ups: findings.catch_up_times.len(),
+        catch_up_max_ms: ms(findings.catch_up_times.into_iter().max().unwrap_or(0)),
+        log_read_starts: findings.log_read_starts,
+        unproven_max_ms: ms(findings.max_unproven),
+        bytes: findings.bytes as f64 * per_follower,
+        messages: findings.messages as f64 * per_follower,
+        carrier_cores: 0.0,
         carrier_kb: 0,
         log_requests_per_s: 0.0,
     }
--- a/crates/scale/src/processes/notes.rs
+++ b/crates/scale/src/processes/notes.rs
@@ -1,31 +1,32 @@
-//! What a process of followers notes while it runs, a line of JSON each. A line that was cut by a kill is left out.
+//! Notes of a process of followers: one JSON object per line. A last line truncated by a kill is ignored.
 use super::clock::Micros;
-use crate::error::{doing, Error};
+use crate::error::{io_error, Error};
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-/// What one follower did or learnt.
+/// An event of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// Its dispatcher began.
+    /// The follower started.
     Started,
-    /// The dispatcher took the change of this number.
+    /// It received the change of this number.
     Took(u64),
-    /// The dispatcher was told that it has all changes that the log had then.
+    /// It has all changes that the log had at this time.
     KnownUpTo(Micros),
-    /// Whether it reads the log itself from now on.
+    /// It began or stopped reading the log itself.
     ReadsLog(bool),
-    /// Datagrams to and from it since the last such note.
+    /// Datagrams in both directions since the previous note of this kind.
     Traffic { messages: u64, bytes: u64 },
 }
 
-/// An event of a follower, and when it was.
+/// An event with its follower and time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Note {
     pub follower: usize,
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub at_us: Micros,
     pub event: Event,
 }
 
@@ -34,26 +35,27 @@
 
 impl Notes {
     pub fn create(path: &Path) -> Result<Notes, Error> {
-        File::create(path).map(|file| Notes(BufWriter::new(file))).map_err(doing("a file of notes"))
+        File::create(path).map(|file| Notes(BufWriter::new(file))).map_err(io_error("a file of notes"))
     }
 
     pub fn add(&mut self, note: &Note) -> Result<(), Error> {
-        let mut line = serde_json::to_vec(note).map_err(|error| doing("a note")(error.into()))?;
+        let mut line = serde_json::to_vec(note).map_err(|error| io_error("a note")(error.into()))?;
         line.push(b'\n');
-        self.0.write_all(&line).map_err(doing("a file of notes"))
+        self.0.write_all(&line).map_err(io_error("a file of notes"))
     }
 
-    /// What was added outlasts a kill of this process from now on.
+    /// Writes buffered notes to the file, where they survive a kill of this process.
     pub fn flush(&mut self) -> Result<(), Error> {
-        self.0.flush().map_err(doing("a file of notes"))
+        self.0.flush().map_err(io_error("a file of notes"))
     }
 }
 
-/// All whole notes of a file.
+/// Reads all complete notes of a file.
 pub fn read(path: &Path) -> Result<Vec<Note>, Error> {
-    let bytes = std::fs::read(path).map_err(doing("a file of notes"))?;
+    let bytes = std::fs::read(path).map_err(io_error("a file of notes"))?;
     let text = String::from_utf8_lossy(&bytes);
-    let whole = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
-    let notes = whole.map(|line| serde_json::from_str(line).map_err(|error| doing("a note")(error.into())));
+    let complete_lines = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
+    let notes = complete_lines
+        .map(|line| serde_json::from_str(line).map_err(|error| io_error("a note")(error.into())));
     notes.collect()
 }
--- a/crates/scale/src/processes/settings.rs
+++ b/crates/scale/src/processes/settings.rs
@@ -1,102 +1,114 @@
-//! What a run of followers on processes is told.
-use super::link::Way;
+//! Settings of a run with processes of followers.
+use super::link::Direction;
 use serde::Deserialize;
 
-/// Real carriers, processes of followers, and what happens between them.
+/// Real carriers, processes of followers, and the faults between them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ProcessesPlay {
-    /// Real dispatchers `c0`, `c1` and so on, which read the log and carry its changes.
+pub struct ProcessesRun {
+    /// Number of real dispatchers `c0`, `c1`, ..., which read the log and carry its changes.
     pub carriers: usize,
-    /// Processes `p0`, `p1` and so on, among which followers are divided.
+    /// Number of processes `p0`, `p1`, ..., among which the followers are divided.
     pub processes: usize,
     pub followers: usize,
-    /// Followers of one carrier at most.
-    pub followers_a_carrier: usize,
-    /// Whoever is not carried for so long reads the log itself.
+    /// Most followers of one carrier.
+    #[serde(rename = "followers_a_carrier")]
+    pub max_followers_per_carrier: usize,
+    /// A follower without a carrier for this long reads the log itself.
     pub fallback_ms: u64,
     pub purges_per_s: f64,
     pub seconds: f64,
     #[serde(default)]
-    pub faults: Vec<Timed>,
+    pub faults: Vec<TimedFault>,
 }
 
-/// A fault that begins at a time of the run and lasts.
+/// A fault with its start and duration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Timed {
-    pub at_s: f64,
-    pub for_s: f64,
-    pub what: What,
+pub struct TimedFault {
+    #[serde(rename = "at_s")]
+    pub start_s: f64,
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
+    #[serde(rename = "what")]
+    pub fault: FaultKind,
 }
 
-/// What happens, and what undoes it at the end.
+/// A fault; it is undone at its end.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// SIGKILL; started anew.
+pub enum FaultKind {
+    /// Killed by SIGKILL; restarted at the end.
     Kill(String),
-    /// SIGSTOP; SIGCONT.
+    /// Stopped by SIGSTOP; continued by SIGCONT.
     Stop(String),
-    /// A part of the datagrams between a process of followers and carriers is lost.
-    Lose(Lossy),
-    Delay(Delayed),
-    /// All datagrams are held, and come at once at the end.
-    Stall(Between),
-    /// Nobody reaches the change log.
+    /// A fraction of the datagrams between a process of followers and carriers is lost.
+    Lose(Loss),
+    Delay(Delay),
+    /// Datagrams are held back and delivered together at the end.
+    Stall(LinkSelector),
+    /// The change log is unreachable.
     LogLost,
 }
 
-/// The links between a process's followers and one carrier or all.
+/// Links between a process's followers and one carrier, or all if `carrier` is `None`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Between {
+pub struct LinkSelector {
     pub process: String,
     #[serde(default)]
     pub carrier: Option<String>,
     #[serde(default)]
-    pub way: Way,
+    #[serde(rename = "way")]
+    pub direction: Direction,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Lossy {
-    pub part: f64,
-    pub between: Between,
+pub struct Loss {
+    #[serde(rename = "part")]
+    pub fraction: f64,
+    #[serde(rename = "between")]
+    pub link: LinkSelector,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Delayed {
-    pub least_ms: u64,
-    pub most_ms: u64,
-    pub between: Between,
+pub struct Delay {
+    #[serde(rename = "least_ms")]
+    pub min_ms: u64,
+    #[serde(rename = "most_ms")]
+    pub max_ms: u64,
+    #[serde(rename = "between")]
+    pub link: LinkSelector,
 }
 
-impl What {
-    /// The process that is killed or stopped.
-    pub fn process(&self) -> Option<&str> {
+impl FaultKind {
+    /// The name of the process that is killed or stopped.
+    pub fn target_process(&self) -> Option<&str> {
         match self {
-            What::Kill(name) | What::Stop(name) => Some(name),
+            FaultKind::Kill(name) | FaultKind::Stop(name) => Some(name),
             _ => None,
         }
     }
 
-    pub fn between(&self) -> Option<&Between> {
+    /// The links that the fault affects; `None` for faults of processes and of the log.
+    pub fn link(&self) -> Option<&LinkSelector> {
         match self {
-            What::Lose(Lossy { between, .. })
-            | What::Delay(Delayed { between, .. })
-            | What::Stall(between) => Some(between),
+            FaultKind::Lose(Loss { link, .. })
+            | FaultKind::Delay(Delay { link, .. })
+            | FaultKind::Stall(link) => Some(link),
             _ => None,
         }
     }
 }
 
-/// Carriers' and processes' names by their places.
-pub fn carrier(place: usize) -> String {
-    format!("c{place}")
+/// The name of a carrier by index.
+pub fn carrier_name(index: usize) -> String {
+    format!("c{index}")
 }
 
-pub fn process(place: usize) -> String {
-    format!("p{place}")
+/// The name of a process of followers by index.
+pub fn process_name(index: usize) -> String {
+    format!("p{index}")
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,18 +1,20 @@
-//! One run on sockets: a number of dispatchers, most of them hollow, some real, beside the stand-in change log, through
-//! all phases.
-use crate::changelog::{self, ChangeLog, Counted};
-use crate::error::{doing, Error};
+//! Runs a fleet on sockets through all phases: mostly simulated dispatchers, some real ones, and a change log
+//! server.
+use crate::changelog::{self, ChangeLog, LogTraffic};
+use crate::error::{io_error, Error};
 use crate::follower::Follower;
-use crate::hollow::{Common, Hollow};
-use crate::network::{Behind, Network};
+use crate::network::{Endpoint, Network};
 use crate::pool::{self, Worker};
-use crate::process::{self, Used};
-use crate::real::{self, Real};
-use crate::rooms;
-use crate::settings::{Bounds, Phase, Settings, Sockets};
-use crate::told::{Delays, What};
-use crate::topology::{self, Place};
-use crate::traffic::{each, scaled, Amount, ByKind, Tally, With, CHANGE_LOG, KINDS};
+use crate::process::{self, ResourceUsage};
+use crate::propagation::{ChangeKind, Delays};
+use crate::real::{self, RealDispatcher};
+use crate::settings::{Bounds, Phase, Settings, SocketRuns};
+use crate::simulated::{Shared, SimulatedDispatcher};
+use crate::subsystems;
+use crate::topology::{self, Placement};
+use crate::traffic::{
+    scaled, zip_with, Amount, PeerKind, TrafficByKind, TrafficCounters, CHANGE_LOG_KIND, KIND_NAMES,
+};
 use cherrypass_peers::{Member, Set};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,207 +26,234 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often a run looks after its processes and bounds.
-const LOOK: Duration = Duration::from_millis(100);
-/// What a member holds for each listed one, about; a run whose members would hold more than its bound does not start.
-const PAIR_BYTES: u64 = 1_024;
-/// And for itself, on sockets.
+/// Interval of the checks of processes and bounds.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Estimated memory of a member per listed member; a run whose estimate exceeds its bound does not start.
+const BYTES_PER_LISTED_MEMBER: u64 = 1_024;
+/// Estimated memory of a member itself, with its socket.
 const MEMBER_BYTES: u64 = 512 << 10;
-/// What a real process holds, about.
-const REAL_BYTES: u64 = 32 << 20;
+/// Estimated memory of a real dispatcher.
+const REAL_DISPATCHER_BYTES: u64 = 32 << 20;
 
-/// What a phase came to. Amounts are a second and of one dispatcher.
+/// Result of a phase; amounts are per second and dispatcher.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PhaseResult {
     pub name: String,
-    pub settling: bool,
+    #[serde(rename = "settling")]
+    pub is_settling: bool,
     pub seconds: f64,
-    /// The mean of all hollow dispatchers, and of real ones; of the change log, of those that follow it.
-    pub hollow: ByKind,
-    pub real: ByKind,
-    /// The median hollow dispatcher, by what went between hollow ones: what a real one is compared with.
-    pub hollow_median: ByKind,
-    /// The median real one. Not the mean: the one dispatcher that runs the rollout tells all others, and may be a real one.
+    /// Means over all dispatchers; change log entries are means over its followers.
+    #[serde(rename = "hollow")]
+    pub simulated_mean: TrafficByKind,
+    #[serde(rename = "real")]
+    pub real_mean: TrafficByKind,
+    /// The median simulated dispatcher, from traffic among simulated ones; compared with the real ones.
+    #[serde(rename = "hollow_median")]
+    pub simulated_median: TrafficByKind,
+    /// The median real dispatcher. A mean would be distorted if a real one happens to run the rollout and so
+    /// sends to all others.
     #[serde(default)]
-    pub real_median: ByKind,
-    /// The most of any hollow dispatcher.
-    pub hollow_most: ByKind,
-    /// The real ones' processes.
-    pub real_used: Vec<Used>,
-    /// Parts of a core: all hollow dispatchers, their counting included, and the change log's stand-in.
-    pub hollow_core: f64,
-    pub log_core: f64,
-    /// What the change log got and sent a second, from and to all.
-    pub log: Counted,
-    pub log_connections: u64,
+    pub real_median: TrafficByKind,
+    /// The maximum over simulated dispatchers, entry by entry.
+    #[serde(rename = "hollow_most")]
+    pub simulated_max: TrafficByKind,
+    /// Resource usage of the real dispatchers' processes.
+    #[serde(rename = "real_used")]
+    pub real_usage: Vec<ResourceUsage>,
+    /// Cores used by all simulated dispatchers (counting included), and by the change log server.
+    #[serde(rename = "hollow_core")]
+    pub simulated_cores: f64,
+    #[serde(rename = "log_core")]
+    pub change_log_cores: f64,
+    /// Traffic of the change log per second, with all dispatchers.
+    #[serde(rename = "log")]
+    pub change_log: LogTraffic,
+    #[serde(rename = "log_connections")]
+    pub change_log_connections: u64,
     pub purges: Delays,
     pub configurations: Delays,
 }
 
-/// What one size came to.
+/// Result for one fleet size.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SizeResult {
     pub size: usize,
-    pub real: usize,
+    #[serde(rename = "real")]
+    pub real_dispatchers: usize,
     pub followers: usize,
-    /// Resident memory of this process for each hollow dispatcher, after the first phase.
-    pub hollow_kb: f64,
+    /// Resident memory of this process per simulated dispatcher, after the first phase.
+    #[serde(rename = "hollow_kb")]
+    pub simulated_kb: f64,
     pub phases: Vec<PhaseResult>,
-    /// Whether all real ones ended well when asked to.
-    pub ended_well: bool,
+    /// Whether all real dispatchers exited cleanly.
+    #[serde(rename = "ended_well")]
+    pub exited_cleanly: bool,
 }
 
-/// What a run is made for.
-pub struct Stage<'a> {
+/// Input of a run.
+pub struct RunContext<'a> {
     pub program: &'a Path,
     pub settings: &'a Settings,
-    pub sockets: &'a Sockets,
+    pub sockets: &'a SocketRuns,
     pub size: usize,
-    /// Takes a line on how far the run is.
+    /// Receives progress lines.
     pub progress: &'a dyn Fn(&str),
 }
 
-/// A word of news is told so often for each doubling of the members, so many go with each message, and so many messages
-/// a second a member sends (docs/fleet-members.md).
-const TELLINGS: f64 = 4.0;
-const WORDS: f64 = 24.0;
+/// Membership gossip: sends of a news item per doubling of the fleet, items per message, and messages per
+/// second of a member (docs/fleet-members.md).
+const SENDS_PER_DOUBLING: f64 = 4.0;
+const ITEMS_PER_MESSAGE: f64 = 24.0;
 const MESSAGES_PER_S: f64 = 8.2;
-/// And a third longer than that by the mean.
-const NEWS_SLACK: f64 = 1.33;
+/// Margin over the mean.
+const NEWS_MARGIN: f64 = 1.33;
 
-/// How long the news of so many starts goes round, in seconds.
-pub fn news_s(size: usize) -> f64 {
+/// Estimated seconds until news of `size` simultaneous starts has spread.
+pub fn news_spread_s(size: usize) -> f64 {
     let size = size as f64;
-    size * TELLINGS * (size + 1.0).log2() / WORDS / MESSAGES_PER_S
+    size * SENDS_PER_DOUBLING * (size + 1.0).log2() / ITEMS_PER_MESSAGE / MESSAGES_PER_S
 }
 
-/// How long a phase of a run of so many lasts, in seconds.
-fn lasts_s(phase: &Phase, size: usize) -> f64 {
-    match phase.settling {
-        true => phase.seconds.max(NEWS_SLACK * news_s(size)),
+/// Duration of a phase in a fleet of `size`, in seconds.
+fn duration_s(phase: &Phase, size: usize) -> f64 {
+    match phase.is_settling {
+        true => phase.seconds.max(NEWS_MARGIN * news_spread_s(size)),
         false => phase.seconds,
     }
 }
 
-/// Whether a run of so many dispatchers, so many of them real, would pass its bounds.
-pub fn check(size: usize, real: usize, bounds: &Bounds) -> Result<(), Error> {
+/// Fails if a run would exceed its bounds.
+pub fn check_bounds(size: usize, real: usize, bounds: &Bounds) -> Result<(), Error> {
     let (size, real) = (size as u64, real as u64);
     if real + 1 > bounds.processes {
-        let (found, most) = (real + 1, bounds.processes);
+        let (value, limit) = (real + 1, bounds.processes);
         let remedy = "set fewer `real` ones";
-        return Err(Error::Bound { bound: "processes", found, most, remedy });
+        return Err(Error::BoundExceeded { bound: "processes", value, limit, remedy });
     }
-    let needed = (size * (MEMBER_BYTES + size * PAIR_BYTES) + real * REAL_BYTES) >> 20;
+    let needed =
+        (size * (MEMBER_BYTES + size * BYTES_PER_LISTED_MEMBER) + real * REAL_DISPATCHER_BYTES) >> 20;
     if needed > bounds.memory_mb {
         let remedy = "set smaller `sizes`";
-        return Err(Error::Bound { bound: "memory_mb", found: needed, most: bounds.memory_mb, remedy });
+        return Err(Error::BoundExceeded {
+            bound: "memory_mb",
+            value: needed,
+            limit: bounds.memory_mb,
+            remedy,
+        });
     }
     Ok(())
 }
 
-/// Plays one size through all phases.
-pub fn play(stage: &Stage) -> Result<SizeResult, Error> {
-    check(stage.size, stage.sockets.real, &stage.settings.bounds)?;
-    let folder = tempfile::tempdir().map_err(doing("a folder for the run"))?;
-    let mut run = Run::start(stage, folder.path())?;
+/// Runs one fleet size through all phases.
+pub fn run(context: &RunContext) -> Result<SizeResult, Error> {
+    check_bounds(context.size, context.sockets.real_dispatchers, &context.settings.bounds)?;
+    let folder = tempfile::tempdir().map_err(io_error("a folder for the run"))?;
+    let mut run = Run::start(context, folder.path())?;
     let mut phases = Vec::new();
-    let mut hollow_kb = 0.0;
-    for (place, phase) in stage.sockets.phases.iter().enumerate() {
-        phases.push(run.phase(phase)?);
-        if place == 0 {
-            hollow_kb = run.hollow_kb();
+    let mut simulated_kb = 0.0;
+    for (index, phase) in context.sockets.phases.iter().enumerate() {
+        phases.push(run.run_phase(phase)?);
+        if index == 0 {
+            simulated_kb = run.simulated_kb();
         }
     }
-    let (real, followers) = (run.real.len(), run.followers);
-    let ended_well = run.end();
-    Ok(SizeResult { size: stage.size, real, followers, hollow_kb, phases, ended_well })
+    let (real_dispatchers, followers) = (run.real.len(), run.followers);
+    let exited_cleanly = run.stop();
+    Ok(SizeResult { size: context.size, real_dispatchers, followers, simulated_kb, phases, exited_cleanly })
 }
 
 struct Run<'a> {
-    stage: &'a Stage<'a>,
-    log: ChangeLog,
-    common: Arc<Common>,
+    context: &'a RunContext<'a>,
+    change_log: ChangeLog,
+    shared: Arc<Shared>,
     workers: Vec<Worker>,
-    tallies: Vec<Arc<Tally>>,
-    real: Vec<Real>,
+    counters: Vec<Arc<TrafficCounters>>,
+    real: Vec<RealDispatcher>,
     followers: usize,
-    chance: Pcg64Mcg,
-    /// Resident kilobytes of this process before any dispatcher.
-    before_kb: u64,
+    rng: Pcg64Mcg,
+    /// Resident kilobytes of this process before any dispatcher started.
+    base_resident_kb: u64,
 }
 
 impl Drop for Run<'_> {
-    /// Nothing is left running, however the run ends.
+    /// Stops and joins all threads, however the run ends.
     fn drop(&mut self) {
-        self.common.ended.store(true, Relaxed);
+        self.shared.is_stopping.store(true, Relaxed);
         self.workers.drain(..).for_each(Worker::join);
     }
 }
 
-/// Which of so many dispatchers are real: spread over all sites.
+/// Whether a member is a real dispatcher; real ones are spread over all sites.
 fn is_real(member: usize, size: usize, real: usize) -> bool {
-    (0..real).any(|one| one * size / real.max(1) == member)
+    (0..real).any(|index| index * size / real.max(1) == member)
 }
 
 fn bind_all(count: usize) -> Result<Vec<UdpSocket>, Error> {
-    let at = SocketAddr::from(([127, 0, 0, 1], 0));
-    let bind =
-        |_| UdpSocket::bind(at).map_err(|error| Error::InUse { what: "a hollow dispatcher", at, error });
+    let address = SocketAddr::from(([127, 0, 0, 1], 0));
+    let bind = |_| {
+        UdpSocket::bind(address).map_err(|error| Error::AddressInUse {
+            listener: "a simulated dispatcher",
+            address,
+            error,
+        })
+    };
     (0..count).map(bind).collect()
 }
 
 impl<'a> Run<'a> {
-    fn start(stage: &'a Stage<'a>, folder: &Path) -> Result<Run<'a>, Error> {
-        let (settings, sockets, size) = (stage.settings, stage.sockets, stage.size);
-        let before_kb = process::resident_kb("self");
-        let places = topology::places(&settings.topology, size);
+    fn start(context: &'a RunContext<'a>, folder: &Path) -> Result<Run<'a>, Error> {
+        let (settings, sockets, size) = (context.settings, context.sockets, context.size);
+        let base_resident_kb = process::resident_kb("self");
+        let placements = topology::placements(&settings.topology, size);
         let zones: Vec<String> = settings.topology.zones.iter().map(|zone| zone.name.clone()).collect();
-        let log = ChangeLog::start(sockets.first_port, &sockets.load, &zones[0], settings.seed)?;
+        let change_log = ChangeLog::start(sockets.first_port, &sockets.load, &zones[0], settings.seed)?;
         let first_real = sockets.first_port.map(|first| first.saturating_add(2));
-        let mut addresses = real::addresses(sockets.real, first_real)?.into_iter();
-        let mut hollow = bind_all(size - addresses.len())?.into_iter();
-        let (mut members, mut behind, mut bound) = (Vec::new(), BTreeMap::new(), Vec::new());
-        let mut real_ones = 0;
-        for (member, place) in places.iter().enumerate() {
-            let real = is_real(member, size, sockets.real).then(|| addresses.next()).flatten();
-            let which = real.as_ref().map(|_| real_ones);
-            real_ones += usize::from(real.is_some());
-            let socket = if real.is_none() { hollow.next() } else { None };
+        let mut addresses = real::addresses(sockets.real_dispatchers, first_real)?.into_iter();
+        let mut simulated = bind_all(size - addresses.len())?.into_iter();
+        let (mut members, mut endpoints, mut bound) = (Vec::new(), BTreeMap::new(), Vec::new());
+        let mut started_real = 0;
+        for (member, placement) in placements.iter().enumerate() {
+            let real = is_real(member, size, sockets.real_dispatchers).then(|| addresses.next()).flatten();
+            let real_index = real.as_ref().map(|_| started_real);
+            started_real += usize::from(real.is_some());
+            let socket = if real.is_none() { simulated.next() } else { None };
             let own = socket.as_ref().map(UdpSocket::local_addr).transpose();
-            let own = own.map_err(doing("a socket's address"))?;
+            let own = own.map_err(io_error("a socket's address"))?;
             let Some(address) = real.map(|real| real.fleet).or(own) else { continue };
-            behind.insert(address.port(), Behind { region: place.region, real: which });
-            members.push(Member { name: format!("d{member}"), address, location: place.location });
-            bound.push((member, *place, real, socket));
+            endpoints.insert(address.port(), Endpoint { region: placement.region, real_index });
+            members.push(Member { name: format!("d{member}"), address, location: placement.location });
+            bound.push((member, *placement, real, socket));
         }
-        let common = Arc::new(Common {
-            network: Network::new(behind),
-            real: (0..sockets.real).map(|_| Tally::default()).collect(),
-            wanting: AtomicU64::new(0),
-            ended: AtomicBool::new(false),
-            hosts: sockets.load.hosts,
-            fleet: rooms::FLEET.to_owned(),
+        let shared = Arc::new(Shared {
+            network: Network::new(endpoints),
+            real_counters: (0..sockets.real_dispatchers).map(|_| TrafficCounters::default()).collect(),
+            demanding_per_mille: AtomicU64::new(0),
+            is_stopping: AtomicBool::new(false),
+            host_count: sockets.load.hosts,
+            fleet_name: subsystems::FLEET_NAME.to_owned(),
         });
         let mut run = Run {
-            stage,
-            log,
-            common,
+            context,
+            change_log,
+            shared,
             workers: Vec::new(),
-            tallies: Vec::new(),
+            counters: Vec::new(),
             real: Vec::new(),
             followers: 0,
-            chance: Pcg64Mcg::seed_from_u64(settings.seed),
-            before_kb,
+            rng: Pcg64Mcg::seed_from_u64(settings.seed),
+            base_resident_kb,
         };
-        let mut hollow = Vec::new();
-        for (member, place, real, socket) in bound {
+        let mut simulated = Vec::new();
+        for (member, placement, real, socket) in bound {
             match (real, socket) {
-                (Some(real), _) => run.start_real(folder, &members, &zones, (member, place, real))?,
-                (None, Some(socket)) => hollow.push(run.hollow(&members, (member, place, socket))?),
+                (Some(real), _) => run.start_real(folder, &members, &zones, (member, placement, real))?,
+                (None, Some(socket)) => {
+                    simulated.push(run.start_simulated(&members, (member, placement, socket))?)
+                }
                 (None, None) => {}
             }
         }
-        run.start_workers(hollow, &zones)?;
+        run.start_workers(simulated, &zones)?;
         Ok(run)
     }
 
@@ -233,300 +262,323 @@
         folder: &Path,
         members: &[Member],
         zones: &[String],
-        (member, place, addresses): (usize, Place, real::Addresses),
+        (member, placement, addresses): (usize, Placement, real::Addresses),
     ) -> Result<(), Error> {
-        let mut order: Vec<u16> = members.iter().map(|one| one.location.0).collect();
+        let mut order: Vec<u16> = members.iter().map(|member| member.location.0).collect();
         order.sort_unstable();
         order.dedup();
         let order: Vec<String> = order.into_iter().map(|zone| zones[usize::from(zone)].clone()).collect();
-        let section = rooms::section(members.len(), &order);
-        let told = real::Told {
+        let section = subsystems::fleet_section(members.len(), &order);
+        let spec = real::DispatcherSpec {
             name: &members[member].name,
             addresses,
             zones,
-            zone: usize::from(place.location.0),
+            zone: usize::from(placement.location.0),
             members,
-            rooms: &section,
-            changelog: self.log.addresses[With::Real as usize],
-            known: &self.log.known,
-            seed: self.stage.settings.seed ^ member as u64,
+            subsystems: &section,
+            changelog: self.change_log.addresses[PeerKind::Real as usize],
+            known_change: &self.change_log.known,
+            seed: self.context.settings.seed ^ member as u64,
         };
-        (self.stage.progress)(&format!("{} dispatchers: real {} starts", self.stage.size, told.name));
-        self.real.push(Real::start(self.stage.program, folder, &told)?);
+        (self.context.progress)(&format!(
+            "{} dispatchers: starting real dispatcher {}",
+            self.context.size, spec.name
+        ));
+        self.real.push(RealDispatcher::start(self.context.program, folder, &spec)?);
         Ok(())
     }
 
-    fn hollow(
+    fn start_simulated(
         &mut self,
         members: &[Member],
-        (member, place, socket): (usize, Place, UdpSocket),
-    ) -> Result<Hollow, Error> {
-        let mut set = Set::of(rooms::FLEET, &members[member].name, members[member].address);
+        (member, placement, socket): (usize, Placement, UdpSocket),
+    ) -> Result<SimulatedDispatcher, Error> {
+        let mut set = Set::of(subsystems::FLEET_NAME, &members[member].name, members[member].address);
         set.members = members.to_vec();
-        (set.every, set.seed) = (rooms::EVERY, self.stage.settings.seed ^ member as u64);
-        set.rooms = rooms::all(members.len());
-        let hollow = Hollow::start(set, socket, place.region, member, self.common.clone())?;
-        self.tallies.push(hollow.tally.clone());
-        Ok(hollow)
+        (set.every, set.seed) = (subsystems::TIMER_INTERVAL, self.context.settings.seed ^ member as u64);
+        set.rooms = subsystems::all_enabled(members.len());
+        let simulated =
+            SimulatedDispatcher::start(set, socket, placement.region, member, self.shared.clone())?;
+        self.counters.push(simulated.counters.clone());
+        Ok(simulated)
     }
 
-    /// Divides hollow dispatchers and followers among the threads.
-    fn start_workers(&mut self, hollow: Vec<Hollow>, zones: &[String]) -> Result<(), Error> {
-        let sockets = self.stage.sockets;
-        self.followers = (sockets.followers * hollow.len() as f64) as usize;
-        let names = real::names(zones);
-        let mut members: Vec<Vec<Hollow>> = (0..sockets.threads).map(|_| Vec::new()).collect();
+    /// Distributes simulated dispatchers and followers among the threads.
+    fn start_workers(&mut self, simulated: Vec<SimulatedDispatcher>, zones: &[String]) -> Result<(), Error> {
+        let sockets = self.context.sockets;
+        self.followers = (sockets.follower_fraction * simulated.len() as f64) as usize;
+        let names = real::change_names(zones);
+        let mut members: Vec<Vec<SimulatedDispatcher>> = (0..sockets.threads).map(|_| Vec::new()).collect();
         let mut followers: Vec<Vec<Follower>> = (0..sockets.threads).map(|_| Vec::new()).collect();
-        for (place, member) in hollow.into_iter().enumerate() {
-            let thread = place % sockets.threads;
-            if place < self.followers {
-                let (at, shared) = (self.log.addresses[With::Hollow as usize], self.log.shared.clone());
-                let seed = self.stage.settings.seed ^ place as u64;
-                let follower = Follower::new(at, names.clone(), 1, shared, member.tally.clone(), seed);
+        for (index, member) in simulated.into_iter().enumerate() {
+            let thread = index % sockets.threads;
+            if index < self.followers {
+                let (address, shared) =
+                    (self.change_log.addresses[PeerKind::Simulated as usize], self.change_log.shared.clone());
+                let seed = self.context.settings.seed ^ index as u64;
+                let follower =
+                    Follower::new(address, names.clone(), 1, shared, member.counters.clone(), seed);
                 followers[thread].push(follower);
             }
             members[thread].push(member);
         }
         for (number, (members, followers)) in members.into_iter().zip(followers).enumerate() {
-            self.workers.push(Worker::start(number, members, followers, self.common.clone())?);
+            self.workers.push(Worker::start(number, members, followers, self.shared.clone())?);
         }
         Ok(())
     }
 
-    fn hollow_kb(&self) -> f64 {
-        let grown = process::resident_kb("self").saturating_sub(self.before_kb);
-        grown as f64 / self.tallies.len().max(1) as f64
+    fn simulated_kb(&self) -> f64 {
+        let grown = process::resident_kb("self").saturating_sub(self.base_resident_kb);
+        grown as f64 / self.counters.len().max(1) as f64
     }
 
-    fn read(&self, with: With) -> Vec<ByKind> {
-        self.tallies.iter().map(|tally| tally.read(with)).collect()
+    fn amounts(&self, peer: PeerKind) -> Vec<TrafficByKind> {
+        self.counters.iter().map(|counters| counters.amounts(peer)).collect()
     }
 
-    fn counted(&self) -> [Counted; 2] {
-        [With::Hollow, With::Real].map(|with| self.log.shared.counted(with))
+    fn change_log_traffic(&self) -> [LogTraffic; 2] {
+        [PeerKind::Simulated, PeerKind::Real].map(|peer| self.change_log.shared.traffic(peer))
     }
 
-    fn phase(&mut self, phase: &Phase) -> Result<PhaseResult, Error> {
-        let region = |name: &String| topology::region(&self.stage.settings.topology, name);
-        self.common.network.cut(phase.cut.as_ref().map(region));
-        self.common.wanting.store((phase.wanting * 1000.0) as u64, Relaxed);
-        self.log.shared.lost.store(phase.log_lost, Relaxed);
-        self.log.shared.tells.store(true, Relaxed);
-        let shared = self.log.shared.clone();
-        let (from, connections) = (shared.told.count(), shared.connections());
-        for what in [What::Purge, What::Configuration] {
-            // Those of the phase before are let go.
-            let _ = shared.told.delays(what, from, 0);
+    fn run_phase(&mut self, phase: &Phase) -> Result<PhaseResult, Error> {
+        let region = |name: &String| topology::region_index(&self.context.settings.topology, name);
+        self.shared.network.partition(phase.partitioned_region.as_ref().map(region));
+        self.shared.demanding_per_mille.store((phase.demanding_fraction * 1000.0) as u64, Relaxed);
+        self.change_log.shared.is_down.store(phase.is_log_down, Relaxed);
+        self.change_log.shared.is_publishing.store(true, Relaxed);
+        let shared = self.change_log.shared.clone();
+        let (from, connections) = (shared.propagation.change_count(), shared.connection_count());
+        for kind in [ChangeKind::Purge, ChangeKind::Configuration] {
+            // Discards deliveries of the previous phase.
+            let _ = shared.propagation.delays(kind, from, 0);
         }
         let before = Counts::read(self);
-        let (log_before, threads) = (self.counted(), process::threads("self"));
-        self.real.iter_mut().for_each(|real| drop(real.look()));
-        let begun = Instant::now();
-        self.pass(phase, begun)?;
-        let seconds = begun.elapsed().as_secs_f64();
+        let (log_before, threads) = (self.change_log_traffic(), process::thread_seconds("self"));
+        self.real.iter_mut().for_each(|real| drop(real.sample_usage()));
+        let start = Instant::now();
+        self.wait_and_inject(phase, start)?;
+        let seconds = start.elapsed().as_secs_f64();
         let after = Counts::read(self);
-        let core = process::parts(&threads, &process::threads("self"), seconds);
-        let of =
-            |name: &str| core.iter().filter(|(key, _)| key.starts_with(name)).map(|(_, part)| part).sum();
-        let log_after = self.counted();
+        let cores = process::cores_used(&threads, &process::thread_seconds("self"), seconds);
+        let cores_of =
+            |name: &str| cores.iter().filter(|(key, _)| key.starts_with(name)).map(|(_, used)| used).sum();
+        let log_after = self.change_log_traffic();
         let rates = Rates::new(before, after, log_before, log_after, seconds);
         let followers = self.followers as u32;
-        let (hollow, real) = (self.tallies.len(), self.real.len());
+        let (simulated, real) = (self.counters.len(), self.real.len());
         Ok(PhaseResult {
             name: phase.name.clone(),
-            settling: phase.settling,
+            is_settling: phase.is_settling,
             seconds,
-            hollow: rates.hollow_mean(self.followers),
-            real: rates.real_mean(hollow, real),
-            hollow_median: rates.hollow_median(self.followers, hollow, real),
-            real_median: rates.real_median(hollow, real),
-            hollow_most: rates.hollow_most(),
-            real_used: self.real.iter_mut().map(Real::look).collect(),
-            hollow_core: of(pool::THREAD),
-            log_core: of(changelog::THREAD),
-            log: rates.log_sum(),
-            log_connections: shared.connections() - connections,
-            purges: shared.told.delays(What::Purge, from, followers),
-            configurations: shared.told.delays(What::Configuration, from, followers),
+            simulated_mean: rates.simulated_mean(self.followers),
+            real_mean: rates.real_mean(simulated, real),
+            simulated_median: rates.simulated_median(self.followers, simulated, real),
+            real_median: rates.real_median(simulated, real),
+            simulated_max: rates.simulated_max(),
+            real_usage: self.real.iter_mut().map(RealDispatcher::sample_usage).collect(),
+            simulated_cores: cores_of(pool::THREAD_PREFIX),
+            change_log_cores: cores_of(changelog::THREAD_NAME),
+            change_log: rates.log_sum(),
+            change_log_connections: shared.connection_count() - connections,
+            purges: shared.propagation.delays(ChangeKind::Purge, from, followers),
+            configurations: shared.propagation.delays(ChangeKind::Configuration, from, followers),
         })
     }
 
-    /// Until the phase is over, with made-up findings at their rate.
-    fn pass(&mut self, phase: &Phase, begun: Instant) -> Result<(), Error> {
-        let whole = lasts_s(phase, self.stage.size);
-        let lasts = Duration::from_secs_f64(whole);
-        let (mut found, mut next_line) = (0u64, Duration::ZERO);
-        while begun.elapsed() < lasts {
-            std::thread::sleep(LOOK.min(lasts.saturating_sub(begun.elapsed())));
-            while (found as f64) < phase.findings_per_s * begun.elapsed().as_secs_f64() {
-                found += 1;
-                self.find();
+    /// Waits until the phase is over and injects synthetic findings at its rate.
+    fn wait_and_inject(&mut self, phase: &Phase, start: Instant) -> Result<(), Error> {
+        let duration = duration_s(phase, self.context.size);
+        let timeout = Duration::from_secs_f64(duration);
+        let (mut injected, mut next_progress) = (0u64, Duration::ZERO);
+        while start.elapsed() < timeout {
+            std::thread::sleep(CHECK_INTERVAL.min(timeout.saturating_sub(start.elapsed())));
+            while (injected as f64) < phase.findings_per_s * start.elapsed().as_secs_f64() {
+                injected += 1;
+                self.inject_finding();
             }
-            if begun.elapsed() >= next_line {
-                next_line += Duration::from_secs(1);
-                let (size, at) = (self.stage.size, begun.elapsed().as_secs());
-                (self.stage.progress)(&format!("{size} dispatchers: {} {at} of {whole:.0} s", phase.name));
-                self.is_within()?;
+            if start.elapsed() >= next_progress {
+                next_progress += Duration::from_secs(1);
+                let (size, elapsed) = (self.context.size, start.elapsed().as_secs());
+                (self.context.progress)(&format!(
+                    "{size} dispatchers: {}, {elapsed} of {duration:.0} s",
+                    phase.name
+                ));
+                self.check_limits()?;
             }
         }
         Ok(())
     }
 
-    fn find(&mut self) {
-        let worker = self.chance.gen_range(0..self.workers.len());
-        let Worker { finds, members, .. } = &self.workers[worker];
-        if *members > 0 {
-            let member = self.chance.gen_range(0..*members);
-            let host = self.chance.gen_range(0..self.common.hosts.max(1)) as u64;
-            let _ = finds.send((member, host));
+    fn inject_finding(&mut self) {
+        let worker = self.rng.gen_range(0..self.workers.len());
+        let Worker { findings, member_count, .. } = &self.workers[worker];
+        if *member_count > 0 {
+            let member = self.rng.gen_range(0..*member_count);
+            let host = self.rng.gen_range(0..self.shared.host_count.max(1)) as u64;
+            let _ = findings.send((member, host));
         }
     }
 
-    fn is_within(&mut self) -> Result<(), Error> {
-        self.real.iter_mut().try_for_each(Real::is_well)?;
-        let most = self.stage.settings.bounds.memory_mb;
-        let found = process::resident_kb("self") >> 10;
-        if found > most {
-            return Err(Error::Bound { bound: "memory_mb", found, most, remedy: "set smaller `sizes`" });
+    fn check_limits(&mut self) -> Result<(), Error> {
+        self.real.iter_mut().try_for_each(RealDispatcher::check_running)?;
+        let limit = self.context.settings.bounds.memory_mb;
+        let resident = process::resident_kb("self") >> 10;
+        if resident > limit {
+            return Err(Error::BoundExceeded {
+                bound: "memory_mb",
+                value: resident,
+                limit,
+                remedy: "set smaller `sizes`",
+            });
         }
         Ok(())
     }
 
-    fn end(mut self) -> bool {
-        self.common.ended.store(true, Relaxed);
-        let all: Vec<bool> = self.real.drain(..).map(Real::end).collect();
-        all.into_iter().all(|well| well)
+    fn stop(mut self) -> bool {
+        self.shared.is_stopping.store(true, Relaxed);
+        let clean_exits: Vec<bool> = self.real.drain(..).map(RealDispatcher::stop).collect();
+        clean_exits.into_iter().all(|is_clean| is_clean)
     }
 }
 
-/// What went so far.
+/// Traffic counted so far.
 struct Counts {
-    /// By hollow dispatcher: with hollow ones, and with real ones.
-    with: [Vec<ByKind>; 2],
-    /// By real one, with hollow ones.
-    real: Vec<ByKind>,
+    /// Per simulated dispatcher: with simulated and with real ones.
+    with: [Vec<TrafficByKind>; 2],
+    /// Per real dispatcher, with simulated ones.
+    real: Vec<TrafficByKind>,
 }
 
 impl Counts {
     fn read(run: &Run) -> Counts {
-        let with = [With::Hollow, With::Real].map(|with| run.read(with));
-        Counts { with, real: run.common.real.iter().map(|tally| tally.read(With::Hollow)).collect() }
+        let with = [PeerKind::Simulated, PeerKind::Real].map(|peer| run.amounts(peer));
+        Counts {
+            with,
+            real: run
+                .shared
+                .real_counters
+                .iter()
+                .map(|counters| counters.amounts(PeerKind::Simulated))
+                .collect(),
+        }
     }
 }
 
-/// What went a second in a phase.
+/// Traffic per second in a phase.
 struct Rates {
-    /// By hollow dispatcher: with hollow ones, and with real ones.
-    with: [Vec<ByKind>; 2],
-    /// By real one, with hollow ones.
-    real: Vec<ByKind>,
-    /// What the log got and sent a second, from and to hollow and real ones.
-    log: [Counted; 2],
+    /// Per simulated dispatcher: with simulated and with real ones.
+    with: [Vec<TrafficByKind>; 2],
+    /// Per real dispatcher, with simulated ones.
+    real: Vec<TrafficByKind>,
+    /// Traffic of the change log with simulated and with real dispatchers.
+    log: [LogTraffic; 2],
 }
 
 fn rate(before: Amount, after: Amount, seconds: f64) -> Amount {
-    (after - before).times(1.0 / seconds)
+    (after - before).scaled_by(1.0 / seconds)
 }
 
-fn sum(all: &[ByKind]) -> ByKind {
-    all.iter().fold(ByKind::default(), |sum, one| each(&sum, one, |a, b| a + b))
+fn sum(all: &[TrafficByKind]) -> TrafficByKind {
+    all.iter().fold(TrafficByKind::default(), |sum, one| zip_with(&sum, one, |a, b| a + b))
 }
 
-/// The median of each entry.
-fn median(all: &[ByKind]) -> ByKind {
-    let of = |of: &dyn Fn(&ByKind) -> f64| {
-        let mut all: Vec<f64> = all.iter().map(of).collect();
+/// Median entry by entry.
+fn median(all: &[TrafficByKind]) -> TrafficByKind {
+    let median_of = |metric: &dyn Fn(&TrafficByKind) -> f64| {
+        let mut all: Vec<f64> = all.iter().map(metric).collect();
         all.sort_by(f64::total_cmp);
         all.get(all.len() / 2).copied().unwrap_or(0.0)
     };
-    let entry = |way: usize, kind: usize| Amount {
-        messages: of(&|one| one[way][kind].messages),
-        bytes: of(&|one| one[way][kind].bytes),
+    let entry = |direction: usize, kind: usize| Amount {
+        messages: median_of(&|one| one[direction][kind].messages),
+        bytes: median_of(&|one| one[direction][kind].bytes),
     };
-    [0, 1].map(|way| std::array::from_fn(|kind| entry(way, kind)))
+    [0, 1].map(|direction| std::array::from_fn(|kind| entry(direction, kind)))
 }
 
-/// What a real one exchanges with all, over what it exchanges with hollow ones.
-fn of_all(hollow: usize, real: usize) -> f64 {
-    (hollow + real).saturating_sub(1) as f64 / hollow.max(1) as f64
+/// Factor from a real dispatcher's traffic with simulated ones to its traffic with all.
+fn all_peers_factor(simulated: usize, real: usize) -> f64 {
+    (simulated + real).saturating_sub(1) as f64 / simulated.max(1) as f64
 }
 
 impl Rates {
     fn new(
         before: Counts,
         after: Counts,
-        log_before: [Counted; 2],
-        log_after: [Counted; 2],
+        log_before: [LogTraffic; 2],
+        log_after: [LogTraffic; 2],
         seconds: f64,
     ) -> Rates {
-        let of = |before: &[ByKind], after: &[ByKind]| {
+        let rates = |before: &[TrafficByKind], after: &[TrafficByKind]| {
             let pairs = before.iter().zip(after);
-            pairs.map(|(before, after)| each(before, after, |a, b| rate(a, b, seconds))).collect()
+            pairs.map(|(before, after)| zip_with(before, after, |a, b| rate(a, b, seconds))).collect()
         };
-        let log = |place: usize| Counted {
-            requests: rate(log_before[place].requests, log_after[place].requests, seconds),
-            answers: rate(log_before[place].answers, log_after[place].answers, seconds),
+        let log = |index: usize| LogTraffic {
+            requests: rate(log_before[index].requests, log_after[index].requests, seconds),
+            answers: rate(log_before[index].answers, log_after[index].answers, seconds),
         };
-        let with = [0, 1].map(|place| of(&before.with[place], &after.with[place]));
-        Rates { with, real: of(&before.real, &after.real), log: [log(0), log(1)] }
+        let with = [0, 1].map(|index| rates(&before.with[index], &after.with[index]));
+        Rates { with, real: rates(&before.real, &after.real), log: [log(0), log(1)] }
     }
 
-    /// The change log's entries, of one of so many followers.
-    fn with_log(&self, mut all: ByKind, with: With, followers: usize) -> ByKind {
-        let each = 1.0 / followers.max(1) as f64;
+    /// Fills in the change log's entries as the mean over `followers`.
+    fn with_log(&self, mut all: TrafficByKind, with: PeerKind, followers: usize) -> TrafficByKind {
+        let per_follower = 1.0 / followers.max(1) as f64;
         let log = &self.log[with as usize];
-        (all[0][CHANGE_LOG], all[1][CHANGE_LOG]) = (log.requests.times(each), log.answers.times(each));
+        (all[0][CHANGE_LOG_KIND], all[1][CHANGE_LOG_KIND]) =
+            (log.requests.scaled_by(per_follower), log.answers.scaled_by(per_follower));
         all
     }
 
-    fn hollow_mean(&self, followers: usize) -> ByKind {
-        let both = each(&sum(&self.with[0]), &sum(&self.with[1]), |a, b| a + b);
-        self.with_log(scaled(&both, 1.0 / self.with[0].len().max(1) as f64), With::Hollow, followers)
+    fn simulated_mean(&self, followers: usize) -> TrafficByKind {
+        let both = zip_with(&sum(&self.with[0]), &sum(&self.with[1]), |a, b| a + b);
+        self.with_log(scaled(&both, 1.0 / self.with[0].len().max(1) as f64), PeerKind::Simulated, followers)
     }
 
-    /// By what hollow ones exchanged with them, which is all but what real ones exchange with each other.
-    fn real_mean(&self, hollow: usize, real: usize) -> ByKind {
-        let seen = scaled(&sum(&self.real), 1.0 / real.max(1) as f64);
-        self.with_log(scaled(&seen, of_all(hollow, real)), With::Real, real)
+    /// Extrapolated from traffic with simulated dispatchers, since traffic among real ones isn't counted.
+    fn real_mean(&self, simulated: usize, real: usize) -> TrafficByKind {
+        let with_simulated = scaled(&sum(&self.real), 1.0 / real.max(1) as f64);
+        self.with_log(scaled(&with_simulated, all_peers_factor(simulated, real)), PeerKind::Real, real)
     }
 
-    fn real_median(&self, hollow: usize, real: usize) -> ByKind {
-        self.with_log(scaled(&median(&self.real), of_all(hollow, real)), With::Real, real)
+    fn real_median(&self, simulated: usize, real: usize) -> TrafficByKind {
+        self.with_log(scaled(&median(&self.real), all_peers_factor(simulated, real)), PeerKind::Real, real)
     }
 
-    fn hollow_median(&self, followers: usize, hollow: usize, real: usize) -> ByKind {
-        let found = median(&self.with[0]);
-        let whole = (hollow + real).saturating_sub(1) as f64 / hollow.saturating_sub(1).max(1) as f64;
-        self.with_log(scaled(&found, whole), With::Hollow, followers)
+    fn simulated_median(&self, followers: usize, simulated: usize, real: usize) -> TrafficByKind {
+        let among_simulated = median(&self.with[0]);
+        let factor = (simulated + real).saturating_sub(1) as f64 / simulated.saturating_sub(1).max(1) as f64;
+        self.with_log(scaled(&among_simulated, factor), PeerKind::Simulated, followers)
     }
 
-    fn hollow_most(&self) -> ByKind {
-        let all = self.with[0].iter().zip(&self.with[1]).map(|(a, b)| each(a, b, |a, b| a + b));
-        let most = |a: Amount, b: Amount| Amount {
+    fn simulated_max(&self) -> TrafficByKind {
+        let all = self.with[0].iter().zip(&self.with[1]).map(|(a, b)| zip_with(a, b, |a, b| a + b));
+        let max = |a: Amount, b: Amount| Amount {
             messages: a.messages.max(b.messages),
             bytes: a.bytes.max(b.bytes),
         };
-        all.fold(ByKind::default(), |found, one| each(&found, &one, most))
+        all.fold(TrafficByKind::default(), |highest, one| zip_with(&highest, &one, max))
     }
 
-    fn log_sum(&self) -> Counted {
-        let [hollow, real] = self.log;
-        Counted { requests: hollow.requests + real.requests, answers: hollow.answers + real.answers }
+    fn log_sum(&self) -> LogTraffic {
+        let [simulated, real] = self.log;
+        LogTraffic { requests: simulated.requests + real.requests, answers: simulated.answers + real.answers }
     }
 }
 
-/// By how much the median real dispatcher's messages and bytes differ from the median hollow one's, as a part, over both
-/// ways of all kinds of the link.
+/// Relative difference of the median real dispatcher from the median simulated one, over both directions of
+/// all link messages.
 pub fn difference(phase: &PhaseResult) -> Amount {
-    let sum = |all: &ByKind| {
-        let link = all.iter().flat_map(|way| way[..CHANGE_LOG].iter());
+    let sum = |all: &TrafficByKind| {
+        let link = all.iter().flat_map(|direction| direction[..CHANGE_LOG_KIND].iter());
         link.fold(Amount::default(), |sum, one| sum + *one)
     };
-    let (hollow, real) = (sum(&phase.hollow_median), sum(&phase.real_median));
+    let (simulated, real) = (sum(&phase.simulated_median), sum(&phase.real_median));
     Amount {
-        messages: real.messages / hollow.messages.max(f64::EPSILON) - 1.0,
-        bytes: real.bytes / hollow.bytes.max(f64::EPSILON) - 1.0,
+        messages: real.messages / simulated.messages.max(f64::EPSILON) - 1.0,
+        bytes: real.bytes / simulated.bytes.max(f64::EPSILON) - 1.0,
     }
 }
 
-const _: () = assert!(CHANGE_LOG + 1 == KINDS.len());
+const _: () = assert!(CHANGE_LOG_KIND + 1 == KIND_NAMES.len());
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -1,61 +1,60 @@
-//! The settings file of a run: Jsonnet, as the operators' own file, decoded by types that know every key.
+//! Settings of a run: a Jsonnet file, decoded strictly (unknown keys are errors) and validated.
 use crate::error::Error;
-use crate::processes::settings::{self as processes, ProcessesPlay, Timed, What};
+use crate::processes::settings::{self as processes, FaultKind, ProcessesRun, TimedFault};
 use serde::Deserialize;
 use serde_json::Value;
 use std::path::Path;
 
-/// The most dispatchers of a run on sockets: as many as the link between members lists.
-pub const MEMBERS_MOST: usize = cherrypass_peers::MEMBERS;
-/// The most dispatchers of a run in virtual time.
-pub const VIRTUAL_MOST: usize = 4_096;
-/// The most followers of a delivery in virtual time.
-const FOLLOWERS_MOST: f64 = 65_536.0;
-/// And on sockets: each has one of this process's descriptors.
-const ON_SOCKETS_MOST: f64 = 3_500.0;
-/// What all have to be complete and proven again takes this long after the last fault, in seconds.
-const HEALED_S: f64 = 5.0;
-/// The most hosts of a list.
-const HOSTS_MOST: usize = 4_096;
-/// The longest phase and the longest run, in seconds.
-const PHASE_MOST_S: f64 = 600.0;
-const RUN_MOST_S: f64 = 3_600.0;
-/// A location is one byte on the link.
-pub const ZONES_MOST: usize = 256;
-/// The highest rate of events that the stand-in change log keeps up with, a second.
-const RATE_MOST: f64 = 10_000.0;
+/// Most dispatchers of a run on sockets; the limit of the link's member list.
+pub const MAX_SOCKET_DISPATCHERS: usize = cherrypass_peers::MEMBERS;
+/// Most dispatchers of a run in virtual time.
+pub const MAX_VIRTUAL_DISPATCHERS: usize = 4_096;
+/// Most followers of a delivery run in virtual time.
+const MAX_VIRTUAL_FOLLOWERS: f64 = 65_536.0;
+/// Most followers on sockets; each takes a file descriptor of this process.
+const MAX_SOCKET_FOLLOWERS: f64 = 3_500.0;
+/// Time after the last fault by which all followers must be complete and proven, in seconds.
+const RECOVERY_S: f64 = 5.0;
+const MAX_HOSTS: usize = 4_096;
+/// Longest phase and longest run, in seconds.
+const MAX_PHASE_S: f64 = 600.0;
+const MAX_RUN_S: f64 = 3_600.0;
+/// Most zones; a location is one byte on the link.
+pub const MAX_ZONES: usize = 256;
+/// Highest rate of changes per second that the change log server sustains.
+const MAX_CHANGES_PER_S: f64 = 10_000.0;
 
-/// All that a run is told.
+/// All settings of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     #[serde(default)]
     pub seed: u64,
-    /// Where dispatchers are.
+    /// Where dispatchers are placed.
     pub topology: Topology,
-    /// Dispatchers on sockets; none: no run on sockets.
+    /// Runs on sockets; `None` skips them.
     #[serde(default)]
-    pub sockets: Option<Sockets>,
-    /// Plays in virtual time.
+    pub sockets: Option<SocketRuns>,
+    /// Fleet runs in virtual time.
     #[serde(default, rename = "virtual")]
-    pub virtually: Vec<Virtual>,
-    /// Plays of the delivery of changes in virtual time.
+    pub virtual_runs: Vec<VirtualRun>,
+    /// Runs of the delivery of changes in virtual time.
     #[serde(default)]
-    pub delivery: Vec<DeliveryPlay>,
-    /// The delivery of changes between processes with faults.
+    pub delivery: Vec<DeliveryRun>,
+    /// Runs of the delivery of changes between processes, with faults.
     #[serde(default)]
-    pub processes: Vec<ProcessesPlay>,
-    /// Numbers of members at which state is weighed.
+    pub processes: Vec<ProcessesRun>,
+    /// Fleet sizes at which heap usage is measured.
     #[serde(default)]
     pub state: Vec<usize>,
-    /// What decisions cost; none: they are not timed.
+    /// Measurement of decisions; `None` skips it.
     #[serde(default)]
-    pub decisions: Option<Decisions>,
+    pub decisions: Option<DecisionRuns>,
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// Regions, their zones, and the sites in those.
+/// Regions, their zones, and the sites in these.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
@@ -64,6 +63,7 @@
     pub sites: Vec<Site>,
 }
 
+/// A zone and its region.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
@@ -71,6 +71,7 @@
     pub region: String,
 }
 
+/// A site and its zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
@@ -78,123 +79,140 @@
     pub zone: String,
 }
 
+/// Runs on sockets, one per fleet size.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sockets {
-    /// Numbers of dispatchers, hollow and real together; one run each.
+pub struct SocketRuns {
+    /// Fleet sizes, simulated and real dispatchers together; one run each.
     pub sizes: Vec<usize>,
-    /// Lines are fitted on sizes up to this one; the others are checks of them.
+    /// Lines are fitted to sizes up to this one; larger ones check the fit.
     pub fit_to: usize,
-    /// Real ones among them.
-    pub real: usize,
-    /// Threads that all hollow dispatchers share.
+    /// Real dispatchers in each run.
+    #[serde(rename = "real")]
+    pub real_dispatchers: usize,
+    /// Threads shared by all simulated dispatchers.
     pub threads: usize,
-    /// The part of the hollow dispatchers that follow the change log too.
-    pub followers: f64,
-    /// Where real dispatchers and the change log listen, one port after the other; none: free ones are looked for.
+    /// Fraction of the simulated dispatchers that follow the change log.
+    #[serde(rename = "followers")]
+    pub follower_fraction: f64,
+    /// First of the consecutive ports for the change log and real dispatchers; `None` takes free ones.
     #[serde(default)]
     pub first_port: Option<u16>,
-    pub load: Load,
+    pub load: ChangeLoad,
     pub phases: Vec<Phase>,
 }
 
-/// What the stand-in change log tells.
+/// Rates and sizes of the changes that the change log server publishes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Load {
+pub struct ChangeLoad {
     pub purges_per_s: f64,
     pub configurations_per_day: f64,
-    /// Bytes of one configuration's text.
+    /// Text bytes of one configuration.
     pub configuration_bytes: usize,
     pub list_changes_per_day: f64,
-    /// Hosts of the list.
+    /// Number of listed hosts.
     pub hosts: usize,
 }
 
-/// A part of a run; its counts are told apart.
+/// A phase of a run, counted separately.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
     pub name: String,
     pub seconds: f64,
-    /// It lasts longer where the news of all starts goes round for longer, and its figures are no quiet ones.
+    /// Extends the phase until membership news of all starts has spread; its figures aren't those of a quiet
+    /// fleet.
     #[serde(default)]
-    pub settling: bool,
-    /// Findings on hosts a second, of all hollow dispatchers together.
+    #[serde(rename = "settling")]
+    pub is_settling: bool,
+    /// Findings about hosts per second, over all simulated dispatchers.
     #[serde(default)]
     pub findings_per_s: f64,
-    /// What part of the hollow ones wants more of the limits than its share.
+    /// Fraction of the simulated dispatchers that ask for more than their share of the limits.
     #[serde(default)]
-    pub wanting: f64,
-    /// The region that the others can't be reached from.
+    #[serde(rename = "wanting")]
+    pub demanding_fraction: f64,
+    /// A region to partition from the others.
     #[serde(default)]
-    pub cut: Option<String>,
-    /// The change log's machine is lost.
+    #[serde(rename = "cut")]
+    pub partitioned_region: Option<String>,
+    /// The change log is down.
     #[serde(default)]
-    pub log_lost: bool,
+    #[serde(rename = "log_lost")]
+    pub is_log_down: bool,
 }
 
+/// A fleet run in virtual time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Virtual {
+pub struct VirtualRun {
     pub size: usize,
-    /// Sources that the feed takes, in place of its own bound; none: as the program has it.
+    /// Overrides the feed's limit of sources; `None` keeps the program's own.
     #[serde(default)]
     pub feed_sources: Option<usize>,
     pub settle_s: f64,
     pub seconds: f64,
 }
 
-/// Carriers and followers before a change log.
+/// A run with carriers and followers of one change log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DeliveryPlay {
+pub struct DeliveryRun {
     pub carriers: usize,
     pub followers: usize,
-    pub followers_a_carrier: usize,
+    #[serde(rename = "followers_a_carrier")]
+    pub max_followers_per_carrier: usize,
     pub purges_per_s: f64,
     pub configurations_per_day: f64,
     pub configuration_bytes: usize,
-    /// The part of the messages that is lost, and how long they take at least and at most.
-    pub lost: f64,
+    /// Fraction of messages lost, and the least and greatest delay of the others.
+    #[serde(rename = "lost")]
+    pub loss_rate: f64,
     pub delay_ms: [u64; 2],
     pub phases: Vec<DeliveryPhase>,
-    /// Seconds that are counted on sockets as well, without losses and delays of its own; none: virtual time alone.
+    /// Seconds to count on sockets as well, without simulated loss or delay; `None`: virtual time only.
     #[serde(default)]
-    pub on_sockets_s: Option<f64>,
+    #[serde(rename = "on_sockets_s")]
+    pub socket_seconds: Option<f64>,
 }
 
-/// What happens at its begin and is over at its end; parts of all.
+/// Faults of a delivery phase, undone at its end; numbers are fractions of all carriers or followers.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeliveryPhase {
     pub name: String,
     pub seconds: f64,
-    /// Carriers that are gone.
+    /// Carriers that are down.
     #[serde(default)]
-    pub carriers_lost: f64,
-    /// Followers that reach no carrier.
+    #[serde(rename = "carriers_lost")]
+    pub carriers_down: f64,
+    /// Followers that can reach no carrier.
     #[serde(default)]
-    pub followers_cut: f64,
-    /// Followers that start anew at its begin.
+    #[serde(rename = "followers_cut")]
+    pub followers_partitioned: f64,
+    /// Followers that restart at its beginning.
     #[serde(default)]
-    pub restarted: f64,
-    /// Nobody reaches the change log.
+    #[serde(rename = "restarted")]
+    pub followers_restarted: f64,
+    /// The change log is unreachable.
     #[serde(default)]
-    pub log_lost: bool,
+    #[serde(rename = "log_lost")]
+    pub is_log_down: bool,
 }
 
+/// Measurements of decisions, for all combinations of hosts and locations.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Decisions {
-    /// Numbers of hosts.
+pub struct DecisionRuns {
+    /// Host counts.
     pub hosts: Vec<usize>,
-    /// Over how many locations they are spread, the dispatcher's own one among them.
+    /// Numbers of locations that the hosts are spread over, the dispatcher's own included.
     pub locations: Vec<usize>,
     pub visits: u32,
 }
 
-/// What a run may use; one that would pass it does not start.
+/// Resource bounds; a run that would exceed them does not start.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
@@ -208,138 +226,153 @@
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn load(path: &Path) -> Result<Settings, Error> {
     decode(&path.display().to_string(), cherrypass_operator::evaluate(path)?)
 }
 
-/// Decodes and checks evaluated settings; `file` is named where they can't be used.
+/// Decodes and validates evaluated settings; `file` is the name used in errors.
 pub fn decode(file: &str, value: Value) -> Result<Settings, Error> {
-    let bad = |path: String, what: String| Error::Settings { file: file.to_owned(), path, what };
+    let invalid = |path: String, problem: String| Error::Settings { file: file.to_owned(), path, problem };
     let settings: Settings = serde_path_to_error::deserialize(value)
-        .map_err(|error| bad(error.path().to_string(), error.into_inner().to_string()))?;
-    settings.check().map_err(|(path, what)| bad(path, what))?;
+        .map_err(|error| invalid(error.path().to_string(), error.into_inner().to_string()))?;
+    settings.validate().map_err(|(path, problem)| invalid(path, problem))?;
     Ok(settings)
 }
 
-type Checked = Result<(), (String, String)>;
+type Validation = Result<(), (String, String)>;
 
-fn within(path: String, found: f64, least: f64, most: f64) -> Checked {
-    match (least..=most).contains(&found) {
+fn check_range(path: String, value: f64, min: f64, max: f64) -> Validation {
+    match (min..=max).contains(&value) {
         true => Ok(()),
-        false => Err((path, format!("{found} is not within {least} and {most}; give a number that is"))),
+        false => Err((path, format!("{value} is not between {min} and {max}"))),
     }
 }
 
 impl Settings {
-    fn check(&self) -> Checked {
-        self.topology.check()?;
+    fn validate(&self) -> Validation {
+        self.topology.validate()?;
         if let Some(sockets) = &self.sockets {
-            sockets.check(&self.topology)?;
+            sockets.validate(&self.topology)?;
         }
-        for (at, play) in self.virtually.iter().enumerate() {
-            let most = VIRTUAL_MOST as f64;
-            within(format!("virtual[{at}].size"), play.size as f64, 3.0, most)?;
-            if let Some(sources) = play.feed_sources {
-                within(format!("virtual[{at}].feed_sources"), sources as f64, 3.0, most)?;
+        for (index, run) in self.virtual_runs.iter().enumerate() {
+            let max = MAX_VIRTUAL_DISPATCHERS as f64;
+            check_range(format!("virtual[{index}].size"), run.size as f64, 3.0, max)?;
+            if let Some(sources) = run.feed_sources {
+                check_range(format!("virtual[{index}].feed_sources"), sources as f64, 3.0, max)?;
             }
-            within(format!("virtual[{at}].settle_s"), play.settle_s, 0.0, PHASE_MOST_S)?;
-            within(format!("virtual[{at}].seconds"), play.seconds, 1.0, PHASE_MOST_S)?;
+            check_range(format!("virtual[{index}].settle_s"), run.settle_s, 0.0, MAX_PHASE_S)?;
+            check_range(format!("virtual[{index}].seconds"), run.seconds, 1.0, MAX_PHASE_S)?;
         }
-        for (at, play) in self.delivery.iter().enumerate() {
-            play.check(&format!("delivery[{at}]"))?;
+        for (index, run) in self.delivery.iter().enumerate() {
+            run.validate(&format!("delivery[{index}]"))?;
         }
-        for (at, play) in self.processes.iter().enumerate() {
-            play.check(&format!("processes[{at}]"))?;
+        for (index, run) in self.processes.iter().enumerate() {
+            run.validate(&format!("processes[{index}]"))?;
         }
-        for (at, size) in self.state.iter().enumerate() {
-            within(format!("state[{at}]"), *size as f64, 3.0, VIRTUAL_MOST as f64)?;
+        for (index, size) in self.state.iter().enumerate() {
+            check_range(format!("state[{index}]"), *size as f64, 3.0, MAX_VIRTUAL_DISPATCHERS as f64)?;
         }
         if let Some(decisions) = &self.decisions {
-            for (at, hosts) in decisions.hosts.iter().enumerate() {
-                within(format!("decisions.hosts[{at}]"), *hosts as f64, 1.0, HOSTS_MOST as f64)?;
+            for (index, hosts) in decisions.hosts.iter().enumerate() {
+                check_range(format!("decisions.hosts[{index}]"), *hosts as f64, 1.0, MAX_HOSTS as f64)?;
             }
-            for (at, locations) in decisions.locations.iter().enumerate() {
-                within(format!("decisions.locations[{at}]"), *locations as f64, 1.0, ZONES_MOST as f64)?;
+            for (index, locations) in decisions.locations.iter().enumerate() {
+                check_range(
+                    format!("decisions.locations[{index}]"),
+                    *locations as f64,
+                    1.0,
+                    MAX_ZONES as f64,
+                )?;
             }
-            within("decisions.visits".into(), f64::from(decisions.visits), 100.0, 1e7)?;
+            check_range("decisions.visits".into(), f64::from(decisions.visits), 100.0, 1e7)?;
         }
         Ok(())
     }
 }
 
-impl DeliveryPlay {
-    fn check(&self, path: &str) -> Checked {
-        within(format!("{path}.carriers"), self.carriers as f64, 1.0, MEMBERS_MOST as f64)?;
-        within(format!("{path}.followers"), self.followers as f64, 1.0, FOLLOWERS_MOST)?;
-        within(format!("{path}.purges_per_s"), self.purges_per_s, 0.0, RATE_MOST)?;
-        within(
+impl DeliveryRun {
+    fn validate(&self, path: &str) -> Validation {
+        check_range(format!("{path}.carriers"), self.carriers as f64, 1.0, MAX_SOCKET_DISPATCHERS as f64)?;
+        check_range(format!("{path}.followers"), self.followers as f64, 1.0, MAX_VIRTUAL_FOLLOWERS)?;
+        check_range(format!("{path}.purges_per_s"), self.purges_per_s, 0.0, MAX_CHANGES_PER_S)?;
+        check_range(
             format!("{path}.configurations_per_day"),
             self.configurations_per_day,
             0.0,
-            RATE_MOST * 86_400.0,
+            MAX_CHANGES_PER_S * 86_400.0,
         )?;
-        within(format!("{path}.configuration_bytes"), self.configuration_bytes as f64, 0.0, 65_536.0)?;
-        within(format!("{path}.lost"), self.lost, 0.0, 1.0)?;
-        within(format!("{path}.delay_ms[1]"), self.delay_ms[1] as f64, self.delay_ms[0] as f64, 60_000.0)?;
-        if let Some(seconds) = self.on_sockets_s {
-            within(format!("{path}.on_sockets_s"), seconds, 1.0, PHASE_MOST_S)?;
-            within(format!("{path}.followers"), self.followers as f64, 1.0, ON_SOCKETS_MOST)?;
+        check_range(format!("{path}.configuration_bytes"), self.configuration_bytes as f64, 0.0, 65_536.0)?;
+        check_range(format!("{path}.lost"), self.loss_rate, 0.0, 1.0)?;
+        check_range(
+            format!("{path}.delay_ms[1]"),
+            self.delay_ms[1] as f64,
+            self.delay_ms[0] as f64,
+            60_000.0,
+        )?;
+        if let Some(seconds) = self.socket_seconds {
+            check_range(format!("{path}.on_sockets_s"), seconds, 1.0, MAX_PHASE_S)?;
+            check_range(format!("{path}.followers"), self.followers as f64, 1.0, MAX_SOCKET_FOLLOWERS)?;
         }
-        for (at, phase) in self.phases.iter().enumerate() {
-            let path = format!("{path}.phases[{at}]");
-            within(format!("{path}.seconds"), phase.seconds, 1.0, PHASE_MOST_S)?;
-            within(format!("{path}.carriers_lost"), phase.carriers_lost, 0.0, 1.0)?;
-            within(format!("{path}.followers_cut"), phase.followers_cut, 0.0, 1.0)?;
-            within(format!("{path}.restarted"), phase.restarted, 0.0, 1.0)?;
+        for (index, phase) in self.phases.iter().enumerate() {
+            let path = format!("{path}.phases[{index}]");
+            check_range(format!("{path}.seconds"), phase.seconds, 1.0, MAX_PHASE_S)?;
+            check_range(format!("{path}.carriers_lost"), phase.carriers_down, 0.0, 1.0)?;
+            check_range(format!("{path}.followers_cut"), phase.followers_partitioned, 0.0, 1.0)?;
+            check_range(format!("{path}.restarted"), phase.followers_restarted, 0.0, 1.0)?;
         }
         Ok(())
     }
 }
 
-impl ProcessesPlay {
-    fn check(&self, path: &str) -> Checked {
-        within(format!("{path}.carriers"), self.carriers as f64, 1.0, MEMBERS_MOST as f64)?;
-        within(format!("{path}.followers"), self.followers as f64, 1.0, ON_SOCKETS_MOST)?;
-        within(format!("{path}.processes"), self.processes as f64, 1.0, self.followers as f64)?;
-        within(format!("{path}.followers_a_carrier"), self.followers_a_carrier as f64, 1.0, FOLLOWERS_MOST)?;
-        within(format!("{path}.fallback_ms"), self.fallback_ms as f64, 1_000.0, 3_600_000.0)?;
-        within(format!("{path}.purges_per_s"), self.purges_per_s, 0.0, RATE_MOST)?;
-        within(format!("{path}.seconds"), self.seconds, 1.0, PHASE_MOST_S)?;
-        for (at, timed) in self.faults.iter().enumerate() {
-            self.check_fault(&format!("{path}.faults[{at}]"), timed)?;
+impl ProcessesRun {
+    fn validate(&self, path: &str) -> Validation {
+        check_range(format!("{path}.carriers"), self.carriers as f64, 1.0, MAX_SOCKET_DISPATCHERS as f64)?;
+        check_range(format!("{path}.followers"), self.followers as f64, 1.0, MAX_SOCKET_FOLLOWERS)?;
+        check_range(format!("{path}.processes"), self.processes as f64, 1.0, self.followers as f64)?;
+        check_range(
+            format!("{path}.followers_a_carrier"),
+            self.max_followers_per_carrier as f64,
+            1.0,
+            MAX_VIRTUAL_FOLLOWERS,
+        )?;
+        check_range(format!("{path}.fallback_ms"), self.fallback_ms as f64, 1_000.0, 3_600_000.0)?;
+        check_range(format!("{path}.purges_per_s"), self.purges_per_s, 0.0, MAX_CHANGES_PER_S)?;
+        check_range(format!("{path}.seconds"), self.seconds, 1.0, MAX_PHASE_S)?;
+        for (index, timed) in self.faults.iter().enumerate() {
+            self.validate_fault(&format!("{path}.faults[{index}]"), timed)?;
         }
         Ok(())
     }
 
-    fn check_fault(&self, path: &str, timed: &Timed) -> Checked {
-        within(format!("{path}.at_s"), timed.at_s, 0.0, self.seconds)?;
-        let last = self.seconds - HEALED_S;
-        within(format!("{path}.for_s"), timed.for_s, 0.0, last - timed.at_s)?;
-        if let What::Lose(lossy) = &timed.what {
-            within(format!("{path}.what.lose.part"), lossy.part, 0.0, 1.0)?;
+    fn validate_fault(&self, path: &str, timed: &TimedFault) -> Validation {
+        check_range(format!("{path}.at_s"), timed.start_s, 0.0, self.seconds)?;
+        let last = self.seconds - RECOVERY_S;
+        check_range(format!("{path}.for_s"), timed.duration_s, 0.0, last - timed.start_s)?;
+        if let FaultKind::Lose(loss) = &timed.fault {
+            check_range(format!("{path}.what.lose.part"), loss.fraction, 0.0, 1.0)?;
         }
-        if let What::Delay(delayed) = &timed.what {
-            let (least, most) = (delayed.least_ms as f64, delayed.most_ms as f64);
-            within(format!("{path}.what.delay.most_ms"), most, least, 60_000.0)?;
+        if let FaultKind::Delay(delay) = &timed.fault {
+            let (min, max) = (delay.min_ms as f64, delay.max_ms as f64);
+            check_range(format!("{path}.what.delay.most_ms"), max, min, 60_000.0)?;
         }
-        let is_process = |name: &str| (0..self.processes).any(|place| processes::process(place) == name);
-        let is_carrier = |name: &str| (0..self.carriers).any(|place| processes::carrier(place) == name);
-        let between = timed.what.between();
+        let is_process = |name: &str| (0..self.processes).any(|index| processes::process_name(index) == name);
+        let is_carrier = |name: &str| (0..self.carriers).any(|index| processes::carrier_name(index) == name);
+        let link = timed.fault.link();
         let names = [
-            timed.what.process().filter(|name| !is_process(name) && !is_carrier(name)),
-            between.map(|between| between.process.as_str()).filter(|name| !is_process(name)),
-            between.and_then(|between| between.carrier.as_deref()).filter(|name| !is_carrier(name)),
+            timed.fault.target_process().filter(|name| !is_process(name) && !is_carrier(name)),
+            link.map(|link| link.process.as_str()).filter(|name| !is_process(name)),
+            link.and_then(|link| link.carrier.as_deref()).filter(|name| !is_carrier(name)),
         ];
         match names.into_iter().flatten().next() {
             Some(name) => {
                 let (carriers, processes) = (self.carriers, self.processes);
-                let what = format!(
-                    "'{name}' can't be meant here; carriers are c0 to c{}, processes of followers p0 to p{}",
+                let problem = format!(
+                    "'{name}' is not valid here; carriers are c0 to c{}, processes of followers p0 to p{}",
                     carriers - 1,
                     processes - 1
                 );
-                Err((format!("{path}.what"), what))
+                Err((format!("{path}.what"), problem))
             }
             None => Ok(()),
         }
@@ -347,60 +380,60 @@
 }
 
 impl Topology {
-    fn check(&self) -> Checked {
-        within("topology.zones".into(), self.zones.len() as f64, 1.0, ZONES_MOST as f64)?;
-        within("topology.sites".into(), self.sites.len() as f64, 1.0, 65_536.0)?;
-        for (at, zone) in self.zones.iter().enumerate() {
+    fn validate(&self) -> Validation {
+        check_range("topology.zones".into(), self.zones.len() as f64, 1.0, MAX_ZONES as f64)?;
+        check_range("topology.sites".into(), self.sites.len() as f64, 1.0, 65_536.0)?;
+        for (index, zone) in self.zones.iter().enumerate() {
             if !self.regions.contains(&zone.region) {
-                let what = format!("there is no region '{}'; add it to topology.regions", zone.region);
-                return Err((format!("topology.zones[{at}].region"), what));
+                let problem = format!("there is no region '{}'; add it to topology.regions", zone.region);
+                return Err((format!("topology.zones[{index}].region"), problem));
             }
         }
-        for (at, site) in self.sites.iter().enumerate() {
+        for (index, site) in self.sites.iter().enumerate() {
             if !self.zones.iter().any(|zone| zone.name == site.zone) {
-                let what = format!("there is no zone '{}'; add it to topology.zones", site.zone);
-                return Err((format!("topology.sites[{at}].zone"), what));
+                let problem = format!("there is no zone '{}'; add it to topology.zones", site.zone);
+                return Err((format!("topology.sites[{index}].zone"), problem));
             }
         }
         Ok(())
     }
 }
 
-impl Sockets {
-    fn check(&self, topology: &Topology) -> Checked {
-        for (at, size) in self.sizes.iter().enumerate() {
-            let least = self.real as f64 + 2.0;
-            within(format!("sockets.sizes[{at}]"), *size as f64, least, MEMBERS_MOST as f64)?;
+impl SocketRuns {
+    fn validate(&self, topology: &Topology) -> Validation {
+        for (index, size) in self.sizes.iter().enumerate() {
+            let min = self.real_dispatchers as f64 + 2.0;
+            check_range(format!("sockets.sizes[{index}]"), *size as f64, min, MAX_SOCKET_DISPATCHERS as f64)?;
         }
-        within("sockets.followers".into(), self.followers, 0.0, 1.0)?;
-        within("sockets.threads".into(), self.threads as f64, 1.0, 64.0)?;
+        check_range("sockets.followers".into(), self.follower_fraction, 0.0, 1.0)?;
+        check_range("sockets.threads".into(), self.threads as f64, 1.0, 64.0)?;
         let load = &self.load;
-        for (key, found, most) in [
-            ("purges_per_s", load.purges_per_s, RATE_MOST),
-            ("configurations_per_day", load.configurations_per_day, RATE_MOST * 86_400.0),
-            ("list_changes_per_day", load.list_changes_per_day, RATE_MOST * 86_400.0),
+        for (key, value, max) in [
+            ("purges_per_s", load.purges_per_s, MAX_CHANGES_PER_S),
+            ("configurations_per_day", load.configurations_per_day, MAX_CHANGES_PER_S * 86_400.0),
+            ("list_changes_per_day", load.list_changes_per_day, MAX_CHANGES_PER_S * 86_400.0),
             ("configuration_bytes", load.configuration_bytes as f64, 65_536.0),
-            ("hosts", load.hosts as f64, HOSTS_MOST as f64),
+            ("hosts", load.hosts as f64, MAX_HOSTS as f64),
         ] {
-            within(format!("sockets.load.{key}"), found, 0.0, most)?;
+            check_range(format!("sockets.load.{key}"), value, 0.0, max)?;
         }
-        for (at, phase) in self.phases.iter().enumerate() {
-            phase.check(&format!("sockets.phases[{at}]"), topology)?;
+        for (index, phase) in self.phases.iter().enumerate() {
+            phase.validate(&format!("sockets.phases[{index}]"), topology)?;
         }
         let seconds: f64 = self.phases.iter().map(|phase| phase.seconds).sum();
-        within("sockets.phases".into(), seconds, 1.0, RUN_MOST_S)
+        check_range("sockets.phases".into(), seconds, 1.0, MAX_RUN_S)
     }
 }
 
 impl Phase {
-    fn check(&self, path: &str, topology: &Topology) -> Checked {
-        within(format!("{path}.seconds"), self.seconds, 1.0, PHASE_MOST_S)?;
-        within(format!("{path}.findings_per_s"), self.findings_per_s, 0.0, RATE_MOST)?;
-        within(format!("{path}.wanting"), self.wanting, 0.0, 1.0)?;
-        match self.cut.as_ref().filter(|cut| !topology.regions.contains(cut)) {
-            Some(cut) => {
-                let what = format!("there is no region '{cut}'; name one of topology.regions");
-                Err((format!("{path}.cut"), what))
+    fn validate(&self, path: &str, topology: &Topology) -> Validation {
+        check_range(format!("{path}.seconds"), self.seconds, 1.0, MAX_PHASE_S)?;
+        check_range(format!("{path}.findings_per_s"), self.findings_per_s, 0.0, MAX_CHANGES_PER_S)?;
+        check_range(format!("{path}.wanting"), self.demanding_fraction, 0.0, 1.0)?;
+        match self.partitioned_region.as_ref().filter(|region| !topology.regions.contains(region)) {
+            Some(region) => {
+                let problem = format!("there is no region '{region}'; name one of topology.regions");
+                Err((format!("{path}.cut"), problem))
             }
             None => Ok(()),
         }
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Straight lines through figures by size.
+//! Linear fits of measurements over the number of dispatchers.
 use serde::{Deserialize, Serialize};
 
 /// `at(n) = base + slope * n`, by least squares.
@@ -9,24 +9,24 @@
 }
 
 impl Line {
-    /// Through points of size and figure; level through one point.
-    pub fn through(points: &[(f64, f64)]) -> Line {
+    /// Fits a line to (size, value) points; a single point gives a constant.
+    pub fn fit(points: &[(f64, f64)]) -> Line {
         let count = points.len().max(1) as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
-        let (size, figure) = (mean(|point| point.0), mean(|point| point.1));
-        let spread: f64 = points.iter().map(|point| (point.0 - size).powi(2)).sum();
-        let both: f64 = points.iter().map(|point| (point.0 - size) * (point.1 - figure)).sum();
-        let slope = if spread > 0.0 { both / spread } else { 0.0 };
-        Line { base: figure - slope * size, slope }
+        let (size, value) = (mean(|point| point.0), mean(|point| point.1));
+        let variance: f64 = points.iter().map(|point| (point.0 - size).powi(2)).sum();
+        let covariance: f64 = points.iter().map(|point| (point.0 - size) * (point.1 - value)).sum();
+        let slope = if variance > 0.0 { covariance / variance } else { 0.0 };
+        Line { base: value - slope * size, slope }
     }
 
     pub fn at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 
-    /// The size at which it passes a figure; none where it never does.
-    pub fn passes(&self, figure: f64) -> Option<f64> {
-        let size = (figure - self.base) / self.slope;
+    /// The size at which the line reaches `value`; `None` if it never does.
+    pub fn size_reaching(&self, value: f64) -> Option<f64> {
+        let size = (value - self.base) / self.slope;
         (self.slope > 0.0 && size.is_finite()).then_some(size.max(0.0))
     }
 }
--- a/crates/scale/src/traffic.rs
+++ b/crates/scale/src/traffic.rs
@@ -1,45 +1,46 @@
-//! Messages and bytes by kind, direction and counterpart.
+//! Message and byte counts by kind, direction and kind of peer.
 use cherrypass_peers::link;
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Kinds of control messages: those of the link by its numbers less one, and the change log's.
-pub const KINDS: [&str; 5] = ["members", "limits", "feed", "rollout", "change log"];
-pub const FEED: usize = 2;
-pub const CHANGE_LOG: usize = 4;
+/// Names of the kinds of control messages: the link's in order of their numbers, which begin at 1, then the
+/// change log.
+pub const KIND_NAMES: [&str; 5] = ["members", "limits", "feed", "rollout", "change log"];
+pub const FEED_KIND: usize = 2;
+pub const CHANGE_LOG_KIND: usize = 4;
 
-/// The kind of a datagram, where it is one of the fleet's.
-pub fn kind(bytes: &[u8], fleet: &str) -> Option<usize> {
+/// Index in `KIND_NAMES` of a datagram's kind; `None` if it is not a message of this fleet.
+pub fn message_kind(bytes: &[u8], fleet: &str) -> Option<usize> {
     let kind = usize::from(link::decode(bytes, fleet).ok()?.kind);
-    (1..=CHANGE_LOG).contains(&kind).then(|| kind - 1)
+    (1..=CHANGE_LOG_KIND).contains(&kind).then(|| kind - 1)
 }
 
-/// Whom a message was exchanged with.
+/// The kind of peer a message was exchanged with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum With {
-    Hollow = 0,
+pub enum PeerKind {
+    Simulated = 0,
     Real = 1,
 }
 
-/// Which way a message went, seen from its owner.
+/// Direction of a message, seen from the dispatcher that counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     Out = 0,
     In = 1,
 }
 
-impl Way {
-    /// The same way, seen from the other end.
-    pub fn turned(self) -> Way {
+impl Direction {
+    /// The direction seen from the other end.
+    pub fn reversed(self) -> Direction {
         match self {
-            Way::Out => Way::In,
-            Way::In => Way::Out,
+            Direction::Out => Direction::In,
+            Direction::In => Direction::Out,
         }
     }
 }
 
-/// Messages and their bytes: payloads of datagrams, or of TCP, without the headers of UDP, TCP and IP.
+/// Message count and payload bytes, without the headers of UDP, TCP and IP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Amount {
     pub messages: f64,
@@ -47,7 +48,7 @@
 }
 
 impl Amount {
-    pub fn times(self, factor: f64) -> Amount {
+    pub fn scaled_by(self, factor: f64) -> Amount {
         Amount { messages: self.messages * factor, bytes: self.bytes * factor }
     }
 }
@@ -66,43 +67,48 @@
     }
 }
 
-/// What went both ways, by kind.
-pub type ByKind = [[Amount; KINDS.len()]; 2];
+/// Amounts by direction and kind.
+pub type TrafficByKind = [[Amount; KIND_NAMES.len()]; 2];
 
-/// Counts of one dispatcher, added to by its thread and read by another.
+/// Counters of one dispatcher, written by its thread and read by another.
 #[derive(Default)]
-pub struct Tally {
-    counts: [[[[AtomicU64; 2]; KINDS.len()]; 2]; 2],
+pub struct TrafficCounters {
+    counts: [[[[AtomicU64; 2]; KIND_NAMES.len()]; 2]; 2],
 }
 
-impl Tally {
-    pub fn count(&self, with: With, way: Way, kind: usize, bytes: usize) {
-        let [messages, sum] = &self.counts[with as usize][way as usize][kind];
+impl TrafficCounters {
+    pub fn count(&self, peer: PeerKind, direction: Direction, kind: usize, bytes: usize) {
+        let [messages, byte_count] = &self.counts[peer as usize][direction as usize][kind];
         messages.fetch_add(1, Relaxed);
-        sum.fetch_add(bytes as u64, Relaxed);
+        byte_count.fetch_add(bytes as u64, Relaxed);
     }
 
-    /// What went so far with one sort of counterpart.
-    pub fn read(&self, with: With) -> ByKind {
-        let of = |way: usize, kind: usize| {
-            let [messages, bytes] = &self.counts[with as usize][way][kind];
+    /// Amounts so far with one kind of peer.
+    pub fn amounts(&self, peer: PeerKind) -> TrafficByKind {
+        let of = |direction: usize, kind: usize| {
+            let [messages, bytes] = &self.counts[peer as usize][direction][kind];
             Amount { messages: messages.load(Relaxed) as f64, bytes: bytes.load(Relaxed) as f64 }
         };
-        [0, 1].map(|way| std::array::from_fn(|kind| of(way, kind)))
+        [0, 1].map(|direction| std::array::from_fn(|kind| of(direction, kind)))
     }
 }
 
-/// Each entry of both.
-pub fn each(first: &ByKind, second: &ByKind, of: impl Fn(Amount, Amount) -> Amount) -> ByKind {
-    [0, 1].map(|way| std::array::from_fn(|kind| of(first[way][kind], second[way][kind])))
+/// Combines two tables entry by entry.
+pub fn zip_with(
+    first: &TrafficByKind,
+    second: &TrafficByKind,
+    combine: impl Fn(Amount, Amount) -> Amount,
+) -> TrafficByKind {
+    [0, 1]
+        .map(|direction| std::array::from_fn(|kind| combine(first[direction][kind], second[direction][kind])))
 }
 
-/// Each entry times a factor.
-pub fn scaled(all: &ByKind, factor: f64) -> ByKind {
-    each(all, all, |one, _| one.times(factor))
+/// Multiplies every entry by a factor.
+pub fn scaled(all: &TrafficByKind, factor: f64) -> TrafficByKind {
+    zip_with(all, all, |amount, _| amount.scaled_by(factor))
 }
 
-/// All kinds of one direction together.
-pub fn total(all: &ByKind, way: Way) -> Amount {
-    all[way as usize].iter().fold(Amount::default(), |sum, one| sum + *one)
+/// Sum over all kinds in one direction.
+pub fn total(all: &TrafficByKind, direction: Direction) -> Amount {
+    all[direction as usize].iter().fold(Amount::default(), |sum, amount| sum + *amount)
 }
