--- a/crates/scale/tests/processes.rs
+++ b/crates/scale/tests/processes.rs
@@ -1,9 +1,9 @@
-//! Followers on processes: the judge by made-up histories, links with faults, cut notes, mistakes in the settings, and a
+//! Processes of followers: checks of recorded histories, link faults, truncated notes, settings errors, and a
 //! short run with the built program.
-use cherrypass_scale::processes::judge::{judge, Fault, History, Incarnation};
-use cherrypass_scale::processes::link::{Harm, Link, LinkFault, Way};
+use cherrypass_scale::processes::checker::{check_notes, History, Incarnation, Violation};
+use cherrypass_scale::processes::link::{Direction, Link, LinkEffect, LinkFault};
 use cherrypass_scale::processes::notes::{read, Event, Note, Notes};
-use cherrypass_scale::processes::{play, Stage};
+use cherrypass_scale::processes::{run, RunContext};
 use cherrypass_scale::settings::{decode, load, Bounds};
 use serde_json::{json, Value};
 use std::io::Write;
@@ -14,84 +14,84 @@
 
 const FOLLOWER: usize = 7;
 
-/// Changes 1 to 5 told at 100, 200 and so on; all that was told before 450 has to be there at the end.
+/// Changes 1 to 5 are published at 100, 200 and so on; those before 450 must have arrived by the end.
 fn history() -> History {
-    History { told: vec![100, 200, 300, 400, 500], known: 1, complete: 450 }
+    History { published_at: vec![100, 200, 300, 400, 500], known_change: 1, complete_until: 450 }
 }
 
 fn notes(events: &[(u64, Event)]) -> Vec<Note> {
-    events.iter().map(|(at, event)| Note { follower: FOLLOWER, at: *at, event: *event }).collect()
+    events.iter().map(|(at, event)| Note { follower: FOLLOWER, at_us: *at, event: *event }).collect()
 }
 
 use Event::{KnownUpTo, Started, Took};
 
-/// Starts at 150, takes all and proves it.
-const WELL: [(u64, Event); 6] =
+/// Starts at 150, receives all changes and proves it.
+const VALID_EVENTS: [(u64, Event); 6] =
     [(150, Started), (210, Took(2)), (310, Took(3)), (410, Took(4)), (460, KnownUpTo(455)), (510, Took(5))];
 
 #[test]
-fn a_good_history_holds() {
-    let judged = judge(&history(), &[Incarnation { notes: notes(&WELL), was_killed: false }]);
-    assert_eq!(judged.faults, []);
-    assert_eq!((judged.at_end, judged.delays.len(), judged.unproven_most), (1, 4, 310));
-}
-
-#[test_case(1, None, Fault::Gap { follower: FOLLOWER, after: 1, came: 3 }; "one is missing")]
-#[test_case(2, Some((310, Took(2))), Fault::Repeat { follower: FOLLOWER, last: 2, came: 2 }; "one comes twice")]
-#[test_case(5, Some((510, Took(9))), Fault::Unknown { follower: FOLLOWER, came: 9 }; "one that was never told")]
-#[test_case(4, Some((460, KnownUpTo(501))), Fault::LacksClaimed { follower: FOLLOWER, number: 5, up_to: 501 }; "a claim to the last one")]
-#[test_case(2, Some((310, KnownUpTo(301))), Fault::LacksClaimed { follower: FOLLOWER, number: 3, up_to: 301 }; "a claim in the middle")]
-#[test_case(4, Some((460, KnownUpTo(449))), Fault::Unproven { follower: FOLLOWER, known: 449 }; "nothing proven at the end")]
-fn each_fault_is_found(place: usize, other: Option<(u64, Event)>, wanted: Fault) {
-    let mut events = WELL.to_vec();
+fn a_valid_history_has_no_violations() {
+    let findings = check_notes(&history(), &[Incarnation { notes: notes(&VALID_EVENTS), was_killed: false }]);
+    assert_eq!(findings.violations, []);
+    assert_eq!((findings.followers_at_end, findings.delays.len(), findings.max_unproven), (1, 4, 310));
+}
+
+#[test_case(1, None, Violation::Gap { follower: FOLLOWER, last: 1, received: 3 }; "a missing change")]
+#[test_case(2, Some((310, Took(2))), Violation::Repeat { follower: FOLLOWER, last: 2, received: 2 }; "a repeated change")]
+#[test_case(5, Some((510, Took(9))), Violation::Unknown { follower: FOLLOWER, received: 9 }; "an unpublished change")]
+#[test_case(4, Some((460, KnownUpTo(501))), Violation::ClaimedButMissing { follower: FOLLOWER, number: 5, up_to: 501 }; "a claim to the last one")]
+#[test_case(2, Some((310, KnownUpTo(301))), Violation::ClaimedButMissing { follower: FOLLOWER, number: 3, up_to: 301 }; "a claim in the middle")]
+#[test_case(4, Some((460, KnownUpTo(449))), Violation::Unproven { follower: FOLLOWER, proven_up_to: 449 }; "nothing proven at the end")]
+fn each_violation_is_found(index: usize, other: Option<(u64, Event)>, expected: Violation) {
+    let mut events = VALID_EVENTS.to_vec();
     match other {
-        Some(other) => events[place] = other,
-        None => drop(events.remove(place)),
+        Some(other) => events[index] = other,
+        None => drop(events.remove(index)),
     }
-    let judged = judge(&history(), &[Incarnation { notes: notes(&events), was_killed: false }]);
-    assert!(judged.faults.contains(&wanted), "{:?}", judged.faults);
+    let findings = check_notes(&history(), &[Incarnation { notes: notes(&events), was_killed: false }]);
+    assert!(findings.violations.contains(&expected), "{:?}", findings.violations);
 }
 
 #[test]
-fn one_that_lacks_the_last_is_incomplete_unless_it_was_killed() {
-    let events = notes(&WELL[..3]);
-    let of = |was_killed| judge(&history(), &[Incarnation { notes: events.clone(), was_killed }]);
-    assert_eq!(of(false).faults[0], Fault::Incomplete { follower: FOLLOWER, last: 3 });
-    assert_eq!(of(true).faults, []);
+fn a_follower_without_the_last_change_is_incomplete_unless_killed() {
+    let events = notes(&VALID_EVENTS[..3]);
+    let check = |was_killed| check_notes(&history(), &[Incarnation { notes: events.clone(), was_killed }]);
+    assert_eq!(check(false).violations[0], Violation::Incomplete { follower: FOLLOWER, last: 3 });
+    assert_eq!(check(true).violations, []);
 }
 
 #[test]
-fn a_claim_holds_what_was_told_before_it_alone() {
-    // Told at 300 and claimed up to 300: the change may be in the next answer.
+fn a_claim_covers_only_changes_published_before_it() {
+    // A change published at 300 need not be covered by a claim up to 300.
     let events = [(150, Started), (210, Took(2)), (305, KnownUpTo(300))];
-    let judged = judge(&history(), &[Incarnation { notes: notes(&events), was_killed: true }]);
-    assert_eq!(judged.faults, []);
+    let findings = check_notes(&history(), &[Incarnation { notes: notes(&events), was_killed: true }]);
+    assert_eq!(findings.violations, []);
 }
 
 #[test]
-fn one_that_starts_anew_takes_all_again() {
+fn a_restarted_follower_receives_all_changes_again() {
     let again =
         notes(&[(420, Started), (430, Took(2)), (431, Took(3)), (440, Took(4)), (470, KnownUpTo(460))]);
-    let killed = Incarnation { notes: notes(&WELL[..3]), was_killed: true };
-    let judged = judge(&history(), &[killed, Incarnation { notes: again, was_killed: false }]);
-    assert_eq!(judged.faults, []);
-    // By its first start nothing was told that it did not know, by its second one four changes.
-    assert_eq!(judged.caught_up, [0, 20]);
+    let killed = Incarnation { notes: notes(&VALID_EVENTS[..3]), was_killed: true };
+    let findings = check_notes(&history(), &[killed, Incarnation { notes: again, was_killed: false }]);
+    assert_eq!(findings.violations, []);
+    // Nothing was missing at the first start; four changes were at the second.
+    assert_eq!(findings.catch_up_times, [0, 20]);
 }
 
 #[test]
-fn a_line_that_a_kill_cut_is_left_out() {
+fn a_truncated_last_note_is_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("notes");
     let mut file = Notes::create(&path).unwrap();
-    for note in notes(&WELL) {
+    for note in notes(&VALID_EVENTS) {
         file.add(&note).unwrap();
     }
     file.flush().unwrap();
     drop(file);
     let mut file = std::fs::OpenOptions::new().append(true).open(&path).unwrap();
     file.write_all(b"{\"follower\":7,\"at\":51").unwrap();
-    assert_eq!(read(&path).unwrap(), notes(&WELL));
+    assert_eq!(read(&path).unwrap(), notes(&VALID_EVENTS));
 }
 
 fn socket() -> (Arc<UdpSocket>, SocketAddr) {
@@ -101,8 +101,9 @@
     (Arc::new(socket), address)
 }
 
-/// One datagram each way at `now`; which of the two have come through, to the carrier and from it, by `later`.
-fn passed(faults: &[LinkFault], other_carrier: bool, now: u64, later: u64) -> [bool; 2] {
+/// Sends one datagram each way at `now`; returns whether they have arrived by `later`, at the carrier and
+/// from it.
+fn transfer(faults: &[LinkFault], other_carrier: bool, now: u64, later: u64) -> [bool; 2] {
     let ((own, address), (carrier, carrier_address)) = (socket(), socket());
     let concerned = if other_carrier { address } else { carrier_address };
     let fault = |fault: &LinkFault| LinkFault { carrier: fault.carrier.map(|_| concerned), ..fault.clone() };
@@ -110,34 +111,40 @@
     carrier.send_to(b"down", address).unwrap();
     link.receive(now, &mut [0; 100]);
     link.send(now, carrier_address, b"up");
-    let came = link.next(later).is_some();
-    [carrier.recv(&mut [0; 100]).is_ok(), came]
-}
-
-fn fault(harm: Harm, way: Way) -> LinkFault {
-    LinkFault { from: 100, until: 200, way, carrier: None, harm }
-}
-
-#[test_case(Harm::Lose(1.0), Way::Both, 150, 150, [false, false]; "a cut")]
-#[test_case(Harm::Lose(1.0), Way::Both, 99, 99, [true, true]; "before a cut")]
-#[test_case(Harm::Lose(1.0), Way::Both, 200, 200, [true, true]; "after a cut")]
-#[test_case(Harm::Lose(1.0), Way::ToCarriers, 150, 150, [false, true]; "a cut to carriers")]
-#[test_case(Harm::Lose(1.0), Way::FromCarriers, 150, 150, [true, false]; "a cut from carriers")]
-#[test_case(Harm::Lose(0.0), Way::Both, 150, 150, [true, true]; "no loss")]
-#[test_case(Harm::Stall, Way::Both, 150, 199, [false, false]; "stalled")]
-#[test_case(Harm::Stall, Way::Both, 150, 200, [true, true]; "a stall's end")]
-#[test_case(Harm::Delay(1, 1), Way::Both, 150, 1_149, [false, false]; "late")]
-#[test_case(Harm::Delay(1, 1), Way::Both, 150, 1_150, [true, true]; "late and here")]
-fn a_links_fault_holds(harm: Harm, way: Way, now: u64, later: u64, wanted: [bool; 2]) {
-    assert_eq!(passed(&[fault(harm, way)], false, now, later), wanted);
+    let received = link.next_received(later).is_some();
+    [carrier.recv(&mut [0; 100]).is_ok(), received]
+}
+
+fn fault(effect: LinkEffect, direction: Direction) -> LinkFault {
+    LinkFault { from: 100, until: 200, direction, carrier: None, effect }
+}
+
+#[test_case(LinkEffect::Lose(1.0), Direction::Both, 150, 150, [false, false]; "a cut")]
+#[test_case(LinkEffect::Lose(1.0), Direction::Both, 99, 99, [true, true]; "before a cut")]
+#[test_case(LinkEffect::Lose(1.0), Direction::Both, 200, 200, [true, true]; "after a cut")]
+#[test_case(LinkEffect::Lose(1.0), Direction::ToCarriers, 150, 150, [false, true]; "a cut towards carriers")]
+#[test_case(LinkEffect::Lose(1.0), Direction::FromCarriers, 150, 150, [true, false]; "a cut from carriers")]
+#[test_case(LinkEffect::Lose(0.0), Direction::Both, 150, 150, [true, true]; "no loss")]
+#[test_case(LinkEffect::Stall, Direction::Both, 150, 199, [false, false]; "stalled")]
+#[test_case(LinkEffect::Stall, Direction::Both, 150, 200, [true, true]; "a stall's end")]
+#[test_case(LinkEffect::Delay(1, 1), Direction::Both, 150, 1_149, [false, false]; "before the end of the delay")]
+#[test_case(LinkEffect::Delay(1, 1), Direction::Both, 150, 1_150, [true, true]; "after the delay")]
+fn a_link_fault_applies_in_its_span_and_direction(
+    effect: LinkEffect,
+    direction: Direction,
+    now: u64,
+    later: u64,
+    expected: [bool; 2],
+) {
+    assert_eq!(transfer(&[fault(effect, direction)], false, now, later), expected);
 }
 
 #[test]
-fn a_fault_of_one_carrier_concerns_no_other() {
-    let mut cut = fault(Harm::Lose(1.0), Way::Both);
+fn a_fault_of_one_carrier_affects_no_other() {
+    let mut cut = fault(LinkEffect::Lose(1.0), Direction::Both);
     cut.carrier = Some(SocketAddr::from(([127, 0, 0, 1], 1)));
-    assert_eq!(passed(&[cut.clone()], false, 150, 150), [false, false]);
-    assert_eq!(passed(&[cut], true, 150, 150), [true, true]);
+    assert_eq!(transfer(&[cut.clone()], false, 150, 150), [false, false]);
+    assert_eq!(transfer(&[cut], true, 150, 150), [true, true]);
 }
 
 fn settings(fault: Value) -> Value {
@@ -149,15 +156,15 @@
     })
 }
 
-#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"kill": "c2"}}), "processes[0].faults[0].what: 'c2' can't be meant here"; "no such carrier")]
-#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"stall": {"process": "c0"}}}), "processes[0].faults[0].what: 'c0' can't"; "a link of a carrier")]
-#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"stall": {"process": "p0", "carrier": "p1"}}}), "what: 'p1' can't"; "a link to no carrier")]
-#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"lose": {"part": 2, "between": {"process": "p0"}}}}), "what.lose.part: 2 is not within"; "more than all")]
-#[test_case(json!({"at_s": 1, "for_s": 15, "what": "log_lost"}), "processes[0].faults[0].for_s: 15 is not within"; "no time to heal")]
+#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"kill": "c2"}}), "processes[0].faults[0].what: 'c2' is not valid here"; "no such carrier")]
+#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"stall": {"process": "c0"}}}), "processes[0].faults[0].what: 'c0' is not valid"; "a link of a carrier")]
+#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"stall": {"process": "p0", "carrier": "p1"}}}), "what: 'p1' is not valid"; "a link to no carrier")]
+#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"lose": {"part": 2, "between": {"process": "p0"}}}}), "what.lose.part: 2 is not between"; "more than all")]
+#[test_case(json!({"at_s": 1, "for_s": 15, "what": "log_lost"}), "processes[0].faults[0].for_s: 15 is not between"; "no time to heal")]
 #[test_case(json!({"at_s": 1, "for_s": 1, "what": "flood"}), "processes[0].faults[0].what"; "an unknown fault")]
-fn a_mistake_has_its_place(fault: Value, said: &str) {
+fn a_settings_error_names_its_path(fault: Value, expected: &str) {
     let found = decode("file", settings(fault)).unwrap_err().to_string();
-    assert!(found.contains(said) && !found.contains('\n'), "{found}");
+    assert!(found.contains(expected) && !found.contains('\n'), "{found}");
 }
 
 fn program() -> PathBuf {
@@ -166,51 +173,51 @@
     program
 }
 
-fn stage<'a>(
-    of: &'a cherrypass_scale::settings::Settings,
+fn context<'a>(
+    settings: &'a cherrypass_scale::settings::Settings,
     program: &'a Path,
     zones: &'a [String],
-) -> Stage<'a> {
-    Stage {
+) -> RunContext<'a> {
+    RunContext {
         program,
         tool: Path::new(env!("CARGO_BIN_EXE_scale")),
-        play: &of.processes[0],
+        settings: &settings.processes[0],
         zones,
-        seed: of.seed,
-        bounds: &of.bounds,
+        seed: settings.seed,
+        bounds: &settings.bounds,
         progress: &|_| {},
     }
 }
 
-/// A carrier killed, followers killed, stopped and cut off, the log lost: all end complete and proven, and nobody claims
-/// what it lacks.
+/// A carrier is killed, followers are killed, stopped and cut off, and the log goes down: all followers must
+/// end complete and proven, without a false claim.
 #[test]
-fn followers_on_processes_hold() {
+fn followers_in_processes_survive_faults() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("settings/processes_small.jsonnet");
     let settings = load(&file).unwrap();
     let (program, zones) = (program(), vec!["zone-1".to_owned()]);
-    let found = play(&stage(&settings, &program, &zones)).unwrap();
-    assert_eq!(found.broken_count, 0, "{:#?}", found.broken);
-    // All run to the end; those of the killed process, twenty, caught up twice.
-    assert_eq!((found.at_end, found.caught_up), (40, 60));
+    let found = run(&context(&settings, &program, &zones)).unwrap();
+    assert_eq!(found.violation_count, 0, "{:#?}", found.violations);
+    // All run to the end; the twenty of the killed process catch up twice.
+    assert_eq!((found.followers_at_end, found.catch_ups), (40, 60));
     assert!(found.changes > 500, "{}", found.changes);
-    // Seven kilobytes are what an operator has for control.
+    // The operator's budget for control traffic.
     assert!(found.bytes < 7_000.0, "{}", found.bytes);
 }
 
 #[test]
-fn a_run_past_its_processes_does_not_start() {
+fn a_run_beyond_its_process_bound_does_not_start() {
     let mut settings = decode("file", settings(json!({"at_s": 1, "for_s": 1, "what": "log_lost"}))).unwrap();
     settings.bounds = Bounds { processes: 4, ..Bounds::default() };
     let (program, zones) = (program(), vec!["z".to_owned()]);
-    let found = play(&stage(&settings, &program, &zones)).unwrap_err().to_string();
-    assert!(found.contains("bounds.processes: 5 are more than 4"), "{found}");
+    let found = run(&context(&settings, &program, &zones)).unwrap_err().to_string();
+    assert!(found.contains("bounds.processes: the run needs 5, the limit is 4"), "{found}");
 }
 
 #[test]
-fn a_program_that_is_not_there_is_told() {
+fn a_missing_program_is_reported() {
     let settings = decode("file", settings(json!({"at_s": 1, "for_s": 1, "what": "log_lost"}))).unwrap();
     let (program, zones) = (PathBuf::from("/nonexistent/cherrypass"), vec!["z".to_owned()]);
-    let found = play(&stage(&settings, &program, &zones)).unwrap_err().to_string();
+    let found = run(&context(&settings, &program, &zones)).unwrap_err().to_string();
     assert!(found.contains("/nonexistent/cherrypass") && !found.contains('\n'), "{found}");
 }
