--- a/crates/scale/settings/full.jsonnet
+++ b/crates/scale/settings/full.jsonnet
@@ -1,8 +1,8 @@
-// The operators' size as far as this machine carries it (docs/CAPACITY.md): 610 sites in 98 zones of 29 regions.
+// The largest fleet that one machine can run (docs/CAPACITY.md): 610 sites in 98 zones of 29 regions.
 local regions = ['region-%d' % r for r in std.range(1, 29)];
 local zones = [{ name: 'zone-%d' % z, region: regions[z % 29] } for z in std.range(0, 97)];
 local sites = [{ name: 'site-%d' % s, zone: 'zone-%d' % (s % 98) } for s in std.range(0, 609)];
-// Changes by carriers, and what a bad day does to them.
+// Delivery of changes through phases with faults.
 local delivery(followers, carriers) = {
   carriers: carriers,
   followers: followers,
@@ -31,7 +31,7 @@
   seed: 1,
   topology: { regions: regions, zones: zones, sites: sites },
   sockets: {
-    // The feed takes 512 members at most, so lines are fitted below that; 500 and 1,000 are checks.
+    // The feed takes at most 512 members, so lines are fitted to smaller sizes; 500 and 1,000 check the fit.
     sizes: [100, 200, 300, 500, 1000],
     fit_to: 300,
     real: 8,
@@ -55,14 +55,14 @@
       { name: 'log back', seconds: 4 },
     ],
   },
-  // Until the news of all starts has gone round (docs/CAPACITY.md); with 1,000 and 3,000 it still does.
+  // Settles until membership news of all starts has spread (docs/CAPACITY.md), except at 1,000 and 3,000.
   virtual: [
     { size: 100, settle_s: 40, seconds: 10, feed_sources: 4096 },
     { size: 300, settle_s: 70, seconds: 10, feed_sources: 4096 },
     { size: 1000, settle_s: 14, seconds: 6, feed_sources: 4096 },
     { size: 3000, settle_s: 12, seconds: 3, feed_sources: 4096 },
   ],
-  // Lines through the first three, checked at the others.
+  // Lines are fitted to the first three sizes and checked at the others.
   delivery: [delivery(n, std.max(3, std.round(n / 455))) for n in [100, 300, 1000, 3000, 10000]],
   state: [100, 300, 1000],
   decisions: { hosts: [10, 100, 400, 1500], locations: [1, 98], visits: 20000 },
--- a/crates/scale/settings/processes.jsonnet
+++ b/crates/scale/settings/processes.jsonnet
@@ -1,4 +1,4 @@
-// Changes by carriers between processes, with faults: three real carriers, 300 followers on ten processes.
+// Delivery between processes with faults: three real carriers, 300 followers in ten processes.
 local between(process, more={}) = { process: process } + more;
 {
   seed: 1,
@@ -28,7 +28,7 @@
       { at_s: 24, for_s: 3, what: { stall: between('p7') } },
       { at_s: 30, for_s: 4, what: 'log_lost' },
       { at_s: 32, for_s: 3, what: { kill: 'c2' } },
-      // So long that its followers read the log themselves.
+      // Longer than `fallback_ms`, so that its followers read the log themselves.
       { at_s: 37, for_s: 14, what: { lose: { part: 1, between: between('p8') } } },
       { at_s: 40, for_s: 2, what: { kill: 'p9' } },
       { at_s: 41, for_s: 0.2, what: { kill: 'p1' } },
--- a/crates/scale/settings/processes_small.jsonnet
+++ b/crates/scale/settings/processes_small.jsonnet
@@ -1,4 +1,4 @@
-// Changes by carriers between processes, with faults: two real carriers, 40 followers on two processes.
+// Delivery between processes with faults: two real carriers, 40 followers in two processes.
 local between(process, more={}) = { process: process } + more;
 {
   seed: 1,
--- a/crates/scale/settings/small.jsonnet
+++ b/crates/scale/settings/small.jsonnet
@@ -1,4 +1,4 @@
-// The small form that CI plays: 200 hollow dispatchers, three real ones, one region cut off.
+// A small run for CI: 200 simulated dispatchers, three real ones, and a partitioned region.
 {
   seed: 1,
   topology: {
--- a/crates/scale/src/delivery.rs
+++ b/crates/scale/src/delivery.rs
@@ -72,13 +72,13 @@
 #[derive(Clone)]
 struct Datagram {
     incarnation: Incarnation,
-    said: Said,
+    message: Said,
     bytes: usize,
 }
 
 impl Process {
-    fn datagram(&self, said: Said) -> Datagram {
-        let payload = postcard::to_stdvec(&said).unwrap_or_default();
+    fn datagram(&self, message: Said) -> Datagram {
+        let payload = postcard::to_stdvec(&message).unwrap_or_default();
         let envelope = Envelope {
             reads: link::NEWEST,
             fleet: subsystems::FLEET_NAME,
@@ -89,7 +89,7 @@
             payload: &payload,
         };
         let bytes = link::encode(link::NEWEST, &envelope).map_or(0, |bytes| bytes.len());
-        Datagram { incarnation: self.incarnation, said, bytes }
+        Datagram { incarnation: self.incarnation, message, bytes }
     }
 
     /// Handles the answer to the previous round's request to the log.
@@ -115,8 +115,8 @@
 
     fn handle_effect(&mut self, effect: Effect) -> Option<(MemberId, Datagram)> {
         match effect {
-            Effect::Tell { to, said } => {
-                let datagram = self.datagram(said);
+            Effect::Tell { to, said: message } => {
+                let datagram = self.datagram(message);
                 self.sent = self.sent + Amount { messages: 1.0, bytes: datagram.bytes as f64 };
                 return Some((to, datagram));
             }
@@ -138,8 +138,8 @@
     fn heard(&mut self, now: Time, from: MemberId, datagram: Datagram) {
         self.received = self.received + Amount { messages: 1.0, bytes: datagram.bytes as f64 };
         match &mut self.role {
-            Role::Carrier(carrier) => carrier.heard(now, from, datagram.incarnation, datagram.said),
-            Role::Follower(follower) => follower.heard(now, from, datagram.said),
+            Role::Carrier(carrier) => carrier.heard(now, from, datagram.incarnation, datagram.message),
+            Role::Follower(follower) => follower.heard(now, from, datagram.message),
         }
     }
 
--- a/crates/scale/src/delivery_sockets.rs
+++ b/crates/scale/src/delivery_sockets.rs
@@ -187,7 +187,7 @@
         if is_follower {
             self.last_changes.push(last_change.clone());
         }
-        let tell = move |what| match what {
+        let on_event = move |event| match event {
             FromFleet::Delivered(Delivered::Changes { first, records }) => {
                 last_change.store(first.0 + records.len() as u64 - 1, Relaxed);
                 event_shared.record_received(first.0, records.len());
@@ -201,7 +201,7 @@
         if !is_follower {
             self.log_senders.push(log_sender);
         }
-        Ok(SimulatedProcess { driven: Driven::start(set, out, tell, |_| {})?, socket, is_follower, log })
+        Ok(SimulatedProcess { driven: Driven::start(set, out, on_event, |_| {})?, socket, is_follower, log })
     }
 
     fn spawn(&mut self, number: usize, mut group: Vec<SimulatedProcess>) -> Result<(), Error> {
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -97,19 +97,19 @@
         let link = Arc::new(Mutex::new(Link::new(Arc::new(socket), faults, seed)));
         let send_link = link.clone();
         let out = move |bytes: &[u8], to| lock(&send_link).send(clock.now(), to, bytes);
-        let (tell, from_fleet) = unbounded();
-        let tell = move |what| {
-            if let FromFleet::Delivered(delivered) = what {
-                let _ = tell.send(delivered);
+        let (to_follower, from_fleet) = unbounded();
+        let on_event = move |event| {
+            if let FromFleet::Delivered(delivered) = event {
+                let _ = to_follower.send(delivered);
             }
         };
-        let driven = Driven::start(fleet_settings(config, number, address), out, tell, |_| {})?;
+        let driven = Driven::start(fleet_settings(config, number, address), out, on_event, |_| {})?;
         let (to_thread, delivered) = unbounded();
-        let (tell_fleet, to_fleet) = unbounded();
-        let (tell_router, router) = unbounded();
+        let (fleet_sender, to_fleet) = unbounded();
+        let (router_sender, router) = unbounded();
         let delivery = carried::Delivery {
             from_fleet: delivered,
-            to_fleet: Box::new(move |what| drop(tell_fleet.send(what))),
+            to_fleet: Box::new(move |message| drop(fleet_sender.send(message))),
             is_carrier: false,
         };
         let following = Following {
@@ -119,7 +119,7 @@
             last: config.known_change,
             most: MAX_CHANGE_BYTES,
             seed,
-            router: tell_router,
+            router: router_sender,
             delivery: Some(delivery),
         };
         let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
@@ -135,8 +135,8 @@
             let Some((bytes, from)) = received else { break };
             self.driven.datagram(&bytes, from);
         }
-        while let Ok(what) = self.to_fleet.try_recv() {
-            self.driven.told(what);
+        while let Ok(message) = self.to_fleet.try_recv() {
+            self.driven.told(message);
         }
         if Instant::now() >= self.driven.due() {
             self.driven.woken();
--- a/crates/scale/src/simulated.rs
+++ b/crates/scale/src/simulated.rs
@@ -85,7 +85,7 @@
             shared_state.count(&send_counters, endpoint.real_index, Direction::Out, bytes);
             let _ = send_socket.send_to(bytes, to);
         };
-        let driven = Driven::start(set, out, move |what| drop(to_dispatcher.send(what)), |_| {})?;
+        let driven = Driven::start(set, out, move |event| drop(to_dispatcher.send(event)), |_| {})?;
         let per_mille_index = (index as u64).wrapping_mul(617) % 1000;
         // Spread the reports of different dispatchers over the interval.
         let next_report = Instant::now() + REPORT_INTERVAL.mul_f64(per_mille_index as f64 / 1000.0);
@@ -140,8 +140,8 @@
 
     /// Confirms new shares of limits immediately.
     fn confirm_shares(&mut self) {
-        while let Ok(what) = self.from_fleet.try_recv() {
-            if let FromFleet::Part { key, number, .. } = what {
+        while let Ok(event) = self.from_fleet.try_recv() {
+            if let FromFleet::Part { key, number, .. } = event {
                 self.driven.told(ToFleet::Taken { key, number });
             }
         }
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -82,10 +82,10 @@
 impl Member {
     fn encode(&self, message: Message) -> SentMessage {
         let (kind, payload) = match &message {
-            Message::Members(sent) => (0, postcard::to_stdvec(sent)),
-            Message::Limits(sent) => (1, postcard::to_stdvec(sent)),
-            Message::Feed(sent) => (2, postcard::to_stdvec(sent)),
-            Message::Rollout(sent) => (3, postcard::to_stdvec(sent)),
+            Message::Members(content) => (0, postcard::to_stdvec(content)),
+            Message::Limits(content) => (1, postcard::to_stdvec(content)),
+            Message::Feed(content) => (2, postcard::to_stdvec(content)),
+            Message::Rollout(content) => (3, postcard::to_stdvec(content)),
         };
         let envelope = Envelope {
             reads: link::NEWEST,
@@ -101,8 +101,8 @@
     }
 
     fn count(&mut self, direction: usize, sent: &SentMessage) {
-        let one = Amount { messages: 1.0, bytes: sent.bytes as f64 };
-        self.traffic[direction][sent.kind] = self.traffic[direction][sent.kind] + one;
+        let amount = Amount { messages: 1.0, bytes: sent.bytes as f64 };
+        self.traffic[direction][sent.kind] = self.traffic[direction][sent.kind] + amount;
     }
 }
 
