--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -1,6 +1,6 @@
 //! Applies batches of events to the instances of the decision module, and encodes their decisions.
 use crate::wire::{action, event, Error, Fields, Frame, Reply, LIST_ENTRY_BYTES};
-use cherrypass::brain::Brain;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
 use cherrypass::ids::*;
 use cherrypass::time::{Span, Time};
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct Adapter {
     /// Instances, each with the positions of link load and load in its load reports.
-    instances: BTreeMap<u16, (Brain, [Option<usize>; 2])>,
+    instances: BTreeMap<u16, (DecisionEngine, [Option<usize>; 2])>,
     lists: BTreeMap<u16, Vec<Listing>>,
 }
 
@@ -49,7 +49,7 @@
         let mut reply = Reply::default();
         for instance in changed {
             if let Some((brain, _)) = self.instances.get_mut(&instance) {
-                while let Some(decision) = brain.next(now) {
+                while let Some(decision) = brain.next_decision(now) {
                     encode_decision(&mut reply, instance, decision);
                 }
             }
@@ -72,8 +72,8 @@
             let set = settings::read(&root).map_err(|error| frame.error(error))?;
             let columns = settings::report_columns(&root);
             let position = |names: &[&str]| columns.iter().position(|known| names.contains(known));
-            let columns = [position(&[settings::LINK_FULL]), position(&settings::BUSY)];
-            self.instances.insert(instance, (Brain::start(set, record.u64(4), now), columns));
+            let columns = [position(&[settings::LINK_LOAD_COLUMN]), position(&settings::LOAD_COLUMNS)];
+            self.instances.insert(instance, (DecisionEngine::new(set, record.u64(4), now), columns));
             return Ok(());
         }
         if !(event::LIST..=event::PURGE).contains(&code) {
@@ -97,17 +97,17 @@
                 let list = list.ok_or_else(|| {
                     frame.error(format!("list {number} was not sent before it is referred to"))
                 })?;
-                brain.listed(now, list, whole);
+                brain.update_hosts(now, list, whole);
             }
-            event::VISIT => brain.arrived(now, visit(record)),
-            event::HAND_OFF_ENDED => brain.ended(now, ended(frame, record, *columns)?),
-            event::CLIENT_LEFT => brain.left(VisitId(record.u32(4))),
-            event::WAKE => brain.woken(now),
-            event::PROBE_ANSWERED => brain.probed(now, host(record, 6), report(record, 16, *columns)),
+            event::VISIT => brain.visit_arrived(now, visit(record)),
+            event::HAND_OFF_ENDED => brain.hand_off_ended(now, ended(frame, record, *columns)?),
+            event::CLIENT_LEFT => brain.close_visit(VisitId(record.u32(4))),
+            event::WAKE => brain.tick(now),
+            event::PROBE_ANSWERED => brain.probe_answered(now, host(record, 6), report(record, 16, *columns)),
             event::PURGE => {
                 let object = Some(record.u64(10)).filter(|key| *key != 0).map(ObjectId);
                 let ago = Span(u64::from(record.u32(4)));
-                brain.purged(now, GroupId(u32::from(record.u16(8))), object, ago);
+                brain.record_purge(now, GroupId(u32::from(record.u16(8))), object, ago);
             }
             _ => {}
         }
@@ -132,7 +132,7 @@
         kind: KindId(entry.u8(11).into()),
         cell: CellId(entry.u16(12)),
         weight: f64::from(entry.f32(7)),
-        since: Some(entry.u64(14)).filter(|at| *at != 0).map(Time),
+        started_at: Some(entry.u64(14)).filter(|at| *at != 0).map(Time),
         phase: match entry.u8(22) {
             0 => Phase::Gone,
             1 => Phase::Ready,
@@ -146,7 +146,7 @@
     let kilobytes = f64::from(record.f32(21));
     Visit {
         id: VisitId(record.u32(4)),
-        band: BandId(record.u8(20).into()),
+        class: ClassId(record.u8(20).into()),
         object: ObjectId(record.u64(12)),
         group: GroupId(record.f32(8) as u32),
         part: record.f32(35) as u32,
@@ -160,27 +160,27 @@
     let value = |column: Option<usize>| {
         column.filter(is_present).map(|column| record.f32(at + 1 + 4 * column).into())
     };
-    Report { link_full: value(columns[0]), busy: value(columns[1]) }
+    Report { link_load: value(columns[0]), load: value(columns[1]) }
 }
 
-fn ended(frame: &Frame, record: Fields, columns: [Option<usize>; 2]) -> Result<Ended, Error> {
+fn ended(frame: &Frame, record: Fields, columns: [Option<usize>; 2]) -> Result<HandOffEnd, Error> {
     use Note::*;
     use Outcome::*;
-    Ok(Ended {
+    Ok(HandOffEnd {
         visit: VisitId(record.u32(4)),
-        number: HandOffNo(record.u8(20)),
-        took: Span(u64::from(record.u32(16))),
+        number: HandOffNumber(record.u8(20)),
+        duration: Span(u64::from(record.u32(16))),
         report: report(record, 30, columns),
-        last: record.u8(29) != 0,
+        is_final: record.u8(29) != 0,
         outcome: match record.u16(27) {
-            1 => Settled,
+            1 => Served,
             2 => Error,
             3 => Full,
             4 => TimedOut,
             5 => ConnectFailed,
             6 => Reset,
             7 => Cancelled,
-            8 => Moot,
+            8 => Expired,
             9 => Miss,
             other => return Err(frame.error(format!("unknown outcome {other}"))),
         },
@@ -189,27 +189,27 @@
             2 => Filled,
             3 => FilledByOrigin,
             4 => Joined,
-            5 => Aged,
+            5 => Stale,
             6 => SourceRefused,
-            7 => SourceUnreached,
-            8 => SourceLacks,
-            9 => NoPlace,
+            7 => SourceUnreachable,
+            8 => SourceMiss,
+            9 => NoCapacity,
             10 => OriginFailed,
-            _ => Untold,
+            _ => Unspecified,
         },
     })
 }
 
 fn encode_decision(reply: &mut Reply, instance: u16, decision: Decision) {
     match decision {
-        Decision::HandOff { visit, host, until, fill, .. } => {
+        Decision::HandOff { visit, host, times_out_at: until, fill, .. } => {
             let mut record =
                 reply.record(if fill.is_some() { action::READ_THROUGH } else { action::HAND_OFF }, instance);
             record.put(4, &visit.0.to_le_bytes());
             record.put(8, &host_bytes(host)).put(14, &until.0.to_le_bytes());
             if let Some(fill) = fill {
-                let oldest = fill.oldest.0.min(u64::from(u32::MAX)) as u32;
-                let bits = u8::from(fill.join) | u8::from(fill.held) << 1 | u8::from(fill.renew) << 3;
+                let oldest = fill.max_age.0.min(u64::from(u32::MAX)) as u32;
+                let bits = u8::from(fill.may_join) | u8::from(fill.cached_only) << 1 | u8::from(fill.refresh_stale) << 3;
                 record.put(22, &host_bytes(fill.source)).put(28, &[fill.rank]);
                 record.put(29, &oldest.to_le_bytes()).put(33, &[bits]);
             }
@@ -220,11 +220,11 @@
         Decision::Probe { host } => {
             reply.record(action::PROBE, instance).put(4, &host_bytes(host));
         }
-        Decision::TurnBack { visit, retry_after } => {
+        Decision::Refuse { visit, retry_after } => {
             let wait = retry_after.0.min(u64::from(u32::MAX)) as u32;
             reply.record(action::REFUSE, instance).put(4, &visit.0.to_le_bytes()).put(8, &wait.to_le_bytes());
         }
-        Decision::WriteOff { visit } => {
+        Decision::Fail { visit } => {
             reply.record(action::FAIL, instance).put(4, &visit.0.to_le_bytes());
         }
         Decision::Wake { after } => {
--- a/crates/dispatcher/src/attempt_log.rs
+++ b/crates/dispatcher/src/attempt_log.rs
@@ -39,21 +39,36 @@
         });
         let written =
             self.written_at.map_or("never written".to_owned(), |at| format!("written after {} ms", ms(at)));
-        let oldest = self.fill.map_or("no copy".to_owned(), |fill| match fill.oldest.0 {
+        let oldest = self.fill.map_or("no copy".to_owned(), |fill| match fill.max_age.0 {
             0 => "a copy of any age".to_owned(),
             oldest => format!("a copy of at most {} ms", oldest / 1000),
         });
         format!(
-            "attempt {}/{} of request {request} at {}: decided{since_request}, for {oldest}, {written}, {:?} after {} ms",
+            "attempt {}/{} of request {request} at {}: decided{since_request}, for {oldest}, {written}, {} after {} ms",
             self.id.0 .0,
             self.id.1 .0,
             self.host,
-            self.outcome,
+            outcome_text(self.outcome),
             ms(self.ended_at)
         )
     }
 }
 
+fn outcome_text(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Served => "served",
+        Outcome::Error => "error",
+        Outcome::Full => "refused",
+        Outcome::TimedOut => "timed out",
+        Outcome::ConnectFailed => "connection failed",
+        Outcome::Reset => "connection reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Expired => "expired",
+        Outcome::Miss => "no cached copy",
+        Outcome::NotSent => "not sent",
+    }
+}
+
 /// Logs attempts, slow ones at a limited rate.
 #[derive(Debug, Default)]
 pub struct AttemptLog {
--- a/crates/dispatcher/src/carried.rs
+++ b/crates/dispatcher/src/carried_changes.rs
@@ -1,8 +1,8 @@
 //! Change log entries delivered by carriers of the fleet instead of by polling (docs/fleet-delivery.md):
 //! their encoding, and the source of changes for the thread that follows the log.
-use crate::config::Names;
+use crate::config::WireNames;
 use crate::inbox::{Change, Input};
-use crate::log_changes::{ChangeDecoder, Fault};
+use crate::change_decoding::{ChangeDecoder, ChangeLogError};
 use cherrypass::time::Span;
 use cherrypass_peers::delivery::{Delivered, LogChange, LogRead};
 use cherrypass_peers::{ChangeNumber, FromFleet, ToFleet};
@@ -86,21 +86,21 @@
     /// Applies changes delivered by carriers; returns when the log is to be polled.
     pub(crate) fn apply_delivered(
         &mut self,
-        names: &Names,
+        names: &WireNames,
         last: &mut u64,
         router: &Sender<Input>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ChangeLogError> {
         while let Some(delivered) = self.next() {
             match delivered {
                 Delivered::ReadLog(reads) => self.reads_log = reads || self.is_carrier(),
                 Delivered::KnownUpTo(at) => {
                     let known = Input::Fleet(FromFleet::Delivered(Delivered::KnownUpTo(at)));
-                    router.send(known).map_err(|_| Fault::RouterStopped)?;
+                    router.send(known).map_err(|_| ChangeLogError::RouterStopped)?;
                 }
                 Delivered::Changes { first, records } => {
                     for (number, record) in (first.0..).zip(records) {
                         if let Some(change) = decode_delivered(&record, number, names, last)? {
-                            router.send(Input::Changed(change)).map_err(|_| Fault::RouterStopped)?;
+                            router.send(Input::Change(change)).map_err(|_| ChangeLogError::RouterStopped)?;
                         }
                     }
                 }
@@ -157,9 +157,9 @@
 fn decode_delivered(
     record: &[u8],
     number: u64,
-    names: &Names,
+    names: &WireNames,
     last: &mut u64,
-) -> Result<Option<Change>, Fault> {
+) -> Result<Option<Change>, ChangeLogError> {
     let Some(change) = decode(record, number) else {
         tracing::warn!(
             change = number,
@@ -169,7 +169,7 @@
         return Ok(None);
     };
     match ChangeDecoder::new(names, last, None).decode(&change) {
-        Err(Fault::InvalidChange(number, _)) => ChangeDecoder::new(names, last, Some(number)).decode(&change),
+        Err(ChangeLogError::InvalidChange(number, _)) => ChangeDecoder::new(names, last, Some(number)).decode(&change),
         decoded => decoded,
     }
 }
--- a/crates/dispatcher/src/change_clock.rs
+++ b/crates/dispatcher/src/change_clock.rs
@@ -32,7 +32,7 @@
 
 impl ChangeClock {
     /// Takes a stamp into account.
-    pub fn heard(&mut self, now: Time, stamp: UnixTime) {
+    pub fn observe(&mut self, now: Time, stamp: UnixTime) {
         let new = Observation { stamp, received_at: now };
         let known = [self.latest, self.second_latest].into_iter().flatten();
         // A repeated stamp is no independent estimate.
@@ -49,20 +49,20 @@
     }
 
     /// Lower bound of the age of a stamp; zero without an estimate.
-    pub fn age(&self, now: Time, stamp: UnixTime) -> Span {
+    pub fn min_age(&self, now: Time, stamp: UnixTime) -> Span {
         self.second_latest.map_or(Span::ZERO, |second| second.now(now) - stamp)
     }
 
     /// The time of a stamp on this process's clock, never earlier than it was. It is in the future only if
     /// both the other stamps and this machine's wall clock say so, as either alone may be behind.
-    pub fn time(&self, now: Time, wall: UnixTime, stamp: UnixTime) -> Time {
+    pub fn local_time(&self, now: Time, wall: UnixTime, stamp: UnixTime) -> Time {
         let ahead_of_wall = stamp - wall;
         let ahead =
             self.second_latest.map_or(ahead_of_wall, |second| ahead_of_wall.min(stamp - second.now(now)));
         if ahead > Span::ZERO {
             now + ahead
         } else {
-            now - self.age(now, stamp)
+            now - self.min_age(now, stamp)
         }
     }
 }
--- a/crates/dispatcher/src/log_changes.rs
+++ b/crates/dispatcher/src/change_decoding.rs
@@ -1,6 +1,6 @@
 //! Decoding of the change log's changes: sequence numbers, contents and errors.
-use crate::config::Names;
-use crate::inbox::{Change, Listed};
+use crate::config::WireNames;
+use crate::inbox::{Change, ListedHost};
 use cherrypass::calls::{Listing, Phase};
 use cherrypass::ids::*;
 use cherrypass::time::UnixTime;
@@ -10,11 +10,11 @@
 
 /// Why following the change log, or decoding a change, failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum ChangeLogError {
     #[error("no connection: {0}")]
     Unreachable(io::Error),
     #[error("silent or cut: {0}")]
-    Cut(#[from] io::Error),
+    Interrupted(#[from] io::Error),
     #[error("its address has changed")]
     AddressChanged,
     #[error("the router has stopped")]
@@ -57,7 +57,7 @@
 
 /// Decodes the changes of one answer in order, and only those after the last decoded one.
 pub(crate) struct ChangeDecoder<'a> {
-    names: &'a Names,
+    names: &'a WireNames,
     last: &'a mut u64,
     /// The number of the preceding change in the answer.
     previous: u64,
@@ -69,7 +69,7 @@
 }
 
 impl<'a> ChangeDecoder<'a> {
-    pub(crate) fn new(names: &'a Names, last: &'a mut u64, known_invalid: Option<u64>) -> ChangeDecoder<'a> {
+    pub(crate) fn new(names: &'a WireNames, last: &'a mut u64, known_invalid: Option<u64>) -> ChangeDecoder<'a> {
         ChangeDecoder { names, previous: *last, last, known_invalid, first_repeated: None }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Decodes the next change; None if it is a repeat or of an unknown kind.
-    pub(crate) fn decode(&mut self, result: &Value) -> Result<Option<Change>, Fault> {
+    pub(crate) fn decode(&mut self, result: &Value) -> Result<Option<Change>, ChangeLogError> {
         let seq = result.get("seq").and_then(Value::as_u64);
         // Numbers increase by one, so a missing one follows from the preceding change.
         let number = seq.unwrap_or(self.previous + 1);
@@ -94,16 +94,16 @@
             return Ok(None);
         }
         if number > *self.last + 1 {
-            return Err(Fault::Gap(number, *self.last));
+            return Err(ChangeLogError::Gap(number, *self.last));
         }
         let skips_invalid = self.known_invalid == Some(number);
         if skips_invalid {
             tracing::warn!(change = number, "change {number} is passed over in part");
         } else if seq.is_none() {
-            return Err(Fault::InvalidChange(number, "its number".into()));
+            return Err(ChangeLogError::InvalidChange(number, "its number".into()));
         }
         let found = match decode_change(result, self.names, number, skips_invalid) {
-            Err(what) if !skips_invalid => return Err(Fault::InvalidChange(number, what)),
+            Err(what) if !skips_invalid => return Err(ChangeLogError::InvalidChange(number, what)),
             found => found.unwrap_or(None),
         };
         *self.last = number;
@@ -115,13 +115,13 @@
 /// stopped.
 pub fn decode(
     answer: &Value,
-    names: &Names,
+    names: &WireNames,
     last: &mut u64,
     known_invalid: Option<u64>,
-) -> (Vec<Change>, Option<Fault>) {
+) -> (Vec<Change>, Option<ChangeLogError>) {
     let mut changes = Vec::new();
     let Some(results) = answer.get("results").and_then(Value::as_array) else {
-        return (changes, Some(Fault::NotJson));
+        return (changes, Some(ChangeLogError::NotJson));
     };
     let mut decoder = ChangeDecoder::new(names, last, known_invalid);
     for result in results {
@@ -138,7 +138,7 @@
 
 fn decode_change(
     result: &Value,
-    names: &Names,
+    names: &WireNames,
     number: u64,
     skips_invalid: bool,
 ) -> Result<Option<Change>, InvalidKey> {
@@ -149,11 +149,11 @@
             .enumerate()
             .map(|(index, entry)| decode_host(entry, names).map_err(|key| InvalidKey(key, Some(index))))
             .filter(|host| !skips_invalid || host.is_ok());
-        let hosts = hosts.collect::<Result<Vec<Listed>, _>>()?;
+        let hosts = hosts.collect::<Result<Vec<ListedHost>, _>>()?;
         // A host whose entry was skipped must not count as gone.
         let is_complete = hosts.len() == servers.len();
         let whole = is_complete && fleet.get("full").and_then(Value::as_bool).unwrap_or(false);
-        return Ok(Some(Change::List { whole, hosts }));
+        return Ok(Some(Change::HostList { is_complete: whole, hosts }));
     }
     let Some(purge) = result.get("invalidate") else { return Ok(None) };
     let at = purge.get("time").and_then(Value::as_u64).ok_or("time")?;
@@ -166,10 +166,10 @@
     if object.is_none() && bucket.is_none() {
         return Err("object or bucket".into());
     }
-    Ok(Some(Change::Purge(Purge { group, object, at: UnixTime::millis(at), change: number })))
+    Ok(Some(Change::Purge(Purge { group, object, issued_at: UnixTime::millis(at), change_number: number })))
 }
 
-fn decode_host(entry: &Value, names: &Names) -> Result<Listed, &'static str> {
+fn decode_host(entry: &Value, names: &WireNames) -> Result<ListedHost, &'static str> {
     let text = |key| entry.get(key).and_then(Value::as_str);
     let index = |list: &[String], name: &str| list.iter().position(|known| known == name);
     let name = text("id").ok_or("id")?;
@@ -185,7 +185,7 @@
     let kind = text("kind").and_then(|kind| index(&names.kinds, kind));
     let started = entry.get("started_ms").filter(|value| !value.is_null());
     let started = started.map_or(Some(0), whole_ms).or(is_gone.then_some(0)).ok_or("started_ms")?;
-    Ok(Listed {
+    Ok(ListedHost {
         listing: Listing {
             host: host_id(name),
             location: LocationId(location.or(is_gone.then_some(0)).ok_or("zone")? as u16),
@@ -196,7 +196,7 @@
                 entry.get("cell").and_then(Value::as_u64).unwrap_or(0).try_into().map_err(|_| "cell")?,
             ),
             weight: entry.get("weight").and_then(Value::as_f64).unwrap_or(0.0),
-            since: None,
+            started_at: None,
             phase,
         },
         started: Some(started).filter(|ms| *ms > 0).map(UnixTime::millis),
--- a/crates/dispatcher/src/changes.rs
+++ b/crates/dispatcher/src/change_log.rs
@@ -1,12 +1,12 @@
 //! Follows the change log over HTTP/1.1, by long polls for the changes after the last known one. Each change
 //! takes effect as soon as it has arrived, before the rest of the answer. After a failure the current list
 //! stays in force and the log is polled again.
-use crate::carried::{Delivery, Source};
+use crate::carried_changes::{Delivery, Source};
 use crate::clock;
-use crate::config::{Names, Nesting};
+use crate::config::{WireNames, Nesting};
 use crate::inbox::Input;
-use crate::log_changes::ChangeDecoder;
-pub use crate::log_changes::{decode, host_id, Fault, InvalidKey};
+use crate::change_decoding::ChangeDecoder;
+pub use crate::change_decoding::{decode, host_id, ChangeLogError, InvalidKey};
 use cherrypass::time::{Span, Time};
 use crossbeam_channel::{Receiver, Sender};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -32,7 +32,7 @@
 /// The wait requested of the poll after a failure or a stall, so that missed changes arrive at once.
 const CATCH_UP_WAIT: Span = Span::millis(1);
 /// By the protocol, a change counts as announced this long after it was made, whether it arrived or not.
-pub const TOLD_AT_LATEST: Span = Span::millis(7_000);
+pub const MAX_ANNOUNCEMENT_DELAY: Span = Span::millis(7_000);
 /// Changes in a broken answer count as announced this long after the break, and those in an answer that
 /// stalls this long after the requested wait.
 const ANNOUNCED_AFTER: Span = Span::millis(2_000);
@@ -58,16 +58,16 @@
 const _: () = assert!(MAX_RETRY_DELAY.0 + REDIAL_AFTER.0 <= ANNOUNCED_AFTER.0);
 
 /// Parameters of [`follow`].
-pub struct Following {
+pub struct FollowOptions {
     /// Address of the change log.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// New addresses of the change log.
-    pub moved: Receiver<SocketAddr>,
-    pub names: Names,
+    pub new_addresses: Receiver<SocketAddr>,
+    pub names: WireNames,
     /// Number of the last known change.
-    pub last: u64,
+    pub last_change: u64,
     /// Maximum bytes of one change.
-    pub most: usize,
+    pub max_change_bytes: usize,
     pub seed: u64,
     pub router: Sender<Input>,
     /// Set if carriers deliver changes, or if this process is a carrier.
@@ -75,27 +75,27 @@
 }
 
 /// Follows the change log until the router has stopped.
-pub fn follow(following: Following) {
-    let Following { at, moved, names, mut last, most, seed, router, delivery } = following;
+pub fn follow(following: FollowOptions) {
+    let FollowOptions { address, new_addresses, names, mut last_change, max_change_bytes, seed, router, delivery } = following;
     let mut source = Source::new(delivery);
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let mut connections = Connections { at, moved, idle: None, dials: Vec::new(), max_change_bytes: most };
+    let mut connections = Connections { address, new_addresses, idle: None, dials: Vec::new(), max_change_bytes };
     let mut retry_delay = MIN_RETRY_DELAY;
     let (mut is_failing, mut is_behind, mut is_repeating) = (false, false, false);
     let mut has_stalled = false;
     let mut known_invalid = None;
     let mut response_timeout = MIN_RESPONSE_TIMEOUT;
     loop {
-        if source.apply_delivered(&names, &mut last, &router).is_err() {
+        if source.apply_delivered(&names, &mut last_change, &router).is_err() {
             return;
         }
-        if let Some(new) = connections.moved.try_iter().last() {
-            connections = Connections { at: new, idle: None, dials: Vec::new(), ..connections };
+        if let Some(new) = connections.new_addresses.try_iter().last() {
+            connections = Connections { address: new, idle: None, dials: Vec::new(), ..connections };
             retry_delay = MIN_RETRY_DELAY;
         }
         let (polled_at, polled_instant) = (clock::now(), Instant::now());
-        let since = last;
-        let mut decoder = ChangeDecoder::new(&names, &mut last, known_invalid);
+        let since = last_change;
+        let mut decoder = ChangeDecoder::new(&names, &mut last_change, known_invalid);
         let poll_wait = if is_failing || has_stalled { CATCH_UP_WAIT } else { POLL_WAIT };
         let found = connections.poll(since, [poll_wait, response_timeout], &mut |result| {
             let before = decoder.last();
@@ -104,22 +104,22 @@
                 source.change_read(decoder.last(), result);
             }
             change.map_or(Ok(()), |change| {
-                router.send(Input::Changed(change)).map_err(|_| Fault::RouterStopped)
+                router.send(Input::Change(change)).map_err(|_| ChangeLogError::RouterStopped)
             })
         });
         has_stalled = clock::now() - polled_at > STALL_THRESHOLD;
         let repeated = decoder.first_repeated();
-        source.answer_ended(last, found.is_ok().then_some(polled_instant));
-        if found.is_ok() && router.send(Input::LogKnown(polled_at)).is_err() {
+        source.answer_ended(last_change, found.is_ok().then_some(polled_instant));
+        if found.is_ok() && router.send(Input::ChangeLogReadUpTo(polled_at)).is_err() {
             return;
         }
         if let Some(number) = repeated.filter(|_| !is_repeating) {
-            tracing::warn!(change = last, "changelog tells change {number} again, after {last}: ignored");
+            tracing::warn!(change = last_change, "changelog tells change {number} again, after {last_change}: ignored");
         }
         is_repeating = repeated.is_some();
         let fault = match found {
-            Err(Fault::AddressChanged) => continue,
-            Err(Fault::RouterStopped) => return,
+            Err(ChangeLogError::AddressChanged) => continue,
+            Err(ChangeLogError::RouterStopped) => return,
             Err(fault) => Some(fault),
             Ok(seq) => {
                 let was_behind = is_behind;
@@ -139,18 +139,18 @@
         } else {
             response_timeout = (response_timeout + response_timeout).min(RESPONSE_DEADLINE);
         }
-        if let Some(Fault::InvalidChange(number, _)) = &fault {
+        if let Some(ChangeLogError::InvalidChange(number, _)) = &fault {
             known_invalid = Some(*number);
         }
         if let Some(fault) = &fault {
             if !is_failing {
                 tracing::warn!(
-                    change = last,
-                    "changelog fails: {fault}; the list as of change {last} stays in force"
+                    change = last_change,
+                    "changelog fails: {fault}; the list as of change {last_change} stays in force"
                 );
             }
         } else if is_failing {
-            tracing::info!(change = last, "changelog back at change {last}");
+            tracing::info!(change = last_change, "changelog back at change {last_change}");
         }
         is_failing = fault.is_some();
         // Prevents a busy loop, also if answers arrive at once and have no changes.
@@ -158,15 +158,15 @@
             if is_failing { (retry_delay + retry_delay).min(MAX_RETRY_DELAY) } else { MIN_RETRY_DELAY };
         // After a connect timeout the next connection is already being established.
         let has_waited =
-            matches!(&fault, Some(Fault::Unreachable(error)) if error.kind() == ErrorKind::TimedOut);
+            matches!(&fault, Some(ChangeLogError::Unreachable(error)) if error.kind() == ErrorKind::TimedOut);
         let since_poll = clock::now() - polled_at;
         let needs_delay = is_failing && !has_waited || since_poll < Span::millis(2);
         let delay = needs_delay.then(|| retry_delay.times(random.gen_range(0.5..1.0)));
         if let Some(delay) = delay.max(source.poll_delay(since_poll)) {
             // A new address ends the wait.
             let mut select = crossbeam_channel::Select::new();
-            select.recv(&connections.moved);
-            let _ = select.ready_timeout(clock::duration(delay));
+            select.recv(&connections.new_addresses);
+            let _ = select.ready_timeout(clock::to_std(delay));
         }
     }
 }
@@ -188,7 +188,7 @@
 /// up to a limit, so that a stall of this process loses no changes.
 struct AnswerStream<'a> {
     stream: &'a TcpStream,
-    moved: &'a Receiver<SocketAddr>,
+    new_addresses: &'a Receiver<SocketAddr>,
     /// The current deadline: first for the beginning of the answer, then for its end.
     deadline: Time,
     end_deadline: Time,
@@ -213,7 +213,7 @@
                 }
                 Err(error) => return Err(error),
             }
-            if is_late || !self.moved.is_empty() {
+            if is_late || !self.new_addresses.is_empty() {
                 return Err(ErrorKind::TimedOut.into());
             }
             ready(&[self.stream], PollFlags::POLLIN, self.deadline)?;
@@ -224,11 +224,11 @@
 /// A connection that is being established, and since when.
 struct Dial(TcpStream, Time);
 
-fn dial(at: SocketAddr) -> io::Result<Dial> {
-    let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
+fn dial(address: SocketAddr) -> io::Result<Dial> {
+    let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.set_nodelay(true)?;
-    match socket.connect(&at.into()) {
+    match socket.connect(&address.into()) {
         Err(error) if error.raw_os_error() != Some(libc::EINPROGRESS) => Err(error),
         _ => Ok(Dial(socket.into(), clock::now())),
     }
@@ -236,8 +236,8 @@
 
 /// The connections to the change log between polls.
 struct Connections {
-    at: SocketAddr,
-    moved: Receiver<SocketAddr>,
+    address: SocketAddr,
+    new_addresses: Receiver<SocketAddr>,
     idle: Option<TcpStream>,
     dials: Vec<Dial>,
     max_change_bytes: usize,
@@ -245,28 +245,28 @@
 
 impl Connections {
     /// Returns the first connection to be established.
-    fn connect(&mut self) -> Result<TcpStream, Fault> {
+    fn connect(&mut self) -> Result<TcpStream, ChangeLogError> {
         loop {
-            if !self.moved.is_empty() {
-                return Err(Fault::AddressChanged);
+            if !self.new_addresses.is_empty() {
+                return Err(ChangeLogError::AddressChanged);
             }
             let now = clock::now();
             if self.dials.last().is_none_or(|Dial(_, since)| now - *since >= REDIAL_AFTER) {
-                self.dials.push(dial(self.at).map_err(Fault::Unreachable)?);
+                self.dials.push(dial(self.address).map_err(ChangeLogError::Unreachable)?);
             }
             let all: Vec<&TcpStream> = self.dials.iter().map(|Dial(stream, _)| stream).collect();
             let ready = ready(&all, PollFlags::POLLOUT, now + CHECK_INTERVAL)?;
             if let Some(index) = ready.iter().position(|is_ready| *is_ready) {
                 let Dial(stream, _) = self.dials.swap_remove(index);
                 self.dials.clear();
-                return match stream.take_error().map_err(Fault::Unreachable)? {
-                    Some(error) => Err(Fault::Unreachable(error)),
+                return match stream.take_error().map_err(ChangeLogError::Unreachable)? {
+                    Some(error) => Err(ChangeLogError::Unreachable(error)),
                     None => Ok(stream),
                 };
             }
             if self.dials.first().is_some_and(|Dial(_, since)| clock::now() - *since >= CONNECT_TIMEOUT) {
                 self.dials.remove(0);
-                return Err(Fault::Unreachable(ErrorKind::TimedOut.into()));
+                return Err(ChangeLogError::Unreachable(ErrorKind::TimedOut.into()));
             }
         }
     }
@@ -278,7 +278,7 @@
         since: u64,
         [poll_wait, response_timeout]: [Span; 2],
         on_change: &mut OnChange,
-    ) -> Result<Option<u64>, Fault> {
+    ) -> Result<Option<u64>, ChangeLogError> {
         // A connection that was closed in between, or has unexpected data, can't be reused.
         let mut unexpected = [0];
         let is_reusable = |stream: &TcpStream| {
@@ -288,23 +288,23 @@
             Some(stream) => stream,
             None => self.connect()?,
         };
-        let (wait, at) = (poll_wait.0 / 1000, self.at);
+        let (wait, address) = (poll_wait.0 / 1000, self.address);
         let request = format!(
-            "GET /changes?since={since}&timeout={wait} HTTP/1.1\r\nHost: {at}\r\n\
+            "GET /changes?since={since}&timeout={wait} HTTP/1.1\r\nHost: {address}\r\n\
              Accept: application/json\r\n\r\n"
         );
         (&stream).write_all(request.as_bytes())?;
         let now = clock::now();
         let answer_stream = AnswerStream {
             stream: &stream,
-            moved: &self.moved,
+            new_addresses: &self.new_addresses,
             deadline: now + (poll_wait + response_timeout).min(RESPONSE_DEADLINE),
             end_deadline: now + RESPONSE_DEADLINE,
             late_bytes_left: self.max_change_bytes,
         };
-        let found = answer(answer_stream, since, self.max_change_bytes, on_change);
-        if !self.moved.is_empty() && !matches!(found, Err(Fault::RouterStopped)) {
-            return Err(Fault::AddressChanged);
+        let found = read_answer(answer_stream, since, self.max_change_bytes, on_change);
+        if !self.new_addresses.is_empty() && !matches!(found, Err(ChangeLogError::RouterStopped)) {
+            return Err(ChangeLogError::AddressChanged);
         }
         let (seq, is_reusable) = found?;
         self.idle = Some(stream).filter(|_| is_reusable);
@@ -313,45 +313,45 @@
 }
 
 /// Called with each change of an answer.
-pub type OnChange<'a> = dyn FnMut(&Value) -> Result<(), Fault> + 'a;
+pub type OnChange<'a> = dyn FnMut(&Value) -> Result<(), ChangeLogError> + 'a;
 
 /// Reads an answer and passes on each change as soon as it has arrived. Returns the number of the log's last
 /// change, and whether the connection can be reused.
-pub fn answer(
+pub fn read_answer(
     stream: impl Read,
     since: u64,
     max_change_bytes: usize,
     on_change: &mut OnChange,
-) -> Result<(Option<u64>, bool), Fault> {
+) -> Result<(Option<u64>, bool), ChangeLogError> {
     let mut stream = BufReader::new(stream);
     let mut head = Vec::new();
     let (length, is_chunked, keeps_alive) = loop {
         let piece = stream.fill_buf()?;
         if piece.is_empty() {
-            return Err(Fault::Cut(ErrorKind::UnexpectedEof.into()));
+            return Err(ChangeLogError::Interrupted(ErrorKind::UnexpectedEof.into()));
         }
         let before = head.len();
         head.extend_from_slice(piece);
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed = response.parse(&head).map_err(|_| Fault::InvalidResponse("invalid head"))?;
+        let parsed = response.parse(&head).map_err(|_| ChangeLogError::InvalidResponse("invalid head"))?;
         let httparse::Status::Complete(head_length) = parsed else {
             if head.len() > MAX_HEAD_BYTES {
-                return Err(Fault::InvalidResponse("the head is too long"));
+                return Err(ChangeLogError::InvalidResponse("the head is too long"));
             }
             stream.consume(head.len() - before);
             continue;
         };
         stream.consume(head_length - before);
         if response.code != Some(200) {
-            return Err(Fault::InvalidResponse("the status is not 200"));
+            return Err(ChangeLogError::InvalidResponse("the status is not 200"));
         }
         let header = |name: &str| {
             let found = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
             found.and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim)
         };
         let length = header("content-length").map(|text| text.parse::<u64>());
-        let length = length.transpose().map_err(|_| Fault::InvalidResponse("invalid Content-Length"))?;
+        let length = length.transpose().map_err(|_| ChangeLogError::InvalidResponse("invalid Content-Length"))?;
         let is_chunked = header("transfer-encoding").is_some_and(|t| t.eq_ignore_ascii_case("chunked"));
         let closes = header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         break (length, is_chunked, !closes && response.version == Some(1));
@@ -394,7 +394,7 @@
         }
         self.read.set(self.read.get() + found);
         if self.read.get() > self.max_change_bytes {
-            let fault = Fault::ChangeTooLong(self.number.get(), self.max_change_bytes);
+            let fault = ChangeLogError::ChangeTooLong(self.number.get(), self.max_change_bytes);
             return Err(io::Error::other(fault));
         }
         Ok(found)
@@ -408,21 +408,21 @@
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         let found = self.0.read(into)?;
         if self.1.is_too_deep(&into[..found]) {
-            return Err(io::Error::other(Fault::TooDeep));
+            return Err(io::Error::other(ChangeLogError::TooDeep));
         }
         Ok(found)
     }
 }
 
-fn read_changes(body: impl Read, on_change: &mut OnChange) -> Result<Option<u64>, Fault> {
+fn read_changes(body: impl Read, on_change: &mut OnChange) -> Result<Option<u64>, ChangeLogError> {
     let mut fault = None;
     let mut json = serde_json::Deserializer::from_reader(DepthLimited(body, Nesting::default()));
     let found = AnswerVisitor { on_change, fault: &mut fault }.deserialize(&mut json);
     match found.and_then(|seq| json.end().map(|()| seq)) {
         Ok(seq) => Ok(seq),
         Err(error) => Err(fault.unwrap_or_else(|| match error.is_io() {
-            true => io::Error::from(error).downcast::<Fault>().unwrap_or_else(Fault::Cut),
-            false => Fault::NotJson,
+            true => io::Error::from(error).downcast::<ChangeLogError>().unwrap_or_else(ChangeLogError::Interrupted),
+            false => ChangeLogError::NotJson,
         })),
     }
 }
@@ -430,7 +430,7 @@
 /// Reads the JSON of an answer, `{"seq":LAST,"results":[...]}`, change by change.
 struct AnswerVisitor<'a, 'b> {
     on_change: &'a mut OnChange<'b>,
-    fault: &'a mut Option<Fault>,
+    fault: &'a mut Option<ChangeLogError>,
 }
 
 impl<'de> DeserializeSeed<'de> for AnswerVisitor<'_, '_> {
@@ -468,7 +468,7 @@
 /// Reads the list of changes.
 struct ResultsVisitor<'a, 'b> {
     on_change: &'a mut OnChange<'b>,
-    fault: &'a mut Option<Fault>,
+    fault: &'a mut Option<ChangeLogError>,
 }
 
 impl<'de> DeserializeSeed<'de> for ResultsVisitor<'_, '_> {
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -513,7 +513,7 @@
     /// refused, or else the oldest.
     fn admit_or_queue(&mut self, client: Client) {
         let key = client.id.0;
-        let configured = client.connection.configure(Some(clock::duration(self.write_timeout)));
+        let configured = client.connection.configure(Some(clock::to_std(self.write_timeout)));
         if configured.is_err()
             || self.epoll.add(&*client.connection, EpollEvent::new(read_flags(), key)).is_err()
         {
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -16,7 +16,7 @@
 
 fn process_start() -> &'static ProcessStart {
     static BEGIN: OnceLock<ProcessStart> = OnceLock::new();
-    BEGIN.get_or_init(|| ProcessStart { instant: Instant::now(), unix: wall() })
+    BEGIN.get_or_init(|| ProcessStart { instant: Instant::now(), unix: wall_now() })
 }
 
 /// The current monotonic time.
@@ -24,24 +24,24 @@
     START + Span(process_start().instant.elapsed().as_micros() as u64)
 }
 
-pub fn duration(span: Span) -> Duration {
+pub fn to_std(span: Span) -> Duration {
     Duration::from_micros(span.0)
 }
 
 /// The current time of the system's wall clock.
-pub fn wall() -> UnixTime {
+pub fn wall_now() -> UnixTime {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     UnixTime(since.as_micros() as u64)
 }
 
 /// Unix time for records that outlast the process: the wall clock at process start plus the monotonic time
 /// since. Steps of the wall clock while the process runs don't affect when records expire.
-pub fn unix() -> UnixTime {
-    unix_at(now())
+pub fn unix_now() -> UnixTime {
+    to_unix(now())
 }
 
 /// Converts a monotonic time as [`unix`] does.
-pub fn unix_at(time: Time) -> UnixTime {
+pub fn to_unix(time: Time) -> UnixTime {
     let start = process_start().unix;
     if time >= START {
         start + (time - START)
@@ -53,5 +53,5 @@
 /// Converts a Unix time that an earlier process recorded; one in the future becomes the current time.
 pub fn from_unix(unix: UnixTime) -> Time {
     let now = now();
-    now - (unix_at(now) - unix)
+    now - (to_unix(now) - unix)
 }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("no configuration: name it with --config or in GW_CONFIG")]
-    Unnamed,
+    NoConfigurationFile,
     #[error("the configuration {0} can't be read: {1}; name a file that is there and may be read")]
     Unreadable(String, std::io::Error),
     #[error("the configuration isn't JSON: {0}; {}", json_remedy(.0))]
@@ -23,11 +23,11 @@
     #[error("the configuration's {0} can't be used: {1}; it has to be {2}")]
     InvalidValue(&'static str, String, String),
     #[error("{0}: add it")]
-    MissingSetting(#[from] settings::Missing),
+    MissingSetting(#[from] settings::MissingSetting),
     #[error("the configuration's {0}")]
-    InvalidSetting(#[from] settings::Fault),
+    InvalidSetting(#[from] settings::InvalidSetting),
     #[error("the configuration's known: {0}; look at who writes it")]
-    KnownChanges(crate::changes::Fault),
+    KnownChanges(crate::change_log::ChangeLogError),
     #[error("{1} (in {0})")]
     InFile(String, Box<Error>),
 }
@@ -42,22 +42,22 @@
 
 /// The names used in messages, each at the index of its id.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
-    pub bands: Vec<String>,
+pub struct WireNames {
+    pub classes: Vec<String>,
     pub locations: Vec<String>,
     pub kinds: Vec<String>,
 }
 
 /// Limits of the connections to hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reach {
-    pub connect_limit: Span,
+pub struct HostConnectionLimits {
+    pub connect_timeout: Span,
     /// How long an unused connection stays open.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// Concurrent hand-offs per connection.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// Connections to all hosts.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// The decoded configuration.
@@ -68,26 +68,26 @@
     pub seed: u64,
     pub changelog: SocketAddr,
     /// Changes that are known at the start, in the form of the change log.
-    pub known: Value,
+    pub known_changes: Value,
     pub settings: Settings,
-    pub names: Names,
-    pub reach: Reach,
+    pub names: WireNames,
+    pub host_connections: HostConnectionLimits,
     /// The deadline of each request class.
-    pub limits: Vec<Span>,
+    pub class_deadlines: Vec<Span>,
     /// Maximum number of client connections.
-    pub clients: usize,
+    pub max_clients: usize,
     /// Maximum bytes of answers that wait for clients to read them.
-    pub unread: usize,
+    pub max_unread_bytes: usize,
     /// Maximum bytes of all answers in progress.
-    pub held: usize,
+    pub max_answer_bytes: usize,
     /// Maximum bytes that open visits may hold.
-    pub kept: usize,
+    pub max_visit_bytes: usize,
     /// Maximum bytes of one change of the change log; decoded, it takes several times as much memory.
-    pub changes: usize,
+    pub max_change_bytes: usize,
 }
 
 /// Maximum bytes of a host's message: an object of 240,000 bytes and room for its fields.
-pub const HOST_MESSAGE: usize = 256 * 1024;
+pub const MAX_HOST_MESSAGE_BYTES: usize = 256 * 1024;
 /// File descriptors for everything but clients and hosts: standard streams, listener, change log, signals,
 /// and connections that are being accepted or closed.
 const RESERVED_DESCRIPTORS: usize = 48;
@@ -151,7 +151,7 @@
         let sixteenth = (memory * 1024.0 * 1024.0 / 16.0) as usize;
         let clients = sockets / 3;
         let seed = string(&all, "seed")?;
-        let required = |path: &str| settings::need(settings_json, path);
+        let required = |path: &str| settings::required_number(settings_json, path);
         let services = settings::list(settings_json, "/services");
         let deadline = |(index, class): (usize, &Value)| {
             let missing = |key| Error::MissingKey(format!("settings/services/{index}/{key}"));
@@ -166,46 +166,46 @@
             seed: u64::from_str_radix(seed, 16)
                 .map_err(|_| invalid("seed", &all["seed"], "a text of up to 16 hex digits"))?,
             changelog: address(&all, "changelog")?,
-            known: all.get("known").cloned().unwrap_or(Value::Null),
+            known_changes: all.get("known").cloned().unwrap_or(Value::Null),
             settings: settings::read(settings_json)?,
-            names: Names {
-                bands: services.iter().map(|class| settings::text(class, "/name").to_owned()).collect(),
+            names: WireNames {
+                classes: services.iter().map(|class| settings::text(class, "/name").to_owned()).collect(),
                 locations: names(settings_json, "/zones"),
                 kinds: names(settings_json, "/models"),
             },
-            reach: Reach {
-                connect_limit: Span(required("/bounds/connect_timeout")? as u64),
-                idle: Span(required("/bounds/conn_idle")? as u64),
-                streams: (required("/bounds/streams_per_conn")? as usize).max(1),
-                connections: sockets
+            host_connections: HostConnectionLimits {
+                connect_timeout: Span(required("/bounds/connect_timeout")? as u64),
+                idle_timeout: Span(required("/bounds/conn_idle")? as u64),
+                streams_per_connection: (required("/bounds/streams_per_conn")? as usize).max(1),
+                max_connections: sockets
                     .saturating_sub(clients + RESERVED_DESCRIPTORS)
-                    .min(4 * sixteenth / HOST_MESSAGE)
+                    .min(4 * sixteenth / MAX_HOST_MESSAGE_BYTES)
                     .max(1),
             },
-            limits,
-            clients,
-            unread: 2 * sixteenth,
-            held: 3 * sixteenth,
-            kept: sixteenth,
-            changes: sixteenth / 4,
+            class_deadlines: limits,
+            max_clients: clients,
+            max_unread_bytes: 2 * sixteenth,
+            max_answer_bytes: 3 * sixteenth,
+            max_visit_bytes: sixteenth,
+            max_change_bytes: sixteenth / 4,
         })
     }
 
     /// Checks that all changes known at the start are valid.
     pub fn check_known(&self) -> Result<(), Error> {
-        let (_, fault) = crate::changes::decode(&self.known, &self.names, &mut 0, None);
-        fault.filter(|_| !self.known.is_null()).map_or(Ok(()), |fault| Err(Error::KnownChanges(fault)))
+        let (_, fault) = crate::change_log::decode(&self.known_changes, &self.names, &mut 0, None);
+        fault.filter(|_| !self.known_changes.is_null()).map_or(Ok(()), |fault| Err(Error::KnownChanges(fault)))
     }
 
     /// The longest deadline of any request class.
-    pub fn longest(&self) -> Span {
-        self.limits.iter().copied().max().unwrap_or(Span::ZERO)
+    pub fn longest_deadline(&self) -> Span {
+        self.class_deadlines.iter().copied().max().unwrap_or(Span::ZERO)
     }
 
     /// Whether another configuration differs in anything but the change log's address, the known changes and
     /// the seed.
-    pub fn is_new_beyond_changelog(&self, other: &Config) -> bool {
-        let same = Config { changelog: self.changelog, known: self.known.clone(), ..other.clone() };
+    pub fn needs_restart_for(&self, other: &Config) -> bool {
+        let same = Config { changelog: self.changelog, known_changes: self.known_changes.clone(), ..other.clone() };
         Config { seed: self.seed, ..same } != *self
     }
 }
--- a/crates/dispatcher/src/connection.rs
+++ b/crates/dispatcher/src/connection.rs
@@ -1,6 +1,6 @@
 //! A TCP connection shared by the threads that read and write it, and the reason why it was closed.
 use crate::clock;
-use crate::config::HOST_MESSAGE;
+use crate::config::MAX_HOST_MESSAGE_BYTES;
 use cherrypass::time::{Span, Time};
 use nix::errno::Errno;
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -126,7 +126,7 @@
     pub fn configure(&self, write_timeout: Option<Duration>) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         // Fits one whole answer, and no more piles up for a peer that doesn't read.
-        socket2::SockRef::from(&self.stream).set_send_buffer_size(HOST_MESSAGE)?;
+        socket2::SockRef::from(&self.stream).set_send_buffer_size(MAX_HOST_MESSAGE_BYTES)?;
         self.stream.set_write_timeout(write_timeout)
     }
 
--- a/crates/dispatcher/src/keeping.rs
+++ b/crates/dispatcher/src/durable_state.rs
@@ -9,7 +9,7 @@
 use cherrypass_keep::purges::{self, Purge};
 use cherrypass_keep::records::Record;
 use cherrypass_keep::versions::{self, Version};
-use cherrypass_keep::visits::{self, Taken, Visits};
+use cherrypass_keep::visits::{self, WriteResult, Visits};
 use cherrypass_operator as operator;
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::error::Error;
@@ -26,7 +26,7 @@
 
 /// The store, shared by the dispatcher's threads. Without effect if the store could not be opened.
 #[derive(Clone)]
-pub struct Kept {
+pub struct StateStore {
     store: Option<Arc<Store>>,
     settings: operator::Store,
     /// Whether writes fail, which is logged once.
@@ -35,13 +35,13 @@
 
 /// Options for a store that is written to, with a seed that differs between runs.
 pub fn options(segment_kb: u64) -> Options {
-    let seed = clock::unix().0 ^ u64::from(std::process::id()) << 40;
+    let seed = clock::unix_now().0 ^ u64::from(std::process::id()) << 40;
     Options { segment_bytes: segment_kb * 1024, seed, ..Options::default() }
 }
 
 #[cfg(not(feature = "faults"))]
 fn open(dir: &Path, options: Options, budget: Whole) -> Result<Store, Error> {
-    Store::open(dir, options, Arc::new(clock::unix), Some(budget))
+    Store::open(dir, options, Arc::new(clock::unix_now), Some(budget))
 }
 
 /// Opens the store on a disk with the faults that the environment orders.
@@ -51,9 +51,9 @@
     Store::on(disk, options, Arc::new(clock::unix), Some(budget))
 }
 
-impl Kept {
+impl StateStore {
     /// Opens the store. A failure is logged, and the settings say what works without a store.
-    pub fn open(settings: operator::Store) -> Kept {
+    pub fn open(settings: operator::Store) -> StateStore {
         let (bytes_a_second, time_share) = (settings.background.bytes_per_s, settings.background.core_share);
         let budget = Whole { bytes_a_second, time_share, ..BUDGET };
         let store = match open(&settings.dir, options(settings.segment_kb), budget) {
@@ -73,12 +73,12 @@
                 None
             }
         };
-        Kept::with(store, settings)
+        StateStore::with_store(store, settings)
     }
 
     /// Uses a store that is already open; None for none.
-    pub fn with(store: Option<Arc<Store>>, settings: operator::Store) -> Kept {
-        Kept { store, settings, is_failing: Arc::default() }
+    pub fn with_store(store: Option<Arc<Store>>, settings: operator::Store) -> StateStore {
+        StateStore { store, settings, is_failing: Arc::default() }
     }
 
     pub fn store(&self) -> Option<Arc<Store>> {
@@ -86,7 +86,7 @@
     }
 
     /// Marks the store as cleanly closed at the end of the process.
-    pub fn end(&self) {
+    pub fn close(&self) {
         match self.store.as_ref().map(|store| store.mark()) {
             Some(Err(error)) => tracing::warn!("store: it can't be marked as cleanly closed: {error}"),
             Some(Ok(())) => tracing::info!("store: closed"),
@@ -129,7 +129,7 @@
     }
 
     /// Records a configuration that has come into force.
-    pub fn in_force(&self, source: &Path, text: &[u8]) {
+    pub fn record_configuration(&self, source: &Path, text: &[u8]) {
         let Some(values) = self.values(versions::SPACE) else { return };
         let stored = versions::decode_all(values.iter().map(|(_, value)| &value[..]));
         let source = source.display().to_string();
@@ -137,7 +137,7 @@
             &stored,
             &source,
             text,
-            clock::unix(),
+            clock::unix_now(),
             self.settings.max_configurations,
         );
         if !records.is_empty() {
@@ -153,7 +153,7 @@
 }
 
 /// The purges from before a start.
-pub enum Replayed {
+pub enum RestoredPurges {
     Purges(Vec<Purge>),
     /// They can't be read; each group counts as purged now.
     Unknown {
@@ -161,30 +161,30 @@
     },
 }
 
-impl Replayed {
+impl RestoredPurges {
     fn count(&self) -> usize {
         match self {
-            Replayed::Purges(purges) => purges.len(),
-            Replayed::Unknown { groups } => *groups as usize,
+            RestoredPurges::Purges(purges) => purges.len(),
+            RestoredPurges::Unknown { groups } => *groups as usize,
         }
     }
 }
 
 /// The router's access to durable state.
-pub struct Keeper {
-    kept: Kept,
+pub struct StateRecorder {
+    kept: StateStore,
     pub visits: Visits,
     purge_retention: Span,
     router: Sender<Input>,
 }
 
-impl Keeper {
+impl StateRecorder {
     /// Restores the visits that may have run, and the purges to pass to the decision module.
-    pub fn start(kept: Kept, settings: &Settings, router: Sender<Input>) -> (Keeper, Replayed) {
-        let (now, purge_retention) = (clock::unix(), settings.purge_memory().max(purges::MIN_RETENTION));
+    pub fn restore(kept: StateStore, settings: &Settings, router: Sender<Input>) -> (StateRecorder, RestoredPurges) {
+        let (now, purge_retention) = (clock::unix_now(), settings.purge_retention().max(purges::MIN_RETENTION));
         let stored_purges = kept.values(purges::SPACE);
         let purges = match &stored_purges {
-            Some(values) => Replayed::Purges(purges::replay(
+            Some(values) => RestoredPurges::Purges(purges::replay(
                 now,
                 values.iter().map(|(_, value)| &value[..]),
                 purge_retention,
@@ -193,9 +193,9 @@
                 tracing::warn!(
                     "store: the purges before this start are unknown; every copy counts as purged"
                 );
-                Replayed::Unknown { groups: GROUP_COUNT }
+                RestoredPurges::Unknown { groups: GROUP_COUNT }
             }
-            None => Replayed::Purges(Vec::new()),
+            None => RestoredPurges::Purges(Vec::new()),
         };
         let records = kept.values(visits::SPACE).unwrap_or_default();
         let records = records.iter().map(|(key, value)| (&key[..], &value[..]));
@@ -203,53 +203,53 @@
         let visits = Visits::restore(now, records, kept.settings.visit_retention, sends_unrecorded);
         let may_have_run = visits.unresolved().count();
         tracing::info!("store: {} purges told anew, {may_have_run} visits may have run", purges.count());
-        for (key, visit) in visits.unresolved().filter(|(_, visit)| visit.memory.is_none()) {
+        for (key, visit) in visits.unresolved().filter(|(_, visit)| visit.repeat_window.is_none()) {
             let key = String::from_utf8_lossy(key);
             tracing::warn!(
                 "store: visit {key} of {} may have run at {}, sent {}",
-                visit.band,
+                visit.class_name,
                 visit.host_name,
-                visit.at
+                visit.sent_at
             );
         }
-        (Keeper { kept, visits, purge_retention, router }, purges)
+        (StateRecorder { kept, visits, purge_retention, router }, purges)
     }
 
     /// Whether hand-offs that must not run twice need a record.
     pub fn records_hand_offs(&self) -> bool {
-        self.kept.settings.hand_offs != operator::HandOffs::Off
+        self.kept.settings.hand_offs != operator::HandOffDurability::Off
     }
 
     /// Records a purge.
-    pub fn purged(&self, purge: &Purge) {
-        if let Some(record) = purges::record(clock::unix(), purge, self.purge_retention) {
+    pub fn record_purge(&self, purge: &Purge) {
+        if let Some(record) = purges::record(clock::unix_now(), purge, self.purge_retention) {
             self.kept.submit(Outlasts::Machine, vec![record], |_| {});
         }
     }
 
     /// Writes a hand-off's record and sends the result to the router.
-    pub fn record(&self, id: crate::ids::HandOffId, record: Record) {
+    pub fn write_hand_off_record(&self, id: crate::ids::HandOffId, record: Record) {
         let outlasts = match self.kept.settings.hand_offs {
-            operator::HandOffs::Synced => Outlasts::Machine,
+            operator::HandOffDurability::Synced => Outlasts::Machine,
             _ => Outlasts::Process,
         };
         let router = self.router.clone();
         self.kept.submit(outlasts, vec![record], move |was_written| {
-            let result = if was_written { Taken::Kept } else { Taken::Refused };
-            let _ = router.send(Input::Recorded(id, result));
+            let result = if was_written { WriteResult::Written } else { WriteResult::Refused };
+            let _ = router.send(Input::HandOffRecordStored(id, result));
         });
     }
 
     /// Closes a visit and deletes its record if that is no longer needed.
-    pub fn closed(&mut self, id: VisitId, was_served: bool) {
+    pub fn close_visit(&mut self, id: VisitId, was_served: bool) {
         if let Some(record) = self.visits.close(id, was_served) {
             self.kept.submit(Outlasts::Process, vec![record], |_| {});
         }
     }
 
     /// Drops expired visits and logs hand-offs without a record; called periodically.
-    pub fn sweep(&mut self) {
-        self.visits.remove_expired(clock::unix());
+    pub fn remove_expired(&mut self) {
+        self.visits.remove_expired(clock::unix_now());
         let refused = self.visits.take_refused_count();
         if refused > 0 {
             tracing::warn!("store: records of {refused} hand-offs were refused");
--- a/crates/dispatcher/src/sharing.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -2,13 +2,13 @@
 //! the module; its own findings, demand and usage go to the fleet. No decisions are made here. Values from
 //! the fleet are valid until an `Instant`, and the remaining time is passed to the module again and again, so
 //! that a step of the system clock can't keep an expired share in force.
-use crate::carried::Delivery;
+use crate::carried_changes::Delivery;
 use crate::clock;
 use crate::config::Config;
 use crate::inbox::Input;
-use cherrypass::brain::Brain;
-use cherrypass::calls::{Bad, Found, Listing, Phase, Shared, Wanted, Word};
-use cherrypass::ids::{BandId, HostId, LocationId};
+use cherrypass::decision_engine::DecisionEngine;
+use cherrypass::calls::{EjectionCause, HostCondition, Listing, Phase, SharedLimit, LimitUsage, ReportedCondition};
+use cherrypass::ids::{ClassId, HostId, LocationId};
 use cherrypass::settings::Settings;
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_fleet::{house, limits, members, rollout, verdicts};
@@ -52,11 +52,11 @@
 }
 
 /// Converts the section `fleet` of the operators' file to the settings of the fleet's crates.
-pub fn set(fleet: &Fleet, config: &Config) -> Result<peers::Set, Error> {
+pub fn fleet_settings(fleet: &Fleet, config: &Config) -> Result<peers::Set, Error> {
     let zones = &config.names.locations;
     let location_id =
         |name: &String| zones.iter().position(|zone| zone == name).map(|index| LocationId(index as u16));
-    let mut set = peers::Set::of(&fleet.name, &fleet.me, fleet.listen);
+    let mut set = peers::Set::of(&fleet.name, &fleet.own_name, fleet.listen);
     for (index, operator::Member { name, address, location }) in fleet.members.iter().enumerate() {
         let id = location_id(location);
         let location = id.ok_or_else(|| Error::Location(index, location.clone(), zones.clone()))?;
@@ -68,7 +68,7 @@
     set.locations = zones.iter().filter_map(|zone| Some((zone.clone(), location_id(zone)?))).collect();
     (set.events, set.control, set.form) = (fleet.events.clone(), fleet.control, fleet.message_version);
     (set.every, set.seed) = (fleet.timer_period, config.seed);
-    let drain = config.longest().min(MAX_DRAIN);
+    let drain = config.longest_deadline().min(MAX_DRAIN);
     set.rooms = house::Set {
         members: members::Set { round: fleet.probe_interval, ..members::Set::default() },
         limits: fleet.limits.as_ref().map(|limits| limits::Set {
@@ -122,7 +122,7 @@
 }
 
 /// The router's connection to the fleet.
-pub struct Sharing {
+pub struct FleetConnection {
     send: Box<dyn Fn(ToFleet)>,
     /// For the thread that follows the change log, which takes it once.
     delivery: Option<Delivery>,
@@ -148,17 +148,17 @@
     starts: BTreeMap<HostId, (Option<UnixTime>, Option<Time>)>,
     /// Hosts that the module has ejected, and whether only because of reports of others.
     ejected: BTreeMap<HostId, bool>,
-    recent_demand: BTreeMap<Key, VecDeque<Wanted>>,
+    recent_demand: BTreeMap<Key, VecDeque<LimitUsage>>,
     next_exchange: Instant,
     exchanges: usize,
     counters: Figures,
 }
 
-fn shared_limit(key: Key) -> Shared {
+fn shared_limit(key: Key) -> SharedLimit {
     match key {
-        Key::Origin => Shared::Origin,
-        Key::Further => Shared::Further,
-        Key::Cold(host) => Shared::Cold(host),
+        Key::Origin => SharedLimit::Origin,
+        Key::Further => SharedLimit::Retries,
+        Key::Cold(host) => SharedLimit::ColdStart(host),
     }
 }
 
@@ -167,7 +167,7 @@
     clock::now() + Span(instant.saturating_duration_since(Instant::now()).as_micros() as u64)
 }
 
-impl Sharing {
+impl FleetConnection {
     /// Joins the fleet, whose messages go to the router's mailbox.
     pub fn start(
         fleet: &Fleet,
@@ -175,7 +175,7 @@
         settings: &Settings,
         store: Option<Arc<Store>>,
         router: Sender<Input>,
-    ) -> Result<Sharing, Error> {
+    ) -> Result<FleetConnection, Error> {
         let (to_log_thread, from_fleet) = unbounded();
         let receive = move |from| {
             let _ = match from {
@@ -192,20 +192,20 @@
                 let sender = sender.clone();
                 move |message| sender.send(message)
             }),
-            is_carrier: delivery.carriers.contains(&fleet.me),
+            is_carrier: delivery.carriers.contains(&fleet.own_name),
         });
         let send = Box::new(move |message| sender.send(message));
-        Ok(Sharing { _peers: Some(peers), delivery, ..Sharing::with(fleet, settings, send) })
+        Ok(FleetConnection { _peers: Some(peers), delivery, ..FleetConnection::with(fleet, settings, send) })
     }
 
     /// Takes the channels for the thread that follows the change log.
-    pub fn delivery(&mut self) -> Option<Delivery> {
+    pub fn take_delivery(&mut self) -> Option<Delivery> {
         self.delivery.take()
     }
 
-    fn with(fleet: &Fleet, settings: &Settings, send: Box<dyn Fn(ToFleet)>) -> Sharing {
+    fn with(fleet: &Fleet, settings: &Settings, send: Box<dyn Fn(ToFleet)>) -> FleetConnection {
         let floor = fleet.limits.as_ref().map_or(0.0, |limits| limits.floor);
-        Sharing {
+        FleetConnection {
             send,
             delivery: None,
             known_up_to: fleet.delivery.is_some().then(Instant::now),
@@ -229,13 +229,13 @@
     }
 
     /// How long until the next exchange ([`Sharing::round`]) is due.
-    pub fn wait(&self) -> Duration {
+    pub fn until_next_exchange(&self) -> Duration {
         self.next_exchange.saturating_duration_since(Instant::now())
     }
 
     /// Before anything is served: sets the shares of all limits to zero until the fleet allots more. An
     /// earlier run of this process may have lent its share to others, or its hand-offs may still be using it.
-    pub fn begin(&mut self, brain: &mut Brain) {
+    pub fn set_initial_shares(&mut self, brain: &mut DecisionEngine) {
         let Some(limits) = &self.fleet.limits else { return };
         let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
         let limited = totals.into_iter().filter(|(_, total)| total.is_some());
@@ -243,16 +243,16 @@
     }
 
     /// Sets the share that applies until the fleet allots one.
-    fn set_initial_share(&mut self, brain: &mut Brain, key: Key, amount: f64) {
+    fn set_initial_share(&mut self, brain: &mut DecisionEngine, key: Key, amount: f64) {
         self.shares.entry(key).or_insert(Share { amount, until: Instant::now(), after: amount });
         self.apply_share(brain, key);
     }
 
     /// Passes a share to the module.
-    fn apply_share(&self, brain: &mut Brain, key: Key) {
+    fn apply_share(&self, brain: &mut DecisionEngine, key: Key) {
         if let Some(Share { amount, until, after }) = self.shares.get(&key) {
             let scale = self.scale(key);
-            brain.allotted(shared_limit(key), scale * amount, module_time(*until), scale * after);
+            brain.set_allotment(shared_limit(key), scale * amount, module_time(*until), scale * after);
         }
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// Puts rules in force.
-    fn apply_rules(&mut self, brain: &mut Brain, rules: Rules) {
+    fn apply_rules(&mut self, brain: &mut DecisionEngine, rules: Rules) {
         self.rules = rules;
         self.shares
             .keys()
@@ -298,15 +298,15 @@
     }
 
     /// Withdraws other dispatchers' report on a host from the module.
-    fn withdraw_report(&mut self, brain: &mut Brain, host: HostId) {
+    fn withdraw_report(&mut self, brain: &mut DecisionEngine, host: HostId) {
         if let Some(report) = self.reported_hosts.remove(&host) {
             let now = clock::now();
-            brain.hearsay(now, host, self.start_of(host, report.started), Word::Bad, now);
+            brain.apply_peer_report(now, host, self.start_of(host, report.started), ReportedCondition::Bad, now);
         }
     }
 
     /// Handles a message of the fleet.
-    pub fn take(&mut self, brain: &mut Brain, message: FromFleet) {
+    pub fn handle(&mut self, brain: &mut DecisionEngine, message: FromFleet) {
         match message {
             FromFleet::Part { key, number, amount, until, after } => {
                 // Nothing is kept for hosts that are gone.
@@ -323,7 +323,7 @@
                 // Only once per start: a later start in the list takes precedence over repeated reports.
                 if self.restarted_hosts.insert(host, since) != Some(since) {
                     let start = self.start_of(host, since);
-                    brain.hearsay(clock::now(), host, start, Word::Anew, module_time(until));
+                    brain.apply_peer_report(clock::now(), host, start, ReportedCondition::Restarted, module_time(until));
                 }
             }
             FromFleet::Hearsay { host, since, until, .. } => {
@@ -332,7 +332,7 @@
                     .get(&host)
                     .is_some_and(|report| report.is_refuted && report.started == since);
                 self.reported_hosts.insert(host, ReportedHost { started: since, until, is_refuted });
-                brain.hearsay(clock::now(), host, self.start_of(host, since), Word::Bad, module_time(until));
+                brain.apply_peer_report(clock::now(), host, self.start_of(host, since), ReportedCondition::Bad, module_time(until));
             }
             FromFleet::Withdraw { host } => self.withdraw_report(brain, host),
             FromFleet::Delivered(Delivered::KnownUpTo(at)) => {
@@ -352,10 +352,10 @@
     }
 
     /// Tells the module whether there may be purges that are not known here.
-    fn update_proof(&mut self, brain: &mut Brain) {
+    fn update_proof(&mut self, brain: &mut DecisionEngine) {
         let (Some(delivery), Some(known)) = (&self.fleet.delivery, self.known_up_to) else { return };
-        let is_unproven = known.elapsed() > clock::duration(delivery.max_proof_age);
-        brain.unproven(is_unproven && delivery.unproven == UnprovenCopies::Strict);
+        let is_unproven = known.elapsed() > clock::to_std(delivery.max_proof_age);
+        brain.set_purges_unverified(is_unproven && delivery.unproven == UnprovenCopies::Strict);
         if std::mem::replace(&mut self.is_unproven, is_unproven) != is_unproven {
             let age_ms = known.elapsed().as_millis();
             match is_unproven {
@@ -371,27 +371,27 @@
     }
 
     /// An entry of the host list was applied.
-    pub fn listed(&mut self, brain: &mut Brain, entry: &Listing, started: Option<UnixTime>) {
-        self.starts.insert(entry.host, (started, entry.since));
+    pub fn host_listed(&mut self, brain: &mut DecisionEngine, entry: &Listing, started: Option<UnixTime>) {
+        self.starts.insert(entry.host, (started, entry.started_at));
         if entry.phase != Phase::Ready {
-            return self.unlisted(entry.host, entry.phase == Phase::Gone);
+            return self.host_unlisted(entry.host, entry.phase == Phase::Gone);
         }
         let kind = Some(entry.kind);
         let is_used_by_all = kind == self.settings.parent_kind || kind == self.settings.origin_kind;
         let used_by = if is_used_by_all { UsedBy::All } else { UsedBy::Location(entry.location) };
         (self.send)(ToFleet::Listed { host: entry.host, since: started, used_by });
-        if entry.since.is_some() {
+        if entry.started_at.is_some() {
             self.init_cold_share(brain, entry.host);
         }
     }
 
     /// A host's start was dated earlier than before.
-    pub fn redated(&mut self, host: HostId, since: Time) {
+    pub fn start_redated(&mut self, host: HostId, since: Time) {
         self.starts.get_mut(&host).into_iter().for_each(|known| known.1 = Some(since));
     }
 
     /// A host left the list, or drains.
-    pub fn unlisted(&mut self, host: HostId, is_gone: bool) {
+    pub fn host_unlisted(&mut self, host: HostId, is_gone: bool) {
         (self.send)(ToFleet::Unlisted(host));
         self.reported_hosts.remove(&host);
         if is_gone {
@@ -403,7 +403,7 @@
 
     /// Sets the share of a cold host for which the fleet has not allotted one to the floor, which no other
     /// member can have. The fleet may know too many hosts to allot shares for this one.
-    fn init_cold_share(&mut self, brain: &mut Brain, host: HostId) {
+    fn init_cold_share(&mut self, brain: &mut DecisionEngine, host: HostId) {
         let key = Key::Cold(host);
         let shares_cold_budgets = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
         if shares_cold_budgets && !self.shares.contains_key(&key) {
@@ -412,7 +412,7 @@
     }
 
     /// Exchanges the current state between module and fleet, in both directions.
-    pub fn round(&mut self, brain: &mut Brain) {
+    pub fn exchange(&mut self, brain: &mut DecisionEngine) {
         let (now, instant) = (clock::now(), Instant::now());
         self.next_exchange = instant + EXCHANGE_INTERVAL;
         self.exchanges += 1;
@@ -426,7 +426,7 @@
         self.reported_hosts.retain(|_, report| instant < report.until);
         for (host, report) in &self.reported_hosts {
             let start = self.start_of(*host, report.started);
-            brain.hearsay(now, *host, start, Word::Bad, module_time(report.until));
+            brain.apply_peer_report(now, *host, start, ReportedCondition::Bad, module_time(report.until));
         }
         if self.fleet.verdicts.is_some() {
             self.send_findings(brain, now);
@@ -439,19 +439,19 @@
     }
 
     /// Sends findings about hosts that are new or have changed.
-    fn send_findings(&mut self, brain: &Brain, now: Time) {
+    fn send_findings(&mut self, brain: &DecisionEngine, now: Time) {
         let mut current = BTreeMap::new();
         for finding in brain.findings(now) {
-            let kind = match finding.what {
-                Found::Anew => Kind::JustStarted,
-                Found::Shut { why: Bad::Silent, .. } | Found::Shut { unreached: true, .. } => Kind::CutOff,
-                Found::Shut { .. } => Kind::ShutOut,
+            let kind = match finding.condition {
+                HostCondition::Restarted => Kind::JustStarted,
+                HostCondition::Ejected { cause: EjectionCause::Silent, .. } | HostCondition::Ejected { is_unreachable: true, .. } => Kind::CutOff,
+                HostCondition::Ejected { .. } => Kind::ShutOut,
             };
             let key = (finding.host, kind == Kind::JustStarted);
             let since = self.starts.get(&finding.host).and_then(|known| known.0);
-            let content = (kind, finding.evidence, since);
+            let content = (kind, finding.evidence_count, since);
             if self.sent_findings.get(&key) != Some(&content) {
-                let (host, evidence, age) = (finding.host, finding.evidence, now - finding.at);
+                let (host, evidence, age) = (finding.host, finding.evidence_count, now - finding.last_evidence_at);
                 (self.send)(ToFleet::Found(Finding { host, since, kind, evidence, age }));
             }
             current.insert(key, content);
@@ -459,7 +459,7 @@
         let cleared = self.sent_findings.keys().filter(|key| !key.1 && !current.contains_key(key));
         cleared.for_each(|key| (self.send)(ToFleet::Cleared(key.0)));
         self.sent_findings = current;
-        for host in brain.refuted(now) {
+        for host in brain.refuted_reports(now) {
             if let Some(report) = self.reported_hosts.get_mut(&host).filter(|report| !report.is_refuted) {
                 report.is_refuted = true;
                 (self.send)(ToFleet::Refuted(host));
@@ -468,9 +468,9 @@
     }
 
     /// Sends which hosts were ejected or returned.
-    fn send_ejections(&mut self, brain: &Brain) {
+    fn send_ejections(&mut self, brain: &DecisionEngine) {
         let ejected: BTreeMap<HostId, bool> =
-            brain.shut_out_now().map(|(host, why)| (host, why == Bad::Told)).collect();
+            brain.ejected_hosts().map(|(host, why)| (host, why == EjectionCause::Reported)).collect();
         for (host, by_report) in
             ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
         {
@@ -484,13 +484,13 @@
     }
 
     /// Sends the demand for each limit, and once a second its usage.
-    fn send_demand(&mut self, brain: &mut Brain, now: Time) {
+    fn send_demand(&mut self, brain: &mut DecisionEngine, now: Time) {
         let Some(limits) = &self.fleet.limits else { return };
         let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
         let mut keys: BTreeSet<Key> =
             totals.into_iter().filter(|(_, total)| total.is_some()).map(|(key, _)| key).collect();
         if limits.shares_cold_budgets {
-            let cold: Vec<HostId> = brain.cold(now).collect();
+            let cold: Vec<HostId> = brain.cold_hosts(now).collect();
             cold.iter().for_each(|host| self.init_cold_share(brain, *host));
             keys.extend(cold.into_iter().map(Key::Cold));
         }
@@ -498,16 +498,16 @@
         let sends_usage = self.exchanges.is_multiple_of(DEMAND_WINDOW);
         for key in keys {
             let recent = self.recent_demand.entry(key).or_default();
-            recent.push_back(brain.wanted(now, shared_limit(key)));
+            recent.push_back(brain.take_limit_usage(now, shared_limit(key)));
             if recent.len() > DEMAND_WINDOW {
                 recent.pop_front();
             }
-            let aggregate = |of: fn(&Wanted) -> f64| match key {
+            let aggregate = |of: fn(&LimitUsage) -> f64| match key {
                 Key::Origin => recent.iter().map(of).fold(0.0, f64::max),
                 _ => recent.iter().map(of).sum::<f64>() / recent.len() as f64,
             };
             let max = if matches!(key, Key::Cold(_)) { 1.0 } else { f64::MAX };
-            (self.send)(ToFleet::Wants { key, amount: aggregate(|one| one.wanted).min(max) });
+            (self.send)(ToFleet::Wants { key, amount: aggregate(|one| one.demanded).min(max) });
             if sends_usage {
                 (self.send)(ToFleet::Used { key, amount: aggregate(|one| one.used) });
             }
@@ -515,24 +515,24 @@
     }
 
     /// Counts a hand-off.
-    pub fn handed_off(&mut self) {
+    pub fn count_hand_off(&mut self) {
         self.counters.hand_offs += 1;
     }
 
     /// Counts a visit that was served.
-    pub fn settled(&mut self, brain: &Brain, band: BandId, took: Span) {
+    pub fn count_served(&mut self, brain: &DecisionEngine, band: ClassId, took: Span) {
         self.counters.visits += 1;
-        self.counters.in_time += u64::from(took.as_seconds() <= brain.quoted(band));
+        self.counters.in_time += u64::from(took.as_seconds() <= brain.target_seconds(band));
     }
 
     /// Counts a visit that was refused.
-    pub fn turned_back(&mut self) {
+    pub fn count_refused(&mut self) {
         self.counters.visits += 1;
         self.counters.turned_back += 1;
     }
 
     /// Counts a visit that failed.
-    pub fn written_off(&mut self) {
+    pub fn count_failed(&mut self) {
         self.counters.visits += 1;
         self.counters.written_off += 1;
     }
@@ -541,22 +541,22 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cherrypass::calls::{Decision, Ended, Note, Outcome, Report, Visit};
-    use cherrypass::ids::{CellId, GroupId, HandOffNo, KindId, ObjectId, VisitId};
-    use cherrypass::settings::{Band, ColdStart, Effect};
+    use cherrypass::calls::{Decision, HandOffEnd, Note, Outcome, Report, Visit};
+    use cherrypass::ids::{CellId, GroupId, HandOffNumber, KindId, ObjectId, VisitId};
+    use cherrypass::settings::{ClassSettings, ColdStart, Effect};
     use crossbeam_channel::{unbounded, Receiver};
 
     const CACHE_COUNT: u64 = 4;
     const ORIGIN: HostId = HostId(9);
 
-    fn class(writes: bool) -> Band {
+    fn class(writes: bool) -> ClassSettings {
         let (quoted, zero) = (Span::millis(500), Span::ZERO);
-        Band { effect: Effect::Idempotent, quoted, stretch: 2.0, fresh: zero, grace: zero, writes }
+        ClassSettings { effect: Effect::Idempotent, target_latency: quoted, target_stretch: 2.0, fresh_for: zero, stale_for: zero, is_write: writes }
     }
 
     /// A decision module with four caches, the first of them cold, and an origin; and its connection to a
     /// fleet of two. Messages to the fleet arrive at the receiver.
-    fn start() -> (Brain, Sharing, Receiver<ToFleet>) {
+    fn start() -> (DecisionEngine, FleetConnection, Receiver<ToFleet>) {
         let text = r#"{"fleet": {"name": "shop", "me": "d1", "listen": "127.0.0.1:0", "verdicts": {},
             "limits": {"origin": 40, "further_per_s": 20, "cold": true, "floor": 0.1},
             "members": [{"name": "d1", "address": "127.0.0.1:1", "location": "edge"},
@@ -566,27 +566,27 @@
         let settings = Settings {
             dispatchers: 2,
             location_dispatchers: 2,
-            bands: vec![class(false), class(true)],
+            classes: vec![class(false), class(true)],
             origin_kind: Some(KindId(2)),
-            weights_told: true,
-            weights_steady: true,
-            direct: true,
-            cancel: true,
+            has_weights: true,
+            has_stable_weights: true,
+            may_bypass_caches: true,
+            can_cancel: true,
             max_hand_offs: 6,
-            cold_cache: ColdStart { share, ramp, multiple, window },
+            cold_cache: ColdStart { initial_share: share, ramp, overload_factor: multiple, overload_window: window },
             ..Settings::default()
         };
-        let mut brain = Brain::start(settings.clone(), 7, clock::now());
+        let mut brain = DecisionEngine::new(settings.clone(), 7, clock::now());
         let (sender, sent) = unbounded();
-        let mut sharing = Sharing::with(
+        let mut sharing = FleetConnection::with(
             &fleet.fleet.unwrap(),
             &settings,
             Box::new(move |message| drop(sender.send(message))),
         );
-        sharing.begin(&mut brain);
+        sharing.set_initial_shares(&mut brain);
         let entries: Vec<Listing> = (1..=CACHE_COUNT).map(HostId).chain([ORIGIN]).map(entry).collect();
-        brain.listed(clock::now(), &entries, true);
-        entries.iter().for_each(|entry| sharing.listed(&mut brain, entry, entry.since.map(clock::unix_at)));
+        brain.update_hosts(clock::now(), &entries, true);
+        entries.iter().for_each(|entry| sharing.host_listed(&mut brain, entry, entry.started_at.map(clock::to_unix)));
         (brain, sharing, sent)
     }
 
@@ -594,17 +594,17 @@
         let (location, cell) = (LocationId(0), CellId(0));
         let kind = KindId(if host == ORIGIN { 2 } else { 0 });
         let since = Some(clock::now()).filter(|_| host == HostId(1));
-        Listing { host, location, kind, cell, weight: 20.0, since, phase: Phase::Ready }
+        Listing { host, location, kind, cell, weight: 20.0, started_at: since, phase: Phase::Ready }
     }
 
     /// Starts visits of a request class; returns the host of each, with no entry for refused ones.
-    fn visits(brain: &mut Brain, first: u32, count: u32, class: u16) -> BTreeMap<u32, HostId> {
+    fn visits(brain: &mut DecisionEngine, first: u32, count: u32, class: u16) -> BTreeMap<u32, HostId> {
         let (now, mut sent_to) = (clock::now(), BTreeMap::new());
         for id in first..first + count {
             let (object, deadline) = (ObjectId(u64::from(id)), now + Span::seconds(6.0));
-            let (band, group, visit) = (BandId(class), GroupId(0), VisitId(id));
-            brain.arrived(now, Visit { id: visit, band, object, group, part: 0, kilobytes: None, deadline });
-            while let Some(decision) = brain.next(now) {
+            let (band, group, visit) = (ClassId(class), GroupId(0), VisitId(id));
+            brain.visit_arrived(now, Visit { id: visit, class: band, object, group, part: 0, kilobytes: None, deadline });
+            while let Some(decision) = brain.next_decision(now) {
                 if let Decision::HandOff { visit, host, .. } = decision {
                     sent_to.insert(visit.0, host);
                 }
@@ -613,14 +613,14 @@
         sent_to
     }
 
-    fn end(brain: &mut Brain, sent_to: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
+    fn end(brain: &mut DecisionEngine, sent_to: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
         for (id, host) in sent_to {
-            let outcome = if fails(*host) { Outcome::TimedOut } else { Outcome::Settled };
-            let (visit, number, note) = (VisitId(*id), HandOffNo(0), Note::Untold);
+            let outcome = if fails(*host) { Outcome::TimedOut } else { Outcome::Served };
+            let (visit, number, note) = (VisitId(*id), HandOffNumber(0), Note::Unspecified);
             let (took, report) = (Span::millis(100), Report::default());
-            brain.ended(clock::now(), Ended { visit, number, outcome, note, took, report, last: true });
+            brain.hand_off_ended(clock::now(), HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: true });
         }
-        while brain.next(clock::now()).is_some() {}
+        while brain.next_decision(clock::now()).is_some() {}
     }
 
     #[test]
@@ -629,10 +629,10 @@
         assert_eq!(visits(&mut brain, 0, 5, 1).len(), 0, "no share is allotted yet");
         let until = Instant::now() + Duration::from_millis(60);
         let share = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
-        sharing.take(&mut brain, share(Key::Origin, 3, 6.0, 0.0));
-        sharing.take(&mut brain, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
+        sharing.handle(&mut brain, share(Key::Origin, 3, 6.0, 0.0));
+        sharing.handle(&mut brain, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
         assert_eq!(visits(&mut brain, 10, 9, 1).len(), 6);
-        sharing.round(&mut brain);
+        sharing.exchange(&mut brain);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Taken { key: Key::Origin, number: 3 }));
         assert!(
@@ -658,10 +658,10 @@
         let (mut brain, mut sharing, sent) = start();
         let until = Instant::now() + Duration::from_secs(9);
         let key = Key::Origin;
-        sharing.take(&mut brain, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
+        sharing.handle(&mut brain, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
         let mut rules = |number: u64, text: &str| {
-            sharing.take(&mut brain, FromFleet::Rules { number, text: text.into() });
-            let before = brain.wanted(clock::now(), Shared::Origin).used as u32;
+            sharing.handle(&mut brain, FromFleet::Rules { number, text: text.into() });
+            let before = brain.take_limit_usage(clock::now(), SharedLimit::Origin).used as u32;
             visits(&mut brain, 100 * number as u32, 9, 1).len() as u32 + before
         };
         assert_eq!(rules(1, r#"{"fleet": {"limits": {"origin": 20}}}"#), 4);
@@ -678,8 +678,8 @@
             let sent_to = visits(&mut brain, first, 60, 0);
             end(&mut brain, &sent_to, |host| host == bad);
         }
-        sharing.round(&mut brain);
-        sharing.round(&mut brain);
+        sharing.exchange(&mut brain);
+        sharing.exchange(&mut brain);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         let found =
             |message: &&ToFleet| matches!(message, ToFleet::Found(f) if f.host == bad && f.evidence > 0);
@@ -690,17 +690,17 @@
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
         let (kind, weight, age, tellers) = (Kind::ShutOut, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
-        sharing.take(&mut brain, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
-        sharing.round(&mut brain);
+        sharing.handle(&mut brain, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
+        sharing.exchange(&mut brain);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Shut { host, told: true }));
         assert!(
             !all.iter().any(|message| matches!(message, ToFleet::Found(f) if f.host == host)),
             "a report of others was repeated"
         );
-        sharing.take(&mut brain, FromFleet::Withdraw { host });
-        brain.woken(clock::now());
-        sharing.round(&mut brain);
+        sharing.handle(&mut brain, FromFleet::Withdraw { host });
+        brain.tick(clock::now());
+        sharing.exchange(&mut brain);
         assert!(sent.try_iter().any(|message| message == ToFleet::Back { host }));
     }
 }
--- a/crates/dispatcher/src/list.rs
+++ b/crates/dispatcher/src/host_list.rs
@@ -1,7 +1,7 @@
 //! The host list in force. A faulty entry is logged once and interpreted so that no host counts as warmer, or
 //! gets more load, than a correct entry would give it (docs/sockets.md, "Bad entries of the list").
 use crate::change_clock::ChangeClock;
-use crate::inbox::Listed;
+use crate::inbox::ListedHost;
 use cherrypass::calls::{Listing, Phase};
 use cherrypass::ids::HostId;
 use cherrypass::time::{Span, Time, UnixTime};
@@ -36,11 +36,11 @@
 }
 
 /// The effect of an update of the list.
-pub struct Applied {
+pub struct AppliedUpdate {
     /// The update's entries in their order, as they are interpreted.
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedHost>,
     /// Hosts that lost their address to another one; they count as gone.
-    pub lost: Vec<Listing>,
+    pub displaced: Vec<Listing>,
     /// Faulty entries, each with the host's name.
     pub faults: Vec<(String, EntryFault)>,
 }
@@ -71,7 +71,7 @@
 }
 
 /// The listed hosts and their starts.
-pub struct List {
+pub struct HostList {
     entries: BTreeMap<HostId, Entry>,
     /// The latest listed start of each host; for a host that is gone, until it would be warm.
     starts: BTreeMap<HostId, Start>,
@@ -83,15 +83,15 @@
     uses_weights: bool,
 }
 
-impl List {
-    pub fn new(ramp: Span, uses_weights: bool) -> List {
+impl HostList {
+    pub fn new(ramp: Span, uses_weights: bool) -> HostList {
         let (entries, starts, warming) = Default::default();
-        List { entries, starts, warming, last_sequence: 0, ramp, uses_weights }
+        HostList { entries, starts, warming, last_sequence: 0, ramp, uses_weights }
     }
 
     /// Applies an update whose stamps the change clock has observed already. With `is_full`, hosts missing
     /// from it are gone.
-    pub fn apply(&mut self, clocks: &Clocks, mut hosts: Vec<Listed>, is_full: bool) -> Applied {
+    pub fn apply(&mut self, clocks: &Clocks, mut hosts: Vec<ListedHost>, is_full: bool) -> AppliedUpdate {
         if is_full {
             let listed: BTreeSet<HostId> = hosts.iter().map(|host| host.listing.host).collect();
             self.entries.retain(|id, _| listed.contains(id));
@@ -109,7 +109,7 @@
         hosts.retain(|host| lost.iter().all(|lost| lost.host != host.listing.host));
         let (entries, ramp) = (&self.entries, self.ramp);
         self.starts.retain(|id, start| entries.contains_key(id) || clocks.now < start.at + ramp);
-        Applied { hosts, lost, faults }
+        AppliedUpdate { hosts, displaced: lost, faults }
     }
 
     /// Dates the starts of hosts that are not warm yet again, and returns those that were earlier than known.
@@ -122,10 +122,10 @@
             let Some(start) = starts.get_mut(id).filter(|start| clocks.now < start.at + ramp) else {
                 return false;
             };
-            let at = clocks.change_clock.time(clocks.now, clocks.wall, start.listed);
+            let at = clocks.change_clock.local_time(clocks.now, clocks.wall, start.listed);
             if at + MIN_START_CORRECTION < start.at {
                 start.at = at;
-                entries.get_mut(id).into_iter().for_each(|entry| entry.listing.since = Some(at));
+                entries.get_mut(id).into_iter().for_each(|entry| entry.listing.started_at = Some(at));
                 found.push((*id, at));
             }
             true
@@ -135,7 +135,7 @@
 
     /// The weight that an entry is given. An unusable one never counts as more than a listed weight of the
     /// same kind.
-    fn effective_weight(&self, entry: &Listing, hosts: &[Listed]) -> f64 {
+    fn effective_weight(&self, entry: &Listing, hosts: &[ListedHost]) -> f64 {
         if is_usable(entry.weight) {
             return entry.weight;
         }
@@ -154,21 +154,21 @@
 
     /// Dates the start of an entry. A missing start, or one earlier than the known one, leaves that
     /// unchanged.
-    fn apply_start(&mut self, clocks: &Clocks, host: &mut Listed) -> Option<EntryFault> {
+    fn apply_start(&mut self, clocks: &Clocks, host: &mut ListedHost) -> Option<EntryFault> {
         let id = host.listing.host;
         let (listed, known) = (host.started, self.starts.get(&id).map(|start| start.listed));
         let later = listed.filter(|listed| Some(*listed) > known);
         if let Some(listed) = later {
-            let at = clocks.change_clock.time(clocks.now, clocks.wall, listed);
+            let at = clocks.change_clock.local_time(clocks.now, clocks.wall, listed);
             self.starts.insert(id, Start { listed, at });
             self.warming.insert(id);
         }
         let start = self.starts.get(&id);
-        (host.started, host.listing.since) = (start.map(|start| start.listed), start.map(|start| start.at));
+        (host.started, host.listing.started_at) = (start.map(|start| start.listed), start.map(|start| start.at));
         let ms = |start: Option<UnixTime>| start.map_or(0, UnixTime::as_millis);
         let fault = if listed < known {
             EntryFault::EarlierStart { listed: ms(listed), known: ms(known) }
-        } else if later.is_some() && host.listing.since > Some(clocks.now) {
+        } else if later.is_some() && host.listing.started_at > Some(clocks.now) {
             EntryFault::FutureStart(ms(listed))
         } else {
             return None;
@@ -176,9 +176,9 @@
         (host.listing.phase == Phase::Ready).then_some(fault)
     }
 
-    fn insert(&mut self, host: &Listed) {
+    fn insert(&mut self, host: &ListedHost) {
         self.last_sequence += 1;
-        let Listed { listing, started, name, address } = host;
+        let ListedHost { listing, started, name, address } = host;
         match address.filter(|_| listing.phase != Phase::Gone) {
             Some(address) => {
                 let (listing, started, name) = (*listing, *started, name.clone());
@@ -193,7 +193,7 @@
     /// process beyond its cold budget.
     fn resolve_addresses(
         &mut self,
-        hosts: &[Listed],
+        hosts: &[ListedHost],
         faults: &mut Vec<(String, EntryFault)>,
     ) -> Vec<Listing> {
         let updated: BTreeSet<SocketAddr> = hosts.iter().filter_map(|host| host.address).collect();
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -2,7 +2,7 @@
 //! and another one ([`crate::host_connections`]) reads the connections.
 use crate::capacity::{HostCapacity, Reservation};
 use crate::clock;
-use crate::config::Reach;
+use crate::config::HostConnectionLimits;
 use crate::connection::{spawn, CloseReason, Connection};
 use crate::host_connections::HostConnections;
 use crate::host_messages::{HandOff, HostMailbox, HostThreadMessage, NewHost, SendState, ToHost};
@@ -33,7 +33,7 @@
 /// State shared by all host actors.
 #[derive(Clone)]
 struct Shared {
-    reach: Reach,
+    reach: HostConnectionLimits,
     capacity: HostCapacity,
     connections: Arc<HostConnections>,
     router: Sender<Input>,
@@ -41,9 +41,9 @@
 
 impl Hosts {
     /// Starts the threads of the host actors and of their connections.
-    pub fn start(reach: Reach, capacity: HostCapacity, router: Sender<Input>) -> std::io::Result<Hosts> {
+    pub fn start(reach: HostConnectionLimits, capacity: HostCapacity, router: Sender<Input>) -> std::io::Result<Hosts> {
         let (messages, mailbox) = unbounded();
-        let connections = HostConnections::start(capacity.clone(), reach.connect_limit)?;
+        let connections = HostConnections::start(capacity.clone(), reach.connect_timeout)?;
         let shared = Shared { reach, capacity: capacity.clone(), connections, router };
         spawn("hosts", move || run(&mailbox, &shared))?;
         Ok(Hosts { messages, next_id: 0, capacity })
@@ -356,7 +356,7 @@
             pooled.in_flight.retain(|_, out| !ids.contains(&out.id));
             waiting.extend(ids);
         }
-        waiting.into_iter().for_each(|id| self.report_end(id, Outcome::Unsent, None, clock::now()));
+        waiting.into_iter().for_each(|id| self.report_end(id, Outcome::NotSent, None, clock::now()));
     }
 
     /// Closes connections without hand-offs in flight if the host was removed or they are being retired.
@@ -387,7 +387,7 @@
                 !is_revoked
             });
         }
-        revoked.into_iter().for_each(|id| self.report_end(id, Outcome::Moot, None, clock::now()));
+        revoked.into_iter().for_each(|id| self.report_end(id, Outcome::Expired, None, clock::now()));
     }
 
     fn report_end(&self, id: HandOffId, outcome: Outcome, answer: Option<(Answer, Reservation)>, at: Time) {
@@ -398,10 +398,10 @@
     /// the host's share of connections allows it.
     fn hand_off(&mut self, hand_off: HandOff) {
         if self.is_draining || self.is_removed {
-            self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
+            self.report_end(hand_off.id, Outcome::Expired, None, clock::now());
             return;
         }
-        let streams = self.shared.reach.streams;
+        let streams = self.shared.reach.streams_per_connection;
         let txn = Txn::parse(&hand_off.txn);
         let free = self.pool.iter().filter(|(_, pooled)| pooled.accepts(txn, streams));
         let best = free.min_by_key(|(_, pooled)| {
@@ -414,7 +414,7 @@
         };
         let Some(pooled) = connection.and_then(|id| self.pool.get_mut(&id)) else {
             // A lack of connections doesn't count as a failure of the host.
-            self.report_end(hand_off.id, Outcome::Moot, None, clock::now());
+            self.report_end(hand_off.id, Outcome::Expired, None, clock::now());
             return;
         };
         let HandOff { id, expects_copy, fills_miss, deadline, .. } = hand_off;
@@ -490,7 +490,7 @@
         let mut revoked = pooled.in_flight.extract_if(.., |_, out| out.id == id && out.send_state.revoke());
         if revoked.next().is_some() {
             drop(revoked);
-            self.report_end(id, Outcome::Moot, None, clock::now());
+            self.report_end(id, Outcome::Expired, None, clock::now());
         }
     }
 
@@ -573,12 +573,12 @@
             pooled.cancelled.remove(&txn);
             return;
         };
-        if answer.outcome != Outcome::Settled {
+        if answer.outcome != Outcome::Served {
             pooled.answered.insert(txn, (out.deadline, answer.outcome == Outcome::Miss));
         }
         // An answer may confirm the client's copy only by naming the tag that the client sent, and a copy
         // must name its tag. Other answers reach no client, nor does anything after them on this connection.
-        let is_settled = answer.outcome == Outcome::Settled;
+        let is_settled = answer.outcome == Outcome::Served;
         let is_other_copy =
             answer.client_copy_current && (out.client_tag.is_none() || out.client_tag != answer.tag);
         if is_other_copy || is_settled && out.expects_copy && answer.tag.is_none() {
@@ -591,7 +591,7 @@
 
     /// Closes stalled connections, and idle ones before the host closes them.
     fn sweep(&mut self, now: Time) {
-        let idle = self.shared.reach.idle.times(0.8);
+        let idle = self.shared.reach.idle_timeout.times(0.8);
         for pooled in self.pool.values_mut() {
             pooled.cancelled.retain(|_, until| now < *until + LATE_ANSWER_MARGIN);
             pooled.answered.retain(|_, (until, _)| now < *until);
@@ -599,7 +599,7 @@
                 continue;
             };
             // An incomplete answer that stalls or trickles blocks all answers after it.
-            if connection.partial_for(now).is_some_and(|span| span > self.shared.reach.connect_limit) {
+            if connection.partial_for(now).is_some_and(|span| span > self.shared.reach.connect_timeout) {
                 pooled.close(CloseReason::MessageTimeout);
             } else if pooled.in_flight.is_empty() && now - pooled.last_used > idle {
                 pooled.close(CloseReason::Idle);
--- a/crates/dispatcher/src/ids.rs
+++ b/crates/dispatcher/src/ids.rs
@@ -1,5 +1,5 @@
 //! Ids used by the network layer; those of visits and hosts belong to the decision module.
-use cherrypass::ids::{HandOffNo, VisitId};
+use cherrypass::ids::{HandOffNumber, VisitId};
 
 /// Id of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,7 +19,7 @@
 
 /// Id of one attempt of a visit at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HandOffId(pub VisitId, pub HandOffNo);
+pub struct HandOffId(pub VisitId, pub HandOffNumber);
 
 /// The id that the client gave a visit, 16 hexadecimal digits on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/dispatcher/src/inbox.rs
+++ b/crates/dispatcher/src/inbox.rs
@@ -9,7 +9,7 @@
 use cherrypass::calls::{Listing, Outcome, Report};
 use cherrypass::time::{Time, UnixTime};
 use cherrypass_keep::purges::Purge;
-use cherrypass_keep::visits::Taken;
+use cherrypass_keep::visits::WriteResult;
 use cherrypass_peers::FromFleet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,13 +20,13 @@
     HandOff(HandOffId, FromHost),
     /// A host reported its load.
     ProbeEnded(ProbeId, Report),
-    Changed(Change),
+    Change(Change),
     /// All changes that the change log had at this time have been sent.
-    LogKnown(Time),
+    ChangeLogReadUpTo(Time),
     /// A host reset its connections or refused one, so that its process may be new.
     HostReset(HostActorId),
     /// The store accepted or rejected the record of a hand-off.
-    Recorded(HandOffId, Taken),
+    HandOffRecordStored(HandOffId, WriteResult),
     Fleet(FromFleet),
     Stop,
 }
@@ -75,7 +75,7 @@
 
 /// A listed host with the address at which this dispatcher reaches it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedHost {
     /// Its `since` is derived from `started` when the entry is applied to the list.
     pub listing: Listing,
     /// The host's start time in the change log's clock; none if that was long ago.
@@ -87,6 +87,6 @@
 /// A change told by the change log.
 #[derive(Clone, Debug)]
 pub enum Change {
-    List { whole: bool, hosts: Vec<Listed> },
+    HostList { is_complete: bool, hosts: Vec<ListedHost> },
     Purge(Purge),
 }
--- a/crates/dispatcher/src/logger.rs
+++ b/crates/dispatcher/src/logger.rs
@@ -32,7 +32,7 @@
 
 impl FormatTime for UnixSeconds {
     fn format_time(&self, to: &mut Writer) -> fmt::Result {
-        let now = clock::wall().0;
+        let now = clock::wall_now().0;
         write!(to, "{}.{:06}", now / 1_000_000, now % 1_000_000)
     }
 }
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -1,9 +1,9 @@
 //! The `cherrypass` command line.
 #![forbid(unsafe_code)]
 use cherrypass_dispatcher::config::{Config, Error};
-use cherrypass_dispatcher::keeping::Kept;
+use cherrypass_dispatcher::durable_state::StateStore;
 use cherrypass_dispatcher::startup::Dispatcher;
-use cherrypass_dispatcher::{logger, rollout_commands, sharing, signals, store_commands};
+use cherrypass_dispatcher::{logger, rollout_commands, fleet_connection, signals, store_commands};
 use cherrypass_operator as operator;
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
@@ -99,16 +99,16 @@
         Err(error) => return fail_configuration(error),
     };
     let log = logger::start(level, format);
-    let kept = operator.store.map(Kept::open);
-    let loaded = files.config.ok_or(Error::Unnamed).and_then(|path| match Config::load_text(&path) {
+    let kept = operator.store.map(StateStore::open);
+    let loaded = files.config.ok_or(Error::NoConfigurationFile).and_then(|path| match Config::load_text(&path) {
         Ok((config, text)) => Ok((path, config, text)),
         Err(error) if last_good => {
-            let known = kept.as_ref().and_then(Kept::last_good).ok_or(error)?;
+            let known = kept.as_ref().and_then(StateStore::last_good).ok_or(error)?;
             let config = Config::decode(&known.text)?;
             tracing::warn!(
                 "the configuration can't be used; number {}, in force since {}, is taken instead",
                 known.number,
-                known.since
+                known.in_force_since
             );
             Ok((path, config, known.text))
         }
@@ -121,7 +121,7 @@
             return fail_configuration(error);
         }
     };
-    let fleet = operator.fleet.map(|fleet| sharing::set(&fleet, &config).map(|set| (fleet, set)));
+    let fleet = operator.fleet.map(|fleet| fleet_connection::fleet_settings(&fleet, &config).map(|set| (fleet, set)));
     let fleet = match fleet.transpose() {
         Ok(fleet) => fleet,
         Err(error) => {
@@ -132,9 +132,9 @@
     let listen = config.listen;
     let started = signals::register().and_then(|signals| {
         let (dispatcher, targets) = Dispatcher::start(config.clone(), kept.clone(), fleet)?;
-        config.known = serde_json::Value::Null;
+        config.known_changes = serde_json::Value::Null;
         if let Some(kept) = &kept {
-            kept.in_force(&path, &text);
+            kept.record_configuration(&path, &text);
         }
         signals::handle_in_thread(signals, path, config, kept.clone(), targets)?;
         Ok(dispatcher)
@@ -142,7 +142,7 @@
     match started {
         Ok(dispatcher) => {
             dispatcher.run();
-            kept.iter().for_each(Kept::end);
+            kept.iter().for_each(StateStore::close);
             drop(log);
             ExitCode::SUCCESS
         }
@@ -155,7 +155,7 @@
 }
 
 fn check(files: Files) -> ExitCode {
-    let config = files.config.ok_or(Error::Unnamed).and_then(|path| Config::load(&path));
+    let config = files.config.ok_or(Error::NoConfigurationFile).and_then(|path| Config::load(&path));
     let config = match config.and_then(|config| config.check_known().map(|()| config)) {
         Ok(config) => config,
         Err(error) => return fail_configuration(error),
@@ -168,24 +168,24 @@
         "{} on {}: {} bands, {} dispatchers; {} clients, {} connections to hosts, {} kB unread at most",
         config.name,
         config.listen,
-        config.names.bands.len(),
+        config.names.classes.len(),
         config.settings.dispatchers,
-        config.clients,
-        config.reach.connections,
-        config.unread / 1024
+        config.max_clients,
+        config.host_connections.max_connections,
+        config.max_unread_bytes / 1024
     );
     match operator.store {
         Some(store) => println!("store in {}: hand-offs {:?}", store.dir.display(), store.hand_offs),
         None => println!("no store"),
     }
-    if let Some(Err(error)) = operator.fleet.as_ref().map(|fleet| sharing::set(fleet, &config)) {
+    if let Some(Err(error)) = operator.fleet.as_ref().map(|fleet| fleet_connection::fleet_settings(fleet, &config)) {
         return fail_configuration(error);
     }
     match operator.fleet {
         Some(fleet) => println!(
             "fleet {} as {} on {}: {} members, {} followers; limits {}, verdicts {}, rollout {}",
             fleet.name,
-            fleet.me,
+            fleet.own_name,
             fleet.listen,
             fleet.members.len(),
             fleet.followers.len(),
--- a/crates/dispatcher/src/resp.rs
+++ b/crates/dispatcher/src/resp.rs
@@ -1,5 +1,5 @@
 //! RESP codec for the messages between a dispatcher and hosts: arrays of bulk strings.
-use crate::config::HOST_MESSAGE;
+use crate::config::MAX_HOST_MESSAGE_BYTES;
 use crate::connection::CloseReason;
 use crate::ids::ProbeId;
 use bytes::{Bytes, BytesMut};
@@ -45,7 +45,7 @@
         return Err(CloseReason::Unreadable);
     }
     let mut ends = [(0, 0); 4];
-    let most = [MAX_ID_BYTES, MAX_ID_BYTES, MAX_FIELDS_BYTES, HOST_MESSAGE - MAX_FIELDS_BYTES - 256];
+    let most = [MAX_ID_BYTES, MAX_ID_BYTES, MAX_FIELDS_BYTES, MAX_HOST_MESSAGE_BYTES - MAX_FIELDS_BYTES - 256];
     for (end, most) in ends.iter_mut().zip(most) {
         let Some(length) = read_length(buffer, &mut at, b'$')? else { return Ok(Parsed::Incomplete(1)) };
         if length > most {
@@ -85,12 +85,12 @@
 fn decode_answer(id: &Bytes, word: &[u8], fields: &Bytes, body: Bytes) -> Option<Answer> {
     let client_copy_current = word == b"KEEP";
     let outcome = match word {
-        b"DONE" | b"KEEP" => Outcome::Settled,
+        b"DONE" | b"KEEP" => Outcome::Served,
         b"LACK" => Outcome::Miss,
         b"WAIT" => Outcome::Full,
         // Replies to probes don't tell anything about a visit.
         b"BROKE" | b"FIT" | b"UNFIT" => Outcome::Error,
-        b"PAST" => Outcome::Moot,
+        b"PAST" => Outcome::Expired,
         _ => return None,
     };
     if client_copy_current && !body.is_empty() {
@@ -100,7 +100,7 @@
         id: id.clone(),
         outcome,
         client_copy_current,
-        note: Note::Untold,
+        note: Note::Unspecified,
         report: Report::default(),
         tag: None,
         created: None,
@@ -117,9 +117,9 @@
             "load" => {
                 for (name, value) in value.split(';').filter_map(|value| value.split_once(':')) {
                     match name {
-                        cherrypass_settings::LINK_FULL => answer.report.link_full = value.parse().ok(),
-                        _ if cherrypass_settings::BUSY.contains(&name) => {
-                            answer.report.busy = value.parse().ok()
+                        cherrypass_settings::LINK_LOAD_COLUMN => answer.report.link_load = value.parse().ok(),
+                        _ if cherrypass_settings::LOAD_COLUMNS.contains(&name) => {
+                            answer.report.load = value.parse().ok()
                         }
                         _ => {}
                     }
@@ -138,13 +138,13 @@
         "fetched" => Note::Filled,
         "fetched_root" => Note::FilledByOrigin,
         "merged" => Note::Joined,
-        "past_fresh" => Note::Aged,
+        "past_fresh" => Note::Stale,
         "up_refused" => Note::SourceRefused,
-        "up_lost" => Note::SourceUnreached,
-        "up_empty" => Note::SourceLacks,
-        "fills_full" => Note::NoPlace,
+        "up_lost" => Note::SourceUnreachable,
+        "up_empty" => Note::SourceMiss,
+        "fills_full" => Note::NoCapacity,
         "root_failed" => Note::OriginFailed,
-        "" | "-" => Note::Untold,
+        "" | "-" => Note::Unspecified,
         _ => return None,
     })
 }
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -4,7 +4,7 @@
 use crate::cancellation::CancelToken;
 use crate::capacity::{Gauge, HostCapacity, Reservation};
 use crate::change_clock::ChangeClock;
-use crate::changes::TOLD_AT_LATEST;
+use crate::change_log::MAX_ANNOUNCEMENT_DELAY;
 use crate::clients::{Outlet, Shutdown, Stage, ToClient, READ_BYTES};
 use crate::clock;
 use crate::config::Config;
@@ -12,23 +12,23 @@
 use crate::host_messages::{HandOff, HostMailbox, SendState, ToHost};
 use crate::hosts::Hosts;
 use crate::ids::{ClientId, HandOffId, HostActorId, ProbeId, Txn};
-use crate::inbox::{Change, FromClient, FromHost, Input, Listed};
-use crate::keeping::{Keeper, Replayed};
+use crate::inbox::{Change, FromClient, FromHost, Input, ListedHost};
+use crate::durable_state::{StateRecorder, RestoredPurges};
 use crate::latency::Latencies;
-use crate::list::{Applied, Clocks, List};
+use crate::host_list::{AppliedUpdate, Clocks, HostList};
 use crate::mailbox;
 use crate::msgpack::{self, Parts, VisitRequest};
 use crate::resp::Answer;
-use crate::sharing::Sharing;
+use crate::fleet_connection::FleetConnection;
 use bytes::Bytes;
-use cherrypass::brain::Brain;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
-use cherrypass::containers::DueTimes;
+use cherrypass::containers::TimerQueue;
 use cherrypass::ids::*;
 use cherrypass::settings::Effect;
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_keep::purges::Purge;
-use cherrypass_keep::visits::{Before, MayHaveRun, Taken};
+use cherrypass_keep::visits::{WriteAhead, InDoubtVisit, WriteResult};
 use crossbeam_channel::{Receiver, Sender};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -84,7 +84,7 @@
 struct OpenVisit {
     client: ClientId,
     request_id: u32,
-    class: BandId,
+    class: ClassId,
     request: VisitRequest,
     received_at: Time,
     /// When the event was read that the next hand-off follows on.
@@ -128,21 +128,21 @@
 /// The actor that connects clients and hosts to the decision module.
 pub struct Router {
     config: Config,
-    brain: Brain,
+    brain: DecisionEngine,
     /// From hosts, the change log and signals; and from clients.
     mailboxes: [Receiver<Input>; 2],
     host_actors: Hosts,
     /// Memory held by open visits, and by answers that are not written yet.
     open_visit_bytes: usize,
     unread_bytes: Gauge,
-    timers: DueTimes<Timer>,
+    timers: TimerQueue<Timer>,
     clients: BTreeMap<ClientId, Client>,
     visits: BTreeMap<VisitId, OpenVisit>,
     /// Transaction ids of open visits.
     txns: BTreeMap<Txn, ClientId>,
     hand_offs: BTreeMap<HandOffId, PendingHandOff>,
     hosts: BTreeMap<HostId, HostEntry>,
-    list: List,
+    list: HostList,
     /// Load probes without an answer.
     probes: BTreeMap<ProbeId, HostId>,
     last_probe_id: u64,
@@ -153,9 +153,9 @@
     pub latencies: Arc<Latencies>,
     sweep_count: u32,
     is_done: bool,
-    keeper: Option<Keeper>,
+    keeper: Option<StateRecorder>,
     /// The connection to other dispatchers, if any are configured.
-    sharing: Option<Sharing>,
+    sharing: Option<FleetConnection>,
     attempt_log: AttemptLog,
     change_clock: ChangeClock,
     /// All changes that the change log had at this time are applied.
@@ -179,13 +179,13 @@
         shutdown: Arc<Shutdown>,
     ) -> std::io::Result<Router> {
         let now = clock::now();
-        let capacity = HostCapacity::new(config.reach.connections, config.held);
-        let brain = Brain::start(config.settings.clone(), config.seed, now);
-        let mut timers = DueTimes::default();
-        timers.put(now + SWEEP_INTERVAL, Timer::Sweep);
-        let host_actors = Hosts::start(config.reach, capacity, sender)?;
+        let capacity = HostCapacity::new(config.host_connections.max_connections, config.max_answer_bytes);
+        let brain = DecisionEngine::new(config.settings.clone(), config.seed, now);
+        let mut timers = TimerQueue::default();
+        timers.push(now + SWEEP_INTERVAL, Timer::Sweep);
+        let host_actors = Hosts::start(config.host_connections, capacity, sender)?;
         let settings = &config.settings;
-        let list = List::new(settings.cold_cache.ramp.max(settings.cold_parent.ramp), settings.weights_told);
+        let list = HostList::new(settings.cold_cache.ramp.max(settings.cold_parent.ramp), settings.has_weights);
         Ok(Router {
             config,
             brain,
@@ -218,15 +218,15 @@
     }
 
     /// Starts persisting purges and visits, and applies the state that was persisted before.
-    pub fn set_keeper(&mut self, (keeper, replayed): (Keeper, Replayed)) {
+    pub fn set_keeper(&mut self, (keeper, replayed): (StateRecorder, RestoredPurges)) {
         let now = clock::now();
         match replayed {
-            Replayed::Purges(purges) => {
-                purges.iter().for_each(|purge| self.change_clock.heard(now, purge.at));
+            RestoredPurges::Purges(purges) => {
+                purges.iter().for_each(|purge| self.change_clock.observe(now, purge.issued_at));
                 purges.iter().for_each(|purge| self.apply_purge(now, purge));
             }
-            Replayed::Unknown { groups } => {
-                (0..groups).for_each(|group| self.brain.purged(now, GroupId(group), None, Span::ZERO));
+            RestoredPurges::Unknown { groups } => {
+                (0..groups).for_each(|group| self.brain.record_purge(now, GroupId(group), None, Span::ZERO));
             }
         }
         self.keeper = Some(keeper);
@@ -243,43 +243,43 @@
     fn observe_timestamps(&mut self, change: &Change) {
         let now = clock::now();
         match change {
-            Change::Purge(purge) => self.change_clock.heard(now, purge.at),
-            Change::List { hosts, .. } => {
+            Change::Purge(purge) => self.change_clock.observe(now, purge.issued_at),
+            Change::HostList { hosts, .. } => {
                 let started = hosts.iter().filter_map(|host| host.started);
-                started.for_each(|started| self.change_clock.heard(now, started));
+                started.for_each(|started| self.change_clock.observe(now, started));
             }
         }
     }
 
     /// Starts sharing limits and findings about hosts with other dispatchers.
-    pub fn set_sharing(&mut self, mut sharing: Sharing) {
-        sharing.begin(&mut self.brain);
+    pub fn set_sharing(&mut self, mut sharing: FleetConnection) {
+        sharing.set_initial_shares(&mut self.brain);
         self.sharing = Some(sharing);
     }
 
     fn apply_purge(&mut self, now: Time, purge: &Purge) {
         if let Some(keeper) = &self.keeper {
-            keeper.purged(purge);
+            keeper.record_purge(purge);
         }
         // The wall clock is not used: if it were ahead, copies older than the purge would be served.
-        let age = self.change_clock.age(now, purge.at);
+        let age = self.change_clock.min_age(now, purge.issued_at);
         match purge.object {
             Some(object) => {
                 tracing::info!(
-                    change = purge.change,
+                    change = purge.change_number,
                     "purge: object {:016x}, received {} ms after it was made",
                     object.0,
                     age.0 / 1000
                 )
             }
             None => tracing::info!(
-                change = purge.change,
+                change = purge.change_number,
                 "purge: group {}, received {} ms after it was made",
                 purge.group.0,
                 age.0 / 1000
             ),
         }
-        self.brain.purged(now, purge.group, purge.object, age);
+        self.brain.record_purge(now, purge.group, purge.object, age);
         let visits = &self.visits;
         let is_concerned = |id: &HandOffId| {
             let request = visits.get(&id.0).map(|open| &open.request);
@@ -297,8 +297,8 @@
         self.carry_out_decisions();
         while !self.is_done {
             let now = clock::now();
-            let wait = clock::duration(self.timers.first().map_or(SWEEP_INTERVAL, |at| at - now));
-            let wait = self.sharing.as_ref().map_or(wait, |sharing| wait.min(sharing.wait()));
+            let wait = clock::to_std(self.timers.next_due().map_or(SWEEP_INTERVAL, |at| at - now));
+            let wait = self.sharing.as_ref().map_or(wait, |sharing| wait.min(sharing.until_next_exchange()));
             let input = mailbox::recv_timeout(&self.mailboxes, wait);
             if clock::now() > now + Span(wait.as_micros() as u64) + SUSPENSION_THRESHOLD {
                 self.catch_up();
@@ -318,8 +318,8 @@
                 }
             }
             self.run_timers();
-            if let Some(sharing) = self.sharing.as_mut().filter(|sharing| sharing.wait().is_zero()) {
-                sharing.round(&mut self.brain);
+            if let Some(sharing) = self.sharing.as_mut().filter(|sharing| sharing.until_next_exchange().is_zero()) {
+                sharing.exchange(&mut self.brain);
             }
             self.carry_out_decisions();
         }
@@ -336,12 +336,12 @@
             let now = clock::now();
             if now >= until
                 || self.changelog_read_at >= since
-                || self.sharing.as_ref().is_some_and(Sharing::has_carriers)
+                || self.sharing.as_ref().is_some_and(FleetConnection::has_carriers)
             {
                 return;
             }
             // Only hosts, the change log and signals; clients wait.
-            if let Ok(input) = self.mailboxes[0].recv_timeout(clock::duration(until - now)) {
+            if let Ok(input) = self.mailboxes[0].recv_timeout(clock::to_std(until - now)) {
                 self.handle(input);
             }
         }
@@ -349,11 +349,11 @@
 
     fn run_timers(&mut self) {
         let now = clock::now();
-        while let Some(at) = self.timers.first().filter(|at| *at <= now) {
+        while let Some(at) = self.timers.next_due().filter(|at| *at <= now) {
             let Some(timer) = self.timers.pop(now) else { return };
             self.latencies.timers.record(now - at);
             match timer {
-                Timer::Wake => self.brain.woken(clock::now()),
+                Timer::Wake => self.brain.tick(clock::now()),
                 Timer::AnswerTimeout(id) => {
                     // The visit's time is over, so no further hand-off can overtake the cancel.
                     self.cancel_hand_off(id, Outcome::TimedOut);
@@ -388,16 +388,16 @@
                 self.end_hand_off(id, outcome, answer, at)
             }
             Input::ProbeEnded(probe, report) => self.end_probe(probe, report),
-            Input::Changed(change) => self.apply_change(change),
-            Input::LogKnown(at) => {
+            Input::Change(change) => self.apply_change(change),
+            Input::ChangeLogReadUpTo(at) => {
                 self.changelog_read_at = self.changelog_read_at.max(at);
                 self.check_changelog();
             }
             Input::HostReset(actor) => self.host_reset(actor),
-            Input::Recorded(id, taken) => self.record_stored(id, taken),
+            Input::HandOffRecordStored(id, taken) => self.record_stored(id, taken),
             Input::Fleet(message) => {
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.take(&mut self.brain, message);
+                    sharing.handle(&mut self.brain, message);
                 }
             }
             Input::Stop => {
@@ -407,7 +407,7 @@
                     self.stopping_since = Some(now);
                     self.shutdown.advance_to(Stage::Stopping);
                     self.timers
-                        .put((now + STOPPING_GRACE).min(self.last_answers_at(now)), Timer::CloseConnections);
+                        .push((now + STOPPING_GRACE).min(self.last_answers_at(now)), Timer::CloseConnections);
                 }
             }
         }
@@ -442,7 +442,7 @@
             }
             FromClient::Closing => {
                 let open = self.clients.get(&client).into_iter().flat_map(|known| known.open_visits.values());
-                open.copied().collect::<Vec<_>>().into_iter().for_each(|visit| self.brain.give_up(visit));
+                open.copied().collect::<Vec<_>>().into_iter().for_each(|visit| self.brain.finish_unserved(visit));
             }
             FromClient::Closed => {
                 let Some(known) = self.clients.remove(&client) else { return };
@@ -454,13 +454,13 @@
     /// Closes a visit whose client has left.
     fn abandon_visit(&mut self, visit: VisitId) {
         self.close_visit(visit, false);
-        self.brain.left(visit);
+        self.brain.close_visit(visit);
     }
 
     fn close_visit(&mut self, visit: VisitId, is_served: bool) -> Option<OpenVisit> {
         let open = self.visits.remove(&visit)?;
         if let Some(keeper) = &mut self.keeper {
-            keeper.closed(visit, is_served);
+            keeper.close_visit(visit, is_served);
         }
         self.open_visit_bytes -= open.request.retained_bytes();
         self.txns.remove(&Txn::parse(&open.request.txn));
@@ -477,9 +477,9 @@
         (in_use, cancel): (Reservation, CancelToken),
     ) {
         let Some(known) = self.clients.get_mut(&client) else { return };
-        let names = &self.config.names.bands;
+        let names = &self.config.names.classes;
         let class = names.iter().position(|name| name.as_bytes() == &request.class[..]);
-        let found = class.and_then(|place| Some((place, self.config.settings.bands.get(place)?)));
+        let found = class.and_then(|place| Some((place, self.config.settings.classes.get(place)?)));
         // A client that violates the protocol loses its connection and all open visits.
         let txn = Txn::parse(&request.txn);
         let owner = self.txns.get(&txn);
@@ -496,7 +496,7 @@
             None => Some("method"),
             // A second visit with the same id could get the first one's answers.
             Some(_) if owner.is_some() => Some("txn"),
-            Some((place, _)) if request.time_limit > self.config.limits[place] + TIME_LIMIT_MARGIN => {
+            Some((place, _)) if request.time_limit > self.config.class_deadlines[place] + TIME_LIMIT_MARGIN => {
                 Some("limit")
             }
             Some((_, class))
@@ -504,15 +504,15 @@
             {
                 Some("unique")
             }
-            Some((_, class)) if !class.writes && !request.body.is_empty() => Some("body"),
+            Some((_, class)) if !class.is_write && !request.body.is_empty() => Some("body"),
             Some(_) => None,
         };
         let Some((class, _)) = found.filter(|_| bad_field.is_none()) else {
             self.send_to_client(client, msgpack::bad_request(id, bad_field.unwrap_or("method")), None, None);
             return;
         };
-        if self.open_visit_bytes + request.retained_bytes() > self.config.kept {
-            self.sharing.iter_mut().for_each(Sharing::turned_back);
+        if self.open_visit_bytes + request.retained_bytes() > self.config.max_visit_bytes {
+            self.sharing.iter_mut().for_each(FleetConnection::count_refused);
             self.send_to_client(client, msgpack::refused(id, Span::ZERO), None, Some(in_use));
             return;
         }
@@ -523,7 +523,7 @@
         self.txns.insert(txn, client);
         let call = Visit {
             id: visit,
-            band: BandId(class as u16),
+            class: ClassId(class as u16),
             object: request.object,
             group: request.group,
             part: request.block,
@@ -533,7 +533,7 @@
         let open = OpenVisit {
             client,
             request_id: id,
-            class: BandId(class as u16),
+            class: ClassId(class as u16),
             request,
             received_at,
             last_event_at: received_at,
@@ -544,13 +544,13 @@
         let earlier = self
             .keeper
             .as_ref()
-            .and_then(|keeper| keeper.visits.arrived(clock::unix_at(received_at), open.key()));
+            .and_then(|keeper| keeper.visits.earlier_try(clock::to_unix(received_at), open.key()));
         self.visits.insert(visit, open);
         self.latencies.max_open_visits.fetch_max(self.visits.len(), Relaxed);
         self.latencies.mailbox.record(clock::now() - received_at);
-        self.brain.arrived(received_at, call);
+        self.brain.visit_arrived(received_at, call);
         if let Some((sent, host)) = earlier {
-            self.brain.ran_before(visit, clock::from_unix(sent), host);
+            self.brain.note_earlier_attempt(visit, clock::from_unix(sent), host);
         }
     }
 
@@ -573,7 +573,7 @@
         if known.outlet.queued() > MAX_UNREAD_ANSWERS_PER_CLIENT {
             known.outlet.connection.shut_down_write(CloseReason::SlowReader);
         }
-        if total_unread > self.config.unread {
+        if total_unread > self.config.max_unread_bytes {
             if let Some(worst) = self.clients.values().max_by_key(|client| client.unread_bytes.amount()) {
                 worst.outlet.connection.shut_down_write(CloseReason::SlowReader);
             }
@@ -589,7 +589,7 @@
     ) {
         let Some(open) = self.close_visit(visit, answer_read.is_some()) else { return };
         if let (Some(sharing), Some((at, _))) = (&mut self.sharing, &answer_read) {
-            sharing.settled(&self.brain, open.class, *at - open.received_at);
+            sharing.count_served(&self.brain, open.class, *at - open.received_at);
         }
         if let Some(known) = self.clients.get_mut(&open.client) {
             known.open_visits.remove(&open.request_id);
@@ -623,17 +623,17 @@
             fill: out.fill,
         });
         if let Some(keeper) = &mut self.keeper {
-            keeper.visits.ended(visit, outcome.never_ran());
+            keeper.visits.hand_off_ended(visit, outcome.is_not_executed());
         }
-        let is_served = outcome == Outcome::Settled;
-        let end = Ended {
+        let is_served = outcome == Outcome::Served;
+        let end = HandOffEnd {
             visit,
             number,
             outcome,
-            note: answer.as_ref().map_or(Note::Untold, |(answer, _)| answer.note),
-            took: at - out.sent_at,
+            note: answer.as_ref().map_or(Note::Unspecified, |(answer, _)| answer.note),
+            duration: at - out.sent_at,
             report: answer.as_ref().map(|(answer, _)| answer.report).unwrap_or_default(),
-            last: is_served || !self.visits.contains_key(&visit),
+            is_final: is_served || !self.visits.contains_key(&visit),
         };
         if let Some((answer, reservation)) = answer.filter(|_| is_served) {
             answer.created.into_iter().for_each(|created| self.observe_copy_time(at, created));
@@ -643,15 +643,15 @@
                 Some((at, reservation)),
             );
         }
-        self.brain.ended(at, end);
+        self.brain.hand_off_ended(at, end);
     }
 
     /// Feeds a copy's creation time, which the origin stamps with the same clock as the change log, to the
     /// change log's clock. Times in the future of the wall clock are ignored, as a host's answers may be
     /// wrong.
     fn observe_copy_time(&mut self, now: Time, created: UnixTime) {
-        if created <= clock::wall() {
-            self.change_clock.heard(now, created);
+        if created <= clock::wall_now() {
+            self.change_clock.observe(now, created);
         }
     }
 
@@ -662,7 +662,7 @@
         let is_revoked = out.send_state.revoke();
         let _ = out.mailbox.send(ToHost::Cancel(id));
         if is_revoked {
-            let never_ran = if outcome == Outcome::TimedOut { Outcome::Moot } else { outcome };
+            let never_ran = if outcome == Outcome::TimedOut { Outcome::Expired } else { outcome };
             self.end_hand_off(id, never_ran, None, clock::now());
         } else {
             out.cancelled_as = Some(outcome);
@@ -674,30 +674,30 @@
     fn expire_unsent(&mut self, id: HandOffId) {
         if let Some(out) = self.hand_offs.get(&id).filter(|out| out.send_state.revoke()) {
             let _ = out.mailbox.send(ToHost::Cancel(id));
-            self.end_hand_off(id, Outcome::Moot, None, clock::now());
+            self.end_hand_off(id, Outcome::Expired, None, clock::now());
         }
     }
 
     /// Carries out the decisions that the module has made.
     fn carry_out_decisions(&mut self) {
         let now = clock::now();
-        while let Some(decision) = self.brain.next(now) {
+        while let Some(decision) = self.brain.next_decision(now) {
             match decision {
-                Decision::HandOff { visit, host, until, latest, fill } => {
+                Decision::HandOff { visit, host, times_out_at: until, send_before: latest, fill } => {
                     self.start_hand_off(now, visit, host, [until, latest], fill)
                 }
                 Decision::Cancel { visit, number } => {
                     self.cancel_hand_off(HandOffId(visit, number), Outcome::Cancelled)
                 }
-                Decision::TurnBack { visit, retry_after } => {
-                    self.sharing.iter_mut().for_each(Sharing::turned_back);
+                Decision::Refuse { visit, retry_after } => {
+                    self.sharing.iter_mut().for_each(FleetConnection::count_refused);
                     self.finish_visit(visit, |id| msgpack::refused(id, retry_after), None);
                 }
-                Decision::WriteOff { visit } => {
-                    self.sharing.iter_mut().for_each(Sharing::written_off);
+                Decision::Fail { visit } => {
+                    self.sharing.iter_mut().for_each(FleetConnection::count_failed);
                     self.finish_visit(visit, msgpack::failed, None);
                 }
-                Decision::Wake { after } => self.timers.put(now + after, Timer::Wake),
+                Decision::Wake { after } => self.timers.push(now + after, Timer::Wake),
                 Decision::Probe { host } => self.send_probe(now, host),
                 Decision::Log(line) => tracing::info!("module: {line}"),
             }
@@ -710,13 +710,13 @@
         let probe = ProbeId(self.last_probe_id);
         let _ = known.mailbox.send(ToHost::Probe(probe));
         self.probes.insert(probe, host);
-        self.timers.put(now + self.config.reach.connect_limit, Timer::ProbeTimeout(probe));
+        self.timers.push(now + self.config.host_connections.connect_timeout, Timer::ProbeTimeout(probe));
     }
 
     /// Passes on a host's load, or nothing if it did not answer within the connect limit.
     fn end_probe(&mut self, probe: ProbeId, report: Report) {
         if let Some(host) = self.probes.remove(&probe) {
-            self.brain.probed(clock::now(), host, report);
+            self.brain.probe_answered(clock::now(), host, report);
         }
     }
 
@@ -729,18 +729,18 @@
         fill: Option<Fill>,
     ) {
         let Some(open) = self.visits.get_mut(&visit) else { return };
-        self.sharing.iter_mut().for_each(Sharing::handed_off);
-        let id = HandOffId(visit, HandOffNo(open.hand_off_count));
+        self.sharing.iter_mut().for_each(FleetConnection::count_hand_off);
+        let id = HandOffId(visit, HandOffNumber(open.hand_off_count));
         open.hand_off_count = open.hand_off_count.saturating_add(1);
         if !open.cancel.is_live() {
             self.close_visit(visit, false);
-            self.brain.ended(now, Ended { last: true, ..never_sent_end(id, Outcome::Moot) });
+            self.brain.hand_off_ended(now, HandOffEnd { is_final: true, ..never_sent_end(id, Outcome::Expired) });
             return;
         }
         let triggered_at = std::mem::replace(&mut open.last_event_at, now);
         let request = &open.request;
         let writes =
-            self.config.settings.bands.get(usize::from(open.class.0)).is_some_and(|class| class.writes);
+            self.config.settings.classes.get(usize::from(open.class.0)).is_some_and(|class| class.is_write);
         let source = fill.filter(|fill| fill.source != host).and_then(|fill| self.hosts.get(&fill.source));
         let hand_off = HandOff {
             id,
@@ -749,7 +749,7 @@
             body: request.body.clone(),
             client_tag: request.cached_tag.clone(),
             expects_copy: fill.is_some() && !writes,
-            fills_miss: source.is_some() && fill.is_some_and(|fill| !fill.held),
+            fills_miss: source.is_some() && fill.is_some_and(|fill| !fill.cached_only),
             deadline: until,
             latest_start: latest,
             cancel: open.cancel.clone(),
@@ -759,23 +759,23 @@
         let Some((mailbox, host_name)) =
             self.hosts.get(&host).map(|known| (known.mailbox.clone(), &known.name))
         else {
-            self.brain.ended(now, never_sent_end(id, Outcome::ConnectFailed));
+            self.brain.hand_off_ended(now, never_sent_end(id, Outcome::ConnectFailed));
             return;
         };
         let mut record = None;
         if let Some(keeper) = self.keeper.as_mut().filter(|keeper| keeper.records_hand_offs()) {
-            let effect = self.config.settings.bands.get(usize::from(open.class.0)).map(|class| class.effect);
-            let may_have_run = MayHaveRun {
-                band: String::from_utf8_lossy(&open.request.class).into_owned(),
-                at: clock::unix_at(now).0,
+            let effect = self.config.settings.classes.get(usize::from(open.class.0)).map(|class| class.effect);
+            let may_have_run = InDoubtVisit {
+                class_name: String::from_utf8_lossy(&open.request.class).into_owned(),
+                sent_at: clock::to_unix(now).0,
                 host: host.0,
                 host_name: host_name.clone(),
-                memory: None,
+                repeat_window: None,
             };
             let effect = effect.unwrap_or(Effect::Idempotent);
-            if let Before::Record(to_store) = keeper.visits.hand_off(visit, open.key(), effect, may_have_run)
+            if let WriteAhead::Required(to_store) = keeper.visits.register_hand_off(visit, open.key(), effect, may_have_run)
             {
-                keeper.record(id, to_store);
+                keeper.write_hand_off_record(id, to_store);
                 record = Some(Box::new(hand_off.clone()));
             }
         }
@@ -794,9 +794,9 @@
                 awaiting_record: record,
             },
         );
-        self.timers.put(until, Timer::AnswerTimeout(id));
+        self.timers.push(until, Timer::AnswerTimeout(id));
         if latest < until {
-            self.timers.put(latest, Timer::LatestStart(id));
+            self.timers.push(latest, Timer::LatestStart(id));
         }
         if !awaits_record {
             self.send_hand_off(id, hand_off, now);
@@ -808,7 +808,7 @@
         let Some(out) = self.hand_offs.get_mut(&id) else { return };
         if out.mailbox.send(ToHost::HandOff(hand_off)) {
             out.sent_at = at;
-            self.timers.put(at + self.config.reach.connect_limit, Timer::ConnectTimeout(id));
+            self.timers.push(at + self.config.host_connections.connect_timeout, Timer::ConnectTimeout(id));
         } else {
             self.end_hand_off(id, Outcome::ConnectFailed, None, clock::now());
         }
@@ -816,9 +816,9 @@
 
     /// The store has accepted or rejected a hand-off's record. The hand-off may have been cancelled
     /// meanwhile.
-    fn record_stored(&mut self, id: HandOffId, taken: Taken) {
+    fn record_stored(&mut self, id: HandOffId, taken: WriteResult) {
         let Some(keeper) = &mut self.keeper else { return };
-        let may_be_sent = keeper.visits.taken(id.0, taken);
+        let may_be_sent = keeper.visits.record_result(id.0, taken);
         let Some(hand_off) = self.hand_offs.get_mut(&id).and_then(|out| out.awaiting_record.take()) else {
             return;
         };
@@ -826,8 +826,8 @@
             self.send_hand_off(id, *hand_off, clock::now());
         } else {
             // Not the host's fault, and another record would be rejected too: the visit is given up at once.
-            self.end_hand_off(id, Outcome::Moot, None, clock::now());
-            self.brain.give_up(id.0);
+            self.end_hand_off(id, Outcome::Expired, None, clock::now());
+            self.brain.finish_unserved(id.0);
         }
     }
 
@@ -841,7 +841,7 @@
             "host {:x} is {name}: its connections were reset, its process may be new",
             id.0
         );
-        self.brain.cut(clock::now(), id);
+        self.brain.connection_lost(clock::now(), id);
     }
 
     /// Applies a change of the change log.
@@ -849,14 +849,14 @@
         self.observe_timestamps(&change);
         let now = clock::now();
         match change {
-            Change::List { whole, hosts } => self.apply_list(now, hosts, whole),
+            Change::HostList { is_complete: whole, hosts } => self.apply_list(now, hosts, whole),
             Change::Purge(purge) => self.apply_purge(now, &purge),
         }
     }
 
-    fn apply_list(&mut self, now: Time, listed: Vec<Listed>, whole: bool) {
-        let clocks = Clocks { now, wall: clock::wall(), change_clock: &self.change_clock };
-        let Applied { hosts, lost, faults } = self.list.apply(&clocks, listed, whole);
+    fn apply_list(&mut self, now: Time, listed: Vec<ListedHost>, whole: bool) {
+        let clocks = Clocks { now, wall: clock::wall_now(), change_clock: &self.change_clock };
+        let AppliedUpdate { hosts, displaced: lost, faults } = self.list.apply(&clocks, listed, whole);
         for (name, fault) in faults {
             tracing::warn!(host = &name[..], "list: host {name}: {fault}");
         }
@@ -870,14 +870,14 @@
         let changed = self.changed_sources(&entries, &gone);
         gone.into_iter().for_each(|id| self.remove_host(id));
         hosts.into_iter().for_each(|host| self.update_host(host));
-        self.brain.listed(now, &entries, whole);
+        self.brain.update_hosts(now, &entries, whole);
         let fills_from_changed =
             |out: &PendingHandOff| out.fill.is_some_and(|fill| changed.contains(&fill.source));
         let stale = self.hand_offs.iter().filter(|(_, out)| fills_from_changed(out));
         self.redecide_unsent(stale.map(|(id, _)| *id).collect());
         if let Some(sharing) = &mut self.sharing {
             for entry in &entries {
-                sharing.listed(&mut self.brain, entry, started.get(&entry.host).copied().flatten());
+                sharing.host_listed(&mut self.brain, entry, started.get(&entry.host).copied().flatten());
             }
         }
     }
@@ -886,7 +886,7 @@
     /// new.
     fn changed_sources(&self, entries: &[Listing], gone: &[HostId]) -> BTreeSet<HostId> {
         let is_new =
-            |entry: &Listing| self.hosts.get(&entry.host).is_some_and(|known| known.started < entry.since);
+            |entry: &Listing| self.hosts.get(&entry.host).is_some_and(|known| known.started < entry.started_at);
         let changed = entries.iter().filter(|entry| entry.phase != Phase::Ready || is_new(entry));
         changed.map(|entry| entry.host).chain(gone.iter().copied()).collect()
     }
@@ -897,21 +897,21 @@
         for id in stale {
             let Some(out) = self.hand_offs.get(&id).filter(|out| out.send_state.revoke()) else { continue };
             let _ = out.mailbox.send(ToHost::Cancel(id));
-            self.end_hand_off(id, Outcome::Unsent, None, clock::now());
+            self.end_hand_off(id, Outcome::NotSent, None, clock::now());
         }
     }
 
     /// Removes a host; its actor ends by itself once no hand-off is in flight.
     fn remove_host(&mut self, id: HostId) {
         if let Some(known) = self.hosts.remove(&id) {
-            self.sharing.iter_mut().for_each(|sharing| sharing.unlisted(id, true));
+            self.sharing.iter_mut().for_each(|sharing| sharing.host_unlisted(id, true));
             let _ = known.mailbox.send(ToHost::Remove);
         }
     }
 
-    fn update_host(&mut self, host: Listed) {
-        let Listed { listing, name, address, .. } = host;
-        let (id, since) = (listing.host, listing.since);
+    fn update_host(&mut self, host: ListedHost) {
+        let ListedHost { listing, name, address, .. } = host;
+        let (id, since) = (listing.host, listing.started_at);
         tracing::info!(host = &name[..], phase = ?listing.phase, "list: host {:x} is {name}, {:?}, weight {:.1}", id.0, listing.phase, listing.weight);
         let known = self.hosts.get(&id);
         let (Some(address), false) = (address, listing.phase == Phase::Gone) else {
@@ -929,14 +929,14 @@
     }
 
     fn sweep(&mut self, now: Time) {
-        self.timers.put(now + SWEEP_INTERVAL, Timer::Sweep);
+        self.timers.push(now + SWEEP_INTERVAL, Timer::Sweep);
         self.host_actors.sweep(now);
         self.update_start_times(now);
         self.check_changelog();
         self.sweep_count += 1;
         if self.sweep_count.is_multiple_of(SWEEPS_PER_REPORT) {
             if let Some(keeper) = &mut self.keeper {
-                keeper.sweep();
+                keeper.remove_expired();
             }
             self.log_latencies();
         }
@@ -946,15 +946,15 @@
     /// be guarded against: any host may be draining.
     fn check_changelog(&mut self) {
         // With carriers the fleet proves that no change is missing.
-        if self.sharing.as_ref().is_some_and(Sharing::has_carriers) {
+        if self.sharing.as_ref().is_some_and(FleetConnection::has_carriers) {
             return;
         }
         let silent_for = clock::now() - self.changelog_read_at;
-        let is_silent = silent_for + SWEEP_INTERVAL >= TOLD_AT_LATEST + self.config.settings.purge_grace;
+        let is_silent = silent_for + SWEEP_INTERVAL >= MAX_ANNOUNCEMENT_DELAY + self.config.settings.purge_obey_time;
         if std::mem::replace(&mut self.is_changelog_silent, is_silent) == is_silent {
             return;
         }
-        self.brain.unheard(is_silent.then_some(TOLD_AT_LATEST));
+        self.brain.set_log_silent(is_silent.then_some(MAX_ANNOUNCEMENT_DELAY));
         let ms = silent_for.0 / 1000;
         if is_silent {
             // Hand-offs that have not been sent were decided without the limit.
@@ -969,11 +969,11 @@
     }
 
     fn update_start_times(&mut self, now: Time) {
-        let clocks = Clocks { now, wall: clock::wall(), change_clock: &self.change_clock };
+        let clocks = Clocks { now, wall: clock::wall_now(), change_clock: &self.change_clock };
         for (id, since) in self.list.redate(&clocks) {
-            self.brain.redated(id, since);
+            self.brain.correct_start(id, since);
             self.hosts.get_mut(&id).into_iter().for_each(|known| known.started = Some(since));
-            self.sharing.iter_mut().for_each(|sharing| sharing.redated(id, since));
+            self.sharing.iter_mut().for_each(|sharing| sharing.start_redated(id, since));
         }
     }
 
@@ -994,7 +994,7 @@
     /// When visits still open after SIGTERM are given up.
     fn last_answers_at(&self, now: Time) -> Time {
         self.stopping_since.unwrap_or(now)
-            + self.config.longest().min(MAX_STOPPING_DEADLINE)
+            + self.config.longest_deadline().min(MAX_STOPPING_DEADLINE)
             + LAST_ANSWERS_MARGIN
     }
 
@@ -1007,7 +1007,7 @@
         let last = self.last_answers_at(now);
         if now > last {
             let open: Vec<VisitId> = self.visits.keys().copied().collect();
-            open.into_iter().for_each(|visit| self.brain.give_up(visit));
+            open.into_iter().for_each(|visit| self.brain.finish_unserved(visit));
             self.carry_out_decisions();
         }
         if self.visits.is_empty() && unread == 0 && self.shutdown.is_all_closed()
@@ -1017,15 +1017,15 @@
             tracing::info!("stopped: {} visits open, {unread} answers unread", self.visits.len());
             self.is_done = true;
         } else {
-            self.timers.put(now + CLOSING_CHECK_INTERVAL, Timer::CloseConnections);
+            self.timers.push(now + CLOSING_CHECK_INTERVAL, Timer::CloseConnections);
         }
     }
 }
 
 /// The end of a hand-off that was not sent.
-fn never_sent_end(HandOffId(visit, number): HandOffId, outcome: Outcome) -> Ended {
-    let (note, took) = (Note::Untold, Span::ZERO);
-    Ended { visit, number, outcome, note, took, report: Report::default(), last: false }
+fn never_sent_end(HandOffId(visit, number): HandOffId, outcome: Outcome) -> HandOffEnd {
+    let (note, took) = (Note::Unspecified, Span::ZERO);
+    HandOffEnd { visit, number, outcome, note, duration: took, report: Report::default(), is_final: false }
 }
 
 /// Encodes the fields of a hand-off. Ages are rounded down to milliseconds, so that no older copy is
@@ -1047,10 +1047,10 @@
         if fill.rank > 0 {
             let _ = write!(fields, ",rank={}", fill.rank);
         }
-        if fill.oldest > Span::ZERO {
-            let _ = write!(fields, ",oldest={}", (fill.oldest.0 / 1000).max(1));
+        if fill.max_age > Span::ZERO {
+            let _ = write!(fields, ",oldest={}", (fill.max_age.0 / 1000).max(1));
         }
-        let modes = [(fill.join, "collapse"), (fill.held, "only-if-cached"), (fill.renew, "refresh")];
+        let modes = [(fill.may_join, "collapse"), (fill.cached_only, "only-if-cached"), (fill.refresh_stale, "refresh")];
         let modes: Vec<&str> = modes.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
         if !modes.is_empty() {
             let _ = write!(fields, ",mode={}", modes.join("+"));
--- a/crates/dispatcher/src/signals.rs
+++ b/crates/dispatcher/src/signals.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::connection::spawn;
 use crate::inbox::Input;
-use crate::keeping::Kept;
+use crate::durable_state::StateStore;
 use crossbeam_channel::Sender;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -28,7 +28,7 @@
     mut signals: Signals,
     path: PathBuf,
     config: Config,
-    kept: Option<Kept>,
+    kept: Option<StateStore>,
     targets: SignalTargets,
 ) -> std::io::Result<()> {
     spawn("signals", move || {
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-fn reload(path: &std::path::Path, config: &Config, kept: Option<&Kept>, changelog: &Sender<SocketAddr>) {
+fn reload(path: &std::path::Path, config: &Config, kept: Option<&StateStore>, changelog: &Sender<SocketAddr>) {
     let (new, text) = match Config::load_text(path) {
         Ok(new) => new,
         Err(error) => {
@@ -52,11 +52,11 @@
         }
     };
     tracing::info!("reload: change log at {}", new.changelog);
-    if config.is_new_beyond_changelog(&new) {
+    if config.needs_restart_for(&new) {
         tracing::warn!("reload: only the change log's address is reloaded; the other changes take effect at the next start");
     }
     if let Some(kept) = kept {
-        kept.in_force(path, &text);
+        kept.record_configuration(path, &text);
     }
     let _ = changelog.send(new.changelog);
 }
--- a/crates/dispatcher/src/startup.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -1,11 +1,11 @@
 //! Starts the threads of one dispatcher.
-use crate::changes::{self, Following};
+use crate::change_log::{self, FollowOptions};
 use crate::clients::{self, RouterSenders, Shutdown};
 use crate::config::Config;
 use crate::connection::spawn;
-use crate::keeping::{Keeper, Kept};
+use crate::durable_state::{StateRecorder, StateStore};
 use crate::router::Router;
-use crate::sharing::Sharing;
+use crate::fleet_connection::FleetConnection;
 use crate::signals::SignalTargets;
 use cherrypass::time::Span;
 use cherrypass_operator::Fleet;
@@ -30,7 +30,7 @@
     /// derived from it.
     pub fn start(
         mut config: Config,
-        kept: Option<Kept>,
+        kept: Option<StateStore>,
         fleet: Option<(Fleet, peers::Set)>,
     ) -> io::Result<(Dispatcher, SignalTargets)> {
         let listener = TcpListener::bind(config.listen)?;
@@ -38,8 +38,8 @@
         let (client_sender, client_receiver) = bounded(CLIENT_QUEUE_LEN);
         let (changelog, new_addresses) = unbounded();
         let mut last = 0;
-        let events = config.known.take();
-        let (known, fault) = changes::decode(&events, &config.names, &mut last, None);
+        let events = config.known_changes.take();
+        let (known, fault) = change_log::decode(&events, &config.names, &mut last, None);
         if let Some(fault) = fault.filter(|_| !events.is_null()) {
             tracing::warn!("known changes: {fault}; applied up to change {last}");
         }
@@ -47,36 +47,36 @@
         let shutdown = Arc::new(Shutdown::default());
         let mut router =
             Router::new(config.clone(), router_sender.clone(), [mailbox, client_receiver], shutdown.clone())?;
-        let store = kept.as_ref().and_then(Kept::store);
+        let store = kept.as_ref().and_then(StateStore::store);
         if let Some(kept) = kept {
-            router.set_keeper(Keeper::start(kept, &config.settings, router_sender.clone()));
+            router.set_keeper(StateRecorder::restore(kept, &config.settings, router_sender.clone()));
         }
         let mut delivery = None;
         if let Some((fleet, mut set)) = fleet {
             set.delivery.iter_mut().for_each(|set| set.last = ChangeNumber(last));
-            let sharing = Sharing::start(&fleet, set, &config.settings, store, router_sender.clone());
+            let sharing = FleetConnection::start(&fleet, set, &config.settings, store, router_sender.clone());
             let mut sharing = sharing.map_err(io::Error::other)?;
-            delivery = sharing.delivery();
+            delivery = sharing.take_delivery();
             router.set_sharing(sharing);
         }
         router.apply_known_changes(known);
         let changes_sender = router_sender.clone();
         let router_senders = RouterSenders { requests: client_sender, closed: router_sender.clone() };
-        let write_timeout = config.longest().max(MIN_WRITE_TIMEOUT);
+        let write_timeout = config.longest_deadline().max(MIN_WRITE_TIMEOUT);
         spawn("listener", move || {
             if let Err(error) =
-                clients::listen(listener, config.clients, write_timeout, router_senders, shutdown)
+                clients::listen(listener, config.max_clients, write_timeout, router_senders, shutdown)
             {
                 tracing::error!("the client listener failed, no clients are served: {error}");
             }
         })?;
         spawn("changes", move || {
-            changes::follow(Following {
-                at: config.changelog,
-                moved: new_addresses,
+            change_log::follow(FollowOptions {
+                address: config.changelog,
+                new_addresses: new_addresses,
                 names: config.names,
-                last,
-                most: config.changes,
+                last_change: last,
+                max_change_bytes: config.max_change_bytes,
                 seed: config.seed,
                 router: changes_sender,
                 delivery,
--- a/crates/dispatcher/src/store_commands.rs
+++ b/crates/dispatcher/src/store_commands.rs
@@ -1,6 +1,6 @@
 //! The commands `cherrypass store …` for a store's folder. Keys and values are read and printed as raw bytes.
 use crate::clock;
-use crate::keeping::options;
+use crate::durable_state::options;
 use cherrypass_store::disk::{Disk, Folder};
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::error::{Damage, Error};
@@ -105,11 +105,11 @@
 }
 
 fn open(dir: &Path, segment_kb: u64) -> Result<Store, Error> {
-    Store::open(dir, options(segment_kb), Arc::new(clock::unix), Some(BUDGET))
+    Store::open(dir, options(segment_kb), Arc::new(clock::unix_now), Some(BUDGET))
 }
 
 fn open_read_only(dir: &Path) -> Result<Store, Error> {
-    Store::open(dir, Options { read_only: true, ..Options::default() }, Arc::new(clock::unix), None)
+    Store::open(dir, Options { read_only: true, ..Options::default() }, Arc::new(clock::unix_now), None)
 }
 
 fn execute(command: Command) -> Result<(), Failure> {
--- a/crates/dispatcher/tests/carried.rs
+++ b/crates/dispatcher/tests/carried.rs
@@ -1,5 +1,5 @@
 //! The encoding of changes that carriers deliver.
-use cherrypass_dispatcher::carried::{decode, encode};
+use cherrypass_dispatcher::carried_changes::{decode, encode};
 use serde_json::{json, Value};
 use test_case::test_case;
 
--- a/crates/dispatcher/tests/codecs.rs
+++ b/crates/dispatcher/tests/codecs.rs
@@ -35,8 +35,8 @@
         buffer.extend_from_slice(&[*byte]);
     }
     let Ok(Parsed::Answer(answer)) = resp::next(&mut buffer) else { panic!("no answer") };
-    assert_eq!((answer.outcome, answer.note), (Outcome::Settled, Note::FilledByOrigin));
-    assert_eq!((answer.report.link_full, &answer.body[..]), (Some(2.5), &b"a\r\n"[..]));
+    assert_eq!((answer.outcome, answer.note), (Outcome::Served, Note::FilledByOrigin));
+    assert_eq!((answer.report.link_load, &answer.body[..]), (Some(2.5), &b"a\r\n"[..]));
     assert!(buffer.is_empty());
 }
 
--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -5,7 +5,7 @@
 mod bed;
 
 use bed::*;
-use cherrypass_dispatcher::changes::{answer, Fault};
+use cherrypass_dispatcher::change_log::{read_answer, ChangeLogError};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::Value;
@@ -25,8 +25,8 @@
 const WAIT: Duration = Duration::from_secs(1);
 
 struct Fixture {
-    log: Log,
-    hosts: Hosts,
+    log: FakeChangeLog,
+    hosts: FakeHosts,
     dispatcher: Dispatcher,
     client: Client,
     a: SocketAddr,
@@ -36,12 +36,12 @@
 impl Fixture {
     /// Starts a dispatcher that knows two caches and an origin from change 1 and polls for later changes.
     fn start() -> Fixture {
-        let hosts = Hosts::new();
+        let hosts = FakeHosts::new();
         let a = hosts.start("a");
-        Fixture::start_with(Log::start(), hosts, a, 192)
+        Fixture::start_with(FakeChangeLog::start(), hosts, a, 192)
     }
 
-    fn start_with(log: Log, hosts: Hosts, a: SocketAddr, memory: u32) -> Fixture {
+    fn start_with(log: FakeChangeLog, hosts: FakeHosts, a: SocketAddr, memory: u32) -> Fixture {
         let (b, origin) = (hosts.start("b"), hosts.start("o"));
         let known = body(&[list(1, true, &[("a", a, READY), ("b", b, READY), ("o", origin, READY)])]);
         let dispatcher = Dispatcher::start(&config("127.0.0.1:0", log.address, &known, memory));
@@ -54,7 +54,7 @@
         let mut client = Client::connect(self.dispatcher.listen).unwrap();
         for object in 0..8 {
             client.ask(0xab00 + object).unwrap();
-            let message = self.hosts.next();
+            let message = self.hosts.next_request();
             assert!(!hosts.contains(&message.host), "sent to {}", message.host);
             message.answer();
             assert_eq!(client.answer().unwrap(), Answer::Served);
@@ -76,7 +76,7 @@
 }
 
 /// Sends part of an answer; returns how many changes of it are complete.
-fn send_part(poll: &Asked, fixture: &Fixture, until: Until) -> u64 {
+fn send_part(poll: &Poll, fixture: &Fixture, until: Until) -> u64 {
     let events =
         [list(2, false, &[("a", fixture.a, DRAINING)]), list(3, false, &[("b", fixture.b, DRAINING)])];
     let answer = http(&body(&events));
@@ -99,18 +99,18 @@
     let poll = fixture.log.next_since(1);
     let complete = send_part(&poll, &fixture, until);
     if complete > 0 {
-        fixture.dispatcher.log("is s-a, Draining");
+        fixture.dispatcher.wait_for_log_line("is s-a, Draining");
         fixture.check_unused(&["a"]);
         assert!(!fixture.log.is_asked(), "the answer was given up too early");
     }
-    let next = fixture.log.next();
-    assert_eq!((next.since, next.line), (1 + complete, 1));
+    let next = fixture.log.next_poll();
+    assert_eq!((next.since, next.connection), (1 + complete, 1));
     let after = next.at - poll.at;
     assert!(after < WAIT + ANNOUNCED_AFTER, "polled again after {after:?}");
     next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
-    fixture.dispatcher.log("is s-b, Draining");
+    fixture.dispatcher.wait_for_log_line("is s-b, Draining");
     fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
-    assert_eq!(fixture.log.next().since, 2 + complete);
+    assert_eq!(fixture.log.next_poll().since, 2 + complete);
 }
 
 #[test_case(Until::Nothing; "before the answer")]
@@ -122,11 +122,11 @@
     let complete = send_part(&poll, &fixture, until);
     let at = Instant::now();
     poll.cut();
-    let next = fixture.log.next();
-    assert_eq!((next.since, next.line), (1 + complete, 1));
+    let next = fixture.log.next_poll();
+    assert_eq!((next.since, next.connection), (1 + complete, 1));
     assert!(next.at - at < ANNOUNCED_AFTER, "polled again after {:?}", next.at - at);
     next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
-    fixture.dispatcher.log("is s-b, Draining");
+    fixture.dispatcher.wait_for_log_line("is s-b, Draining");
     fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
 }
 
@@ -139,17 +139,17 @@
     let poll = fixture.log.next_since(1);
     let complete = send_part(&poll, &fixture, until);
     if complete > 0 {
-        fixture.dispatcher.log("is s-a, Draining");
+        fixture.dispatcher.wait_for_log_line("is s-a, Draining");
     }
-    let new = Log::start();
+    let new = FakeChangeLog::start();
     std::fs::write(&fixture.dispatcher.config.0, config("127.0.0.1:0", new.address, "null", 192)).unwrap();
     let at = Instant::now();
     fixture.dispatcher.signal("-HUP");
-    let next = new.next();
+    let next = new.next_poll();
     assert_eq!(next.since, 1 + complete);
     assert!(next.at - at < MOVED_WITHIN, "polled after {:?}", next.at - at);
     next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
-    fixture.dispatcher.log("is s-b, Draining");
+    fixture.dispatcher.wait_for_log_line("is s-b, Draining");
     fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
     assert!(!fixture.log.is_asked(), "the old address is polled again");
 }
@@ -165,27 +165,27 @@
     fixture.dispatcher.signal("-HUP");
     poll.answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
     fixture.dispatcher.signal("-CONT");
-    fixture.dispatcher.log("is s-a, Draining");
-    fixture.dispatcher.log("reload: change log at");
-    let new = Log::over(new.drain());
-    assert_eq!(new.next().since, 2);
+    fixture.dispatcher.wait_for_log_line("is s-a, Draining");
+    fixture.dispatcher.wait_for_log_line("reload: change log at");
+    let new = FakeChangeLog::on_listener(new.drain());
+    assert_eq!(new.next_poll().since, 2);
 }
 
 #[test]
 fn a_move_ends_the_wait_for_a_connection() {
-    let hosts = Hosts::new();
+    let hosts = FakeHosts::new();
     let (a, backlog) = (hosts.start("a"), FullBacklog::start());
     let known = body(&[list(1, true, &[("a", a, READY)])]);
     let dispatcher = Dispatcher::start(&config("127.0.0.1:0", backlog.address(), &known, 192));
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + STEP_TIMEOUT;
     while backlog.pending().is_empty() {
         assert!(Instant::now() < end, "no connection is attempted");
     }
-    let new = Log::start();
+    let new = FakeChangeLog::start();
     std::fs::write(&dispatcher.config.0, config("127.0.0.1:0", new.address, "null", 192)).unwrap();
     let at = Instant::now();
     dispatcher.signal("-HUP");
-    let poll = new.next();
+    let poll = new.next_poll();
     assert_eq!(poll.since, 1);
     assert!(poll.at - at < MOVED_WITHIN, "polled after {:?}", poll.at - at);
 }
@@ -193,11 +193,11 @@
 /// A second connection is attempted concurrently, and the first is still used if it is established late.
 #[test]
 fn a_connection_that_is_established_late_is_used() {
-    let hosts = Hosts::new();
+    let hosts = FakeHosts::new();
     let (a, backlog) = (hosts.start("a"), FullBacklog::start());
     let known = body(&[list(1, true, &[("a", a, READY)])]);
     let _dispatcher = Dispatcher::start(&config("127.0.0.1:0", backlog.address(), &known, 192));
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + STEP_TIMEOUT;
     // The same two must be pending for a while, so the first was not given up for the second.
     let mut two: Option<(Vec<u16>, Instant)> = None;
     loop {
@@ -213,8 +213,8 @@
             _ => two = Some((pending, Instant::now())).filter(|(pending, _)| pending.len() > 1),
         }
     }
-    let log = Log::over(backlog.drain());
-    assert_eq!(log.next().since, 1);
+    let log = FakeChangeLog::on_listener(backlog.drain());
+    assert_eq!(log.next_poll().since, 1);
 }
 
 /// A drain in the first, incomplete answer after the log returns: no hand-offs go to the host after the grace
@@ -226,7 +226,7 @@
     let poll = log.next_since(1);
     let down = log.stop();
     poll.cut();
-    dispatcher.log("changelog fails");
+    dispatcher.wait_for_log_line("changelog fails");
     // Continuous requests, which the hosts answer.
     let listen = dispatcher.listen;
     let requests = hosts.answer_all();
@@ -241,21 +241,21 @@
             }
         }
     });
-    let end = Instant::now() + PATIENCE;
-    while requests.recv_timeout(PATIENCE).unwrap().0 != "a" {
+    let end = Instant::now() + STEP_TIMEOUT;
+    while requests.recv_timeout(STEP_TIMEOUT).unwrap().0 != "a" {
         assert!(Instant::now() < end, "no request is sent to host a");
     }
     let back = Instant::now();
     let log = down.listen();
-    let poll = log.next();
+    let poll = log.next_poll();
     assert!(poll.at - back < ANNOUNCED_AFTER, "polled {:?} after the return", poll.at - back);
     let answer = http(&body(&[list(2, false, &[("a", a, DRAINING)]), purge(3)]));
     poll.write(&answer.as_bytes()[..answer.len() - 3]);
     let announced = Instant::now();
-    dispatcher.log("is s-a, Draining");
+    dispatcher.wait_for_log_line("is s-a, Draining");
     // Well after the grace period, requests go to b.
     let last = loop {
-        let (host, _, at) = requests.recv_timeout(PATIENCE).unwrap();
+        let (host, _, at) = requests.recv_timeout(STEP_TIMEOUT).unwrap();
         assert!(
             host != "a" || at < announced + DRAIN_GRACE,
             "sent {:?} after the drain was announced",
@@ -276,9 +276,9 @@
 #[test_case(false; "two events")]
 fn a_host_drains_and_is_gone_in_one_answer(one: bool) {
     let backlog = FullBacklog::start();
-    let hosts = Hosts::new();
+    let hosts = FakeHosts::new();
     let at = backlog.address();
-    let mut fixture = Fixture::start_with(Log::start(), hosts, at, 192);
+    let mut fixture = Fixture::start_with(FakeChangeLog::start(), hosts, at, 192);
     // Send requests until one waits for a connection to a.
     let mut open = 0;
     while backlog.pending().is_empty() {
@@ -295,13 +295,13 @@
     });
     let announced = Instant::now();
     for _ in 0..open {
-        let message = fixture.hosts.next();
+        let message = fixture.hosts.next_request();
         assert!(message.at < announced + WAIT, "only {:?} after the change", message.at - announced);
         assert!(message.host == "b" || message.host == "o", "{}", message.host);
         message.answer();
         assert_eq!(fixture.client.answer().unwrap(), Answer::Served);
     }
-    fixture.hosts.over("a", backlog.drain());
+    fixture.hosts.on_listener("a", backlog.drain());
     fixture.check_unused(&["a"]);
     assert!(fixture.hosts.came.try_recv().is_err(), "a request was sent twice");
 }
@@ -317,9 +317,9 @@
     let mut fixture = Fixture::start();
     let poll = fixture.log.next_since(1);
     poll.answer(&[list(2, false, &[("b", fixture.b, GONE)])]);
-    fixture.dispatcher.log("is s-b, Gone");
+    fixture.dispatcher.wait_for_log_line("is s-b, Gone");
     fixture.client.ask(1).unwrap();
-    let pending = fixture.hosts.next();
+    let pending = fixture.hosts.next_request();
     assert_eq!(pending.host, "a");
     let poll = fixture.log.next_since(2);
     let entries = [entry("a", fixture.a, GONE, 0), entry(name, fixture.a, READY, started)];
@@ -334,7 +334,7 @@
     let Fixture { hosts, mut client, dispatcher, .. } = fixture;
     let requests = hosts.answer_all();
     let mut other = Client::connect(dispatcher.listen).unwrap();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + STEP_TIMEOUT;
     for object in 2.. {
         assert!(Instant::now() < end, "no request is sent to the new host");
         other.ask(object).unwrap();
@@ -361,12 +361,12 @@
 fn the_list_announces_a_restart_late() {
     let mut fixture = Fixture::start();
     fixture.log.next_since(1).answer(&[list(2, false, &[("b", fixture.b, GONE)])]);
-    fixture.dispatcher.log("is s-b, Gone");
+    fixture.dispatcher.wait_for_log_line("is s-b, Gone");
     fixture.client.ask(1).unwrap();
-    let pending = fixture.hosts.next();
+    let pending = fixture.hosts.next_request();
     assert_eq!(pending.host, "a");
     pending.cut();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + STEP_TIMEOUT;
     let mut other = Client::connect(fixture.dispatcher.listen).unwrap();
     let mut sent = 0;
     let held = loop {
@@ -401,7 +401,7 @@
             break;
         }
     }
-    assert_eq!(fixture.dispatcher.count("Draining"), 0);
+    assert_eq!(fixture.dispatcher.count_log_lines("Draining"), 0);
 }
 
 /// Many changes, with each byte in a packet or a chunk of its own.
@@ -413,10 +413,10 @@
     let mut events: Vec<String> = (2..20).map(purge).collect();
     events.push(list(20, false, &[("a", fixture.a, DRAINING)]));
     poll.write_singly(form(&body(&events)).as_bytes());
-    let next = fixture.log.next();
-    assert_eq!((next.since, next.line), (20, 0), "on the same connection");
+    let next = fixture.log.next_poll();
+    assert_eq!((next.since, next.connection), (20, 0), "on the same connection");
     fixture.check_unused(&["a"]);
-    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
+    assert_eq!(fixture.dispatcher.count_log_lines("changelog fails"), 0);
 }
 
 /// Changes of hosts that were never listed affect no other host.
@@ -431,16 +431,16 @@
     ]);
     fixture.log.next_since(3);
     fixture.check_unused(&["a"]);
-    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
-    assert_eq!(fixture.dispatcher.count("is s-z, Gone"), 1);
+    assert_eq!(fixture.dispatcher.count_log_lines("changelog fails"), 0);
+    assert_eq!(fixture.dispatcher.count_log_lines("is s-z, Gone"), 1);
 }
 
 /// The limit on the size of a change does not apply to a whole answer.
 #[test]
 fn an_answer_of_any_length() {
-    let hosts = Hosts::new();
+    let hosts = FakeHosts::new();
     let a = hosts.start("a");
-    let fixture = Fixture::start_with(Log::start(), hosts, a, 32);
+    let fixture = Fixture::start_with(FakeChangeLog::start(), hosts, a, 32);
     let poll = fixture.log.next_since(1);
     let mut events: Vec<String> = (2..9_000).map(purge).collect();
     events.push(list(9_000, false, &[("a", fixture.a, DRAINING)]));
@@ -449,20 +449,20 @@
     poll.write(http(&text).as_bytes());
     fixture.log.next_since(9_000);
     fixture.check_unused(&["a"]);
-    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
+    assert_eq!(fixture.dispatcher.count_log_lines("changelog fails"), 0);
 }
 
 #[test]
 fn a_change_without_an_end() {
-    let hosts = Hosts::new();
+    let hosts = FakeHosts::new();
     let a = hosts.start("a");
-    let fixture = Fixture::start_with(Log::start(), hosts, a, 32);
+    let fixture = Fixture::start_with(FakeChangeLog::start(), hosts, a, 32);
     let poll = fixture.log.next_since(1);
     let complete = list(2, false, &[("a", fixture.a, DRAINING)]);
     let text = body(&[complete, format!(r#"{{"seq":3,"more":"{}"}}"#, "x".repeat(600 * 1024))]);
     let _ = poll.try_write(http(&text).as_bytes());
-    fixture.dispatcher.log("changelog fails: change 3 has over 524288 bytes");
-    assert_eq!(fixture.log.next().since, 2);
+    fixture.dispatcher.wait_for_log_line("changelog fails: change 3 has over 524288 bytes");
+    assert_eq!(fixture.log.next_poll().since, 2);
     fixture.check_unused(&["a"]);
 }
 
@@ -473,7 +473,7 @@
     let odd = list(2, false, &[("a", fixture.a, DRAINING)]).replace(r#""seq":2,"#, "");
     let events = [odd, list(3, false, &[("b", fixture.b, DRAINING)])];
     fixture.log.next_since(1).answer(&events);
-    fixture.dispatcher.log("changelog fails: change 2: its number can't be used");
+    fixture.dispatcher.wait_for_log_line("changelog fails: change 2: its number can't be used");
     fixture.log.next_since(1).answer(&events);
     fixture.log.next_since(3);
     fixture.check_unused(&["a", "b"]);
@@ -487,14 +487,14 @@
     let third = list(3, false, &[("b", fixture.b, DRAINING)]);
     let poll = fixture.log.next_since(1);
     poll.answer(&[third.clone(), second.clone()]);
-    fixture.dispatcher.log("changelog fails: change 3 follows on 1");
+    fixture.dispatcher.wait_for_log_line("changelog fails: change 3 follows on 1");
     let old = [list(1, false, &[("b", fixture.b, READY)]), list(2, false, &[("a", fixture.a, READY)])];
     fixture.log.next_since(1).answer(&[vec![second, third], old.to_vec()].concat());
-    fixture.dispatcher.log("changelog tells change 1 again, after 3");
+    fixture.dispatcher.wait_for_log_line("changelog tells change 1 again, after 3");
     fixture.log.next_since(3).answer(&old);
     fixture.log.next_since(3);
     fixture.check_unused(&["a", "b"]);
-    assert_eq!(fixture.dispatcher.count("changelog tells"), 1, "logged more than once");
+    assert_eq!(fixture.dispatcher.count_log_lines("changelog tells"), 1, "logged more than once");
 }
 
 /// After a stall longer than the wait, the process applies the answer that has arrived.
@@ -506,8 +506,8 @@
     poll.answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
     std::thread::sleep(WAIT + ANNOUNCED_AFTER);
     fixture.dispatcher.signal("-CONT");
-    let next = fixture.log.next();
-    assert_eq!((next.since, next.line), (2, 0), "polled on a new connection");
+    let next = fixture.log.next_poll();
+    assert_eq!((next.since, next.connection), (2, 0), "polled on a new connection");
     fixture.check_unused(&["a"]);
 }
 
@@ -515,10 +515,10 @@
 #[test]
 fn a_signal_right_after_the_start() {
     for _ in 0..20 {
-        let dispatcher = Dispatcher::start(&config("127.0.0.1:0", Log::start().address, "null", 192));
+        let dispatcher = Dispatcher::start(&config("127.0.0.1:0", FakeChangeLog::start().address, "null", 192));
         // A direct call is faster than running kill.
         kill(Pid::from_raw(dispatcher.child.id() as i32), Signal::SIGHUP).unwrap();
-        dispatcher.log("reload: change log at");
+        dispatcher.wait_for_log_line("reload: change log at");
     }
 }
 
@@ -531,9 +531,9 @@
     poll.answer(&[purge(2)]);
     poll.cut();
     fixture.dispatcher.signal("-CONT");
-    let next = fixture.log.next();
-    assert_eq!((next.since, next.line), (2, 1));
-    assert_eq!(fixture.dispatcher.count("changelog fails"), 0);
+    let next = fixture.log.next_poll();
+    assert_eq!((next.since, next.connection), (2, 1));
+    assert_eq!(fixture.dispatcher.count_log_lines("changelog fails"), 0);
 }
 
 /// A change log that has lost changes is logged.
@@ -541,9 +541,9 @@
 fn a_change_log_that_is_behind() {
     let fixture = Fixture::start();
     fixture.log.next_since(1).write(http(r#"{"seq":0,"results":[]}"#).as_bytes());
-    fixture.dispatcher.log("changelog is at change 0, behind 1");
+    fixture.dispatcher.wait_for_log_line("changelog is at change 0, behind 1");
     fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
-    fixture.dispatcher.log("is s-a, Draining");
+    fixture.dispatcher.wait_for_log_line("is s-a, Draining");
 }
 
 /// JSON that is nested too deep for a thread's stack.
@@ -552,11 +552,11 @@
     let fixture = Fixture::start();
     let deep = format!("{}{}", "[".repeat(50_000), "]".repeat(50_000));
     fixture.log.next_since(1).write(http(&body(&[deep])).as_bytes());
-    fixture.dispatcher.log("changelog fails: its JSON is nested too deep");
+    fixture.dispatcher.wait_for_log_line("changelog fails: its JSON is nested too deep");
     let deep = format!("{}{}", "[".repeat(120), "]".repeat(120));
     fixture.log.next_since(1).write(http(&body(&[deep])).as_bytes());
     fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
-    fixture.dispatcher.log("is s-a, Draining");
+    fixture.dispatcher.wait_for_log_line("is s-a, Draining");
 }
 
 /// A reloaded configuration that is nested too deep is rejected; the current one stays in force.
@@ -566,7 +566,7 @@
     let deep = format!("{}{}", "[".repeat(120), "]".repeat(120));
     std::fs::write(&fixture.dispatcher.config.0, deep).unwrap();
     fixture.dispatcher.signal("-HUP");
-    fixture.dispatcher.log("reload: the configuration is nested over 16 levels deep");
+    fixture.dispatcher.wait_for_log_line("reload: the configuration is nested over 16 levels deep");
     fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
     fixture.check_unused(&["a"]);
 }
@@ -583,7 +583,7 @@
     }
 }
 
-type End = Result<(Option<u64>, bool), Fault>;
+type End = Result<(Option<u64>, bool), ChangeLogError>;
 
 fn seqs(bytes: &[u8], piece: usize) -> (Vec<u64>, End) {
     let mut found = Vec::new();
@@ -591,7 +591,7 @@
         found.push(result["seq"].as_u64().unwrap());
         Ok(())
     };
-    let end = answer(Pieces(bytes, piece), 1, 4096, &mut each);
+    let end = read_answer(Pieces(bytes, piece), 1, 4096, &mut each);
     (found, end)
 }
 
@@ -612,7 +612,7 @@
         let (found, end) = seqs(&text.as_bytes()[..size], 8192);
         let complete = lasts.iter().filter(|last| **last < size).count();
         assert_eq!((found.len(), end.is_ok()), (complete, size == text.len()), "cut after {size}");
-        let is_cut = matches!(end, Err(Fault::Cut(_)));
+        let is_cut = matches!(end, Err(ChangeLogError::Interrupted(_)));
         assert!(closes || is_cut == (size < text.len()), "cut after {size}: {end:?}");
     }
 }
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Timeout for any step, generous enough for a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "zone": 0, "zones": ["edge"], "weight_source": "rough",
  "models": ["small", "parent", "origin"],
@@ -30,15 +30,15 @@
 }
 
 /// A poll of the change log that waits for its answer.
-pub struct Asked {
+pub struct Poll {
     pub since: u64,
     pub at: Instant,
     /// Index of the connection on which it arrived.
-    pub line: usize,
+    pub connection: usize,
     stream: TcpStream,
 }
 
-impl Asked {
+impl Poll {
     pub fn write(&self, bytes: &[u8]) {
         (&self.stream).write_all(bytes).unwrap();
     }
@@ -76,19 +76,19 @@
 }
 
 /// A change log that leaves all answers to the test.
-pub struct Log {
+pub struct FakeChangeLog {
     pub address: SocketAddr,
-    asked: Receiver<Asked>,
+    asked: Receiver<Poll>,
     is_stopped: Arc<AtomicBool>,
 }
 
-impl Log {
-    pub fn start() -> Log {
-        Log::over(TcpListener::bind("127.0.0.1:0").unwrap())
+impl FakeChangeLog {
+    pub fn start() -> FakeChangeLog {
+        FakeChangeLog::on_listener(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
     /// Serves connections of an existing listener.
-    pub fn over(listener: TcpListener) -> Log {
+    pub fn on_listener(listener: TcpListener) -> FakeChangeLog {
         let address = listener.local_addr().unwrap();
         let (sender, asked) = channel();
         let is_stopped = Arc::new(AtomicBool::new(false));
@@ -102,18 +102,18 @@
                 spawn(move || read_polls(stream, line, &sender));
             }
         });
-        Log { address, asked, is_stopped }
+        FakeChangeLog { address, asked, is_stopped }
     }
 
-    pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(PATIENCE).expect("the change log is not polled")
+    pub fn next_poll(&self) -> Poll {
+        self.asked.recv_timeout(STEP_TIMEOUT).expect("the change log is not polled")
     }
 
     /// The next poll for the changes after a given one.
-    pub fn next_since(&self, since: u64) -> Asked {
-        let end = Instant::now() + PATIENCE;
+    pub fn next_since(&self, since: u64) -> Poll {
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
-            let asked = self.next();
+            let asked = self.next_poll();
             assert!(Instant::now() < end, "only polled for the changes after {}", asked.since);
             if asked.since == since {
                 return asked;
@@ -122,7 +122,7 @@
     }
 
     /// All later polls.
-    pub fn asked(self) -> Receiver<Asked> {
+    pub fn asked(self) -> Receiver<Poll> {
         self.asked
     }
 
@@ -131,18 +131,18 @@
     }
 
     /// Refuses new connections; open ones stay.
-    pub fn stop(self) -> Refusing {
+    pub fn stop(self) -> RefusingAddress {
         self.is_stopped.store(true, SeqCst);
         drop(TcpStream::connect(self.address));
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         while TcpStream::connect(self.address).is_ok() {
             assert!(Instant::now() < end, "still listening");
         }
-        Refusing::at(self.address)
+        RefusingAddress::at(self.address)
     }
 }
 
-fn read_polls(stream: TcpStream, line: usize, sender: &Sender<Asked>) {
+fn read_polls(stream: TcpStream, line: usize, sender: &Sender<Poll>) {
     stream.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     loop {
@@ -157,32 +157,32 @@
         }
         let since = first.split("since=").nth(1).and_then(|rest| rest.split('&').next()?.parse().ok());
         let (since, stream) = (since.unwrap(), stream.try_clone().unwrap());
-        let _ = sender.send(Asked { since, at, line, stream });
+        let _ = sender.send(Poll { since, at, connection: line, stream });
     }
 }
 
 /// A bound address without a listener: connections are refused, and no other process can take it.
-pub struct Refusing(socket2::Socket);
+pub struct RefusingAddress(socket2::Socket);
 
-impl Refusing {
-    pub fn start() -> Refusing {
-        Refusing::at("127.0.0.1:0".parse().unwrap())
+impl RefusingAddress {
+    pub fn start() -> RefusingAddress {
+        RefusingAddress::at("127.0.0.1:0".parse().unwrap())
     }
 
-    fn at(address: SocketAddr) -> Refusing {
+    fn at(address: SocketAddr) -> RefusingAddress {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_reuse_address(true).unwrap();
         socket.bind(&address.into()).unwrap();
-        Refusing(socket)
+        RefusingAddress(socket)
     }
 
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap().as_socket().unwrap()
     }
 
-    pub fn listen(self) -> Log {
+    pub fn listen(self) -> FakeChangeLog {
         self.0.listen(128).unwrap();
-        Log::over(self.0.into())
+        FakeChangeLog::on_listener(self.0.into())
     }
 }
 
@@ -273,22 +273,22 @@
 }
 
 /// Fake hosts whose incoming messages are collected in one channel.
-pub struct Hosts {
+pub struct FakeHosts {
     sender: Sender<HostMessage>,
     pub came: Receiver<HostMessage>,
 }
 
-impl Hosts {
-    pub fn new() -> Hosts {
+impl FakeHosts {
+    pub fn new() -> FakeHosts {
         let (sender, came) = channel();
-        Hosts { sender, came }
+        FakeHosts { sender, came }
     }
 
     pub fn start(&self, host: &'static str) -> SocketAddr {
-        self.over(host, TcpListener::bind("127.0.0.1:0").unwrap())
+        self.on_listener(host, TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    pub fn over(&self, host: &'static str, listener: TcpListener) -> SocketAddr {
+    pub fn on_listener(&self, host: &'static str, listener: TcpListener) -> SocketAddr {
         let address = listener.local_addr().unwrap();
         let sender = self.sender.clone();
         spawn(move || {
@@ -322,9 +322,9 @@
     }
 
     /// The next request at any host; skips cancellations.
-    pub fn next(&self) -> HostMessage {
+    pub fn next_request(&self) -> HostMessage {
         loop {
-            let message = self.came.recv_timeout(PATIENCE).expect("no request came to a host");
+            let message = self.came.recv_timeout(STEP_TIMEOUT).expect("no request came to a host");
             if message.words[0] == "want" {
                 return message;
             }
@@ -411,14 +411,14 @@
     }
 
     /// The number of log lines so far that contain `words`.
-    pub fn count(&self, words: &str) -> usize {
+    pub fn count_log_lines(&self, words: &str) -> usize {
         self.lines.lock().unwrap().iter().filter(|line| line.contains(words)).count()
     }
 
     /// Waits for a log line that contains `words`.
-    pub fn log(&self, words: &str) {
-        let end = Instant::now() + PATIENCE;
-        while self.count(words) == 0 {
+    pub fn wait_for_log_line(&self, words: &str) {
+        let end = Instant::now() + STEP_TIMEOUT;
+        while self.count_log_lines(words) == 0 {
             assert!(Instant::now() < end, "no line with '{words}' in {:#?}", self.lines.lock().unwrap());
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -447,7 +447,7 @@
     pub fn connect(to: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(STEP_TIMEOUT))?;
         Ok(Client { stream, last: 0 })
     }
 
--- a/crates/dispatcher/tests/following.rs
+++ b/crates/dispatcher/tests/following.rs
@@ -1,8 +1,8 @@
 //! How often the change log is polled if each answer has a change: without carriers, by a carrier, and by a
 //! dispatcher that has lost its carriers.
-use cherrypass_dispatcher::carried::Delivery;
-use cherrypass_dispatcher::changes::{follow, Following};
-use cherrypass_dispatcher::config::Names;
+use cherrypass_dispatcher::carried_changes::Delivery;
+use cherrypass_dispatcher::change_log::{follow, FollowOptions};
+use cherrypass_dispatcher::config::WireNames;
 use cherrypass_dispatcher::inbox::{Change, Input};
 use cherrypass_peers::delivery::Delivered;
 use crossbeam_channel::{never, unbounded, Receiver};
@@ -43,9 +43,9 @@
 /// Follows a log; returns the router's inputs.
 fn start_following(at: SocketAddr, delivery: Option<Delivery>) -> Receiver<Input> {
     let (router, inputs) = unbounded();
-    let names = Names { bands: Vec::new(), locations: Vec::new(), kinds: Vec::new() };
+    let names = WireNames { classes: Vec::new(), locations: Vec::new(), kinds: Vec::new() };
     let (moved, most, seed) = (never(), 1 << 20, 1);
-    spawn(move || follow(Following { at, moved, names, last: 0, most, seed, router, delivery }));
+    spawn(move || follow(FollowOptions { address: at, new_addresses: moved, names, last_change: 0, max_change_bytes: most, seed, router, delivery }));
     inputs
 }
 
@@ -54,8 +54,8 @@
     let until = Instant::now() + TEST_DURATION;
     let mut found = Vec::new();
     while let Ok(input) = inputs.recv_deadline(until) {
-        if let Input::Changed(Change::Purge(purge)) = input {
-            found.push(purge.change);
+        if let Input::Change(Change::Purge(purge)) = input {
+            found.push(purge.change_number);
         }
     }
     found
--- a/crates/dispatcher/tests/full_size.rs
+++ b/crates/dispatcher/tests/full_size.rs
@@ -5,16 +5,16 @@
 #[allow(dead_code, reason = "shared with other tests, which use the rest")]
 mod bed;
 
-use bed::{event, Answer, Client, Dispatcher, Hosts, Log, PATIENCE};
-use cherrypass::brain::Brain;
+use bed::{event, Answer, Client, Dispatcher, FakeHosts, FakeChangeLog, STEP_TIMEOUT};
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::{Decision, Listing, Visit};
 use cherrypass::containers::rendezvous;
-use cherrypass::ids::{BandId, GroupId, HostId, LocationId, ObjectId, VisitId};
+use cherrypass::ids::{ClassId, GroupId, HostId, LocationId, ObjectId, VisitId};
 use cherrypass::time::{Span, Time};
-use cherrypass_dispatcher::changes::{self, host_id};
+use cherrypass_dispatcher::change_log::{self, host_id};
 use cherrypass_dispatcher::config::Config;
 use cherrypass_dispatcher::inbox::Change;
-use cherrypass_dispatcher::sharing;
+use cherrypass_dispatcher::fleet_connection;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -85,11 +85,11 @@
 const MEMBER_ZONES: [usize; 4] = [OWN_LOCATION, 255, 256, OWN_LOCATION - 256];
 
 /// The host to which a visit of a class is handed off first.
-fn first_host(brain: &mut Brain, now: Time, id: u32, class: u16) -> Option<HostId> {
+fn first_host(brain: &mut DecisionEngine, now: Time, id: u32, class: u16) -> Option<HostId> {
     let (object, deadline) = (ObjectId(u64::from(id)), now + Span::seconds(6.0));
-    let (id, band, group) = (VisitId(id), BandId(class), GroupId(0));
-    brain.arrived(now, Visit { id, band, object, group, part: 0, kilobytes: None, deadline });
-    std::iter::from_fn(|| brain.next(now)).find_map(|decision| match decision {
+    let (id, band, group) = (VisitId(id), ClassId(class), GroupId(0));
+    brain.visit_arrived(now, Visit { id, class: band, object, group, part: 0, kilobytes: None, deadline });
+    std::iter::from_fn(|| brain.next_decision(now)).find_map(|decision| match decision {
         Decision::HandOff { host, .. } => Some(host),
         _ => None,
     })
@@ -106,17 +106,17 @@
     assert_eq!(config.settings.location, LocationId(OWN_LOCATION as u16));
 
     // The list: no entry is lost or confused with another one.
-    let (found, fault) = changes::decode(&config.known, &config.names, &mut 0, None);
+    let (found, fault) = change_log::decode(&config.known_changes, &config.names, &mut 0, None);
     assert!(fault.is_none(), "{fault:?}");
-    let [Change::List { whole: true, hosts }] = &found[..] else { panic!("{found:?}") };
+    let [Change::HostList { is_complete: true, hosts }] = &found[..] else { panic!("{found:?}") };
     let listings: Vec<Listing> = hosts.iter().map(|host| host.listing).collect();
     let distinct = |ids: BTreeSet<u64>| assert_eq!(ids.len(), FULL_SIZE);
     distinct(listings.iter().map(|listing| listing.host.0).collect());
     distinct(listings.iter().map(|listing| listing.location.0.into()).collect());
     distinct(listings.iter().map(|listing| listing.kind.0.into()).collect());
     let now = Time(1_000_000);
-    let mut brain = Brain::start(config.settings.clone(), 1, now);
-    brain.listed(now, &listings, true);
+    let mut brain = DecisionEngine::new(config.settings.clone(), 1, now);
+    brain.update_hosts(now, &listings, true);
     assert!(listings.iter().all(|listing| brain.is_listed(listing.host)));
     let (own, origin) = (host_id(&format!("h{OWN_LOCATION}")), host_id(&format!("h{ORIGIN_KIND}")));
     assert_eq!(
@@ -128,7 +128,7 @@
 
     // The operators' file.
     let file = cherrypass_operator::decode("all.jsonnet", operators_file(FULL_SIZE, FULL_SIZE)).unwrap();
-    let set = sharing::set(&file.fleet.unwrap(), &config).unwrap();
+    let set = fleet_connection::fleet_settings(&file.fleet.unwrap(), &config).unwrap();
     assert_eq!(
         (set.members.len(), set.followers.len(), set.locations.len()),
         (FULL_SIZE, FULL_SIZE, FULL_SIZE)
@@ -147,7 +147,7 @@
             ["all.jsonnet", place, "1025 are more than 1024", "make a fleet of its own of the others"];
         assert!(words.iter().all(|word| message.contains(word)) && !message.contains('\n'), "{message}");
     }
-    let places = cherrypass::ids::PLACES;
+    let places = cherrypass::ids::MAX_LIST_LENGTH;
     for key in ["zones", "models"] {
         let mut value = config(FULL_SIZE, unused_address(), &[]);
         value["settings"][key] = json!(names("x", places + 1));
@@ -197,9 +197,9 @@
 
 #[test]
 fn the_program_serves_1024_hosts_within_32_mb_and_256_descriptors() {
-    let hosts = Hosts::new();
+    let hosts = FakeHosts::new();
     let listen = |place: usize| match place < ANSWERING {
-        true => hosts.over("answers", TcpListener::bind("127.0.0.1:0").unwrap()),
+        true => hosts.on_listener("answers", TcpListener::bind("127.0.0.1:0").unwrap()),
         false => address(place),
     };
     let kind =
@@ -208,11 +208,11 @@
         .map(|place| entry(&format!("h{place}"), listen(place), OWN_LOCATION, kind(place)))
         .collect();
     let came = hosts.answer_all();
-    let log = Log::start();
+    let log = FakeChangeLog::start();
     let start = Instant::now();
     let dispatcher = Dispatcher::start(&config(FULL_SIZE, log.address, &servers).to_string());
     while !is_ready(dispatcher.listen) {
-        assert!(start.elapsed() < PATIENCE, "not ready");
+        assert!(start.elapsed() < STEP_TIMEOUT, "not ready");
     }
     let ready = start.elapsed();
     // The same list arrives again as a change.
@@ -232,5 +232,5 @@
     assert!(came.try_iter().count() >= VISITS, "fewer requests at hosts than answers");
     assert!(memory <= 32 * 1024, "{memory} kB");
     assert!(most <= 256, "{most} descriptors");
-    assert_eq!(dispatcher.count("can't be used"), 0);
+    assert_eq!(dispatcher.count_log_lines("can't be used"), 0);
 }
