--- a/crates/dispatcher/tests/list.rs
+++ b/crates/dispatcher/tests/list.rs
@@ -3,9 +3,9 @@
 use cherrypass::ids::{CellId, KindId, LocationId};
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_dispatcher::change_clock::ChangeClock;
-use cherrypass_dispatcher::changes::host_id;
-use cherrypass_dispatcher::inbox::Listed;
-use cherrypass_dispatcher::list::{Applied, Clocks, EntryFault, List};
+use cherrypass_dispatcher::change_log::host_id;
+use cherrypass_dispatcher::inbox::ListedHost;
+use cherrypass_dispatcher::host_list::{AppliedUpdate, Clocks, EntryFault, HostList};
 use std::net::SocketAddr;
 use test_case::test_case;
 
@@ -26,48 +26,48 @@
 }
 
 /// A cache listed at a port.
-fn host(name: &str, port: u16, since: Option<Time>) -> Listed {
+fn host(name: &str, port: u16, since: Option<Time>) -> ListedHost {
     let (host, kind, cell) = (host_id(name), KindId(0), CellId(0));
     let (location, phase, started) = (LocationId(0), Phase::Ready, since.map(|since| UnixTime(since.0)));
-    let listing = Listing { host, location, kind, cell, weight: 20.0, since: None, phase };
-    Listed { listing, started, name: name.into(), address: Some(at(port)) }
+    let listing = Listing { host, location, kind, cell, weight: 20.0, started_at: None, phase };
+    ListedHost { listing, started, name: name.into(), address: Some(at(port)) }
 }
 
 trait ApplyAt {
     /// Applies an update at a time that two changes and the wall clock agree on.
-    fn apply_at(&mut self, now: Time, hosts: Vec<Listed>, whole: bool) -> Applied;
+    fn apply_at(&mut self, now: Time, hosts: Vec<ListedHost>, whole: bool) -> AppliedUpdate;
 }
 
-impl ApplyAt for List {
-    fn apply_at(&mut self, now: Time, hosts: Vec<Listed>, whole: bool) -> Applied {
+impl ApplyAt for HostList {
+    fn apply_at(&mut self, now: Time, hosts: Vec<ListedHost>, whole: bool) -> AppliedUpdate {
         let mut change_clock = ChangeClock::default();
-        [now.0, now.0 + 1].into_iter().for_each(|stamp| change_clock.heard(now, UnixTime(stamp)));
+        [now.0, now.0 + 1].into_iter().for_each(|stamp| change_clock.observe(now, UnixTime(stamp)));
         self.apply(&Clocks { now, wall: UnixTime(now.0), change_clock: &change_clock }, hosts, whole)
     }
 }
 
-fn phase(phase: Phase, host: Listed) -> Listed {
-    Listed { listing: Listing { phase, ..host.listing }, ..host }
+fn phase(phase: Phase, host: ListedHost) -> ListedHost {
+    ListedHost { listing: Listing { phase, ..host.listing }, ..host }
 }
 
-fn weight(weight: f64, host: Listed) -> Listed {
-    Listed { listing: Listing { weight, ..host.listing }, ..host }
+fn weight(weight: f64, host: ListedHost) -> ListedHost {
+    ListedHost { listing: Listing { weight, ..host.listing }, ..host }
 }
 
-fn list() -> List {
-    List::new(RAMP, true)
+fn list() -> HostList {
+    HostList::new(RAMP, true)
 }
 
 /// Names of the hosts that lost their address, each with the name of its holder.
-fn lost(applied: &Applied) -> Vec<(&str, &str)> {
+fn lost(applied: &AppliedUpdate) -> Vec<(&str, &str)> {
     let lost = applied.faults.iter().filter_map(|(name, fault)| match fault {
         EntryFault::AddressTaken { holder, .. } => Some((&name[..], &holder[..])),
         _ => None,
     });
     let lost: Vec<(&str, &str)> = lost.collect();
-    assert_eq!(lost.len(), applied.lost.len());
+    assert_eq!(lost.len(), applied.displaced.len());
     for (name, _) in &lost {
-        assert!(applied.lost.iter().any(|host| host.host == host_id(name) && host.phase == Phase::Gone));
+        assert!(applied.displaced.iter().any(|host| host.host == host_id(name) && host.phase == Phase::Gone));
         assert!(applied.hosts.iter().all(|host| host.name != *name), "{name} is in force as well");
     }
     lost
@@ -108,7 +108,7 @@
     let mut list = list();
     list.apply_at(NOW, vec![host("a", 1, None), host("n", 1, ago(1))], false);
     let applied = list.apply_at(NOW, vec![host("a", 2, None)], false);
-    assert!(applied.lost.is_empty() && applied.faults.is_empty());
+    assert!(applied.displaced.is_empty() && applied.faults.is_empty());
     assert_eq!(applied.hosts[0].listing.phase, Phase::Ready);
 }
 
@@ -152,11 +152,11 @@
         EntryFault::EarlierStart { listed: listed.map_or(0, |_| ms(listed)), known: ms(ago(5)) },
     )];
     let applied = list.apply_at(NOW, vec![host("a", 1, listed)], false);
-    assert_eq!((applied.hosts[0].listing.since, &applied.faults[..]), (ago(5), &earlier[..]));
+    assert_eq!((applied.hosts[0].listing.started_at, &applied.faults[..]), (ago(5), &earlier[..]));
     // Also if the host was gone in between.
     list.apply_at(NOW, vec![phase(Phase::Gone, host("a", 1, listed))], false);
     let applied = list.apply_at(NOW, vec![host("a", 1, listed)], false);
-    assert_eq!((applied.hosts[0].listing.since, &applied.faults[..]), (ago(5), &earlier[..]));
+    assert_eq!((applied.hosts[0].listing.started_at, &applied.faults[..]), (ago(5), &earlier[..]));
     // A drain or a removal takes effect whatever its start, and is no fault.
     let applied = list.apply_at(NOW, vec![phase(Phase::Draining, host("a", 1, listed))], false);
     assert!(applied.faults.is_empty() && applied.hosts[0].listing.phase == Phase::Draining);
@@ -170,7 +170,7 @@
     let applied = list.apply_at(NOW + RAMP, vec![host("b", 2, None)], false);
     assert!(applied.faults.is_empty());
     let applied = list.apply_at(NOW + RAMP, vec![host("a", 1, None)], false);
-    assert!(applied.faults.is_empty() && applied.hosts[0].listing.since.is_none());
+    assert!(applied.faults.is_empty() && applied.hosts[0].listing.started_at.is_none());
 }
 
 #[test]
@@ -178,7 +178,7 @@
     let mut list = list();
     let then = Some(NOW + Span::millis(60_000));
     let applied = list.apply_at(NOW, vec![host("a", 1, then)], false);
-    assert_eq!(applied.hosts[0].listing.since, then);
+    assert_eq!(applied.hosts[0].listing.started_at, then);
     assert_eq!(applied.faults, [("a".to_owned(), EntryFault::FutureStart(ms(then)))]);
     // Repeated, it is not reported again.
     assert!(list.apply_at(NOW, vec![host("a", 1, then)], false).faults.is_empty());
@@ -189,7 +189,7 @@
 #[test_case(f64::NAN; "not a number")]
 #[test_case(f64::INFINITY; "infinite")]
 fn an_unusable_weight_counts_as_no_more_than_a_listed_one(listed: f64) {
-    let effective = |others: Vec<Listed>| {
+    let effective = |others: Vec<ListedHost>| {
         let applied = list().apply_at(NOW, [vec![weight(listed, host("a", 1, None))], others].concat(), true);
         assert_eq!(applied.faults.len(), 1);
         assert!(matches!(applied.faults[0].1, EntryFault::UnusableWeight { .. }));
@@ -206,7 +206,7 @@
 /// The weight is irrelevant if weights are not used or the host drains.
 #[test]
 fn an_irrelevant_weight_is_no_fault() {
-    let mut unweighted = List::new(RAMP, false);
+    let mut unweighted = HostList::new(RAMP, false);
     let applied = unweighted.apply_at(NOW, vec![weight(0.0, host("a", 1, None))], true);
     assert!(applied.faults.is_empty() && applied.hosts[0].listing.weight == 1.0);
     let applied = list().apply_at(NOW, vec![phase(Phase::Draining, weight(0.0, host("a", 1, None)))], true);
@@ -220,13 +220,13 @@
     let (now, wall) = (NOW, UnixTime(NOW.0));
     let clocks = Clocks { now, wall, change_clock: &change_clock };
     let applied = list.apply(&clocks, vec![host("a", 1, ago(3)), host("b", 2, None)], true);
-    assert_eq!(applied.hosts[0].listing.since, Some(NOW));
+    assert_eq!(applied.hosts[0].listing.started_at, Some(NOW));
     assert_eq!(list.redate(&clocks), []);
     let now = NOW + Span::millis(1_000);
-    [now.0, now.0 + 1].into_iter().for_each(|stamp| change_clock.heard(now, UnixTime(stamp)));
+    [now.0, now.0 + 1].into_iter().for_each(|stamp| change_clock.observe(now, UnixTime(stamp)));
     let clocks = Clocks { now, wall, change_clock: &change_clock };
     assert_eq!(list.redate(&clocks), [(host_id("a"), ago(3).unwrap())]);
     assert_eq!(list.redate(&clocks), []);
     let applied = list.apply(&clocks, vec![host("a", 1, ago(3))], false);
-    assert_eq!(applied.hosts[0].listing.since, ago(3));
+    assert_eq!(applied.hosts[0].listing.started_at, ago(3));
 }
--- a/crates/dispatcher/tests/restarts.rs
+++ b/crates/dispatcher/tests/restarts.rs
@@ -107,7 +107,7 @@
 }
 
 /// Answers with the list at once, and with no changes after that.
-fn answer_list_requests(requests: Receiver<Asked>, list: String) {
+fn answer_list_requests(requests: Receiver<Poll>, list: String) {
     for request in requests {
         let list = list.clone();
         spawn(move || {
@@ -123,7 +123,7 @@
 
 #[test]
 fn nine_in_ten_restarted_dispatchers_are_ready_in_time() {
-    let hosts = Hosts::new();
+    let hosts = FakeHosts::new();
     let list = list(
         1,
         true,
@@ -134,7 +134,7 @@
         ],
     );
     let _came = hosts.answer_all();
-    let log = Log::start();
+    let log = FakeChangeLog::start();
     let address = log.address;
     let (log, own) = (log.asked(), list.clone());
     spawn(move || answer_list_requests(log, own));
@@ -182,7 +182,7 @@
     check_ready_times("a tenth at a time", fleet.join(steps));
 
     // All at once, while the change log is down until about 3 s after they have ended, which takes 1 s.
-    let down = Refusing::start();
+    let down = RefusingAddress::start();
     fleet.log = down.address();
     let all = fleet.restart(0..COUNT);
     spawn(move || {
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -2,10 +2,10 @@
 //! location have little traffic each, and a cache fails. Each case runs with and without shared verdicts, on
 //! the same visits and faults.
 //! `cargo run --release -p cherrypass-fleet --example verdicts [seeds [tellers [part]]]`
-use cherrypass::brain::Brain;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
 use cherrypass::ids::*;
-use cherrypass::settings::{Band, ColdStart, Effect as Repeats, Settings};
+use cherrypass::settings::{ClassSettings, ColdStart, Effect as Repeats, Settings};
 use cherrypass::time::{Span, Time};
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::verdicts::{self, Effect, Finding, Kind, Message, UsedBy, Verdicts};
@@ -66,7 +66,7 @@
 }
 
 struct Dispatcher {
-    brain: Brain,
+    brain: DecisionEngine,
     verdicts: Verdicts,
     arrivals: Pcg64Mcg,
     bad_link: bool,
@@ -114,35 +114,35 @@
 
 fn settings(dispatchers: u32) -> Settings {
     let cold = |share: f64, seconds: u64| ColdStart {
-        share,
+        initial_share: share,
         ramp: Span::millis(seconds * 1000),
-        multiple: 2.0,
-        window: Span::millis(2000),
+        overload_factor: 2.0,
+        overload_window: Span::millis(2000),
     };
     Settings {
         dispatchers,
         location: LocationId(0),
         location_dispatchers: dispatchers,
-        bands: vec![Band {
+        classes: vec![ClassSettings {
             effect: Repeats::Idempotent,
-            quoted: QUOTED_TIME,
-            stretch: 0.0,
-            fresh: Span::ZERO,
-            grace: Span::ZERO,
-            writes: false,
+            target_latency: QUOTED_TIME,
+            target_stretch: 0.0,
+            fresh_for: Span::ZERO,
+            stale_for: Span::ZERO,
+            is_write: false,
         }],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        weights_told: true,
-        weights_steady: true,
-        pace: 5000.0,
-        links: vec![500_000.0],
-        direct: true,
-        joins: true,
-        ways_told: true,
-        cancel: true,
+        has_weights: true,
+        has_stable_weights: true,
+        transfer_kb_per_s: 5000.0,
+        location_link_kb_per_s: vec![500_000.0],
+        may_bypass_caches: true,
+        joins_fills: true,
+        reports_fill_source: true,
+        can_cancel: true,
         max_hand_offs: 4,
-        retry_after_most: Span::millis(2000),
+        max_retry_after: Span::millis(2000),
         cold_cache: cold(0.2, 15),
         cold_parent: cold(0.1, 20),
         ..Settings::default()
@@ -172,7 +172,7 @@
             let seed = case.seed << 16 | of as u64;
             let (own, run) = (MemberId(of as u64), Incarnation(1));
             let mut one = Dispatcher {
-                brain: Brain::start(settings(case.dispatchers), seed, START),
+                brain: DecisionEngine::new(settings(case.dispatchers), seed, START),
                 verdicts: Verdicts::new(set.clone(), own, LocationId(0), run, seed, START),
                 arrivals: Pcg64Mcg::seed_from_u64(seed ^ 0x1111 << 40),
                 bad_link: matches!(case.fault, Fault::Links(n) if of < n as usize),
@@ -185,7 +185,7 @@
             let parents = (11..11 + PARENTS).map(HostId);
             let hosts: Vec<_> = caches().chain(parents).chain([ORIGIN]).collect();
             let list: Vec<_> = hosts.iter().map(|host| play.listing(*host, Time(1))).collect();
-            one.brain.listed(START, &list, true);
+            one.brain.update_hosts(START, &list, true);
             for host in hosts {
                 let used_by = if host.0 <= CACHES { UsedBy::Location(LocationId(0)) } else { UsedBy::All };
                 one.verdicts.update_host(START, host, Some(Incarnation(1)), used_by);
@@ -210,7 +210,7 @@
         let weight = if kind == 0 { self.weight } else { 20.0 * self.weight };
         let location = LocationId(if kind == 0 { 0 } else { 9 });
         let since = Some(since);
-        Listing { host, location, kind: KindId(kind), cell: CellId(0), weight, since, phase: Phase::Ready }
+        Listing { host, location, kind: KindId(kind), cell: CellId(0), weight, started_at: since, phase: Phase::Ready }
     }
 
     fn put(&mut self, at: Time, event: Event) {
@@ -232,7 +232,7 @@
             match event {
                 Event::Round(of) => {
                     self.put(at + Span(10_000), Event::Round(of));
-                    self.all[of].brain.woken(at);
+                    self.all[of].brain.tick(at);
                     self.carry_out_decisions(of);
                 }
                 Event::Tick(of) => {
@@ -254,7 +254,7 @@
                     let entry = self.listing(FAULTY, since);
                     for of in 0..self.all.len() {
                         let one = &mut self.all[of];
-                        one.brain.listed(at, &[entry], false);
+                        one.brain.update_hosts(at, &[entry], false);
                         let back = self.measured.back.get_mut(&of);
                         back.into_iter().for_each(|back| *back = (*back).min(LIST_DELAY));
                         let by = UsedBy::Location(LocationId(0));
@@ -278,8 +278,8 @@
         let id = VisitId(one.next);
         one.visits.insert(id, (now, 0, false));
         let kilobytes = Some(SENDING_SECONDS * 5000.0);
-        let (band, group, deadline) = (BandId(0), GroupId(0), now + Span::millis(4_000));
-        one.brain.arrived(now, Visit { id, band, object, group, part: 0, kilobytes, deadline });
+        let (band, group, deadline) = (ClassId(0), GroupId(0), now + Span::millis(4_000));
+        one.brain.visit_arrived(now, Visit { id, class: band, object, group, part: 0, kilobytes, deadline });
         self.measured.visits += 1;
         self.put(now + Span::seconds(gap), Event::Arrives(of));
         self.carry_out_decisions(of);
@@ -289,9 +289,9 @@
         let now = self.now;
         let one = &mut self.all[of];
         let Some(sent) = one.out.remove(&(visit, number)) else { return };
-        let last = outcome == Outcome::Settled;
-        let (took, report, number) = (now - sent, Report::default(), HandOffNo(number));
-        one.brain.ended(now, Ended { visit, number, outcome, note, took, report, last });
+        let last = outcome == Outcome::Served;
+        let (took, report, number) = (now - sent, Report::default(), HandOffNumber(number));
+        one.brain.hand_off_ended(now, HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last });
         if last {
             self.end_visit(of, visit, true);
         }
@@ -307,14 +307,14 @@
 
     fn carry_out_decisions(&mut self, of: usize) {
         let now = self.now;
-        while let Some(decision) = self.all[of].brain.next(now) {
+        while let Some(decision) = self.all[of].brain.next_decision(now) {
             match decision {
                 Decision::HandOff { visit, host, fill, .. } => self.hand_off(of, visit, host, fill),
                 Decision::Cancel { visit, number } => {
-                    let (outcome, note) = (Outcome::Cancelled, Note::Untold);
+                    let (outcome, note) = (Outcome::Cancelled, Note::Unspecified);
                     self.put(now, Event::Ends { of, visit, number: number.0, outcome, note });
                 }
-                Decision::TurnBack { visit, .. } | Decision::WriteOff { visit } => {
+                Decision::Refuse { visit, .. } | Decision::Fail { visit } => {
                     self.end_visit(of, visit, false)
                 }
                 Decision::Log(line) => self.logged(of, &line),
@@ -355,9 +355,9 @@
             _ => None,
         };
         let (outcome, note, after) = match fails {
-            Some((outcome, after)) => (outcome, Note::Untold, after),
-            None if held => (Outcome::Settled, Note::Hit, quick),
-            None => (Outcome::Settled, Note::Filled, quick.times(3.0)),
+            Some((outcome, after)) => (outcome, Note::Unspecified, after),
+            None if held => (Outcome::Served, Note::Hit, quick),
+            None => (Outcome::Served, Note::Filled, quick.times(3.0)),
         };
         self.put(now + after, Event::Ends { of, visit, number, outcome, note });
     }
@@ -393,22 +393,22 @@
         let one = &mut self.all[of];
         let mut shut = BTreeSet::new();
         for found in one.brain.findings(now) {
-            let kind = match found.what {
-                Found::Anew => Kind::JustStarted,
-                Found::Shut { why: Bad::Fails, unreached: false } => Kind::ShutOut,
-                Found::Shut { .. } => Kind::CutOff,
+            let kind = match found.condition {
+                HostCondition::Restarted => Kind::JustStarted,
+                HostCondition::Ejected { cause: EjectionCause::Failing, is_unreachable: false } => Kind::ShutOut,
+                HostCondition::Ejected { .. } => Kind::CutOff,
             };
             shut.extend((kind != Kind::JustStarted).then_some(found.host));
-            let (host, evidence, age) = (found.host, found.evidence, now - found.at);
+            let (host, evidence, age) = (found.host, found.evidence_count, now - found.last_evidence_at);
             let since = found.since.map(|at| Incarnation(at.0));
             one.verdicts.report_finding(now, Finding { host, since, kind, evidence, age });
         }
         one.shut.difference(&shut).for_each(|host| one.verdicts.report_recovery(now, *host));
         one.shut = shut;
-        let refuted: Vec<HostId> = one.brain.refuted(now).collect();
+        let refuted: Vec<HostId> = one.brain.refuted_reports(now).collect();
         refuted.into_iter().for_each(|host| one.verdicts.refute(now, host));
         for (host, (since, until)) in one.told.clone() {
-            one.brain.hearsay(now, host, since, Word::Bad, until);
+            one.brain.apply_peer_report(now, host, since, ReportedCondition::Bad, until);
         }
         self.carry_out_decisions(of);
     }
@@ -430,16 +430,16 @@
                 Effect::Verdict { host, since, kind, age, until, .. } => {
                     self.measured.oldest = self.measured.oldest.max(age);
                     let (one, since) = (&mut self.all[of], since.map(|run| Time(run.0)));
-                    let word = if kind == Kind::JustStarted { Word::Anew } else { Word::Bad };
-                    if word == Word::Bad {
+                    let word = if kind == Kind::JustStarted { ReportedCondition::Restarted } else { ReportedCondition::Bad };
+                    if word == ReportedCondition::Bad {
                         one.told.insert(host, (since, until));
                     }
-                    one.brain.hearsay(now, host, since, word, until);
+                    one.brain.apply_peer_report(now, host, since, word, until);
                 }
                 Effect::Withdraw { host } => {
                     let one = &mut self.all[of];
                     let since = one.told.remove(&host).and_then(|told| told.0);
-                    one.brain.hearsay(now, host, since, Word::Bad, now);
+                    one.brain.apply_peer_report(now, host, since, ReportedCondition::Bad, now);
                 }
                 Effect::Log(line) => println!("  {line}"),
             }
@@ -452,10 +452,10 @@
     let rules = settings(1).cold_cache;
     let over = measured.to_cold.iter().enumerate().filter(|(first, from)| {
         let sent =
-            measured.to_cold[*first..].iter().take_while(|at| **at < **from + rules.window).count() as f64;
+            measured.to_cold[*first..].iter().take_while(|at| **at < **from + rules.overload_window).count() as f64;
         let age = (**from - (START + RESTARTED)).as_seconds() / rules.ramp.as_seconds();
-        let warm = (rules.share + (1.0 - rules.share) * age).min(1.0);
-        let borne = rules.multiple * warm * weight / SENDING_SECONDS * rules.window.as_seconds();
+        let warm = (rules.initial_share + (1.0 - rules.initial_share) * age).min(1.0);
+        let borne = rules.overload_factor * warm * weight / SENDING_SECONDS * rules.overload_window.as_seconds();
         age < 1.0 && sent > borne + 3.0 * borne.sqrt() + 3.0
     });
     over.count()
--- a/crates/fleet/src/feed/follower.rs
+++ b/crates/fleet/src/feed/follower.rs
@@ -3,7 +3,7 @@
 use super::log::SegmentCheck;
 use super::{Effect, Fence, FollowerClass, Position, Said, Segment, Set, Stamp};
 use crate::common::{rendezvous_order, Incarnation, MemberId};
-use cherrypass::containers::Mean;
+use cherrypass::containers::MovingAverage;
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -23,7 +23,7 @@
     /// frames.
     is_carried: bool,
     last_heard: Time,
-    mean_gap: Mean,
+    mean_gap: MovingAverage,
     class: FollowerClass,
     last_frame: u64,
     last_asked: Time,
@@ -54,7 +54,7 @@
             fence: Fence { incarnation, number: 0, carrier: first },
             is_carried: false,
             last_heard: now,
-            mean_gap: Mean::default(),
+            mean_gap: MovingAverage::default(),
             class: FollowerClass::default(),
             last_frame: 0,
             last_asked: Time(0),
--- a/crates/fleet/src/members/links.rs
+++ b/crates/fleet/src/members/links.rs
@@ -1,6 +1,6 @@
 //! Quality of this member's own links: response times, and the fraction of probes without an answer.
 use super::Set;
-use cherrypass::containers::Mean;
+use cherrypass::containers::MovingAverage;
 use cherrypass::time::Span;
 use std::collections::VecDeque;
 
@@ -13,13 +13,13 @@
 
 #[derive(Default)]
 pub(super) struct Links {
-    response_times: Mean,
+    response_times: MovingAverage,
     outcomes: VecDeque<bool>,
 }
 
 impl Links {
     /// Records a response, `span` after the first probe.
-    pub fn record_response(&mut self, span: Span, of_member: &mut Mean, set: &Set) {
+    pub fn record_response(&mut self, span: Span, of_member: &mut MovingAverage, set: &Set) {
         let took = span.as_seconds().min(set.mean_response_bounds[1].as_seconds());
         self.response_times.push(took, MEAN_WEIGHTS[0]);
         of_member.push(took, MEAN_WEIGHTS[1]);
@@ -28,10 +28,10 @@
     /// The time without an answer that corresponds to this phi, for exponentially distributed response times.
     /// Uses the larger of the means of all members and of this one, and a long one while there are few
     /// responses.
-    pub fn timeout(&self, phi: f64, of_member: Option<&Mean>, set: &Set) -> Span {
+    pub fn timeout(&self, phi: f64, of_member: Option<&MovingAverage>, set: &Set) -> Span {
         let least = set.mean_response_bounds[0].as_seconds();
-        let start = set.mean_response_bounds[1].as_seconds() / f64::from(self.response_times.seen.max(1));
-        let of_member = of_member.filter(|mean| mean.seen >= 3).map_or(0.0, |mean| mean.value);
+        let start = set.mean_response_bounds[1].as_seconds() / f64::from(self.response_times.sample_count.max(1));
+        let of_member = of_member.filter(|mean| mean.sample_count >= 3).map_or(0.0, |mean| mean.value);
         let mean = self
             .response_times
             .value
--- a/crates/fleet/src/members/table.rs
+++ b/crates/fleet/src/members/table.rs
@@ -1,6 +1,6 @@
 //! What is known about each listed member, and the updates that are still being gossiped.
 use crate::common::{Incarnation, MemberId};
-use cherrypass::containers::Mean;
+use cherrypass::containers::MovingAverage;
 use cherrypass::ids::LocationId;
 use cherrypass::time::Time;
 use serde::{Deserialize, Serialize};
@@ -43,7 +43,7 @@
     pub claim: Claim,
     /// When the last message of this incarnation came, and its mean response time in seconds.
     pub last_heard: Time,
-    pub response_times: Mean,
+    pub response_times: MovingAverage,
     /// How often the newest claim was sent on; `None` once it is no longer gossiped.
     times_sent: Option<u32>,
     /// What was last reported to the caller.
@@ -63,7 +63,7 @@
         let mut entries: Vec<Entry> = Vec::with_capacity(listed.len());
         for &(id, location) in listed {
             let reported = (Standing::Unheard, Incarnation(0));
-            let response_times = Mean::default();
+            let response_times = MovingAverage::default();
             entries.push(Entry {
                 id,
                 location,
--- a/crates/keep/src/purges.rs
+++ b/crates/keep/src/purges.rs
@@ -18,9 +18,9 @@
     /// None purges the whole group.
     pub object: Option<ObjectId>,
     /// When the purge was issued, by the change log's clock.
-    pub at: UnixTime,
+    pub issued_at: UnixTime,
     /// Sequence number of the change that carried the purge.
-    pub change: u64,
+    pub change_number: u64,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -33,9 +33,9 @@
 
 /// The record of a purge, which expires `retention` after the purge; None if that time has passed.
 pub fn record(now: UnixTime, purge: &Purge, retention: Span) -> Option<Record> {
-    let expires_at = purge.at + retention;
+    let expires_at = purge.issued_at + retention;
     let object = purge.object.map(|object| object.0);
-    let stored = StoredPurge { group: purge.group.0, object, at: purge.at.0, change: purge.change };
+    let stored = StoredPurge { group: purge.group.0, object, at: purge.issued_at.0, change: purge.change_number };
     let key = match purge.object {
         Some(object) => [&b"o"[..], &object.0.to_be_bytes()].concat(),
         None => [&b"g"[..], &purge.group.0.to_be_bytes()].concat(),
@@ -54,8 +54,8 @@
     let purges = values.filter_map(decode::<StoredPurge>).map(|stored| Purge {
         group: GroupId(stored.group),
         object: stored.object.map(ObjectId),
-        at: UnixTime(stored.at),
-        change: stored.change,
+        issued_at: UnixTime(stored.at),
+        change_number: stored.change,
     });
-    purges.filter(|purge| now < purge.at + retention).collect()
+    purges.filter(|purge| now < purge.issued_at + retention).collect()
 }
--- a/crates/keep/src/versions.rs
+++ b/crates/keep/src/versions.rs
@@ -13,7 +13,7 @@
     /// Path of the file that it was read from.
     pub source: String,
     /// When it came into force, in microseconds of Unix time.
-    pub since: u64,
+    pub in_force_since: u64,
     /// When another configuration replaced it, in microseconds of Unix time.
     pub in_force_until: Option<u64>,
     pub text: Vec<u8>,
@@ -47,7 +47,7 @@
     };
     let ended = last.map(|last| put(&Version { in_force_until: Some(now.0), ..last.clone() }));
     let (number, source) = (last.map_or(1, |last| last.number + 1), source.to_owned());
-    let new = put(&Version { number, source, since: now.0, in_force_until: None, text: text.to_vec() });
+    let new = put(&Version { number, source, in_force_since: now.0, in_force_until: None, text: text.to_vec() });
     let excess = (versions.len() + 1).saturating_sub(max_versions.max(1));
     let oldest = versions.iter().take(excess);
     let deleted =
--- a/crates/keep/src/visits.rs
+++ b/crates/keep/src/visits.rs
@@ -16,39 +16,39 @@
 
 /// A visit that may have run: when its first hand-off was sent, and to which host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MayHaveRun {
+pub struct InDoubtVisit {
     /// Name of the request class.
-    pub band: String,
+    pub class_name: String,
     /// When the first hand-off was sent, in microseconds of Unix time.
-    pub at: u64,
+    pub sent_at: u64,
     pub host: u64,
     /// The host's name, for operators.
     pub host_name: String,
     /// How long, in microseconds, the hosts drop repeats of a deduplicated visit; None for an at-most-once
     /// visit.
-    pub memory: Option<u64>,
+    pub repeat_window: Option<u64>,
 }
 
-impl MayHaveRun {
+impl InDoubtVisit {
     /// Time and host of the first hand-off.
-    pub fn first(&self) -> (UnixTime, HostId) {
-        (UnixTime(self.at), HostId(self.host))
+    pub fn first_hand_off(&self) -> (UnixTime, HostId) {
+        (UnixTime(self.sent_at), HostId(self.host))
     }
 }
 
 /// What has to be done before a hand-off is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Before {
+pub enum WriteAhead {
     /// Nothing.
-    Go,
+    NotNeeded,
     /// This record has to be written.
-    Record(Record),
+    Required(Record),
 }
 
 /// Whether the store accepted a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    Kept,
+pub enum WriteResult {
+    Written,
     /// The store is full, stalled or broken.
     Refused,
 }
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 struct OpenVisit {
     key: VisitKey,
-    first_hand_off: MayHaveRun,
+    first_hand_off: InDoubtVisit,
     is_recorded: bool,
     /// Hand-offs that were sent and have not ended.
     pending_hand_offs: u32,
@@ -74,7 +74,7 @@
 #[derive(Debug, Default)]
 pub struct Visits {
     open: BTreeMap<VisitId, OpenVisit>,
-    unresolved: BTreeMap<VisitKey, MayHaveRun>,
+    unresolved: BTreeMap<VisitKey, InDoubtVisit>,
     retention: Span,
     /// Whether hand-offs are sent while the store refuses their records.
     sends_unrecorded: bool,
@@ -89,24 +89,24 @@
         retention: Span,
         sends_unrecorded: bool,
     ) -> Visits {
-        let stored = records.filter_map(|(key, value)| Some((key.to_vec(), decode::<MayHaveRun>(value)?)));
-        let stored = stored.map(|(key, visit)| (key, MayHaveRun { at: visit.at.min(now.0), ..visit }));
+        let stored = records.filter_map(|(key, value)| Some((key.to_vec(), decode::<InDoubtVisit>(value)?)));
+        let stored = stored.map(|(key, visit)| (key, InDoubtVisit { sent_at: visit.sent_at.min(now.0), ..visit }));
         let unresolved = stored.filter(|(_, visit)| now < expires_at(visit, retention)).collect();
         Visits { open: BTreeMap::new(), unresolved, retention, sends_unrecorded, refused_count: 0 }
     }
 
     /// The closed visits that may have run. At-most-once ones come first, since operators have to look into
     /// them.
-    pub fn unresolved(&self) -> impl Iterator<Item = (&VisitKey, &MayHaveRun)> {
+    pub fn unresolved(&self) -> impl Iterator<Item = (&VisitKey, &InDoubtVisit)> {
         let (deduplicated, at_most_once): (Vec<_>, Vec<_>) =
-            self.unresolved.iter().partition(|(_, visit)| visit.memory.is_some());
+            self.unresolved.iter().partition(|(_, visit)| visit.repeat_window.is_some());
         at_most_once.into_iter().chain(deduplicated)
     }
 
     /// Time and host of the first hand-off of an earlier try of an arriving visit, if that may have run.
-    pub fn arrived(&self, now: UnixTime, key: &[u8]) -> Option<(UnixTime, HostId)> {
+    pub fn earlier_try(&self, now: UnixTime, key: &[u8]) -> Option<(UnixTime, HostId)> {
         let visit = self.unresolved.get(key).filter(|visit| now < expires_at(visit, self.retention));
-        visit.or_else(|| self.concurrent_try(key).map(|open| &open.first_hand_off)).map(MayHaveRun::first)
+        visit.or_else(|| self.concurrent_try(key).map(|open| &open.first_hand_off)).map(InDoubtVisit::first_hand_off)
     }
 
     /// Another open try of the same visit that may have run.
@@ -116,13 +116,13 @@
 
     /// Registers a hand-off that is about to be sent. Only the first that may run needs a record: repeats are
     /// dropped at the host that it names.
-    pub fn hand_off(&mut self, id: VisitId, key: &[u8], effect: Effect, sent: MayHaveRun) -> Before {
+    pub fn register_hand_off(&mut self, id: VisitId, key: &[u8], effect: Effect, sent: InDoubtVisit) -> WriteAhead {
         let memory = match effect {
-            Effect::Idempotent => return Before::Go,
-            Effect::Deduplicated { memory, .. } => Some(memory.0),
+            Effect::Idempotent => return WriteAhead::NotNeeded,
+            Effect::Deduplicated { retention: memory, .. } => Some(memory.0),
             Effect::AtMostOnce => None,
         };
-        let sent = MayHaveRun { memory, ..sent };
+        let sent = InDoubtVisit { repeat_window: memory, ..sent };
         if let Some(open) = self.open.get_mut(&id) {
             // No earlier hand-off ran, so this is the first that counts.
             if !open.may_have_run() {
@@ -130,9 +130,9 @@
             }
             open.pending_hand_offs += 1;
             if open.is_recorded {
-                return Before::Go;
+                return WriteAhead::NotNeeded;
             }
-            return Before::Record(record(&open.key, &open.first_hand_off, self.retention));
+            return WriteAhead::Required(record(&open.key, &open.first_hand_off, self.retention));
         }
         // The hand-off of an earlier try is the first, and its record stands, also while that try is open.
         let earlier = self.unresolved.remove(key).map(|visit| (visit, true));
@@ -141,9 +141,9 @@
         let has_run = earlier.is_some();
         let (first_hand_off, is_recorded) = earlier.unwrap_or((sent, false));
         let before = if is_recorded {
-            Before::Go
+            WriteAhead::NotNeeded
         } else {
-            Before::Record(record(key, &first_hand_off, self.retention))
+            WriteAhead::Required(record(key, &first_hand_off, self.retention))
         };
         let open =
             OpenVisit { key: key.to_vec(), first_hand_off, is_recorded, pending_hand_offs: 1, has_run };
@@ -152,8 +152,8 @@
     }
 
     /// Handles the store's result for a hand-off's record; returns whether the hand-off may be sent.
-    pub fn taken(&mut self, id: VisitId, taken: Taken) -> bool {
-        if taken == Taken::Refused {
+    pub fn record_result(&mut self, id: VisitId, taken: WriteResult) -> bool {
+        if taken == WriteResult::Refused {
             self.refused_count += 1;
             return self.sends_unrecorded;
         }
@@ -169,7 +169,7 @@
     }
 
     /// A hand-off of the visit has ended.
-    pub fn ended(&mut self, id: VisitId, never_ran: bool) {
+    pub fn hand_off_ended(&mut self, id: VisitId, never_ran: bool) {
         if let Some(open) = self.open.get_mut(&id) {
             open.pending_hand_offs = open.pending_hand_offs.saturating_sub(1);
             open.has_run |= !never_ran;
@@ -200,11 +200,11 @@
 }
 
 /// Hosts drop repeats only within the deduplication window, so the record has to last at least as long.
-fn expires_at(visit: &MayHaveRun, retention: Span) -> UnixTime {
-    UnixTime(visit.at) + retention.max(visit.memory.map_or(Span::ZERO, Span))
+fn expires_at(visit: &InDoubtVisit, retention: Span) -> UnixTime {
+    UnixTime(visit.sent_at) + retention.max(visit.repeat_window.map_or(Span::ZERO, Span))
 }
 
-fn record(key: &[u8], visit: &MayHaveRun, retention: Span) -> Record {
+fn record(key: &[u8], visit: &InDoubtVisit, retention: Span) -> Record {
     Record {
         space: SPACE,
         key: key.to_vec(),
--- a/crates/keep/tests/keep.rs
+++ b/crates/keep/tests/keep.rs
@@ -4,7 +4,7 @@
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_keep::purges::{self, Purge};
 use cherrypass_keep::versions;
-use cherrypass_keep::visits::{Before, MayHaveRun, Taken, Visits};
+use cherrypass_keep::visits::{WriteAhead, InDoubtVisit, WriteResult, Visits};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -12,11 +12,11 @@
 const KEY: &[u8] = b"k1";
 
 fn deduplicated() -> Effect {
-    Effect::Deduplicated { group: Group::Location, memory: Span::millis(4_000) }
+    Effect::Deduplicated { group: Group::Location, retention: Span::millis(4_000) }
 }
 
-fn sent(at: u64) -> MayHaveRun {
-    MayHaveRun { band: "paid".into(), at, host: 7, host_name: "s-a".into(), memory: None }
+fn sent(at: u64) -> InDoubtVisit {
+    InDoubtVisit { class_name: "paid".into(), sent_at: at, host: 7, host_name: "s-a".into(), repeat_window: None }
 }
 
 /// The store's contents.
@@ -34,11 +34,11 @@
 }
 
 fn hand_off(visits: &mut Visits, contents: &mut StoreContents, id: u32, at: u64) -> bool {
-    match visits.hand_off(VisitId(id), KEY, deduplicated(), sent(at)) {
-        Before::Go => false,
-        Before::Record(record) => {
+    match visits.register_hand_off(VisitId(id), KEY, deduplicated(), sent(at)) {
+        WriteAhead::NotNeeded => false,
+        WriteAhead::Required(record) => {
             apply(contents, record);
-            visits.taken(VisitId(id), Taken::Kept)
+            visits.record_result(VisitId(id), WriteResult::Written)
         }
     }
 }
@@ -46,11 +46,11 @@
 #[test]
 fn only_the_first_hand_off_writes_a_record() {
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
-    assert_eq!(visits.hand_off(VisitId(9), b"x", Effect::Idempotent, sent(1)), Before::Go);
+    assert_eq!(visits.register_hand_off(VisitId(9), b"x", Effect::Idempotent, sent(1)), WriteAhead::NotNeeded);
     assert!(hand_off(&mut visits, &mut contents, 1, 10) && contents.len() == 1);
-    visits.ended(VisitId(1), false);
+    visits.hand_off_ended(VisitId(1), false);
     assert!(!hand_off(&mut visits, &mut contents, 1, 20));
-    visits.ended(VisitId(1), false);
+    visits.hand_off_ended(VisitId(1), false);
     apply(&mut contents, visits.close(VisitId(1), true).unwrap());
     assert!(contents.is_empty() && visits.unresolved().count() == 0);
 }
@@ -65,9 +65,9 @@
 ) {
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
     hand_off(&mut visits, &mut contents, 1, 10);
-    visits.ended(VisitId(1), never_ran);
+    visits.hand_off_ended(VisitId(1), never_ran);
     assert_eq!(visits.close(VisitId(1), was_served).is_some(), is_deleted);
-    assert_eq!(visits.arrived(UnixTime(11), KEY).is_none(), is_deleted);
+    assert_eq!(visits.earlier_try(UnixTime(11), KEY).is_none(), is_deleted);
 }
 
 #[test]
@@ -75,7 +75,7 @@
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
     hand_off(&mut visits, &mut contents, 1, 10);
     assert_eq!(visits.close(VisitId(1), false), None);
-    assert_eq!(visits.arrived(UnixTime(11), KEY), Some((UnixTime(10), HostId(7))));
+    assert_eq!(visits.earlier_try(UnixTime(11), KEY), Some((UnixTime(10), HostId(7))));
 }
 
 #[test]
@@ -86,12 +86,12 @@
         !hand_off(&mut visits, &mut contents, 2, 50),
         "the first try's record was overwritten with a later time"
     );
-    assert_eq!(visits.arrived(UnixTime(60), KEY), Some((UnixTime(10), HostId(7))));
+    assert_eq!(visits.earlier_try(UnixTime(60), KEY), Some((UnixTime(10), HostId(7))));
     // The first is served while the second is pending: the record must survive a crash at this point.
-    visits.ended(VisitId(1), false);
+    visits.hand_off_ended(VisitId(1), false);
     assert_eq!(visits.close(VisitId(1), true), None);
-    assert_eq!(restore(UnixTime(70), &contents).arrived(UnixTime(70), KEY), Some((UnixTime(10), HostId(7))));
-    visits.ended(VisitId(2), false);
+    assert_eq!(restore(UnixTime(70), &contents).earlier_try(UnixTime(70), KEY), Some((UnixTime(10), HostId(7))));
+    visits.hand_off_ended(VisitId(2), false);
     apply(&mut contents, visits.close(VisitId(2), true).unwrap());
     assert!(contents.is_empty());
 }
@@ -100,13 +100,13 @@
 fn the_record_names_the_first_hand_off_that_may_have_run() {
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
     assert!(hand_off(&mut visits, &mut contents, 1, 10));
-    visits.ended(VisitId(1), true);
-    let other = MayHaveRun { host: 9, host_name: "s-b".into(), ..sent(50) };
-    let Before::Record(record) = visits.hand_off(VisitId(1), KEY, deduplicated(), other) else {
+    visits.hand_off_ended(VisitId(1), true);
+    let other = InDoubtVisit { host: 9, host_name: "s-b".into(), ..sent(50) };
+    let WriteAhead::Required(record) = visits.register_hand_off(VisitId(1), KEY, deduplicated(), other) else {
         panic!("no record")
     };
     apply(&mut contents, record);
-    assert_eq!(restore(UnixTime(70), &contents).arrived(UnixTime(70), KEY), Some((UnixTime(50), HostId(9))));
+    assert_eq!(restore(UnixTime(70), &contents).earlier_try(UnixTime(70), KEY), Some((UnixTime(50), HostId(9))));
 }
 
 #[test]
@@ -114,14 +114,14 @@
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
     hand_off(&mut visits, &mut contents, 1, 10);
     let mut visits = restore(UnixTime(20), &contents);
-    assert_eq!(visits.arrived(UnixTime(20), KEY), Some((UnixTime(10), HostId(7))));
+    assert_eq!(visits.earlier_try(UnixTime(20), KEY), Some((UnixTime(10), HostId(7))));
     // A try after the restart is covered by the record of the first one.
     assert!(!hand_off(&mut visits, &mut contents, 1, 30));
-    visits.ended(VisitId(1), true);
+    visits.hand_off_ended(VisitId(1), true);
     assert_eq!(visits.close(VisitId(1), false), None);
     let visits = restore(UnixTime(40), &contents);
-    assert_eq!(visits.arrived(UnixTime(9_000_000), KEY), Some((UnixTime(10), HostId(7))));
-    assert!(restore(UnixTime(10) + ONE_DAY, &contents).arrived(UnixTime(10) + ONE_DAY, KEY).is_none());
+    assert_eq!(visits.earlier_try(UnixTime(9_000_000), KEY), Some((UnixTime(10), HostId(7))));
+    assert!(restore(UnixTime(10) + ONE_DAY, &contents).earlier_try(UnixTime(10) + ONE_DAY, KEY).is_none());
 }
 
 #[test]
@@ -129,26 +129,26 @@
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
     hand_off(&mut visits, &mut contents, 1, 10 * ONE_DAY.0);
     let visits = restore(UnixTime(50), &contents);
-    assert_eq!(visits.arrived(UnixTime(60), KEY), Some((UnixTime(50), HostId(7))));
-    assert!(visits.arrived(UnixTime(50) + ONE_DAY, KEY).is_none());
+    assert_eq!(visits.earlier_try(UnixTime(60), KEY), Some((UnixTime(50), HostId(7))));
+    assert!(visits.earlier_try(UnixTime(50) + ONE_DAY, KEY).is_none());
 }
 
 #[test_case(false, false; "held back")]
 #[test_case(true, true; "sent unrecorded")]
 fn a_refused_record(sends_unrecorded: bool, is_sent: bool) {
     let mut visits = Visits::restore(UnixTime(0), std::iter::empty(), ONE_DAY, sends_unrecorded);
-    assert!(matches!(visits.hand_off(VisitId(1), KEY, deduplicated(), sent(1)), Before::Record(_)));
-    assert_eq!(visits.taken(VisitId(1), Taken::Refused), is_sent);
+    assert!(matches!(visits.register_hand_off(VisitId(1), KEY, deduplicated(), sent(1)), WriteAhead::Required(_)));
+    assert_eq!(visits.record_result(VisitId(1), WriteResult::Refused), is_sent);
     assert_eq!((visits.take_refused_count(), visits.take_refused_count()), (1, 0));
     // The next hand-off requires its record again.
-    visits.ended(VisitId(1), true);
-    assert!(matches!(visits.hand_off(VisitId(1), KEY, deduplicated(), sent(2)), Before::Record(_)));
+    visits.hand_off_ended(VisitId(1), true);
+    assert!(matches!(visits.register_hand_off(VisitId(1), KEY, deduplicated(), sent(2)), WriteAhead::Required(_)));
 }
 
 #[test]
 fn purges_are_kept_for_their_retention() {
     let retention = Span::millis(7_000);
-    let purge = |object, at| Purge { group: GroupId(3), object, at: UnixTime(at), change: 5 };
+    let purge = |object, at| Purge { group: GroupId(3), object, issued_at: UnixTime(at), change_number: 5 };
     let (one, all) = (purge(Some(ObjectId(8)), 1_000_000), purge(None, 2_000_000));
     let records = [one, all].map(|purge| purges::record(UnixTime(2_000_000), &purge, retention).unwrap());
     assert!(records[0].key != records[1].key && records[0].expires_at == Some(UnixTime(8_000_000)));
@@ -175,6 +175,6 @@
     assert_eq!(put(b"one", 2).0, 0);
     put(b"two", 3);
     let (_, known) = put(b"three", 4);
-    let seen: Vec<_> = known.iter().map(|v| (v.number, &v.text[..], v.since, v.in_force_until)).collect();
+    let seen: Vec<_> = known.iter().map(|v| (v.number, &v.text[..], v.in_force_since, v.in_force_until)).collect();
     assert_eq!(seen, [(2, &b"two"[..], 3, Some(4)), (3, &b"three"[..], 4, None)]);
 }
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -20,7 +20,8 @@
     /// Messages of a fleet with another name are refused.
     pub name: String,
     /// Name of this process among the members.
-    pub me: String,
+    #[serde(rename = "me")]
+    pub own_name: String,
     /// Local address for messages of other members, which may differ from the own `address` in their lists.
     pub listen: SocketAddr,
     pub members: Vec<Member>,
@@ -311,7 +312,7 @@
     /// Checks the constraints between keys. The error is the path of the offending key and what was expected.
     pub(crate) fn check(&self) -> Result<(), (String, String)> {
         let error = |path: &str, what: String| Err((format!("fleet{path}"), what));
-        for (key, text) in [(".name", &self.name), (".me", &self.me)] {
+        for (key, text) in [(".name", &self.name), (".me", &self.own_name)] {
             if !is_name(text) {
                 return error(key, format!("'{text}' is not a name of 1 to {MAX_NAME_CHARS} characters"));
             }
@@ -352,14 +353,14 @@
         self.check_delivery(is_member).or_else(|(key, what)| error(&format!(".delivery.{key}"), what))?;
         // A dispatcher that only receives changes need not be listed as a member.
         let needs_membership = self.limits.is_some() || self.verdicts.is_some() || self.rollout.is_some();
-        if !is_member(&self.me) && (needs_membership || self.delivery.is_none()) {
+        if !is_member(&self.own_name) && (needs_membership || self.delivery.is_none()) {
             let hint = match self.delivery {
                 Some(_) => {
                     "; a dispatcher that is no member must leave out `limits`, `verdicts` and `rollout`"
                 }
                 None => "",
             };
-            return error(".me", format!("'{}' is not one of the members{hint}", self.me));
+            return error(".me", format!("'{}' is not one of the members{hint}", self.own_name));
         }
         if let Some(at) = self.control.filter(|at| !at.ip().is_loopback()) {
             return error(".control", format!("{at} is not a loopback address"));
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -47,7 +47,7 @@
     pub dir: PathBuf,
     /// How a hand-off that must not run twice is recorded before its first byte is sent.
     #[serde(default)]
-    pub hand_offs: HandOffs,
+    pub hand_offs: HandOffDurability,
     /// Whether such a hand-off is sent while the store rejects records.
     #[serde(default)]
     pub without_record: WithoutRecord,
@@ -80,7 +80,7 @@
     pub fn in_folder(dir: PathBuf) -> Store {
         Store {
             dir,
-            hand_offs: HandOffs::default(),
+            hand_offs: HandOffDurability::default(),
             without_record: WithoutRecord::default(),
             unknown_purges: UnknownPurges::default(),
             visit_retention: default_visit_retention(),
@@ -94,7 +94,7 @@
 /// Durability of the records of hand-offs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum HandOffs {
+pub enum HandOffDurability {
     /// Nothing is recorded.
     Off,
     /// Records survive a crash of the process.
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,7 +1,7 @@
 //! Decoding of the operators' file: defaults, and the message for each mistake.
 use cherrypass::time::Span;
 use cherrypass_operator::fleet::UnprovenCopies;
-use cherrypass_operator::{load, Error, HandOffs, OperatorFile};
+use cherrypass_operator::{load, Error, HandOffDurability, OperatorFile};
 use test_case::test_case;
 
 fn read(text: &str) -> Result<OperatorFile, Error> {
@@ -23,7 +23,7 @@
     );
     let store = store.unwrap().store.unwrap();
     assert_eq!(store.dir.to_str(), Some("/var/lib/cp"));
-    assert_eq!((store.hand_offs, store.visit_retention), (HandOffs::Written, Span::seconds(120.0)));
+    assert_eq!((store.hand_offs, store.visit_retention), (HandOffDurability::Written, Span::seconds(120.0)));
 }
 
 /// A fleet of two members with the given keys added or replaced.
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -1,8 +1,8 @@
 //! What a decision costs by the number of hosts: the module on made-up visits, in one thread, without sockets.
-use cherrypass::brain::Brain;
-use cherrypass::calls::{Decision, Ended, Listing, Note, Outcome, Phase, Report, Visit};
-use cherrypass::ids::{BandId, CellId, GroupId, HandOffNo, HostId, KindId, LocationId, ObjectId, VisitId};
-use cherrypass::settings::{Band, Effect, Settings};
+use cherrypass::decision_engine::DecisionEngine;
+use cherrypass::calls::{Decision, HandOffEnd, Listing, Note, Outcome, Phase, Report, Visit};
+use cherrypass::ids::{ClassId, CellId, GroupId, HandOffNumber, HostId, KindId, LocationId, ObjectId, VisitId};
+use cherrypass::settings::{ClassSettings, Effect, Settings};
 use cherrypass::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
@@ -33,24 +33,24 @@
 }
 
 fn settings() -> Settings {
-    let band = Band {
+    let band = ClassSettings {
         effect: Effect::Idempotent,
-        quoted: Span::millis(500),
-        stretch: 2.0,
-        fresh: Span::ZERO,
-        grace: Span::ZERO,
-        writes: false,
+        target_latency: Span::millis(500),
+        target_stretch: 2.0,
+        fresh_for: Span::ZERO,
+        stale_for: Span::ZERO,
+        is_write: false,
     };
     Settings {
         dispatchers: 1,
         location_dispatchers: 1,
-        bands: vec![band],
+        classes: vec![band],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
-        weights_told: true,
-        weights_steady: true,
-        direct: true,
-        cancel: true,
+        has_weights: true,
+        has_stable_weights: true,
+        may_bypass_caches: true,
+        can_cancel: true,
         max_hand_offs: 6,
         ..Settings::default()
     }
@@ -58,7 +58,7 @@
 
 fn listing(host: u64, kind: KindId, location: usize) -> Listing {
     let (location, cell, weight) = (LocationId(location as u16), CellId(0), 1e6);
-    Listing { host: HostId(host), location, kind, cell, weight, since: None, phase: Phase::Ready }
+    Listing { host: HostId(host), location, kind, cell, weight, started_at: None, phase: Phase::Ready }
 }
 
 /// So many hosts: caches with a parent for each ten, and an origin.
@@ -81,7 +81,7 @@
 }
 
 struct Play {
-    brain: Brain,
+    brain: DecisionEngine,
     now: Time,
     hand_offs: u32,
     chance: u64,
@@ -94,20 +94,20 @@
         self.chance =
             self.chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let object = ObjectId((self.chance >> 33) % OBJECTS);
-        let (band, group, deadline) = (BandId(0), GroupId(0), self.now + LIMIT);
+        let (band, group, deadline) = (ClassId(0), GroupId(0), self.now + LIMIT);
         let id = VisitId(id);
-        self.brain.arrived(self.now, Visit { id, band, object, group, part: 0, kilobytes: None, deadline });
+        self.brain.visit_arrived(self.now, Visit { id, class: band, object, group, part: 0, kilobytes: None, deadline });
         let mut handed = false;
-        while let Some(decision) = self.brain.next(self.now) {
+        while let Some(decision) = self.brain.next_decision(self.now) {
             handed |= matches!(decision, Decision::HandOff { visit, .. } if visit == id);
         }
         if handed {
             self.hand_offs += 1;
-            let (outcome, note, report) = (Outcome::Settled, Note::Hit, Report::default());
-            let number = HandOffNo(0);
+            let (outcome, note, report) = (Outcome::Served, Note::Hit, Report::default());
+            let number = HandOffNumber(0);
             self.brain
-                .ended(self.now, Ended { visit: id, number, outcome, note, took: TOOK, report, last: true });
-            while self.brain.next(self.now).is_some() {}
+                .hand_off_ended(self.now, HandOffEnd { visit: id, number, outcome, note, duration: TOOK, report, is_final: true });
+            while self.brain.next_decision(self.now).is_some() {}
         }
     }
 }
@@ -115,8 +115,8 @@
 /// Times so many visits with so many hosts, spread over so many locations.
 pub fn time(hosts: usize, locations: usize, visits: u32, seed: u64) -> Cost {
     let now = Time(1_000_000_000);
-    let mut brain = Brain::start(settings(), seed, now);
-    brain.listed(now, &list(hosts, locations), true);
+    let mut brain = DecisionEngine::new(settings(), seed, now);
+    brain.update_hosts(now, &list(hosts, locations), true);
     let mut play = Play { brain, now, hand_offs: 0, chance: seed | 1 };
     let warm = visits / WARMS;
     (0..warm).for_each(|id| play.visit(id));
--- a/crates/scale/src/delivery.rs
+++ b/crates/scale/src/delivery.rs
@@ -5,7 +5,7 @@
 use crate::traffic::Amount;
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
-use cherrypass_dispatcher::carried;
+use cherrypass_dispatcher::carried_changes;
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::delivery::{Carrier, ChangeNumber, Effect, Follower, Record, Said, Set};
 use cherrypass_fleet::made::{Network, Node};
@@ -354,7 +354,7 @@
         } else {
             json!({ "seq": seq, "configuration": "x".repeat(self.play.configuration_bytes) })
         };
-        carried::encode(&change).into()
+        carried_changes::encode(&change).into()
     }
 
     fn ask_log(&mut self) {
--- a/crates/scale/src/delivery_sockets.rs
+++ b/crates/scale/src/delivery_sockets.rs
@@ -4,7 +4,7 @@
 use crate::rooms;
 use crate::settings::DeliveryPlay;
 use cherrypass::ids::LocationId;
-use cherrypass_dispatcher::carried;
+use cherrypass_dispatcher::carried_changes;
 use cherrypass_fleet::delivery::Set as Room;
 use cherrypass_peers::delivery::{Delivered, LogChange, LogRead, Set as Delivery};
 use cherrypass_peers::driven::Driven;
@@ -224,7 +224,7 @@
     let object = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let purge = json!({ "seq": number,
         "invalidate": { "object": format!("{object:016x}"), "time": 1_764_576_000_000_u64 + number } });
-    LogChange { number: ChangeNumber(number), record: carried::encode(&purge).into() }
+    LogChange { number: ChangeNumber(number), record: carried_changes::encode(&purge).into() }
 }
 
 /// Plays one size: some seconds until all are carried, then those that are counted.
--- a/crates/scale/src/follower.rs
+++ b/crates/scale/src/follower.rs
@@ -3,8 +3,8 @@
 //! late, stop or drip is left out.
 use crate::changelog::Shared;
 use crate::traffic::{Tally, Way, With, CHANGE_LOG};
-use cherrypass_dispatcher::changes::{answer, decode, Fault};
-use cherrypass_dispatcher::config::Names;
+use cherrypass_dispatcher::change_log::{read_answer, decode, ChangeLogError};
+use cherrypass_dispatcher::config::WireNames;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
@@ -31,7 +31,7 @@
 /// One follower of the change log.
 pub struct Follower {
     at: SocketAddr,
-    names: Names,
+    names: WireNames,
     shared: Arc<Shared>,
     tally: Arc<Tally>,
     line: Option<TcpStream>,
@@ -47,7 +47,7 @@
     /// `last`: the last change that is known from the configuration.
     pub fn new(
         at: SocketAddr,
-        names: Names,
+        names: WireNames,
         last: u64,
         shared: Arc<Shared>,
         tally: Arc<Tally>,
@@ -154,9 +154,9 @@
             results.push(result.clone());
             Ok(())
         };
-        match answer(&self.read[..], self.last, CHANGE_MOST, each) {
+        match read_answer(&self.read[..], self.last, CHANGE_MOST, each) {
             // It is not here whole yet.
-            Err(Fault::Cut(_)) => return,
+            Err(ChangeLogError::Interrupted(_)) => return,
             Err(_) => return self.failed(),
             Ok(_) => {}
         }
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -8,8 +8,8 @@
 use crate::real;
 use crate::rooms;
 use cherrypass::ids::LocationId;
-use cherrypass_dispatcher::carried;
-use cherrypass_dispatcher::changes::{self, Following};
+use cherrypass_dispatcher::carried_changes;
+use cherrypass_dispatcher::change_log::{self, FollowOptions};
 use cherrypass_dispatcher::inbox::{Change, Input};
 use cherrypass_fleet::delivery::{LogId, Set as Room};
 use cherrypass_peers::delivery::{Delivered, Set as Delivery};
@@ -100,23 +100,23 @@
         let (to_thread, delivered) = unbounded();
         let (tell_fleet, to_fleet) = unbounded();
         let (tell_router, router) = unbounded();
-        let delivery = carried::Delivery {
+        let delivery = carried_changes::Delivery {
             from_fleet: delivered,
             to_fleet: Box::new(move |what| drop(tell_fleet.send(what))),
             is_carrier: false,
         };
-        let following = Following {
-            at: orders.log,
-            moved: never(),
+        let following = FollowOptions {
+            address: orders.log,
+            new_addresses: never(),
             names: real::names(&orders.zones),
-            last: orders.known,
-            most: CHANGE_MOST,
+            last_change: orders.known,
+            max_change_bytes: CHANGE_MOST,
             seed,
             router: tell_router,
             delivery: Some(delivery),
         };
         let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-        thread.spawn(move || changes::follow(following)).map_err(doing("a follower's thread"))?;
+        thread.spawn(move || change_log::follow(following)).map_err(doing("a follower's thread"))?;
         Ok(Follower { number, driven, link, to_fleet, router, from_fleet, to_thread })
     }
 
@@ -180,7 +180,7 @@
 /// What the dispatcher's router would do with it, as far as it is noted.
 fn event(input: &Input, clock: Clock) -> Option<Event> {
     match input {
-        Input::Changed(Change::Purge(purge)) => Some(Event::Took(purge.change)),
+        Input::Change(Change::Purge(purge)) => Some(Event::Took(purge.change_number)),
         Input::Fleet(FromFleet::Delivered(Delivered::KnownUpTo(at))) => Some(Event::KnownUpTo(clock.of(*at))),
         _ => None,
     }
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -1,7 +1,7 @@
 //! Real dispatchers: processes of the built program, with files made for the run.
 use crate::error::{doing, Error};
 use crate::process::{self, Used};
-use cherrypass_dispatcher::config::Names;
+use cherrypass_dispatcher::config::WireNames;
 use cherrypass_faultbed::processes::{Files, Process};
 use cherrypass_peers::Member;
 use nix::sys::signal::Signal;
@@ -72,8 +72,8 @@
 const KINDS: [&str; 3] = ["small", "parent", "origin"];
 
 /// The names by which changes of the log are read.
-pub fn names(zones: &[String]) -> Names {
-    Names { bands: Vec::new(), locations: zones.to_vec(), kinds: KINDS.map(str::to_owned).to_vec() }
+pub fn names(zones: &[String]) -> WireNames {
+    WireNames { classes: Vec::new(), locations: zones.to_vec(), kinds: KINDS.map(str::to_owned).to_vec() }
 }
 
 fn configuration(told: &Told) -> Value {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,12 +1,12 @@
 //! Validates settings: types, ranges and consistency between keys. Absent keys have defaults and are valid,
 //! unless another key requires them.
-use cherrypass::ids::PLACES;
+use cherrypass::ids::MAX_LIST_LENGTH;
 use serde_json::Value;
 
 /// An invalid key of the settings, and the reason.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("settings/{key} {why}")]
-pub struct Fault {
+pub struct InvalidSetting {
     pub key: String,
     pub why: String,
 }
@@ -27,7 +27,7 @@
 const NON_NEGATIVE: ValueType = ValueType::Number(0.0, f64::MAX);
 const FRACTION: ValueType = ValueType::Number(0.0, 1.0);
 /// Largest list index that a 16-bit id can express.
-const MAX_INDEX: f64 = (PLACES - 1) as f64;
+const MAX_INDEX: f64 = (MAX_LIST_LENGTH - 1) as f64;
 const KIND_INDEX: ValueType = ValueType::Number(-1.0, MAX_INDEX);
 
 /// Keys outside the services. Some are not read, but tell a configuration for another kind of deployment.
@@ -90,8 +90,8 @@
     ("domain/zone_link_kb_per_s", "zones"),
 ];
 
-fn invalid<T>(key: &str, why: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { key: key.into(), why: why.into() })
+fn invalid<T>(key: &str, why: impl Into<String>) -> Result<T, InvalidSetting> {
+    Err(InvalidSetting { key: key.into(), why: why.into() })
 }
 
 fn get<'a>(root: &'a Value, key: &str) -> Option<&'a Value> {
@@ -106,7 +106,7 @@
     get(root, key)?.as_f64()
 }
 
-fn check_value(key: &str, value: &Value, value_type: ValueType) -> Result<(), Fault> {
+fn check_value(key: &str, value: &Value, value_type: ValueType) -> Result<(), InvalidSetting> {
     let each = |fits: fn(&Value) -> bool| value.as_array().is_some_and(|all| all.iter().all(fits));
     let (is_valid, expected) = match value_type {
         ValueType::Boolean => (value.is_boolean(), "true or false"),
@@ -141,13 +141,13 @@
 const INDEXED_LISTS: [&str; 3] = ["zones", "models", "services"];
 
 /// Guards against lists longer than the range of ids: an entry beyond it would be mistaken for another one.
-fn check_lengths(root: &Value) -> Result<(), Fault> {
+fn check_lengths(root: &Value) -> Result<(), InvalidSetting> {
     for key in INDEXED_LISTS {
         let found = list(root, key).len();
-        if found > PLACES {
+        if found > MAX_LIST_LENGTH {
             return invalid(
                 key,
-                format!("has {found} entries, {PLACES} are taken: leave out those without use"),
+                format!("has {found} entries, {MAX_LIST_LENGTH} are taken: leave out those without use"),
             );
         }
     }
@@ -155,7 +155,7 @@
 }
 
 /// Checks the settings, and returns the first invalid key.
-pub fn check(root: &Value) -> Result<(), Fault> {
+pub fn check(root: &Value) -> Result<(), InvalidSetting> {
     check_lengths(root)?;
     for (key, value_type) in KEYS {
         get(root, key).map_or(Ok(()), |value| check_value(key, value, value_type))?;
@@ -180,7 +180,7 @@
 }
 
 /// Checks that keys do not contradict each other.
-fn check_consistency(root: &Value, service_count: usize) -> Result<(), Fault> {
+fn check_consistency(root: &Value, service_count: usize) -> Result<(), InvalidSetting> {
     for (key, of) in PARALLEL_LISTS {
         let (own, other) =
             (list(root, key).len(), if of == "services" { service_count } else { list(root, of).len() });
@@ -230,7 +230,7 @@
         );
     }
     let has_link_load =
-        list(root, "stats/columns").iter().any(|name| name.as_str() == Some(crate::LINK_FULL));
+        list(root, "stats/columns").iter().any(|name| name.as_str() == Some(crate::LINK_LOAD_COLUMN));
     if has_link_load && get(root, "domain/report_x1").is_some_and(|column| column.as_str() == Some("")) {
         return invalid("domain/report_x1", "is empty, and settings/stats/columns names x1");
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,15 +3,15 @@
 #![forbid(unsafe_code)]
 mod check;
 
-pub use check::{check, Fault};
+pub use check::{check, InvalidSetting};
 use cherrypass::ids::{KindId, LocationId};
-use cherrypass::settings::{Band, ColdStart, Effect, Group, Settings};
+use cherrypass::settings::{ClassSettings, ColdStart, Effect, Group, Settings};
 use cherrypass::time::Span;
 use serde_json::Value;
 
 /// A required setting that is missing or has the wrong type.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Missing {
+pub enum MissingSetting {
     #[error("the settings lack the number {0}")]
     Number(String),
     #[error("the settings lack the list {0}")]
@@ -20,8 +20,8 @@
     Effect(usize),
 }
 
-impl From<Missing> for String {
-    fn from(missing: Missing) -> String {
+impl From<MissingSetting> for String {
+    fn from(missing: MissingSetting) -> String {
         missing.to_string()
     }
 }
@@ -32,8 +32,8 @@
 }
 
 /// The number at a JSON pointer, or an error that names the key.
-pub fn need(value: &Value, path: &str) -> Result<f64, Missing> {
-    number(value, path).ok_or_else(|| Missing::Number(path.to_owned()))
+pub fn required_number(value: &Value, path: &str) -> Result<f64, MissingSetting> {
+    number(value, path).ok_or_else(|| MissingSetting::Number(path.to_owned()))
 }
 
 fn span(value: &Value, path: &str) -> Span {
@@ -58,7 +58,7 @@
     number(value, path).filter(|n| (0.0..=f64::from(u16::MAX)).contains(n)).map(|n| KindId(n as u16))
 }
 
-fn class_settings(root: &Value, service: &Value, index: usize) -> Result<Band, Missing> {
+fn class_settings(root: &Value, service: &Value, index: usize) -> Result<ClassSettings, MissingSetting> {
     let group = match text(service, "/group") {
         "zone" => Group::Location,
         "cell" => Group::Cell,
@@ -66,17 +66,17 @@
     };
     let effect = match text(service, "/effect") {
         "idempotent" => Effect::Idempotent,
-        "deduplicated" => Effect::Deduplicated { group, memory: span(service, "/memory_span") },
+        "deduplicated" => Effect::Deduplicated { group, retention: span(service, "/memory_span") },
         "at_most_once" => Effect::AtMostOnce,
-        _ => return Err(Missing::Effect(index)),
+        _ => return Err(MissingSetting::Effect(index)),
     };
-    Ok(Band {
+    Ok(ClassSettings {
         effect,
-        quoted: Span(need(root, &format!("/services/{index}/aim"))? as u64),
-        stretch: number(service, "/aim_stretch").unwrap_or(0.0),
-        fresh: span(root, &format!("/domain/class_fresh/{index}")),
-        grace: span(root, &format!("/domain/stale_for/{index}")),
-        writes: flag(root, &format!("/domain/goes_through/{index}")),
+        target_latency: Span(required_number(root, &format!("/services/{index}/aim"))? as u64),
+        target_stretch: number(service, "/aim_stretch").unwrap_or(0.0),
+        fresh_for: span(root, &format!("/domain/class_fresh/{index}")),
+        stale_for: span(root, &format!("/domain/stale_for/{index}")),
+        is_write: flag(root, &format!("/domain/goes_through/{index}")),
     })
 }
 
@@ -86,20 +86,20 @@
 }
 
 /// Name of the load report value that gives the load of the link for fills.
-pub const LINK_FULL: &str = "x1";
+pub const LINK_LOAD_COLUMN: &str = "x1";
 
 /// Names of the load report value that gives the share of a host's capacity in use: the benchmark's name and
 /// that of hosts.
-pub const BUSY: [&str; 2] = ["load_share", "util"];
+pub const LOAD_COLUMNS: [&str; 2] = ["load_share", "util"];
 
 /// Reads the settings of the decision module.
-pub fn read(root: &Value) -> Result<Settings, Missing> {
+pub fn read(root: &Value) -> Result<Settings, MissingSetting> {
     let services = root.pointer("/services").and_then(Value::as_array);
-    let services = services.ok_or(Missing::List("/services"))?;
+    let services = services.ok_or(MissingSetting::List("/services"))?;
     let bands = services.iter().enumerate().map(|(index, service)| class_settings(root, service, index));
-    let bands = bands.collect::<Result<Vec<Band>, Missing>>()?;
-    let dispatchers = need(root, "/balancers")? as u32;
-    let location = need(root, "/zone")? as u16;
+    let bands = bands.collect::<Result<Vec<ClassSettings>, MissingSetting>>()?;
+    let dispatchers = required_number(root, "/balancers")? as u32;
+    let location = required_number(root, "/zone")? as u16;
     let dispatchers_here = number(root, &format!("/domain/count_by_zone/{location}"));
     let links = list(root, "/domain/zone_link_kb_per_s").iter().filter_map(Value::as_f64).collect();
     let window = span(root, "/rules/overload_for");
@@ -107,37 +107,37 @@
         dispatchers,
         location: LocationId(location),
         location_dispatchers: dispatchers_here.map_or(dispatchers, |n| n as u32).max(1),
-        bands,
+        classes: bands,
         parent_kind: kind(root, "/domain/parent_kind"),
         origin_kind: kind(root, "/domain/source_kind"),
-        weights_told: !matches!(text(root, "/weight_source"), "" | "none"),
-        weights_steady: matches!(text(root, "/weight_source"), "nominal" | "rough"),
-        pace: number(root, "/domain/pace_kb_per_s").unwrap_or(0.0),
-        links,
-        direct: flag(root, "/domain/may_pass_by"),
-        joins: flag(root, "/domain/joins"),
-        ways_told: text(root, "/domain/detail") != "hit",
-        cancel: flag(root, "/bounds/cancel"),
-        probes: flag(root, "/bounds/probing") && report_columns(root).iter().any(|name| BUSY.contains(name)),
+        has_weights: !matches!(text(root, "/weight_source"), "" | "none"),
+        has_stable_weights: matches!(text(root, "/weight_source"), "nominal" | "rough"),
+        transfer_kb_per_s: number(root, "/domain/pace_kb_per_s").unwrap_or(0.0),
+        location_link_kb_per_s: links,
+        may_bypass_caches: flag(root, "/domain/may_pass_by"),
+        joins_fills: flag(root, "/domain/joins"),
+        reports_fill_source: text(root, "/domain/detail") != "hit",
+        can_cancel: flag(root, "/bounds/cancel"),
+        can_probe: flag(root, "/bounds/probing") && report_columns(root).iter().any(|name| LOAD_COLUMNS.contains(name)),
         max_hand_offs: number(root, "/bounds/max_attempts").unwrap_or(1.0).clamp(1.0, 255.0) as u8,
-        retry_after_most: if flag(root, "/bounds/retry_after") {
+        max_retry_after: if flag(root, "/bounds/retry_after") {
             span(root, "/bounds/max_retry_after")
         } else {
             Span::ZERO
         },
         cold_cache: ColdStart {
-            share: need(root, "/rules/cold_from")?,
+            initial_share: required_number(root, "/rules/cold_from")?,
             ramp: span(root, "/rules/cold"),
-            multiple: need(root, "/rules/overload_factor")?,
-            window,
+            overload_factor: required_number(root, "/rules/overload_factor")?,
+            overload_window: window,
         },
         cold_parent: ColdStart {
-            share: number(root, "/domain/parent_starts_at").unwrap_or(0.0),
+            initial_share: number(root, "/domain/parent_starts_at").unwrap_or(0.0),
             ramp: span(root, "/domain/parent_ramp"),
-            multiple: number(root, "/domain/parent_limit_factor").unwrap_or(1.0),
-            window,
+            overload_factor: number(root, "/domain/parent_limit_factor").unwrap_or(1.0),
+            overload_window: window,
         },
         purge_drop_time: span(root, "/domain/purge_done"),
-        purge_grace: span(root, "/domain/obey_after"),
+        purge_obey_time: span(root, "/domain/obey_after"),
     })
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Visit {
     pub id: VisitId,
-    pub band: BandId,
+    pub class: ClassId,
     pub object: ObjectId,
     pub group: GroupId,
     /// Which part of the object is requested.
@@ -35,7 +35,7 @@
     /// Capacity in transfers at full speed, where the settings say that weights are given.
     pub weight: f64,
     /// Start of the host's process; `None` if it started long ago.
-    pub since: Option<Time>,
+    pub started_at: Option<Time>,
     pub phase: Phase,
 }
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The host served the request.
-    Settled,
+    Served,
     Error,
     /// The host had no capacity and refused.
     Full,
@@ -52,19 +52,19 @@
     Reset,
     Cancelled,
     /// The deadline had passed before the host started.
-    Moot,
+    Expired,
     /// The host was asked for a cached copy only and has none.
     Miss,
     /// It was not sent, for a reason other than the host: newer information requires another decision.
-    Unsent,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the outcome proves that the request was not executed.
-    pub fn never_ran(self) -> bool {
+    pub fn is_not_executed(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss | Outcome::Unsent
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Expired | Outcome::Miss | Outcome::NotSent
         )
     }
 }
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
     /// It said nothing.
-    Untold,
+    Unspecified,
     Hit,
     /// Filled from the source named in the hand-off.
     Filled,
@@ -82,13 +82,13 @@
     /// Waited for a fill that was already in flight.
     Joined,
     /// Served a stale copy, which is refreshed in the background.
-    Aged,
+    Stale,
     SourceRefused,
-    SourceUnreached,
+    SourceUnreachable,
     /// The source was asked for a cached copy only and has none.
-    SourceLacks,
+    SourceMiss,
     /// The host had no capacity for another fill.
-    NoPlace,
+    NoCapacity,
     OriginFailed,
 }
 
@@ -96,38 +96,38 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Load of its link for fills: transfers in progress over those that fit.
-    pub link_full: Option<f64>,
+    pub link_load: Option<f64>,
     /// Share of its capacity in use by all dispatchers.
-    pub busy: Option<f64>,
+    pub load: Option<f64>,
 }
 
 /// A limit on the total of several dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Shared {
+pub enum SharedLimit {
     /// Concurrent hand-offs at the origin; fills count by their probability of reaching it.
     Origin,
     /// Retries a second.
-    Further,
+    Retries,
     /// Share of a cold host's budget; all dispatchers together have 1.
-    Cold(HostId),
+    ColdStart(HostId),
 }
 
 /// Use of a shared limit since the last query, and the use there would have been without the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Wanted {
+pub struct LimitUsage {
     pub used: f64,
-    pub wanted: f64,
+    pub demanded: f64,
 }
 
 /// Why a host is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum EjectionCause {
     /// It fails far more often than its peers.
-    Fails,
+    Failing,
     /// It does not answer.
     Silent,
     /// Other dispatchers report it as bad; this one has no evidence of its own.
-    Told,
+    Reported,
 }
 
 /// A host's condition as this dispatcher observed it.
@@ -136,40 +136,40 @@
     pub host: HostId,
     /// Start of the host's process as listed.
     pub since: Option<Time>,
-    pub what: Found,
+    pub condition: HostCondition,
     /// Number of own hand-offs that support it, and the time of the last of them.
-    pub evidence: u32,
-    pub at: Time,
+    pub evidence_count: u32,
+    pub last_evidence_at: Time,
 }
 
 /// An observed condition of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum HostCondition {
     /// Ejected; `unreached` if connections to it have only broken or been refused since.
-    Shut { why: Bad, unreached: bool },
+    Ejected { cause: EjectionCause, is_unreachable: bool },
     /// It recovered after its connections broke, most likely as a new process.
-    Anew,
+    Restarted,
 }
 
 /// What other dispatchers report about a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ReportedCondition {
     Bad,
     /// Its process is new and cold, and the list does not show that yet.
-    Anew,
+    Restarted,
 }
 
 /// The end of a hand-off.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct HandOffEnd {
     pub visit: VisitId,
-    pub number: HandOffNo,
+    pub number: HandOffNumber,
     pub outcome: Outcome,
     pub note: Note,
-    pub took: Span,
+    pub duration: Span,
     pub report: Report,
     /// Whether the visit has its final answer.
-    pub last: bool,
+    pub is_final: bool,
 }
 
 /// How a cache may answer and where it fills from.
@@ -180,13 +180,13 @@
     /// Priority with which the cache keeps the copy.
     pub rank: u8,
     /// Maximum age of a copy; zero for any age.
-    pub oldest: Span,
+    pub max_age: Span,
     /// Whether the request may wait for a fill that is already in flight.
-    pub join: bool,
+    pub may_join: bool,
     /// Whether a stale copy may be served while it is refreshed in the background.
-    pub renew: bool,
+    pub refresh_stale: bool,
     /// The source answers from its cached copies only.
-    pub held: bool,
+    pub cached_only: bool,
 }
 
 /// What the caller has to do.
@@ -197,26 +197,26 @@
         visit: VisitId,
         host: HostId,
         /// When the attempt times out.
-        until: Time,
+        times_out_at: Time,
         /// It must not be sent after this, wherever it waits: a repeat might no longer be recognized as one.
-        latest: Time,
+        send_before: Time,
         fill: Option<Fill>,
     },
     Cancel {
         visit: VisitId,
-        number: HandOffNo,
+        number: HandOffNumber,
     },
     /// Ask a host for its load.
     Probe {
         host: HostId,
     },
     /// Refuse the visit: the client may try again after `retry_after`.
-    TurnBack {
+    Refuse {
         visit: VisitId,
         retry_after: Span,
     },
     /// Fail the visit: it may have been executed, so the client must not simply try again.
-    WriteOff {
+    Fail {
         visit: VisitId,
     },
     /// Call `woken` again after this time.
--- a/src/containers.rs
+++ b/src/containers.rs
@@ -5,25 +5,25 @@
 
 /// Items ordered by due time, then by insertion.
 #[derive(Debug)]
-pub struct DueTimes<T> {
+pub struct TimerQueue<T> {
     entries: BTreeMap<(Time, u64), T>,
     next_sequence: u64,
 }
 
-impl<T> Default for DueTimes<T> {
+impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        DueTimes { entries: BTreeMap::new(), next_sequence: 0 }
+        TimerQueue { entries: BTreeMap::new(), next_sequence: 0 }
     }
 }
 
-impl<T> DueTimes<T> {
-    pub fn put(&mut self, at: Time, item: T) {
+impl<T> TimerQueue<T> {
+    pub fn push(&mut self, at: Time, item: T) {
         self.entries.insert((at, self.next_sequence), item);
         self.next_sequence += 1;
     }
 
     /// Due time of the first item.
-    pub fn first(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.entries.first_key_value().map(|(key, _)| key.0)
     }
 
@@ -36,21 +36,21 @@
 
 /// An exponentially weighted moving average that starts as the arithmetic mean of the first samples.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mean {
+pub struct MovingAverage {
     pub value: f64,
     /// Number of samples.
-    pub seen: u32,
+    pub sample_count: u32,
 }
 
-impl Mean {
+impl MovingAverage {
     pub fn push(&mut self, x: f64, weight: f64) {
-        self.seen = self.seen.saturating_add(1);
-        self.value += (x - self.value) * weight.max(1.0 / f64::from(self.seen));
+        self.sample_count = self.sample_count.saturating_add(1);
+        self.value += (x - self.value) * weight.max(1.0 / f64::from(self.sample_count));
     }
 
     /// The average, or `default` before the first sample.
-    pub fn or(&self, default: f64) -> f64 {
-        if self.seen == 0 {
+    pub fn value_or(&self, default: f64) -> f64 {
+        if self.sample_count == 0 {
             default
         } else {
             self.value
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyGradient {
     pub limit: f64,
-    pub current: Mean,
+    pub current: MovingAverage,
     pub best_log: Option<f64>,
 }
 
@@ -72,7 +72,7 @@
     /// sample so that it follows lasting changes.
     pub fn push(&mut self, x: f64, weight: f64, min_samples: u32, drift: f64) {
         self.current.push(x.max(1e-6).ln(), weight);
-        if self.current.seen >= min_samples {
+        if self.current.sample_count >= min_samples {
             let best = self.best_log.map_or(f64::MAX, |best| best + drift);
             self.best_log = Some(best.min(self.current.value));
         }
--- a/src/brain.rs
+++ b/src/decision_engine.rs
@@ -5,10 +5,10 @@
 //! there is none. The values are in `calls`, the settings in `settings`. The ordinary path is the
 //! semi-hashing rule of Ni et al.; docs/design.md lists every exception to it.
 use crate::calls::*;
-use crate::containers::Mean;
+use crate::containers::MovingAverage;
 use crate::ids::*;
 use crate::settings::{Effect::*, Group, Settings};
-pub use crate::state::Brain;
+pub use crate::state::DecisionEngine;
 use crate::state::{Choice, FillLimiter, Host, OpenBreaker, OpenVisit, SentHandOff, Timer};
 use crate::time::{Span, Time};
 use rand::Rng;
@@ -115,10 +115,10 @@
 /// Weight of an answer for its source where it is unknown whether it was a fill.
 const UNCERTAIN_FILL_WEIGHT: f64 = 0.1;
 
-impl Brain {
+impl DecisionEngine {
     /// A decision module with an empty list of hosts.
-    pub fn start(set: Settings, seed: u64, now: Time) -> Brain {
-        let mut brain = Brain::with_settings(set, seed);
+    pub fn new(set: Settings, seed: u64, now: Time) -> DecisionEngine {
+        let mut brain = DecisionEngine::with_settings(set, seed);
         brain.retry_budget.level = RETRY_BURST;
         let link = brain.settings.location_link_transfers();
         let fills = link.map_or(FILL_LIMIT_START, |transfers| FILLS_PER_TRANSFER * transfers);
@@ -130,51 +130,51 @@
             (FILL_LATENCY_RATIO_MAX, ORIGIN_LATENCY_RATIO_MAX);
         (brain.fill_limiter.log_latency_ratio.value, brain.origin_limiter.log_latency_ratio.value) =
             (FILL_LATENCY_RATIO_MAX.ln(), ORIGIN_LATENCY_RATIO_MAX.ln());
-        brain.timers.put(now + COUNT_HALF_LIFE, Timer::DecayCounts);
-        brain.timers.put(now + SECOND, Timer::EverySecond);
+        brain.timers.push(now + COUNT_HALF_LIFE, Timer::DecayCounts);
+        brain.timers.push(now + SECOND, Timer::EverySecond);
         brain.decisions.push_back(Decision::Wake { after: TICK_INTERVAL });
         brain
     }
 
     /// A visit has arrived.
-    pub fn arrived(&mut self, now: Time, visit: Visit) {
+    pub fn visit_arrived(&mut self, now: Time, visit: Visit) {
         let is_popular = self.is_popular(now, &visit);
         self.retry_budget.level = (self.retry_budget.level + RETRIES_PER_VISIT).min(RETRY_BURST);
         self.probe_budget.level = (self.probe_budget.level + PROBES_PER_VISIT).min(PROBE_BURST);
-        let stats_and_size = self.class_stats.get_mut(usize::from(visit.band.0)).zip(visit.kilobytes);
+        let stats_and_size = self.class_stats.get_mut(usize::from(visit.class.0)).zip(visit.kilobytes);
         stats_and_size.into_iter().for_each(|(seen, kb)| seen.kilobytes.push(kb, 0.01));
         self.visits.insert(visit.id, OpenVisit::new(visit, is_popular, now));
-        self.timers.put(visit.deadline - ANSWER_MARGIN, Timer::Deadline(visit.id));
+        self.timers.push(visit.deadline - ANSWER_MARGIN, Timer::Deadline(visit.id));
         self.undecided.push_back(visit.id);
     }
 
     /// A hand-off has ended.
-    pub fn ended(&mut self, now: Time, end: Ended) {
+    pub fn hand_off_ended(&mut self, now: Time, end: HandOffEnd) {
         let Some(sent) = self.in_flight.remove(&(end.visit, end.number)) else { return };
         let by_cache = self.hosts.get(&sent.host).is_some_and(|h| self.is_cache(h));
         self.fill_limiter.reported_link_load = end
             .report
-            .link_full
+            .link_load
             .filter(|_| by_cache)
             .map(|full| (now, full))
             .or(self.fill_limiter.reported_link_load);
         self.update_host_stats(now, &sent, &end);
         self.attribute_errors(now, &sent, &end);
-        if end.outcome == Outcome::Settled && sent.host == sent.copy.2 {
+        if end.outcome == Outcome::Served && sent.host == sent.copy.2 {
             self.cached_copies.entry(sent.copy).or_default().confirmed_at = Some(now);
         }
-        if end.last {
-            return self.left(end.visit);
+        if end.is_final {
+            return self.close_visit(end.visit);
         }
         let Some(open) = self.visits.get_mut(&end.visit) else { return };
         open.in_flight = open.in_flight.saturating_sub(1);
-        if !end.outcome.never_ran() && open.first_possible_run.is_none_or(|(at, _)| sent.sent_at < at) {
+        if !end.outcome.is_not_executed() && open.first_possible_run.is_none_or(|(at, _)| sent.sent_at < at) {
             open.first_possible_run = Some((sent.sent_at, sent.host));
         }
         open.has_parent_missed = end.outcome == Outcome::Miss && sent.is_cached_only;
         open.has_cache_missed =
             open.has_parent_missed || end.outcome == Outcome::Miss && sent.source.is_none();
-        if !open.has_cache_missed && end.outcome != Outcome::Unsent {
+        if !open.has_cache_missed && end.outcome != Outcome::NotSent {
             let source = sent.source.filter(|_| is_source_at_fault(&end));
             open.failed_hosts.push(source.unwrap_or(sent.host));
         }
@@ -184,15 +184,15 @@
     /// Counts a fast error against its host only once the visit succeeds elsewhere. Guards against visits
     /// that no host can serve: after the third host's error they end, no host is blamed, and the retries are
     /// returned to the budget. The cost: if three hosts are at fault it is detected late.
-    fn attribute_errors(&mut self, now: Time, sent: &SentHandOff, end: &Ended) {
+    fn attribute_errors(&mut self, now: Time, sent: &SentHandOff, end: &HandOffEnd) {
         let is_ejected = self.hosts.get(&sent.host).is_some_and(|h| h.breaker.is_some());
         let Some(open) = self.visits.get_mut(&end.visit).filter(|_| !is_ejected) else { return };
         if is_fast_error(end) {
             let others = open.unattributed_errors.iter().filter(|other| other.host != sent.host).count();
             open.unattributed_errors
-                .push(SentHandOff { source: sent.source.filter(|_| end.note == Note::Untold), ..*sent });
+                .push(SentHandOff { source: sent.source.filter(|_| end.note == Note::Unspecified), ..*sent });
             open.hand_offs = if others >= UNBLAMED_ERROR_HOSTS { u8::MAX } else { open.hand_offs };
-        } else if matches!(end.outcome, Outcome::Settled | Outcome::Miss) {
+        } else if matches!(end.outcome, Outcome::Served | Outcome::Miss) {
             for sent in std::mem::take(&mut open.unattributed_errors) {
                 self.record_health(now, sent.sent_at, sent.host, true, RESULT_WEIGHT[0]);
                 sent.source
@@ -203,16 +203,16 @@
     }
 
     /// Runs due timers; called when the time of `Decision::Wake` has passed.
-    pub fn woken(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Timer::Deadline(id) => self.give_up(id),
+                Timer::Deadline(id) => self.finish_unserved(id),
                 Timer::DecayCounts => {
                     self.popularity.decay(now - STATS_RETENTION);
                     self.cached_copies.retain(|_, c| {
                         c.fills_in_flight > 0 || c.confirmed_at.is_some_and(|at| now < at + STATS_RETENTION)
                     });
-                    self.timers.put(now + COUNT_HALF_LIFE, Timer::DecayCounts);
+                    self.timers.push(now + COUNT_HALF_LIFE, Timer::DecayCounts);
                 }
                 Timer::EverySecond => self.each_second(now),
                 Timer::PeerReport(id) => self.expire_report(now, id),
@@ -229,7 +229,7 @@
     }
 
     /// The next decision, or `None` until there is another event.
-    pub fn next(&mut self, now: Time) -> Option<Decision> {
+    pub fn next_decision(&mut self, now: Time) -> Option<Decision> {
         while self.decisions.is_empty() {
             let id = self.undecided.pop_front()?;
             self.decide(now, id);
@@ -240,7 +240,7 @@
     /// Counts r_i and returns whether the object is popular: r_i > α·r_ave over the admitted set, or the set
     /// is empty. The set's bytes are limited to a share of all known bytes.
     fn is_popular(&mut self, now: Time, visit: &Visit) -> bool {
-        let bytes = visit.kilobytes.unwrap_or_else(|| self.transfer_seconds(visit.band) * self.settings.pace);
+        let bytes = visit.kilobytes.unwrap_or_else(|| self.transfer_seconds(visit.class) * self.settings.transfer_kb_per_s);
         let popularity = &mut self.popularity;
         popularity.record_visit(now, visit.object, visit.part, bytes);
         let Some(stats) = popularity.objects.get(&visit.object) else { return false };
@@ -265,14 +265,14 @@
         let has_no_hand_offs_left =
             open.hand_offs >= self.settings.max_hand_offs || (is_retry && !self.may_retry(now));
         if is_late || has_no_hand_offs_left {
-            return self.give_up(id);
+            return self.finish_unserved(id);
         }
-        let is_write = self.class_settings(visit.band).is_some_and(|band| band.writes);
+        let is_write = self.class_settings(visit.class).is_some_and(|band| band.is_write);
         let choice = if is_write { self.choose_for_write(now, visit) } else { self.choose(now, visit) };
         match choice {
             Choice::HandOff(host, fill) => self.hand_off(now, id, host, fill),
             Choice::Wait => self.awaiting_fill.push(id),
-            Choice::GiveUp => self.give_up(id),
+            Choice::GiveUp => self.finish_unserved(id),
         }
     }
 
@@ -281,9 +281,9 @@
     fn latest_hand_off(&self, open: &OpenVisit) -> Time {
         let last = open.visit.deadline - ANSWER_MARGIN;
         let Some((first, _)) = open.first_possible_run else { return last };
-        match self.class_settings(open.visit.band).map(|band| band.effect) {
+        match self.class_settings(open.visit.class).map(|band| band.effect) {
             Some(Idempotent) => last,
-            Some(Deduplicated { memory, .. }) => last.min(first + memory - ANSWER_MARGIN),
+            Some(Deduplicated { retention: memory, .. }) => last.min(first + memory - ANSWER_MARGIN),
             _ => Time::default(),
         }
     }
@@ -296,7 +296,7 @@
         let Some((_, first)) = open.first_possible_run else { return true };
         let both = self.hosts.get(&first).zip(self.hosts.get(&host));
         let match_by = |same: fn(&Host, &Host) -> bool| both.is_some_and(|(a, b)| same(a, b));
-        match self.class_settings(open.visit.band).map(|band| band.effect) {
+        match self.class_settings(open.visit.class).map(|band| band.effect) {
             Some(Deduplicated { group: Group::Location, .. }) => {
                 match_by(|a, b| a.entry.location == b.entry.location)
             }
@@ -307,29 +307,29 @@
 
     /// Gives the final answer to a visit that no host served: it is refused if a repeat by the client is
     /// safe, else failed.
-    pub fn give_up(&mut self, id: VisitId) {
+    pub fn finish_unserved(&mut self, id: VisitId) {
         let Some(open) = self.visits.get(&id) else { return };
         let may_have_run = open.first_possible_run.is_some() || open.in_flight > 0;
-        let is_repeat_safe = match self.class_settings(open.visit.band).map(|band| band.effect) {
+        let is_repeat_safe = match self.class_settings(open.visit.class).map(|band| band.effect) {
             Some(Idempotent | Deduplicated { group: Group::All, .. }) => true,
             _ => !may_have_run,
         };
         self.retry_budget.level += open.unattributed_errors.len().saturating_sub(1) as f64;
-        self.left(id);
+        self.close_visit(id);
         self.decisions.push_back(if is_repeat_safe {
             let retry_after = RETRY_AFTER_MIN.times(self.rng.gen_range(1.0..2.0));
-            Decision::TurnBack { visit: id, retry_after: retry_after.min(self.settings.retry_after_most) }
+            Decision::Refuse { visit: id, retry_after: retry_after.min(self.settings.max_retry_after) }
         } else {
-            Decision::WriteOff { visit: id }
+            Decision::Fail { visit: id }
         });
     }
 
     /// A host has answered a load probe, or failed to in time. Guards against sources that are full, slow or
     /// silent and have too few fills of this dispatcher to show it. A source whose probes get lost on the way
     /// gets fewer fills for some seconds.
-    pub fn probed(&mut self, now: Time, id: HostId, report: Report) {
+    pub fn probe_answered(&mut self, now: Time, id: HostId, report: Report) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        let load = report.busy.unwrap_or(LOAD_IF_SILENT);
+        let load = report.load.unwrap_or(LOAD_IF_SILENT);
         host.reported_load = Some((now, load));
         host.fill_admission = (host.fill_admission
             * (LOAD_TARGET / load.max(0.1)).min(FILL_ADMISSION_GROWTH_MAX))
@@ -365,15 +365,15 @@
             && (!self.origin_limiter.exceeds_max_latency()
                 || self.admits(self.origin_limiter.limit - self.origin_limiter.expected_fills));
         sources.extend(origin.filter(|_| may_reach_origin));
-        let work = self.cold_cost(visit.band);
-        let (rank, join) = (FILL_RANKS[usize::from(is_popular)], self.settings.joins);
-        let renew = self.class_settings(visit.band).is_some_and(|band| band.fresh > Span::ZERO);
+        let work = self.cold_cost(visit.class);
+        let (rank, join) = (FILL_RANKS[usize::from(is_popular)], self.settings.joins_fills);
+        let renew = self.class_settings(visit.class).is_some_and(|band| band.fresh_for > Span::ZERO);
         let has_no_caches = caches.is_empty();
         let mut cache =
             caches.iter().copied().find(|c| self.has_room(now, *c) && self.can_send(now, *c, work));
         // A cache that fails sometimes is better than none, where no other takes the visit.
         if cache.is_none() {
-            let is_unreliable = |b: &Brain, c| {
+            let is_unreliable = |b: &DecisionEngine, c| {
                 b.hosts[&c].failure_rate.value > FAILURE_RATE_MIN && b.cold_budget(now, c).is_none()
             };
             cache = caches.into_iter().find(|c| is_unreliable(self, *c) && self.has_room(now, *c));
@@ -384,7 +384,7 @@
         // A fill in flight is joined or waited for. Guards against transferring the same bytes twice.
         let is_fill_in_flight = cache.is_some_and(|cache| self.is_fill_in_flight(now, &visit, cache));
         let max_wait =
-            self.class_settings(visit.band).map_or(Span::ZERO, |band| band.quoted.times(FILL_WAIT_FRACTION));
+            self.class_settings(visit.class).map_or(Span::ZERO, |band| band.target_latency.times(FILL_WAIT_FRACTION));
         if is_fill_in_flight && !join && now < arrived_at + max_wait {
             return Choice::Wait;
         }
@@ -409,11 +409,11 @@
                 self.fill_limiter.restricted_count += u32::from(source.is_none());
                 self.origin_limiter.restricted_count += u32::from(is_cached_only);
                 let source = source.unwrap_or(cache);
-                Choice::HandOff(cache, Some(Fill { source, rank, oldest, join, renew, held: is_cached_only }))
+                Choice::HandOff(cache, Some(Fill { source, rank, max_age: oldest, may_join: join, refresh_stale: renew, cached_only: is_cached_only }))
             }
-            (None, Some(host)) if self.settings.direct && has_no_caches && origin_admits => {
+            (None, Some(host)) if self.settings.may_bypass_caches && has_no_caches && origin_admits => {
                 let source = origin.unwrap_or(host);
-                Choice::HandOff(host, Some(Fill { source, rank: 0, oldest, join, renew: false, held: false }))
+                Choice::HandOff(host, Some(Fill { source, rank: 0, max_age: oldest, may_join: join, refresh_stale: false, cached_only: false }))
             }
             _ => Choice::GiveUp,
         }
@@ -427,7 +427,7 @@
         let ready = || self.hosts.values().filter(|h| h.is_ready() && !self.is_origin(h));
         let parents = ready().filter(|h| self.is_parent(h));
         let (count, carried) = parents.fold((0.0, 0.0), |(n, sum), h| (n + 1.0, sum + h.entry.weight));
-        let has_part_keys = self.settings.weights_told && (ready().count() as f64 - count) * count > carried;
+        let has_part_keys = self.settings.has_weights && (ready().count() as f64 - count) * count > carried;
         visit.object.0 ^ if has_part_keys { u64::from(visit.part) << 52 } else { 0 }
     }
 
@@ -436,13 +436,13 @@
         let origin = self.hosts_by_hash(visit.object.0, |h| self.is_origin(h)).first().copied();
         let origin = origin.filter(|_| self.admits_to_origin(now, 1.0));
         let (Some(source), Some(open)) = (origin, self.visits.get(&visit.id)) else { return Choice::GiveUp };
-        if self.settings.direct {
+        if self.settings.may_bypass_caches {
             return Choice::HandOff(source, None);
         }
         let mut caches = self.hosts_by_hash(visit.object.0, |h| self.is_cache(h));
         caches.retain(|host| self.is_eligible(open, *host));
-        let fill = Fill { source, rank: 0, oldest: Span::ZERO, join: false, renew: false, held: false };
-        let work = self.cold_cost(visit.band);
+        let fill = Fill { source, rank: 0, max_age: Span::ZERO, may_join: false, refresh_stale: false, cached_only: false };
+        let work = self.cold_cost(visit.class);
         let cache = caches.into_iter().find(|cache| self.can_send(now, *cache, work));
         cache.map_or(Choice::GiveUp, |cache| Choice::HandOff(cache, Some(fill)))
     }
@@ -454,13 +454,13 @@
         let was_cached = self.is_known_cached(now, &visit, host);
         let start = MISS_RATES_START[usize::from(was_cached)];
         let miss_rate =
-            self.hosts.get(&host).map_or(start, |h| h.miss_rates[usize::from(was_cached)].or(start));
+            self.hosts.get(&host).map_or(start, |h| h.miss_rates[usize::from(was_cached)].value_or(start));
         let source = fill.map(|fill| fill.source).filter(|source| *source != host);
         let to_origin = source.and_then(|id| self.hosts.get(&id)).is_some_and(|h| self.is_origin(h));
-        let joins_fill = self.settings.joins && self.is_fill_in_flight(now, &visit, host);
-        let work = self.cold_cost(visit.band);
+        let joins_fill = self.settings.joins_fills && self.is_fill_in_flight(now, &visit, host);
+        let work = self.cold_cost(visit.class);
         let Some(open) = self.visits.get_mut(&id) else { return };
-        let number = HandOffNo(open.hand_offs);
+        let number = HandOffNumber(open.hand_offs);
         open.hand_offs += 1;
         open.in_flight += 1;
         let is_certain =
@@ -485,14 +485,14 @@
             [Some(host), source].into_iter().flatten().filter_map(|id| self.total_cold_budget(now, id));
         let latest = waits
             .fold(latest, |at, (_, window)| at.min(now + Span::seconds(COLD_SEND_WINDOW_FRACTION * window)));
-        let is_cached_only = fill.is_some_and(|fill| fill.held);
+        let is_cached_only = fill.is_some_and(|fill| fill.cached_only);
         let origin_rate = if has_parent_missed || to_origin {
             1.0
         } else {
-            self.origin_limiter.origin_rate.or(ORIGIN_RATE_START)
+            self.origin_limiter.origin_rate.value_or(ORIGIN_RATE_START)
         };
         let origin_probability = if is_cached_only { 0.0 } else { fill_probability * origin_rate };
-        let (is_first_fill, band) = (!was_cached && fill_probability > 0.0, visit.band);
+        let (is_first_fill, band) = (!was_cached && fill_probability > 0.0, visit.class);
         let sent = SentHandOff {
             sent_at: now,
             trial_sent_at,
@@ -508,16 +508,16 @@
         };
         self.count_in_flight(&sent, 1);
         self.in_flight.insert((id, number), sent);
-        self.decisions.push_back(Decision::HandOff { visit: id, host, until, latest, fill });
+        self.decisions.push_back(Decision::HandOff { visit: id, host, times_out_at: until, send_before: latest, fill });
     }
 
     /// Maximum age of a copy, zero for any age. Once the object was purged it is the time since then, and
     /// never zero, since a stalled host may not have dropped older copies. While purges may have been missed
     /// it is at most the time in which a purge has to be obeyed. Guards rule 5.
     fn max_copy_age(&self, now: Time, visit: &Visit, filled: bool) -> Span {
-        let Some(band) = self.class_settings(visit.band) else { return Span::ZERO };
-        let max_age = if filled { band.fresh } else { band.fresh + band.grace };
-        let max_age = Some(max_age).filter(|_| band.fresh > Span::ZERO);
+        let Some(band) = self.class_settings(visit.class) else { return Span::ZERO };
+        let max_age = if filled { band.fresh_for } else { band.fresh_for + band.stale_for };
+        let max_age = Some(max_age).filter(|_| band.fresh_for > Span::ZERO);
         let purge = self.purges.latest(visit.group, visit.object);
         let since_purge = purge.map(|at| (now - at).max(Span(1)));
         let while_unverified = self.unverified_max_age.into_iter().chain(self.log_silence_max_age);
@@ -559,10 +559,10 @@
         let host = self.hosts.get(&id)?;
         let rules = if self.is_parent(host) { self.settings.cold_parent } else { self.settings.cold_cache };
         let age = host.process_age(now).filter(|age| *age < rules.ramp)?;
-        let (window, ramp) = (rules.window.as_seconds(), rules.ramp.as_seconds());
+        let (window, ramp) = (rules.overload_window.as_seconds(), rules.ramp.as_seconds());
         let capacity_share =
-            rules.share + (1.0 - rules.share) * (age.as_seconds() - window / 2.0).max(0.0) / ramp;
-        Some((COLD_BUDGET_FRACTION * rules.multiple * capacity_share * self.capacity(host), window))
+            rules.initial_share + (1.0 - rules.initial_share) * (age.as_seconds() - window / 2.0).max(0.0) / ramp;
+        Some((COLD_BUDGET_FRACTION * rules.overload_factor * capacity_share * self.capacity(host), window))
     }
 
     /// Whether a source gets this fill. One whose fills take too much of the target latency, and longer than
@@ -596,7 +596,7 @@
     /// The limit on hand-offs in flight at a host. It is capped by what the listed weight can serve in time,
     /// since the gradient finds no limit for a host that was always overloaded.
     pub(crate) fn limit(&self, host: &Host) -> f64 {
-        let has_weights = self.settings.weights_told;
+        let has_weights = self.settings.has_weights;
         let whole = if has_weights { HOST_LIMIT_PER_TRANSFER * host.entry.weight } else { HOST_LIMIT_START };
         let share = whole / self.settings.location_share_count();
         let start = if has_weights { share + HOST_LIMIT_SLACK * share.sqrt() } else { share };
@@ -606,7 +606,7 @@
 
     /// A host's capacity in transfers: as listed, else estimated by what its peers carry, less a margin.
     fn capacity(&self, host: &Host) -> f64 {
-        if self.settings.weights_told {
+        if self.settings.has_weights {
             return host.entry.weight;
         }
         let peers = || self.peers(host.entry.host);
@@ -629,21 +629,21 @@
     }
 
     /// Updates what is known of the host by the end of a hand-off.
-    fn update_host_stats(&mut self, now: Time, sent: &SentHandOff, end: &Ended) {
+    fn update_host_stats(&mut self, now: Time, sent: &SentHandOff, end: &HandOffEnd) {
         let has_failed = matches!(
             end.outcome,
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset
         );
-        let (is_served, has_no_note) = (end.outcome == Outcome::Settled, end.note == Note::Untold);
+        let (is_served, has_no_note) = (end.outcome == Outcome::Served, end.note == Note::Unspecified);
         let is_fill = matches!(end.note, Note::Filled | Note::FilledByOrigin | Note::Joined);
-        let took = end.took.as_seconds();
+        let took = end.duration.as_seconds();
         let latency_ratio =
-            took / self.class_settings(sent.band).map_or(SECOND, |band| band.quoted).as_seconds();
+            took / self.class_settings(sent.band).map_or(SECOND, |band| band.target_latency).as_seconds();
         let mut slowdown = None;
         if is_served && !is_fill {
             let seen = self.class_stats.get_mut(usize::from(sent.band.0));
             seen.into_iter().for_each(|seen| seen.transfer_seconds.push(took, 0.02));
-            slowdown = self.popularity.slowdown(sent.copy.0, end.took);
+            slowdown = self.popularity.slowdown(sent.copy.0, end.duration);
         }
         let (work, sharers) = (self.transfer_seconds(sent.band), self.settings.location_share_count());
         let limit = self.hosts.get(&sent.host).map_or(HOST_LIMIT_MIN, |h| self.limit(h));
@@ -653,9 +653,9 @@
             is_repeat =
                 end.outcome == Outcome::Reset && std::mem::replace(&mut host.last_reset_at, now) == now;
             is_repeat |= is_fast_error(end) && host.breaker.is_none();
-            let is_refused = end.outcome == Outcome::ConnectFailed && end.took <= FAST_FAILURE_MAX;
+            let is_refused = end.outcome == Outcome::ConnectFailed && end.duration <= FAST_FAILURE_MAX;
             let has_answered =
-                matches!(end.outcome, Outcome::Settled | Outcome::Error | Outcome::Full | Outcome::Miss);
+                matches!(end.outcome, Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Miss);
             host.is_connection_broken = end.outcome == Outcome::Reset
                 || is_refused
                 || host.is_connection_broken && (host.breaker.is_some() || !has_answered);
@@ -663,7 +663,7 @@
                 host.answer_gap.push(host.time_since_answer(now).as_seconds(), 0.05);
                 host.record_answer(now, sent.sent_at);
             }
-            host.reported_load = end.report.busy.map(|busy| (now, busy)).or(host.reported_load);
+            host.reported_load = end.report.load.map(|busy| (now, busy)).or(host.reported_load);
             host.completed_work += if is_served { work } else { 0.0 };
             // Without notes only hand-offs that ask for cached copies are counted: served ones are hits, and
             // counting misses alone would make all answers seem fills.
@@ -684,7 +684,7 @@
         self.update_source_stats(now, sent, end, is_fill);
         self.count_in_flight(sent, -1);
         self.refund_unsent(sent, end.outcome);
-        if !matches!(end.outcome, Outcome::Cancelled | Outcome::Moot | Outcome::Unsent) && !is_repeat {
+        if !matches!(end.outcome, Outcome::Cancelled | Outcome::Expired | Outcome::NotSent) && !is_repeat {
             self.record_health(
                 now,
                 sent.trial_sent_at,
@@ -696,18 +696,18 @@
     }
 
     /// Updates what is known of the source by the end of a hand-off.
-    fn update_source_stats(&mut self, now: Time, sent: &SentHandOff, end: &Ended, is_fill: bool) {
+    fn update_source_stats(&mut self, now: Time, sent: &SentHandOff, end: &HandOffEnd, is_fill: bool) {
         let (work, cost) = (self.transfer_seconds(sent.band), self.cold_cost(sent.band));
-        let (quoted, blame) = (self.quoted(sent.band), self.origin_blame(sent));
+        let (quoted, blame) = (self.target_seconds(sent.band), self.origin_blame(sent));
         let Some(source) = sent.source.and_then(|id| self.hosts.get_mut(&id)) else { return };
-        let (has_no_note, is_source_at_fault) = (end.note == Note::Untold, is_source_at_fault(end));
+        let (has_no_note, is_source_at_fault) = (end.note == Note::Unspecified, is_source_at_fault(end));
         let (is_served, has_source_missed) =
-            (end.outcome == Outcome::Settled, sent.is_cached_only && end.outcome == Outcome::Miss);
+            (end.outcome == Outcome::Served, sent.is_cached_only && end.outcome == Outcome::Miss);
         let has_failed =
             matches!(end.outcome, Outcome::Error | Outcome::TimedOut) && has_no_note && !is_fast_error(end);
         // A stale copy is refreshed in the background, by a fill that reaches the source.
         let is_unused =
-            !(has_no_note || is_fill || is_source_at_fault || has_source_missed || end.note == Note::Aged);
+            !(has_no_note || is_fill || is_source_at_fault || has_source_missed || end.note == Note::Stale);
         source.refund_cold_budget(sent.sent_at, f64::from(is_unused) * cost);
         let by_it = if is_fill { 1.0 } else { sent.fill_probability * f64::from(has_no_note) };
         source.completed_work += if is_served { by_it * work } else { 0.0 };
@@ -716,7 +716,7 @@
             || has_failed
             || sent.fill_probability == 1.0 && end.outcome != Outcome::Cancelled && !is_fast_error(end);
         let part = if is_certain { 1.0 } else { UNCERTAIN_FILL_WEIGHT };
-        let is_source_known = self.settings.ways_told || sent.is_cached_only;
+        let is_source_known = self.settings.reports_fill_source || sent.is_cached_only;
         let origin_share = match end.note {
             Note::FilledByOrigin | Note::OriginFailed => 1.0,
             Note::Filled | Note::Joined if is_source_known => 0.0,
@@ -731,13 +731,13 @@
         {
             self.origin_limiter.origin_rate.push(origin_share, 0.05);
         }
-        let is_congested = matches!(end.note, Note::NoPlace | Note::OriginFailed);
+        let is_congested = matches!(end.note, Note::NoCapacity | Note::OriginFailed);
         let log_latency = match end.note {
             _ if is_congested || is_source_at_fault || end.outcome == Outcome::TimedOut => {
                 Some(FAILURE_LATENCY_RATIO.ln())
             }
             _ if is_served && (is_fill || has_no_note) => {
-                Some((end.took.as_seconds() / quoted).max(0.001).ln())
+                Some((end.duration.as_seconds() / quoted).max(0.001).ln())
             }
             _ => None,
         };
@@ -809,14 +809,14 @@
         host.record_result(now, failed, weight);
         let (failure_rate, is_reported) = (host.failure_rate.value, host.is_reported_bad(now));
         let Some(breaker) = host.breaker.as_mut().filter(|breaker| sent >= breaker.opened_at) else {
-            let fails_often = host.failure_rate.seen >= 4
+            let fails_often = host.failure_rate.sample_count >= 4
                 && failure_rate > threshold
                 && failure_rate > FAILURE_RATIO_TO_PEERS * peers_failure_rate;
             if failed && (fails_often || is_reported) {
                 self.open_breaker(
                     now,
                     id,
-                    Bad::Fails,
+                    EjectionCause::Failing,
                     format!("failure rate {failure_rate:.2}, mean of its peers {peers_failure_rate:.2}"),
                 );
             }
@@ -832,7 +832,7 @@
             },
         );
         if breaker.trials_passed >= TRIALS_TO_RECOVER {
-            (host.breaker, host.failure_rate) = (None, Mean::default());
+            (host.breaker, host.failure_rate) = (None, MovingAverage::default());
             host.peer_report
                 .iter_mut()
                 .for_each(|report| report.own_successes = report.own_successes.max(TRIALS_TO_RECOVER));
@@ -851,7 +851,7 @@
 
     /// Ejects a host. At most half of the caches are ejected; parents all may be, since the origin replaces
     /// them.
-    fn open_breaker(&mut self, now: Time, id: HostId, cause: Bad, reason: String) {
+    fn open_breaker(&mut self, now: Time, id: HostId, cause: EjectionCause, reason: String) {
         let ejected = self.peers(id).filter(|h| h.breaker.is_some()).count() + 1;
         let total = self.peers(id).count() + 1;
         let is_parent = self.hosts.get(&id).is_some_and(|h| self.is_parent(h));
@@ -867,13 +867,13 @@
     /// Guards against visits lost before this dispatcher has evidence of its own, and against a cold host to
     /// which all dispatchers return at once. The cost of a wrong report: the host gets trials only, until
     /// enough of them succeed or the report expires, or a cold host's budget.
-    pub fn hearsay(&mut self, now: Time, id: HostId, since: Option<Time>, word: Word, until: Time) {
+    pub fn apply_peer_report(&mut self, now: Time, id: HostId, since: Option<Time>, word: ReportedCondition, until: Time) {
         let Some(host) = self.record_peer_report(now, word, (id, since, until)) else { return };
         let has_own_success = host.last_success_at.is_some_and(|at| now < at + OWN_SUCCESS_VALIDITY);
-        if word == Word::Anew {
+        if word == ReportedCondition::Restarted {
             host.restart_cold_budget(now, 0, 0.0);
         } else if !has_own_success && !host.peer_report.is_some_and(|report| report.is_refuted(now)) {
-            self.open_breaker(now, id, Bad::Told, "reported as bad by other dispatchers".into());
+            self.open_breaker(now, id, EjectionCause::Reported, "reported as bad by other dispatchers".into());
         }
         self.spread_trials(now, id);
     }
@@ -906,7 +906,7 @@
         let is_expired = self.expire_peer_report(now, id);
         let Some(host) = self.hosts.get_mut(&id).filter(|_| is_expired) else { return };
         host.breaker.iter_mut().for_each(|breaker| breaker.cap_trial_interval(now, TRIAL_INTERVALS[1]));
-        if host.breaker.take_if(|breaker| breaker.cause == Bad::Told).is_some() {
+        if host.breaker.take_if(|breaker| breaker.cause == EjectionCause::Reported).is_some() {
             self.log(format!("host {:x} readmitted: the report of other dispatchers has expired", id.0));
         }
     }
@@ -918,7 +918,7 @@
             h.phi(
                 now,
                 ANSWER_GAP_MIN_SECONDS[0]
-                    .max(ANSWER_GAP_MIN_SECONDS[1] / f64::from(h.answer_gap.seen.max(1))),
+                    .max(ANSWER_GAP_MIN_SECONDS[1] / f64::from(h.answer_gap.sample_count.max(1))),
             )
         };
         let is_waiting =
@@ -930,14 +930,14 @@
             .filter(|h| phi(h) > SILENCE_PHI_THRESHOLD && !self.is_origin(h));
         let silent: Vec<(HostId, f64)> = silent.map(|h| (h.entry.host, phi(h))).collect();
         for (id, phi) in silent {
-            self.open_breaker(now, id, Bad::Silent, format!("no answers, phi {phi:.1}"));
+            self.open_breaker(now, id, EjectionCause::Silent, format!("no answers, phi {phi:.1}"));
         }
     }
 
     /// Probes the load of sources, those first whose last report is oldest. Each visit pays for a part of a
     /// probe: guards against many dispatchers with little traffic that send more probes than requests.
     fn send_probes(&mut self) {
-        if !self.settings.probes {
+        if !self.settings.can_probe {
             return;
         }
         let sources =
@@ -956,7 +956,7 @@
             host.completed_work_rate.push(std::mem::take(&mut host.completed_work), 0.2);
         }
         // Guards against fills that hang: overdue ones count before they end.
-        let age = |s: &SentHandOff| (now - s.sent_at).as_seconds() / self.quoted(s.band);
+        let age = |s: &SentHandOff| (now - s.sent_at).as_seconds() / self.target_seconds(s.band);
         let overdue = self.in_flight.values().filter(|s| s.fill_probability > 0.0 && age(s) > 1.0);
         let overdue: Vec<_> =
             overdue.map(|s| (age(s).ln(), s.fill_probability, self.origin_blame(s))).collect();
@@ -990,7 +990,7 @@
                 self.decisions.push_back(Decision::Log(limiter.state_line(subject)));
             }
         }
-        self.timers.put(now + SECOND, Timer::EverySecond);
+        self.timers.push(now + SECOND, Timer::EverySecond);
     }
 }
 
@@ -1020,13 +1020,13 @@
 }
 
 /// Whether an attempt ended with a fast error, for which the visit itself may be at fault.
-fn is_fast_error(end: &Ended) -> bool {
-    end.outcome == Outcome::Error && end.took <= FAST_FAILURE_MAX && !is_source_at_fault(end)
+fn is_fast_error(end: &HandOffEnd) -> bool {
+    end.outcome == Outcome::Error && end.duration <= FAST_FAILURE_MAX && !is_source_at_fault(end)
 }
 
 /// Whether the source is at fault, not the host: by the note, or by the time that a refusal took.
-fn is_source_at_fault(end: &Ended) -> bool {
+fn is_source_at_fault(end: &HandOffEnd) -> bool {
     let is_slow_refusal =
-        end.outcome == Outcome::Full && end.note == Note::Untold && end.took > FAST_FAILURE_MAX;
-    is_slow_refusal || matches!(end.note, Note::SourceRefused | Note::SourceUnreached | Note::OriginFailed)
+        end.outcome == Outcome::Full && end.note == Note::Unspecified && end.duration > FAST_FAILURE_MAX;
+    is_slow_refusal || matches!(end.note, Note::SourceRefused | Note::SourceUnreachable | Note::OriginFailed)
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,7 +1,7 @@
 //! Identifier types, one for each kind of entity.
 
 /// Maximum length of a list of locations, host kinds or classes: their ids are 16-bit list indexes.
-pub const PLACES: usize = 1 << 16;
+pub const MAX_LIST_LENGTH: usize = 1 << 16;
 
 /// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -23,7 +23,7 @@
 
 /// Index of a class of requests in the settings' list of services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct BandId(pub u16);
+pub struct ClassId(pub u16);
 
 /// Index of a location in the settings' list. Each wire format encodes it in its own way, so it has no serde
 /// implementation.
@@ -40,4 +40,4 @@
 
 /// Number of a hand-off within its visit, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HandOffNo(pub u8);
+pub struct HandOffNumber(pub u8);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! nothing of the transport.
 #![forbid(unsafe_code)]
 
-pub mod brain;
+pub mod decision_engine;
 pub mod calls;
 pub mod containers;
 pub mod ids;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -17,37 +17,37 @@
     /// Hosts of `group` drop a repeat that arrives within `memory` of the first attempt.
     Deduplicated {
         group: Group,
-        memory: Span,
+        retention: Span,
     },
     AtMostOnce,
 }
 
 /// Settings of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Band {
+pub struct ClassSettings {
     pub effect: Effect,
     /// Target latency, without the time that grows with the size of the answer.
-    pub quoted: Span,
+    pub target_latency: Span,
     /// Seconds added to the target latency for each second of transfer time.
-    pub stretch: f64,
+    pub target_stretch: f64,
     /// How long a cached copy counts as fresh; zero where copies do not expire.
-    pub fresh: Span,
+    pub fresh_for: Span,
     /// How long past its fresh time a copy may be served where it is not filled again.
-    pub grace: Span,
+    pub stale_for: Span,
     /// Whether requests change data, and so have to run at the origin.
-    pub writes: bool,
+    pub is_write: bool,
 }
 
 /// How load on a freshly started host is limited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdStart {
     /// Share of its full capacity that a host has when it starts.
-    pub share: f64,
+    pub initial_share: f64,
     /// Time from its start until it has its full capacity.
     pub ramp: Span,
     /// The host fails when it is sent more than this multiple of its present capacity within `window`.
-    pub multiple: f64,
-    pub window: Span,
+    pub overload_factor: f64,
+    pub overload_window: Span,
 }
 
 /// All settings that the decision module reads.
@@ -59,42 +59,42 @@
     pub location: LocationId,
     /// Dispatchers at this location.
     pub location_dispatchers: u32,
-    pub bands: Vec<Band>,
+    pub classes: Vec<ClassSettings>,
     pub parent_kind: Option<KindId>,
     pub origin_kind: Option<KindId>,
     /// Whether the list of hosts gives their capacity as a weight.
-    pub weights_told: bool,
+    pub has_weights: bool,
     /// Whether these weights are constant, so that they can be used for hashing.
-    pub weights_steady: bool,
+    pub has_stable_weights: bool,
     /// Kilobytes a second of one transfer at full speed; 0 where it is not configured.
-    pub pace: f64,
+    pub transfer_kb_per_s: f64,
     /// Kilobytes a second of each location's link.
-    pub links: Vec<f64>,
+    pub location_link_kb_per_s: Vec<f64>,
     /// Whether requests may go to parents and the origin without a cache.
-    pub direct: bool,
+    pub may_bypass_caches: bool,
     /// Whether a cache lets a request wait for a fill of the same part that is already in flight.
-    pub joins: bool,
+    pub joins_fills: bool,
     /// Whether the notes of answers distinguish fills from a parent's cache and from the origin.
-    pub ways_told: bool,
+    pub reports_fill_source: bool,
     /// Whether hand-offs can be cancelled.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// Whether hosts answer load probes.
-    pub probes: bool,
+    pub can_probe: bool,
     pub max_hand_offs: u8,
     /// Upper bound of the retry-after time of a refusal.
-    pub retry_after_most: Span,
+    pub max_retry_after: Span,
     pub cold_cache: ColdStart,
     pub cold_parent: ColdStart,
     /// Time within which hosts drop copies that were purged.
     pub purge_drop_time: Span,
     /// Time within which a purge has to be obeyed.
-    pub purge_grace: Span,
+    pub purge_obey_time: Span,
 }
 
 impl Settings {
     /// How long after a purge an older copy may still be found at a host.
-    pub fn purge_memory(&self) -> Span {
-        self.purge_drop_time + self.purge_grace
+    pub fn purge_retention(&self) -> Span {
+        self.purge_drop_time + self.purge_obey_time
     }
 
     /// Number of dispatchers that share this location's hosts and link.
@@ -104,15 +104,15 @@
 
     /// Transfers at full speed that this location's link carries, if its capacity is configured.
     pub fn location_link_transfers(&self) -> Option<f64> {
-        self.transfers(*self.links.get(usize::from(self.location.0))?)
+        self.transfers(*self.location_link_kb_per_s.get(usize::from(self.location.0))?)
     }
 
     /// Transfers at full speed that the links of all locations carry together.
     pub fn all_links_transfers(&self) -> Option<f64> {
-        self.transfers(self.links.iter().sum())
+        self.transfers(self.location_link_kb_per_s.iter().sum())
     }
 
     fn transfers(&self, kb_per_second: f64) -> Option<f64> {
-        Some(kb_per_second / self.pace).filter(|n| n.is_finite() && *n > 0.0)
+        Some(kb_per_second / self.transfer_kb_per_s).filter(|n| n.is_finite() && *n > 0.0)
     }
 }
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -1,7 +1,7 @@
 //! Limits shared by several dispatchers, and their reports on hosts. Without allotments and reports none of
 //! this is in force, and a dispatcher decides on its own.
-use crate::brain::{Brain, ORIGIN_RATE_START, TRIALS_TO_RECOVER, UNREACHED_MIN};
-use crate::calls::{Bad, Finding, Found, Shared, Wanted, Word};
+use crate::decision_engine::{DecisionEngine, ORIGIN_RATE_START, TRIALS_TO_RECOVER, UNREACHED_MIN};
+use crate::calls::{EjectionCause, Finding, HostCondition, SharedLimit, LimitUsage, ReportedCondition};
 use crate::containers::TokenBucket;
 use crate::ids::HostId;
 use crate::state::{Host, OpenBreaker, SentHandOff, Timer};
@@ -54,7 +54,7 @@
     measured_since: Time,
 }
 
-impl Brain {
+impl DecisionEngine {
     /// Counts a hand-off in the use of shared limits, if there are any.
     pub(crate) fn record_usage(&mut self, sent: &SentHandOff, is_start: bool) {
         if self.allotments.is_empty() || !is_start {
@@ -67,7 +67,7 @@
         self.origin_usage.used = self.origin_usage.used.max(self.origin_in_flight());
         if sent.is_cached_only {
             self.origin_usage.refused +=
-                sent.fill_probability * self.origin_limiter.origin_rate.or(ORIGIN_RATE_START);
+                sent.fill_probability * self.origin_limiter.origin_rate.value_or(ORIGIN_RATE_START);
         }
     }
 
@@ -79,13 +79,13 @@
 
     /// Sets this dispatcher's part of a shared limit: `amount` until `until`, then `after` without a further
     /// call. Amounts that are negative, infinite or not a number are ignored.
-    pub fn allotted(&mut self, shared: Shared, amount: f64, until: Time, after: f64) {
+    pub fn set_allotment(&mut self, shared: SharedLimit, amount: f64, until: Time, after: f64) {
         if [amount, after].iter().any(|amount| !(0.0..=f64::MAX).contains(amount)) {
             return;
         }
         let hosts = &self.hosts;
         // Drops parts of hosts that are gone. The part of a host that is not listed yet is kept.
-        self.allotments.retain(|known, _| !matches!(known, Shared::Cold(id) if !hosts.contains_key(id)));
+        self.allotments.retain(|known, _| !matches!(known, SharedLimit::ColdStart(id) if !hosts.contains_key(id)));
         let bucket = self
             .allotments
             .get(&shared)
@@ -98,7 +98,7 @@
     pub(crate) fn cold_allotment(&self, now: Time, id: HostId, total: f64) -> f64 {
         let parent = self.hosts.get(&id).is_some_and(|host| self.is_parent(host));
         let senders = if parent { self.settings.dispatchers } else { self.settings.location_dispatchers };
-        let allotment = self.allotments.get(&Shared::Cold(id));
+        let allotment = self.allotments.get(&SharedLimit::ColdStart(id));
         allotment.map_or(total / f64::from(senders.max(1)), |allotment| total * allotment.amount_at(now))
     }
 
@@ -107,10 +107,10 @@
         if !self.retry_budget.try_take(1.0) {
             return false;
         }
-        let Some(allotment) = self.allotments.get_mut(&Shared::Further) else { return true };
+        let Some(allotment) = self.allotments.get_mut(&SharedLimit::Retries) else { return true };
         let amount = allotment.amount_at(now);
         allotment.bucket.refill(now, amount, amount);
-        let is_admitted = self.take_token(Shared::Further, amount);
+        let is_admitted = self.take_token(SharedLimit::Retries, amount);
         let counted = if is_admitted { &mut self.retry_usage.used } else { &mut self.retry_usage.refused };
         *counted += 1.0;
         is_admitted
@@ -119,12 +119,12 @@
     /// Whether one more hand-off may go to the origin, where that limit is shared; `probability` says how
     /// likely this one reaches it.
     pub(crate) fn admits_to_origin(&mut self, now: Time, probability: f64) -> bool {
-        let Some(allotment) = self.allotments.get_mut(&Shared::Origin) else { return true };
+        let Some(allotment) = self.allotments.get_mut(&SharedLimit::Origin) else { return true };
         let amount = allotment.amount_at(now);
         allotment.bucket.refill(now, amount, amount);
         let in_flight = self.origin_in_flight();
         let is_admitted = if amount < 1.0 {
-            in_flight < amount && self.take_token(Shared::Origin, amount)
+            in_flight < amount && self.take_token(SharedLimit::Origin, amount)
         } else {
             in_flight + 1.0 <= amount
         };
@@ -134,7 +134,7 @@
 
     /// Takes a token from a part's bucket. A level below one is a probability, spent whether or not it
     /// admits: guards against many small parts that each round up to one.
-    fn take_token(&mut self, shared: Shared, amount: f64) -> bool {
+    fn take_token(&mut self, shared: SharedLimit, amount: f64) -> bool {
         let Some(allotment) = self.allotments.get_mut(&shared) else { return true };
         if amount >= 1.0 {
             return allotment.bucket.try_take(1.0);
@@ -148,12 +148,12 @@
     pub(crate) fn record_peer_report(
         &mut self,
         now: Time,
-        word: Word,
+        word: ReportedCondition,
         of: (HostId, Option<Time>, Time),
     ) -> Option<&mut Host> {
         let (id, since, until) = of;
         let known = self.hosts.get(&id).filter(|h| !h.is_gone() && (self.is_cache(h) || self.is_parent(h)));
-        let is_present_process = known.filter(|h| h.listed_start == since)?.entry.since == since;
+        let is_present_process = known.filter(|h| h.listed_start == since)?.entry.started_at == since;
         if now >= until {
             // The report is retracted, also if the process is known to be new by now.
             let before = self.hosts.get(&id)?.peer_report?.expires_at;
@@ -162,11 +162,11 @@
             }
             let report = self.hosts.get_mut(&id)?.peer_report.as_mut()?;
             (report.expires_at, report.timer_at) = (until, until);
-            self.timers.put(until, Timer::PeerReport(id));
+            self.timers.push(until, Timer::PeerReport(id));
             return None;
         }
         Some(()).filter(|()| is_present_process)?;
-        if word == Word::Anew {
+        if word == ReportedCondition::Restarted {
             let host = self.hosts.get_mut(&id)?;
             host.is_reported_restarted = true;
             host.breaker
@@ -182,7 +182,7 @@
             .map_or(0, |report| report.own_successes);
         let timer_at = host.peer_report.map(|report| report.timer_at).filter(|timer_at| *timer_at <= until);
         if timer_at.is_none() {
-            self.timers.put(until, Timer::PeerReport(id));
+            self.timers.push(until, Timer::PeerReport(id));
         }
         host.peer_report =
             Some(PeerReport { expires_at: until, timer_at: timer_at.unwrap_or(until), own_successes });
@@ -197,7 +197,7 @@
         };
         if now < report.expires_at {
             report.timer_at = report.expires_at;
-            self.timers.put(report.expires_at, Timer::PeerReport(id));
+            self.timers.push(report.expires_at, Timer::PeerReport(id));
             return false;
         }
         host.peer_report = None;
@@ -210,36 +210,36 @@
         self.hosts.values().filter(|host| !host.is_gone()).filter_map(move |host| {
             let id = host.entry.host;
             let is_restarted =
-                host.restart_detected_at.is_some() && host.restart_detected_at == host.entry.since;
+                host.restart_detected_at.is_some() && host.restart_detected_at == host.entry.started_at;
             let (condition, evidence, at) = match host
                 .breaker
-                .filter(|breaker| breaker.cause != Bad::Told && breaker.trials_passed + 1 < TRIALS_TO_RECOVER)
+                .filter(|breaker| breaker.cause != EjectionCause::Reported && breaker.trials_passed + 1 < TRIALS_TO_RECOVER)
             {
                 Some(OpenBreaker { cause: why, evidence_count: evidence, last_evidence_at: at, .. }) => (
-                    Found::Shut {
-                        why,
-                        unreached: host.is_connection_broken || host.last_answer_at + UNREACHED_MIN < at,
+                    HostCondition::Ejected {
+                        cause: why,
+                        is_unreachable: host.is_connection_broken || host.last_answer_at + UNREACHED_MIN < at,
                     },
                     evidence,
                     at,
                 ),
                 None if is_restarted && self.cold_budget(now, id).is_some() => {
-                    (Found::Anew, TRIALS_TO_RECOVER, host.restart_detected_at?)
+                    (HostCondition::Restarted, TRIALS_TO_RECOVER, host.restart_detected_at?)
                 }
                 None => return None,
             };
             Some(Finding {
                 host: id,
                 since: host.listed_start,
-                what: condition,
-                evidence: evidence.max(1),
-                at,
+                condition: condition,
+                evidence_count: evidence.max(1),
+                last_evidence_at: at,
             })
         })
     }
 
     /// Hosts reported as bad with which enough own hand-offs in a row have succeeded since.
-    pub fn refuted(&self, now: Time) -> impl Iterator<Item = HostId> + '_ {
+    pub fn refuted_reports(&self, now: Time) -> impl Iterator<Item = HostId> + '_ {
         let refuted = move |host: &&Host| host.peer_report.is_some_and(|report| report.is_refuted(now));
         self.hosts.values().filter(refuted).map(|host| host.entry.host)
     }
@@ -250,43 +250,43 @@
     }
 
     /// Hosts that are ejected, and why.
-    pub fn shut_out_now(&self) -> impl Iterator<Item = (HostId, Bad)> + '_ {
+    pub fn ejected_hosts(&self) -> impl Iterator<Item = (HostId, EjectionCause)> + '_ {
         self.hosts.values().filter_map(|host| Some((host.entry.host, host.breaker?.cause)))
     }
 
     /// Hosts that are cold.
-    pub fn cold(&self, now: Time) -> impl Iterator<Item = HostId> + '_ {
+    pub fn cold_hosts(&self, now: Time) -> impl Iterator<Item = HostId> + '_ {
         self.hosts.keys().copied().filter(move |id| self.cold_budget(now, *id).is_some())
     }
 
     /// The use of a shared limit since the last query, and the use there would have been had nothing been
     /// refused. Counted from the first allotment on.
-    pub fn wanted(&mut self, now: Time, shared: Shared) -> Wanted {
-        let total_target = self.settings.bands.iter().map(|band| band.quoted.as_seconds()).sum::<f64>();
+    pub fn take_limit_usage(&mut self, now: Time, shared: SharedLimit) -> LimitUsage {
+        let total_target = self.settings.classes.iter().map(|band| band.target_latency.as_seconds()).sum::<f64>();
         let fill_seconds = self.origin_limiter.log_latency_ratio.value.exp() * total_target
-            / self.settings.bands.len().max(1) as f64;
+            / self.settings.classes.len().max(1) as f64;
         let in_flight = self.origin_in_flight();
         let total = match shared {
-            Shared::Cold(id) => self.total_cold_budget(now, id).map_or(f64::INFINITY, |(total, _)| total),
+            SharedLimit::ColdStart(id) => self.total_cold_budget(now, id).map_or(f64::INFINITY, |(total, _)| total),
             _ => 1.0,
         };
         let counted = match shared {
-            Shared::Origin => &mut self.origin_usage,
-            Shared::Further => &mut self.retry_usage,
-            Shared::Cold(id) => match self.hosts.get_mut(&id) {
+            SharedLimit::Origin => &mut self.origin_usage,
+            SharedLimit::Retries => &mut self.retry_usage,
+            SharedLimit::ColdStart(id) => match self.hosts.get_mut(&id) {
                 Some(host) => &mut host.cold_usage,
-                None => return Wanted::default(),
+                None => return LimitUsage::default(),
             },
         };
         let seconds = (now - counted.measured_since).as_seconds().max(0.001);
         let Usage { used, refused, .. } =
             std::mem::replace(counted, Usage { measured_since: now, ..Usage::default() });
-        if shared == Shared::Origin {
+        if shared == SharedLimit::Origin {
             // Each refused hand-off would have been in flight for as long as a fill by the origin takes.
             self.origin_usage.used = in_flight;
-            return Wanted { used, wanted: used + refused / seconds * fill_seconds };
+            return LimitUsage { used, demanded: used + refused / seconds * fill_seconds };
         }
         let used = (used / seconds / total).max(0.0);
-        Wanted { used, wanted: used + refused / seconds / total }
+        LimitUsage { used, demanded: used + refused / seconds / total }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,11 +1,11 @@
 //! State of the decision module: hosts, objects, classes, visits and hand-offs, and the basic updates to it.
-use crate::brain::{RESULT_WEIGHT, STATS_RETENTION};
-use crate::calls::{Bad, Decision, Fill, Listing, Outcome, Phase, Shared, Visit};
-use crate::containers::{rendezvous, DueTimes, LatencyGradient, Mean, TokenBucket};
-use crate::ids::{BandId, GroupId, HandOffNo, HostId, ObjectId, VisitId};
+use crate::decision_engine::{RESULT_WEIGHT, STATS_RETENTION};
+use crate::calls::{EjectionCause, Decision, Fill, Listing, Outcome, Phase, SharedLimit, Visit};
+use crate::containers::{rendezvous, TimerQueue, LatencyGradient, MovingAverage, TokenBucket};
+use crate::ids::{ClassId, GroupId, HandOffNumber, HostId, ObjectId, VisitId};
 use crate::popularity::Popularity;
 use crate::purges::Purges;
-use crate::settings::{Band, Effect, Settings};
+use crate::settings::{ClassSettings, Effect, Settings};
 use crate::shared::{Allotment, PeerReport, Usage};
 use crate::time::{Span, Time};
 use rand::{Rng, SeedableRng};
@@ -20,7 +20,7 @@
     pub trial_interval: Span,
     /// Successful trials in a row.
     pub trials_passed: u32,
-    pub cause: Bad,
+    pub cause: EjectionCause,
     /// Number of own hand-offs that support it.
     pub evidence_count: u32,
     /// Time of the last hand-off that supports it.
@@ -43,7 +43,7 @@
         self.next_trial_at = if failed { now + self.trial_interval } else { now };
         if failed {
             (self.cause, self.evidence_count, self.last_evidence_at) =
-                (Bad::Fails, self.evidence_count.saturating_add(1), now);
+                (EjectionCause::Failing, self.evidence_count.saturating_add(1), now);
         }
     }
 }
@@ -65,8 +65,8 @@
     pub is_connection_broken: bool,
     /// Since when hand-offs have been in flight without interruption.
     pub waiting_since: Time,
-    pub answer_gap: Mean,
-    pub failure_rate: Mean,
+    pub answer_gap: MovingAverage,
+    pub failure_rate: MovingAverage,
     /// The open circuit breaker, if the host is ejected.
     pub breaker: Option<OpenBreaker>,
     /// When a hand-off to it, or a fill by it, last succeeded.
@@ -85,16 +85,16 @@
     pub cold_bucket: TokenBucket,
     pub cold_usage: Usage,
     /// Average seconds of work it completes a second.
-    pub completed_work_rate: Mean,
+    pub completed_work_rate: MovingAverage,
     /// Seconds of work completed since the last update of the average.
     pub completed_work: f64,
     pub latency_gradient: LatencyGradient,
     /// Average logarithm of the ratio of answer time to target latency: of hits, or of fills by a source.
-    pub log_latency_ratio: Mean,
+    pub log_latency_ratio: MovingAverage,
     /// Sum of the fill probabilities of hand-offs in flight that name this source.
     pub expected_fills: f64,
     /// Share of misses: for parts not known to be cached there, and for those known to be.
-    pub miss_rates: [Mean; 2],
+    pub miss_rates: [MovingAverage; 2],
 }
 
 impl Host {
@@ -108,21 +108,21 @@
             last_reset_at: Time::default(),
             is_connection_broken: false,
             waiting_since: now,
-            answer_gap: Mean::default(),
-            failure_rate: Mean::default(),
+            answer_gap: MovingAverage::default(),
+            failure_rate: MovingAverage::default(),
             breaker: None,
             last_success_at: None,
             peer_report: None,
-            listed_start: entry.since,
+            listed_start: entry.started_at,
             restart_detected_at: None,
             is_reported_restarted: false,
             connection_lost_at: None,
             cold_bucket: TokenBucket::empty(now),
             cold_usage: Usage::default(),
-            completed_work_rate: Mean::default(),
+            completed_work_rate: MovingAverage::default(),
             completed_work: 0.0,
             latency_gradient: LatencyGradient::default(),
-            log_latency_ratio: Mean::default(),
+            log_latency_ratio: MovingAverage::default(),
             expected_fills: 0.0,
             miss_rates: Default::default(),
         }
@@ -139,7 +139,7 @@
     /// Phi accrual failure detector: how unlikely the present silence is, if answer gaps are distributed
     /// exponentially.
     pub fn phi(&self, now: Time, least_gap: f64) -> f64 {
-        let gap = self.answer_gap.or(1.0).max(least_gap);
+        let gap = self.answer_gap.value_or(1.0).max(least_gap);
         self.time_since_answer(now).as_seconds() / gap * std::f64::consts::LOG10_E
     }
 
@@ -159,12 +159,12 @@
 
     /// Opens the circuit breaker. Evidence for silence are the hand-offs in flight, for failures the recent
     /// ones that failed.
-    pub fn open_breaker(&mut self, now: Time, trial_interval: Span, cause: Bad) {
-        let failed = self.failure_rate.value * f64::from(self.failure_rate.seen).min(1.0 / RESULT_WEIGHT[0]);
+    pub fn open_breaker(&mut self, now: Time, trial_interval: Span, cause: EjectionCause) {
+        let failed = self.failure_rate.value * f64::from(self.failure_rate.sample_count).min(1.0 / RESULT_WEIGHT[0]);
         let evidence = match cause {
-            Bad::Silent => self.in_flight,
-            Bad::Fails => failed.ceil() as u32,
-            Bad::Told => 0,
+            EjectionCause::Silent => self.in_flight,
+            EjectionCause::Failing => failed.ceil() as u32,
+            EjectionCause::Reported => 0,
         };
         let next_trial = now + trial_interval;
         self.breaker = Some(OpenBreaker {
@@ -187,14 +187,14 @@
     /// cache: all that was known of the host is discarded. Otherwise the latest known start stays, listed or
     /// detected. Guards against treating a host as warm because the list gives an earlier start or none.
     pub fn update_listing(&mut self, now: Time, entry: Listing) {
-        let since = self.entry.since.max(entry.since);
-        if entry.since > self.listed_start {
+        let since = self.entry.started_at.max(entry.started_at);
+        if entry.started_at > self.listed_start {
             // If the restart was detected earlier, its cold budget began then.
-            let is_detected = self.connection_lost_at.is_some() || self.entry.since >= entry.since;
+            let is_detected = self.connection_lost_at.is_some() || self.entry.started_at >= entry.started_at;
             let cold_bucket = if is_detected { self.cold_bucket } else { TokenBucket::empty(now) };
             *self = Host { in_flight: self.in_flight, cold_bucket, ..Host::new(entry, now) };
         }
-        (self.entry, self.listed_start) = (Listing { since, ..entry }, self.listed_start.max(entry.since));
+        (self.entry, self.listed_start) = (Listing { started_at: since, ..entry }, self.listed_start.max(entry.started_at));
     }
 
     /// Age of its process; `None` if it started long ago. A host that may run a new process counts as just
@@ -203,7 +203,7 @@
         if self.connection_lost_at.is_some() {
             return Some(Span::ZERO);
         }
-        self.entry.since.map(|since| now - since)
+        self.entry.started_at.map(|since| now - since)
     }
 
     /// Records an answer to an attempt sent at `sent`. The first answer after a lost connection may come from
@@ -211,13 +211,13 @@
     pub fn record_answer(&mut self, now: Time, sent: Time) {
         self.last_answer_at = now;
         if self.connection_lost_at.take_if(|cut| *cut <= sent).is_some() {
-            self.entry.since = self.entry.since.max(Some(now));
+            self.entry.started_at = self.entry.started_at.max(Some(now));
         }
     }
 
     /// Treats the host as just started, and charges the hand-offs it has had since to its new cold budget.
     pub fn restart_cold_budget(&mut self, now: Time, sent: u32, work: f64) {
-        (self.entry.since, self.cold_bucket) = (self.entry.since.max(Some(now)), TokenBucket::empty(now));
+        (self.entry.started_at, self.cold_bucket) = (self.entry.started_at.max(Some(now)), TokenBucket::empty(now));
         self.cold_bucket.level -= f64::from(sent) * work;
     }
 
@@ -246,9 +246,9 @@
 /// Averages over the visits of a class.
 #[derive(Debug, Default)]
 pub struct ClassStats {
-    pub transfer_seconds: Mean,
+    pub transfer_seconds: MovingAverage,
     /// Size of answers, where visits tell it.
-    pub kilobytes: Mean,
+    pub kilobytes: MovingAverage,
 }
 
 /// A visit without a final answer.
@@ -297,7 +297,7 @@
     pub trial_sent_at: Time,
     pub host: HostId,
     pub source: Option<HostId>,
-    pub band: BandId,
+    pub band: ClassId,
     pub copy: CachedCopyId,
     /// Whether the part was known to be cached at the host.
     pub was_cached: bool,
@@ -318,17 +318,17 @@
     /// Sum of the fill probabilities of hand-offs in flight.
     pub expected_fills: f64,
     /// Average of `expected_fills` while latency is within `max_latency_ratio`.
-    pub typical_fills: Mean,
+    pub typical_fills: MovingAverage,
     pub max_limit: f64,
     pub limit: f64,
     /// Permitted ratio of fill latency to the class's target latency.
     pub max_latency_ratio: f64,
     /// Average logarithm of the ratio of fill latency to the class's target latency.
-    pub log_latency_ratio: Mean,
+    pub log_latency_ratio: MovingAverage,
     /// Time of the last latency sample.
     pub updated_at: Time,
     /// Share of fills that reach the origin.
-    pub origin_rate: Mean,
+    pub origin_rate: MovingAverage,
     /// Load of the location's link that a cache last reported, and when.
     pub reported_link_load: Option<(Time, f64)>,
     /// Hand-offs since the last update that were restricted to cached copies.
@@ -373,12 +373,12 @@
 }
 
 /// The decision module of one dispatcher.
-pub struct Brain {
+pub struct DecisionEngine {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) hosts: BTreeMap<HostId, Host>,
     pub(crate) visits: BTreeMap<VisitId, OpenVisit>,
-    pub(crate) in_flight: BTreeMap<(VisitId, HandOffNo), SentHandOff>,
+    pub(crate) in_flight: BTreeMap<(VisitId, HandOffNumber), SentHandOff>,
     pub(crate) popularity: Popularity,
     pub(crate) purges: Purges,
     /// Maximum age of copies while purges may have been missed: the time in which a purge has to be obeyed.
@@ -389,8 +389,8 @@
     pub(crate) cached_copies: BTreeMap<CachedCopyId, CachedCopy>,
     pub(crate) class_stats: Vec<ClassStats>,
     /// Average seconds of work of a hand-off to a cache.
-    pub(crate) mean_cache_work: Mean,
-    pub(crate) timers: DueTimes<Timer>,
+    pub(crate) mean_cache_work: MovingAverage,
+    pub(crate) timers: TimerQueue<Timer>,
     pub(crate) undecided: VecDeque<VisitId>,
     pub(crate) decisions: VecDeque<Decision>,
     /// Visits that wait until the next tick for a fill of this dispatcher.
@@ -401,15 +401,15 @@
     pub(crate) fill_limiter: FillLimiter,
     pub(crate) origin_limiter: FillLimiter,
     /// This dispatcher's parts of shared limits.
-    pub(crate) allotments: BTreeMap<Shared, Allotment>,
+    pub(crate) allotments: BTreeMap<SharedLimit, Allotment>,
     pub(crate) origin_usage: Usage,
     pub(crate) retry_usage: Usage,
 }
 
-impl Brain {
-    pub(crate) fn with_settings(set: Settings, seed: u64) -> Brain {
-        Brain {
-            class_stats: set.bands.iter().map(|_| ClassStats::default()).collect(),
+impl DecisionEngine {
+    pub(crate) fn with_settings(set: Settings, seed: u64) -> DecisionEngine {
+        DecisionEngine {
+            class_stats: set.classes.iter().map(|_| ClassStats::default()).collect(),
             settings: set,
             mean_cache_work: Default::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -437,7 +437,7 @@
     }
 
     /// Applies a list of hosts. If it is `whole`, hosts missing from it are gone; else it holds changes only.
-    pub fn listed(&mut self, now: Time, entries: &[Listing], whole: bool) {
+    pub fn update_hosts(&mut self, now: Time, entries: &[Listing], whole: bool) {
         self.hosts.values_mut().filter(|_| whole).for_each(|host| host.entry.phase = Phase::Gone);
         for entry in entries {
             let host = self.hosts.entry(entry.host).or_insert_with(|| Host::new(*entry, now));
@@ -450,33 +450,33 @@
 
     /// Corrects the listed start of a host's process to an earlier time. A later restart that was detected
     /// stays.
-    pub fn redated(&mut self, id: HostId, since: Time) {
+    pub fn correct_start(&mut self, id: HostId, since: Time) {
         let Some(host) = self.hosts.get_mut(&id).filter(|host| host.listed_start > Some(since)) else {
             return;
         };
-        if host.entry.since == host.listed_start {
-            host.entry.since = Some(since);
+        if host.entry.started_at == host.listed_start {
+            host.entry.started_at = Some(since);
         }
         host.listed_start = Some(since);
     }
 
     /// Drops a visit whose client has left or has its final answer, and cancels its hand-offs in flight.
-    pub fn left(&mut self, id: VisitId) {
-        if self.visits.remove(&id).is_none() || !self.settings.cancel {
+    pub fn close_visit(&mut self, id: VisitId) {
+        if self.visits.remove(&id).is_none() || !self.settings.can_cancel {
             return;
         }
-        let out = self.in_flight.range((id, HandOffNo(0))..=(id, HandOffNo(u8::MAX)));
+        let out = self.in_flight.range((id, HandOffNumber(0))..=(id, HandOffNumber(u8::MAX)));
         self.decisions.extend(out.map(|(&(visit, number), _)| Decision::Cancel { visit, number }));
     }
 
     /// Cancels the idempotent hand-offs in flight at a host that is not expected to answer.
     pub(crate) fn cancel_in_flight(&mut self, id: HostId) {
         let is_idempotent =
-            |band: BandId| self.class_settings(band).is_some_and(|b| b.effect == Effect::Idempotent);
+            |band: ClassId| self.class_settings(band).is_some_and(|b| b.effect == Effect::Idempotent);
         let out = self
             .in_flight
             .iter()
-            .filter(|(_, s)| self.settings.cancel && s.host == id && is_idempotent(s.band));
+            .filter(|(_, s)| self.settings.can_cancel && s.host == id && is_idempotent(s.band));
         let out: Vec<_> = out.map(|(&(visit, number), _)| Decision::Cancel { visit, number }).collect();
         self.decisions.extend(out);
     }
@@ -484,7 +484,7 @@
     /// A host reset its connections or refused a new one, so a new process may answer next. Guards against
     /// overloading a new, cold process before the list shows it. A host that closed its connections for
     /// another reason gets a cold host's budget meanwhile.
-    pub fn cut(&mut self, now: Time, id: HostId) {
+    pub fn connection_lost(&mut self, now: Time, id: HostId) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if host.connection_lost_at.is_none() {
             host.cold_bucket = TokenBucket::empty(now);
@@ -494,7 +494,7 @@
 
     /// Returns the work charged to cold hosts for an attempt that was never sent.
     pub(crate) fn refund_unsent(&mut self, sent: &SentHandOff, outcome: Outcome) {
-        if !matches!(outcome, Outcome::Moot | Outcome::Unsent) {
+        if !matches!(outcome, Outcome::Expired | Outcome::NotSent) {
             return;
         }
         let work = self.cold_cost(sent.band);
@@ -506,24 +506,24 @@
     /// Notes that an earlier attempt of a visit that has just arrived was sent to `host` at `at` and may have
     /// been executed. Guards against a repeat outside the group that deduplicates it, after a restart of the
     /// dispatcher.
-    pub fn ran_before(&mut self, id: VisitId, at: Time, host: HostId) {
+    pub fn note_earlier_attempt(&mut self, id: VisitId, at: Time, host: HostId) {
         self.visits.get_mut(&id).into_iter().for_each(|open| open.first_possible_run = Some((at, host)));
     }
 
     /// Records a purge of an object, or of its whole group if no object is given, made `ago` before now.
-    pub fn purged(&mut self, now: Time, group: GroupId, object: Option<ObjectId>, ago: Span) {
+    pub fn record_purge(&mut self, now: Time, group: GroupId, object: Option<ObjectId>, ago: Span) {
         self.purges.record(group, object, now - ago);
     }
 
     /// Sets whether purges may have been missed.
-    pub fn unproven(&mut self, unproven: bool) {
-        self.unverified_max_age = unproven.then_some(self.settings.purge_grace.max(Span(1)));
+    pub fn set_purges_unverified(&mut self, unproven: bool) {
+        self.unverified_max_age = unproven.then_some(self.settings.purge_obey_time.max(Span(1)));
     }
 
     /// The change log has been silent for so long that its purges count as known within `told_within` whether
     /// or not they arrived; `None` once it is heard again.
-    pub fn unheard(&mut self, told_within: Option<Span>) {
-        self.log_silence_max_age = told_within.map(|span| span + self.settings.purge_grace);
+    pub fn set_log_silent(&mut self, told_within: Option<Span>) {
+        self.log_silence_max_age = told_within.map(|span| span + self.settings.purge_obey_time);
     }
 
     /// Adds (1) or removes (-1) a hand-off in the counts of its host, and its expected fill in those of its
@@ -574,33 +574,33 @@
         order.into_iter().map(|(_, host)| host).collect()
     }
 
-    pub(crate) fn class_settings(&self, id: BandId) -> Option<&Band> {
-        self.settings.bands.get(usize::from(id.0))
+    pub(crate) fn class_settings(&self, id: ClassId) -> Option<&ClassSettings> {
+        self.settings.classes.get(usize::from(id.0))
     }
 
     /// Mean transfer time of a class in seconds: by size where visits tell it, else by answer times. Before
     /// any is known the target latency is used, which is longer.
-    pub(crate) fn transfer_seconds(&self, id: BandId) -> f64 {
+    pub(crate) fn transfer_seconds(&self, id: ClassId) -> f64 {
         let (Some(class), Some(stats)) = (self.class_settings(id), self.class_stats.get(usize::from(id.0)))
         else {
             return 1.0;
         };
-        if stats.kilobytes.seen > 0 && self.settings.pace > 0.0 {
-            return stats.kilobytes.value / self.settings.pace;
+        if stats.kilobytes.sample_count > 0 && self.settings.transfer_kb_per_s > 0.0 {
+            return stats.kilobytes.value / self.settings.transfer_kb_per_s;
         }
-        stats.transfer_seconds.or(class.quoted.as_seconds())
+        stats.transfer_seconds.value_or(class.target_latency.as_seconds())
     }
 
     /// Work charged for a hand-off to a cold host: its own, or that of the mean hand-off to a cache if that
     /// is more. Guards against overload by the mere number of small requests.
-    pub(crate) fn cold_cost(&self, id: BandId) -> f64 {
+    pub(crate) fn cold_cost(&self, id: ClassId) -> f64 {
         self.transfer_seconds(id).max(self.mean_cache_work.value)
     }
 
     /// Target latency of a class's mean visit, in seconds.
-    pub fn quoted(&self, id: BandId) -> f64 {
+    pub fn target_seconds(&self, id: ClassId) -> f64 {
         self.class_settings(id)
-            .map_or(1.0, |class| class.quoted.as_seconds() + class.stretch * self.transfer_seconds(id))
+            .map_or(1.0, |class| class.target_latency.as_seconds() + class.target_stretch * self.transfer_seconds(id))
     }
 
     /// Other ready hosts of the same role: parents for a parent, else this location's caches.
@@ -617,7 +617,7 @@
     }
 
     pub(crate) fn hash_weight(&self, host: &Host) -> f64 {
-        Some(host.entry.weight).filter(|weight| self.settings.weights_steady && *weight > 0.0).unwrap_or(1.0)
+        Some(host.entry.weight).filter(|weight| self.settings.has_stable_weights && *weight > 0.0).unwrap_or(1.0)
     }
 
     /// Hand-offs in flight at a host over its limit.
@@ -635,7 +635,7 @@
     pub(crate) fn is_known_cached(&self, now: Time, visit: &Visit, cache: HostId) -> bool {
         let copy = self.cached_copies.get(&(visit.object, visit.part, cache));
         let invalid_until = self.purges.latest(visit.group, visit.object);
-        let invalid_until = invalid_until.max(self.hosts.get(&cache).and_then(|h| h.entry.since));
+        let invalid_until = invalid_until.max(self.hosts.get(&cache).and_then(|h| h.entry.started_at));
         copy.and_then(|c| c.confirmed_at)
             .is_some_and(|at| now < at + STATS_RETENTION && Some(at) > invalid_until)
     }
--- a/tests/cold_in_sum.rs
+++ b/tests/cold_in_sum.rs
@@ -168,33 +168,33 @@
 }
 
 fn settings(case: &Case) -> Settings {
-    let band = |quoted| Band {
+    let band = |quoted| ClassSettings {
         effect: Effect::Idempotent,
-        quoted: Span::millis(quoted),
-        stretch: 2.0,
-        fresh: Span::ZERO,
-        grace: Span::ZERO,
-        writes: false,
+        target_latency: Span::millis(quoted),
+        target_stretch: 2.0,
+        fresh_for: Span::ZERO,
+        stale_for: Span::ZERO,
+        is_write: false,
     };
     let (ramp, window) = (Span(case.rules.ramp), Span(case.rules.window));
-    let cold = |share| ColdStart { share, ramp, multiple: case.rules.overload_factor, window };
+    let cold = |share| ColdStart { initial_share: share, ramp, overload_factor: case.rules.overload_factor, overload_window: window };
     let dispatchers = case.dispatchers as u32;
     Settings {
         dispatchers,
         location: LocationId(0),
         location_dispatchers: dispatchers,
-        bands: vec![band(500), band(250)],
+        classes: vec![band(500), band(250)],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        weights_told: case.weights_told,
-        weights_steady: case.weights_told,
-        direct: true,
-        ways_told: true,
-        cancel: true,
+        has_weights: case.weights_told,
+        has_stable_weights: case.weights_told,
+        may_bypass_caches: true,
+        reports_fill_source: true,
+        can_cancel: true,
         // Large enough that only the parents' budgets limit fills.
-        links: vec![PACE * 500.0],
+        location_link_kb_per_s: vec![PACE * 500.0],
         max_hand_offs: 6,
-        retry_after_most: Span::millis(2000),
+        max_retry_after: Span::millis(2000),
         cold_cache: cold(case.rules.initial_shares[0]),
         cold_parent: cold(case.rules.initial_shares[1]),
         ..Settings::default()
@@ -328,7 +328,7 @@
 /// misses.
 fn requested_from(simulation: &Simulation, entry: &Listing) -> Vec<(u64, f64)> {
     let alike = |other: &&Listing| other.kind == entry.kind && other.phase == Phase::Ready;
-    let weight = |entry: &Listing| if simulation.settings.weights_steady { entry.weight } else { 1.0 };
+    let weight = |entry: &Listing| if simulation.settings.has_stable_weights { entry.weight } else { 1.0 };
     let misses = if entry.kind == KindId(1) { simulation.miss_rates[0] } else { 1.0 };
     let home = |object: u64| {
         let value = |entry: &Listing| rendezvous(object, entry.host, weight(entry));
@@ -354,7 +354,7 @@
 fn measure_host(simulation: &Simulation, id: HostId, case: &Case) -> Measurement {
     let Rules { initial_shares: shares, overload_factor: multiple, window, ramp } = case.rules;
     let entry = simulation.entries.iter().find(|entry| entry.host == id).unwrap();
-    let (share, started_at) = (shares[usize::from(entry.kind == KindId(1))], entry.since.unwrap().0);
+    let (share, started_at) = (shares[usize::from(entry.kind == KindId(1))], entry.started_at.unwrap().0);
     let (requested, ends) = (requested_from(simulation, entry), START + case.duration);
     // N for a window that begins at `from`; capacity is lowest at its beginning.
     let allowed = |from: u64| {
--- a/tests/largest_requests.rs
+++ b/tests/largest_requests.rs
@@ -37,27 +37,27 @@
 }
 
 fn settings(dispatchers: u32) -> Settings {
-    let band = |quoted| Band {
+    let band = |quoted| ClassSettings {
         effect: Effect::Idempotent,
-        quoted: Span::millis(quoted),
-        stretch: 2.0,
-        fresh: Span::ZERO,
-        grace: Span::ZERO,
-        writes: false,
+        target_latency: Span::millis(quoted),
+        target_stretch: 2.0,
+        fresh_for: Span::ZERO,
+        stale_for: Span::ZERO,
+        is_write: false,
     };
     Settings {
         dispatchers,
         location_dispatchers: dispatchers,
-        bands: vec![band(500), band(250)],
+        classes: vec![band(500), band(250)],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        weights_told: true,
-        weights_steady: true,
-        direct: true,
-        ways_told: true,
-        cancel: true,
+        has_weights: true,
+        has_stable_weights: true,
+        may_bypass_caches: true,
+        reports_fill_source: true,
+        can_cancel: true,
         max_hand_offs: 6,
-        retry_after_most: Span::millis(2000),
+        max_retry_after: Span::millis(2000),
         ..Settings::default()
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -33,7 +33,7 @@
 //!
 //! Always checked: each visit gets one final answer and no hand-off after it, never has two hand-offs in
 //! flight, and each refusal has a retry-after time.
-use cherrypass::brain::Brain;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
 use cherrypass::ids::*;
 use cherrypass::settings::*;
@@ -60,7 +60,7 @@
     settings: Settings,
     names: BTreeMap<String, HostId>,
     listings: BTreeMap<HostId, Listing>,
-    brain: Option<Brain>,
+    brain: Option<DecisionEngine>,
     now: u64,
     next_wake: u64,
     visits: BTreeMap<u32, VisitRecord>,
@@ -93,10 +93,10 @@
 impl ScenarioRunner {
     fn new() -> ScenarioRunner {
         let cold = |share: f64, seconds: u64| ColdStart {
-            share,
+            initial_share: share,
             ramp: Span::millis(seconds * 1000),
-            multiple: 2.0,
-            window: Span::millis(2000),
+            overload_factor: 2.0,
+            overload_window: Span::millis(2000),
         };
         let set = Settings {
             dispatchers: 2,
@@ -104,43 +104,43 @@
             location_dispatchers: 1,
             parent_kind: Some(KindId(1)),
             origin_kind: Some(KindId(2)),
-            weights_told: true,
-            weights_steady: true,
-            pace: 5000.0,
-            links: vec![0.0, 0.0, 50_000.0],
-            direct: true,
-            ways_told: true,
-            cancel: true,
+            has_weights: true,
+            has_stable_weights: true,
+            transfer_kb_per_s: 5000.0,
+            location_link_kb_per_s: vec![0.0, 0.0, 50_000.0],
+            may_bypass_caches: true,
+            reports_fill_source: true,
+            can_cancel: true,
             max_hand_offs: 6,
-            retry_after_most: Span::millis(2000),
+            max_retry_after: Span::millis(2000),
             cold_cache: cold(0.2, 15),
             cold_parent: cold(0.1, 20),
             purge_drop_time: Span::millis(6000),
-            purge_grace: Span::millis(500),
+            purge_obey_time: Span::millis(500),
             ..Settings::default()
         };
         ScenarioRunner { settings: set, now: START, next_wake: START, ..ScenarioRunner::default() }
     }
 
-    fn call_module(&mut self, input: impl FnOnce(&mut Brain, Time)) {
+    fn call_module(&mut self, input: impl FnOnce(&mut DecisionEngine, Time)) {
         let now = Time(self.now);
         if self.brain.is_none() {
-            let mut brain = Brain::start(self.settings.clone(), 7, now);
-            brain.listed(now, &self.listings.values().copied().collect::<Vec<_>>(), true);
+            let mut brain = DecisionEngine::new(self.settings.clone(), 7, now);
+            brain.update_hosts(now, &self.listings.values().copied().collect::<Vec<_>>(), true);
             self.brain = Some(brain);
         }
         input(self.brain.as_mut().unwrap(), now);
-        while let Some(decision) = self.brain.as_mut().unwrap().next(now) {
+        while let Some(decision) = self.brain.as_mut().unwrap().next_decision(now) {
             self.apply_decision(decision);
         }
         for host in std::mem::take(&mut self.open_probes) {
             let report = self.report(host);
-            self.brain.as_mut().unwrap().probed(now, host, report);
+            self.brain.as_mut().unwrap().probe_answered(now, host, report);
         }
     }
 
     fn report(&self, host: HostId) -> Report {
-        Report { busy: self.reported_loads.get(&host).copied(), ..Report::default() }
+        Report { load: self.reported_loads.get(&host).copied(), ..Report::default() }
     }
 
     fn apply_decision(&mut self, decision: Decision) {
@@ -161,7 +161,7 @@
                 if let Some(source) = source {
                     *self.fill_counts.entry(source).or_default() += 1.0;
                     *self.cached_only_counts.entry(source).or_default() +=
-                        f64::from(fill.is_some_and(|fill| fill.held));
+                        f64::from(fill.is_some_and(|fill| fill.cached_only));
                 }
                 let number = record.last_number;
                 let name = |prefix: &str, id: Option<HostId>| {
@@ -179,11 +179,11 @@
                 self.pending_answers
                     .insert((self.now, visit.0, number.0), ("cancelled".into(), "untold".into()));
             }
-            Decision::TurnBack { visit, retry_after } => {
+            Decision::Refuse { visit, retry_after } => {
                 assert!(retry_after > Span::ZERO, "visit {} has no retry-after time", visit.0);
                 self.final_answer(visit.0, "turned-back");
             }
-            Decision::WriteOff { visit } => self.final_answer(visit.0, "written-off"),
+            Decision::Fail { visit } => self.final_answer(visit.0, "written-off"),
             Decision::Wake { after } => self.next_wake = self.now + after.0,
             Decision::Probe { host } => {
                 *self.probe_counts.entry(host).or_default() += 1.0;
@@ -207,37 +207,37 @@
     fn end_hand_off(&mut self, id: u32, number: u8, outcome: &str, note: &str) {
         use {Note::*, Outcome::*};
         let outcomes = [
-            ("settled", Settled),
+            ("settled", Served),
             ("error", Error),
             ("full", Full),
             ("timed-out", TimedOut),
             ("connect-failed", ConnectFailed),
             ("reset", Reset),
             ("cancelled", Cancelled),
-            ("moot", Moot),
+            ("moot", Expired),
             ("miss", Miss),
         ];
         let notes = [
-            ("untold", Untold),
+            ("untold", Unspecified),
             ("hit", Hit),
             ("filled", Filled),
             ("filled-by-origin", FilledByOrigin),
             ("joined", Joined),
-            ("source-unreached", SourceUnreached),
-            ("no-place", NoPlace),
+            ("source-unreached", SourceUnreachable),
+            ("no-place", NoCapacity),
             ("origin-failed", OriginFailed),
         ];
         let (outcome, note) = (parse_word(&outcomes, outcome), parse_word(&notes, note));
         let record = self.visits.get_mut(&id).expect("a known visit");
         record.in_flight = 0;
-        if outcome == Settled && record.final_answers.is_empty() {
+        if outcome == Served && record.final_answers.is_empty() {
             record.final_answers.push("settled");
         }
         let (took, last) = (Span(self.now - record.sent_at), !record.final_answers.is_empty());
-        let (visit, number) = (VisitId(id), HandOffNo(number));
+        let (visit, number) = (VisitId(id), HandOffNumber(number));
         let report = self.visits[&id].sent_to.map(|host| self.report(host)).unwrap_or_default();
         self.call_module(|brain, now| {
-            brain.ended(now, Ended { visit, number, outcome, note, took, report, last })
+            brain.hand_off_ended(now, HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last })
         });
     }
 
@@ -254,7 +254,7 @@
                     let (outcome, note) = self.pending_answers.remove(&key).unwrap();
                     self.end_hand_off(key.1, key.2, &outcome, &note);
                 }
-                None => self.call_module(|brain, now| brain.woken(now)),
+                None => self.call_module(|brain, now| brain.tick(now)),
             }
         }
         self.now = then;
@@ -271,15 +271,15 @@
     ) {
         let index = self.classes.iter().position(|known| known.0 == band).expect("a band");
         let limit = limit.map_or(self.classes[index].1, |word| micros(word));
-        let (band, object) = (BandId(index as u16), ObjectId(object.parse().unwrap()));
+        let (band, object) = (ClassId(index as u16), ObjectId(object.parse().unwrap()));
         let deadline = Time(self.now + limit);
         self.visits.insert(id, VisitRecord::default());
         let (id, group, part) = (VisitId(id), GroupId(1), self.part);
-        let visit = Visit { id, band, object, group, part, kilobytes: None, deadline };
+        let visit = Visit { id, class: band, object, group, part, kilobytes: None, deadline };
         self.call_module(|brain, now| {
-            brain.arrived(now, visit);
+            brain.visit_arrived(now, visit);
             if let Some((host, ago)) = earlier_attempt {
-                brain.ran_before(visit.id, now - ago, host);
+                brain.note_earlier_attempt(visit.id, now - ago, host);
             }
         });
     }
@@ -291,18 +291,18 @@
             "idempotent" => Effect::Idempotent,
             "at-most-once" => Effect::AtMostOnce,
             "by-location" => {
-                Effect::Deduplicated { group: Group::Location, memory: span("memory", 6_000_000) }
+                Effect::Deduplicated { group: Group::Location, retention: span("memory", 6_000_000) }
             }
-            _ => Effect::Deduplicated { group: Group::All, memory: span("memory", 6_000_000) },
+            _ => Effect::Deduplicated { group: Group::All, retention: span("memory", 6_000_000) },
         };
         self.classes.push((name.to_string(), span("limit", 6_000_000).0));
-        self.settings.bands.push(Band {
+        self.settings.classes.push(ClassSettings {
             effect,
-            quoted: span("quoted", 500_000),
-            stretch: 2.0,
-            fresh: span("fresh", 0),
-            grace: span("grace", 0),
-            writes: known.contains_key("writes"),
+            target_latency: span("quoted", 500_000),
+            target_stretch: 2.0,
+            fresh_for: span("fresh", 0),
+            stale_for: span("grace", 0),
+            is_write: known.contains_key("writes"),
         });
     }
 
@@ -310,12 +310,12 @@
         let listing = self.listings.get_mut(&self.names[name]).expect("a host");
         let phases = [("ready", Phase::Ready), ("draining", Phase::Draining), ("gone", Phase::Gone)];
         listing.phase = parse_word(&phases, phase);
-        listing.since = match since {
+        listing.started_at = match since {
             Some(&"none") => None,
-            since => since.map(|word| Time(START + micros(word))).or(listing.since),
+            since => since.map(|word| Time(START + micros(word))).or(listing.started_at),
         };
         let listing = *listing;
-        self.call_module(|brain, now| brain.listed(now, &[listing], false));
+        self.call_module(|brain, now| brain.update_hosts(now, &[listing], false));
     }
 
     fn expect(&self, what: &str, key: &str, words: &[&str]) {
@@ -326,7 +326,7 @@
                 "to" => is(record.sent_to),
                 "from" => is(record.fill.map(|fill| fill.source)),
                 "rank" => record.fill.map(|fill| fill.rank.to_string()).as_deref() == Some(words[0]),
-                "oldest" => record.fill.map(|fill| fill.oldest.0 / 1000) == Some(micros(words[0]) / 1000),
+                "oldest" => record.fill.map(|fill| fill.max_age.0 / 1000) == Some(micros(words[0]) / 1000),
                 "hand-offs" => {
                     (u64::from(record.last_number) + u64::from(record.sent_to.is_some())) * 1000
                         == micros(words[0])
@@ -370,12 +370,12 @@
                 }
             }
             ["part", part] => self.part = part.parse().unwrap(),
-            ["probes"] => self.settings.probes = true,
-            ["hits-only"] => self.settings.ways_told = false,
+            ["probes"] => self.settings.can_probe = true,
+            ["hits-only"] => self.settings.reports_fill_source = false,
             ["busy", name, value] => {
                 self.reported_loads.insert(self.names[*name], value.parse().unwrap());
             }
-            ["untold"] => (self.settings.weights_told, self.settings.weights_steady) = (false, false),
+            ["untold"] => (self.settings.has_weights, self.settings.has_stable_weights) = (false, false),
             ["fleet"] => {
                 for host in
                     ["A cache 6", "B cache 6", "C cache 6", "P parent 20", "Q parent 20", "O origin 1"]
@@ -393,7 +393,7 @@
                 let location = LocationId(if kind == 0 { 2 } else { 0 });
                 let weight = weight.parse().unwrap();
                 let (kind, cell) = (KindId(kind as u16), CellId(0));
-                let entry = Listing { host, location, kind, cell, weight, since: None, phase: Phase::Ready };
+                let entry = Listing { host, location, kind, cell, weight, started_at: None, phase: Phase::Ready };
                 self.listings.insert(host, entry);
             }
             ["at", time] => self.run_until(START + micros(time)),
@@ -408,34 +408,34 @@
             }
             ["unproven", is] => {
                 let is = *is == "on";
-                self.call_module(|brain, _| brain.unproven(is));
+                self.call_module(|brain, _| brain.set_purges_unverified(is));
             }
             ["purge", object, ago] => {
                 let (object, ago) = (object.parse().ok().map(ObjectId), Span(micros(ago)));
-                self.call_module(|brain, now| brain.purged(now, GroupId(1), object, ago));
+                self.call_module(|brain, now| brain.record_purge(now, GroupId(1), object, ago));
             }
             ["allot", what, amount, time, after] => {
                 let shared = match *what {
-                    "origin" => Shared::Origin,
-                    "further" => Shared::Further,
-                    name => Shared::Cold(self.names[name]),
+                    "origin" => SharedLimit::Origin,
+                    "further" => SharedLimit::Retries,
+                    name => SharedLimit::ColdStart(self.names[name]),
                 };
                 let (amount, after) = (amount.parse().unwrap(), after.parse().unwrap());
                 let until = Time(self.now + micros(time));
-                self.call_module(|brain, _| brain.allotted(shared, amount, until, after));
+                self.call_module(|brain, _| brain.set_allotment(shared, amount, until, after));
             }
             [word @ ("word" | "new"), name, time, since @ ..] => {
-                let word = if *word == "new" { Word::Anew } else { Word::Bad };
+                let word = if *word == "new" { ReportedCondition::Restarted } else { ReportedCondition::Bad };
                 let host = self.names[*name];
                 let since = since.first().map(|word| Time(START + micros(word)));
-                let since = since.or(self.listings[&host].since);
+                let since = since.or(self.listings[&host].started_at);
                 let until = Time(self.now + micros(time));
-                self.call_module(|brain, now| brain.hearsay(now, host, since, word, until));
+                self.call_module(|brain, now| brain.apply_peer_report(now, host, since, word, until));
             }
             ["leave", id] => {
                 let id = id.parse().unwrap();
                 self.visits.get_mut(&id).unwrap().final_answers.push("left");
-                self.call_module(|brain, _| brain.left(VisitId(id)));
+                self.call_module(|brain, _| brain.close_visit(VisitId(id)));
             }
             ["end", id, outcome, note @ ..] => {
                 let id = id.parse().unwrap();
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -3,7 +3,7 @@
 //! Requests are spread unevenly over dispatchers, hosts have slots and a queue, and cache misses are random.
 //! It records the attempts that reached each host and the result of each request. If connections are
 //! simulated, an attempt reaches its host only once its dispatcher's connection is up.
-use cherrypass::brain::Brain;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
 use cherrypass::ids::*;
 use cherrypass::settings::*;
@@ -160,7 +160,7 @@
     connections: BTreeMap<(usize, HostId), Connection>,
     pending: BTreeMap<AttemptKey, PendingAttempt>,
     /// Each with the time of its next wake.
-    dispatchers: Vec<(Brain, u64)>,
+    dispatchers: Vec<(DecisionEngine, u64)>,
     dispatchers_started_at: Vec<u64>,
     /// Cumulative traffic shares of the dispatchers.
     cumulative_traffic: Vec<f64>,
@@ -179,7 +179,7 @@
         kind: KindId(kind),
         cell: CellId(0),
         weight,
-        since,
+        started_at: since,
         phase: Phase::Ready,
     }
 }
@@ -210,7 +210,7 @@
             queue: VecDeque::new(),
         };
         let hosts = entries.iter().map(|entry| (entry.host, host(entry))).collect();
-        settings.pace = classes.iter().find_map(|class| class.announced_kb_per_s).unwrap_or(0.0);
+        settings.transfer_kb_per_s = classes.iter().find_map(|class| class.announced_kb_per_s).unwrap_or(0.0);
         let mut simulation = Simulation {
             settings,
             entries,
@@ -250,16 +250,16 @@
         simulation
     }
 
-    fn new_dispatcher(&mut self, now: u64) -> (Brain, BTreeMap<HostId, Option<Time>>) {
-        let mut brain = Brain::start(self.settings.clone(), self.rng.gen(), Time(now));
+    fn new_dispatcher(&mut self, now: u64) -> (DecisionEngine, BTreeMap<HostId, Option<Time>>) {
+        let mut brain = DecisionEngine::new(self.settings.clone(), self.rng.gen(), Time(now));
         let listed: Vec<Listing> = self.entries.iter().map(|entry| self.as_listed(*entry)).collect();
-        brain.listed(Time(now), &listed, true);
-        (brain, self.entries.iter().map(|entry| (entry.host, entry.since)).collect())
+        brain.update_hosts(Time(now), &listed, true);
+        (brain, self.entries.iter().map(|entry| (entry.host, entry.started_at)).collect())
     }
 
     /// An entry as dispatchers see it: without the weight if the settings say that weights are not given.
     fn as_listed(&self, entry: Listing) -> Listing {
-        Listing { weight: if self.settings.weights_told { entry.weight } else { 0.0 }, ..entry }
+        Listing { weight: if self.settings.has_weights { entry.weight } else { 0.0 }, ..entry }
     }
 
     /// Restarts a dispatcher: its attempts are reset, and it knows the present list only.
@@ -284,9 +284,9 @@
         let old = old.map(|entry| Listing { phase: Phase::Gone, ..*entry });
         let listings: Vec<Listing> =
             old.into_iter().chain([entry]).map(|entry| self.as_listed(entry)).collect();
-        self.dispatchers[dispatcher].0.listed(Time(now), &listings, false);
-        let before = self.known_starts[dispatcher].insert(id, entry.since);
-        if before != Some(entry.since) || entry.phase == Phase::Gone {
+        self.dispatchers[dispatcher].0.update_hosts(Time(now), &listings, false);
+        let before = self.known_starts[dispatcher].insert(id, entry.started_at);
+        if before != Some(entry.started_at) || entry.phase == Phase::Gone {
             self.close_connection(now, dispatcher, id);
         }
         self.apply_decisions(now, dispatcher);
@@ -299,14 +299,14 @@
             self.pending.iter().filter(|(key, attempt)| key.0 == dispatcher && attempt.target == target);
         let waits: Vec<AttemptKey> = waits.map(|(key, _)| *key).collect();
         for key in waits {
-            self.end_attempt(now, key, (Outcome::Moot, Note::Untold));
+            self.end_attempt(now, key, (Outcome::Expired, Note::Unspecified));
         }
     }
 
     /// Restarts a host's process and updates the list, but not the dispatchers.
     pub fn restart_listed_host(&mut self, now: u64, id: HostId) {
         self.restart_host(now, id);
-        self.entries.iter_mut().filter(|entry| entry.host == id).for_each(|e| e.since = Some(Time(now)));
+        self.entries.iter_mut().filter(|entry| entry.host == id).for_each(|e| e.started_at = Some(Time(now)));
     }
 
     /// Restarts a host's process without updating the list. Connections to the previous process are reset,
@@ -323,7 +323,7 @@
         let out: Vec<AttemptKey> =
             self.attempts.iter().filter(|(_, attempt)| attempt.host == id).map(|(key, _)| *key).collect();
         for key in out {
-            self.end_attempt(now, key, (Outcome::Reset, Note::Untold));
+            self.end_attempt(now, key, (Outcome::Reset, Note::Unspecified));
         }
     }
 
@@ -373,7 +373,7 @@
                 self.entries.push(Listing { host: *id, ..entry });
             }
             let since = Some(Time(self.started_at[id]));
-            self.entries.iter_mut().filter(|entry| entry.host == *id).for_each(|entry| entry.since = since);
+            self.entries.iter_mut().filter(|entry| entry.host == *id).for_each(|entry| entry.started_at = since);
             self.logged_at.insert(*id, now);
         }
         self.schedule_log_updates(now, ids, within);
@@ -435,7 +435,7 @@
     /// Resets a dispatcher's connection to a host.
     fn reset_connection(&mut self, now: u64, dispatcher: usize, target: HostId) {
         self.connections.remove(&(dispatcher, target));
-        self.dispatchers[dispatcher].0.cut(Time(now), target);
+        self.dispatchers[dispatcher].0.connection_lost(Time(now), target);
         self.apply_decisions(now, dispatcher);
     }
 
@@ -452,7 +452,7 @@
                 Event::Retry(dispatcher, request) => self.send_visit(now, dispatcher, request),
                 Event::ConnectionReady(key) => self.connection_ready(now, key),
                 Event::PendingEnds(key, outcome) if self.pending.contains_key(&key) => {
-                    self.end_attempt(now, key, (outcome, Note::Untold));
+                    self.end_attempt(now, key, (outcome, Note::Unspecified));
                 }
                 Event::StaleReset(key) => self.reset_stale_connection(now, key),
                 Event::ConnectionUp(dispatcher, target) => self.connection_up(now, dispatcher, target),
@@ -467,7 +467,7 @@
         }
         for dispatcher in 0..self.dispatchers.len() {
             if now >= self.dispatchers[dispatcher].1 {
-                self.dispatchers[dispatcher].0.woken(Time(now));
+                self.dispatchers[dispatcher].0.tick(Time(now));
                 self.dispatchers[dispatcher].1 = now + WAKE_INTERVAL;
                 self.apply_decisions(now, dispatcher);
             }
@@ -508,7 +508,7 @@
         let id = VisitId(self.next_sequence as u32);
         let visit = Visit {
             id,
-            band: BandId(client_request.class as u16),
+            class: ClassId(client_request.class as u16),
             object: ObjectId(client_request.object),
             group: GroupId(0),
             part: 0,
@@ -518,27 +518,27 @@
             deadline: Time(now + class.deadline),
         };
         self.visits.insert((dispatcher, id), (request, 0));
-        self.dispatchers[dispatcher].0.arrived(Time(now), visit);
+        self.dispatchers[dispatcher].0.visit_arrived(Time(now), visit);
         self.apply_decisions(now, dispatcher);
     }
 
     fn apply_decisions(&mut self, now: u64, dispatcher: usize) {
-        while let Some(decision) = self.dispatchers[dispatcher].0.next(Time(now)) {
+        while let Some(decision) = self.dispatchers[dispatcher].0.next_decision(Time(now)) {
             match decision {
-                Decision::HandOff { visit, host, fill, latest, .. } => {
+                Decision::HandOff { visit, host, fill, send_before: latest, .. } => {
                     self.send_attempt(now, (dispatcher, visit), (host, fill), latest);
                 }
                 Decision::Cancel { visit, number } => {
-                    self.end_attempt(now, (dispatcher, visit, number.0), (Outcome::Cancelled, Note::Untold));
+                    self.end_attempt(now, (dispatcher, visit, number.0), (Outcome::Cancelled, Note::Unspecified));
                 }
-                Decision::TurnBack { visit, retry_after } => {
+                Decision::Refuse { visit, retry_after } => {
                     let Some((request, _)) = self.visits.remove(&(dispatcher, visit)) else { continue };
                     if self.requests[request].retries_left > 0 {
                         self.requests[request].retries_left -= 1;
                         self.schedule(now + retry_after.0, Event::Retry(dispatcher, request));
                     }
                 }
-                Decision::WriteOff { visit } => drop(self.visits.remove(&(dispatcher, visit))),
+                Decision::Fail { visit } => drop(self.visits.remove(&(dispatcher, visit))),
                 Decision::Wake { .. } | Decision::Probe { .. } | Decision::Log(_) => {}
             }
         }
@@ -591,7 +591,7 @@
         let up = self.connections[&connection].up_at;
         self.pending.insert(key, attempt);
         if latest.0 < up {
-            return self.schedule(latest.0, Event::PendingEnds(key, Outcome::Moot));
+            return self.schedule(latest.0, Event::PendingEnds(key, Outcome::Expired));
         }
         self.schedule(up, Event::ConnectionReady(key));
     }
@@ -628,7 +628,7 @@
             .filter(|(other, attempt)| other.0 == key.0 && attempt.listed_as == target && attempt.is_lost);
         let out: Vec<AttemptKey> = out.map(|(key, _)| *key).chain([key]).collect();
         for key in out {
-            self.end_attempt(now, key, (Outcome::Reset, Note::Untold));
+            self.end_attempt(now, key, (Outcome::Reset, Note::Unspecified));
         }
     }
 
@@ -640,7 +640,7 @@
         let source = fill.map(|fill| fill.source).filter(|source| *source != target);
         let is_miss = fill.is_some() && self.rng.gen_bool(self.miss_rates[0]);
         let needs_origin = self.rng.gen_bool(self.miss_rates[1]);
-        let is_cached_only = fill.is_some_and(|fill| fill.held);
+        let is_cached_only = fill.is_some_and(|fill| fill.cached_only);
         let origin = self.entries.iter().find(|entry| Some(entry.kind) == self.settings.origin_kind);
         let origin = origin.map(|entry| entry.host).filter(|id| needs_origin && Some(*id) != source);
         let source = source.filter(|_| is_miss);
@@ -651,17 +651,17 @@
         let source = source.map(|source| self.host_at(source));
         let mut route: VecDeque<HostId> = VecDeque::new();
         let end = match source {
-            _ if self.rng.gen_bool(self.hosts[&host].error_rate) => (Outcome::Error, Note::Untold),
+            _ if self.rng.gen_bool(self.hosts[&host].error_rate) => (Outcome::Error, Note::Unspecified),
             None if is_miss => (Outcome::Miss, Note::Hit),
-            Some(_) if is_cached_only && needs_origin => (Outcome::Miss, Note::SourceLacks),
+            Some(_) if is_cached_only && needs_origin => (Outcome::Miss, Note::SourceMiss),
             Some(source) => {
                 route.extend(origin.into_iter().chain([source, host]));
                 let is_origin_fill = origin.is_some();
-                (Outcome::Settled, if is_origin_fill { Note::FilledByOrigin } else { Note::Filled })
+                (Outcome::Served, if is_origin_fill { Note::FilledByOrigin } else { Note::Filled })
             }
             None => {
                 route.push_back(host);
-                (Outcome::Settled, Note::Hit)
+                (Outcome::Served, Note::Hit)
             }
         };
         let dead = self.hosts[&host].is_unreachable;
@@ -687,7 +687,7 @@
             let logged = self.logged_at.get(&self.host_at(target));
             return logged.is_some() && logged >= self.started_at.get(&self.host_at(target));
         }
-        let listed = self.entries.iter().find(|entry| entry.host == target).and_then(|e| e.since);
+        let listed = self.entries.iter().find(|entry| entry.host == target).and_then(|e| e.started_at);
         self.known_starts[dispatcher].get(&target).is_some_and(|since| *since == listed)
     }
 
@@ -761,14 +761,14 @@
         let connection = answered.and_then(|target| self.connections.get_mut(&(dispatcher, target)));
         connection.into_iter().for_each(|connection| connection.last_used_at = now);
         let mut last = false;
-        if outcome == Outcome::Settled {
+        if outcome == Outcome::Served {
             if let Some((request, _)) = self.visits.remove(&(dispatcher, visit)) {
                 (self.requests[request].is_served, last) = (true, true);
             }
         }
-        let (number, took) = (HandOffNo(number), Span(now - decided_at));
-        let end = Ended { visit, number, outcome, note, took, report: Report::default(), last };
-        self.dispatchers[dispatcher].0.ended(Time(now), end);
+        let (number, took) = (HandOffNumber(number), Span(now - decided_at));
+        let end = HandOffEnd { visit, number, outcome, note, duration: took, report: Report::default(), is_final: last };
+        self.dispatchers[dispatcher].0.hand_off_ended(Time(now), end);
         self.apply_decisions(now, dispatcher);
     }
 
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -14,7 +14,7 @@
 
 fn entry(since: Option<Time>) -> Listing {
     let (host, location, kind, cell) = (HostId(1), LocationId(0), KindId(0), CellId(0));
-    Listing { host, location, kind, cell, weight: 6.0, since, phase: Phase::Ready }
+    Listing { host, location, kind, cell, weight: 6.0, started_at: since, phase: Phase::Ready }
 }
 
 /// A host whose restart was detected at 40 s, after three trials.
@@ -31,10 +31,10 @@
 fn hand_offs_since_a_detected_restart_stay_charged(listed: u64, charged: f64) {
     let mut host = restarted_host(at(5));
     host.update_listing(at(45).unwrap(), entry(at(listed)));
-    assert_eq!(host.entry.since, at(listed.max(40)));
+    assert_eq!(host.entry.started_at, at(listed.max(40)));
     assert!((host.cold_bucket.level + charged).abs() < 1e-9, "{}", host.cold_bucket.level);
     host.update_listing(at(60).unwrap(), entry(at(59)));
-    assert_eq!((host.entry.since, host.cold_bucket.level), (at(59), 0.0));
+    assert_eq!((host.entry.started_at, host.cold_bucket.level), (at(59), 0.0));
 }
 
 #[test_case(at(5); "the same")]
@@ -44,7 +44,7 @@
     let mut host = restarted_host(at(5));
     host.record_result(at(41).unwrap(), true, 1.0);
     host.update_listing(at(45).unwrap(), entry(listed));
-    assert_eq!((host.entry.since, host.listed_start, host.failure_rate.seen), (at(40), at(5), 1));
+    assert_eq!((host.entry.started_at, host.listed_start, host.failure_rate.sample_count), (at(40), at(5), 1));
     assert!(host.cold_bucket.level < 0.0);
 }
 
@@ -66,9 +66,9 @@
     let mut host = Host::new(entry(at(90)), Time(0));
     host.connection_lost_at = at(40);
     host.record_answer(at(42).unwrap(), at(41).unwrap());
-    assert_eq!(host.entry.since, at(90));
+    assert_eq!(host.entry.started_at, at(90));
     host.restart_cold_budget(at(43).unwrap(), 0, 0.0);
-    assert_eq!(host.entry.since, at(90));
+    assert_eq!(host.entry.started_at, at(90));
 }
 
 /// Refunds for hand-offs charged to the previous process do not add to the budget of the new one.
