--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -1,7 +1,7 @@
 //! Applies batches of events to the instances of the decision module, and encodes their decisions.
 use crate::wire::{action, event, Error, Fields, Frame, Reply, LIST_ENTRY_BYTES};
-use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::ids::*;
 use cherrypass::time::{Span, Time};
 use cherrypass_settings as settings;
@@ -48,8 +48,8 @@
         }
         let mut reply = Reply::default();
         for instance in changed {
-            if let Some((brain, _)) = self.instances.get_mut(&instance) {
-                while let Some(decision) = brain.next_decision(now) {
+            if let Some((engine, _)) = self.instances.get_mut(&instance) {
+                while let Some(decision) = engine.next_decision(now) {
                     encode_decision(&mut reply, instance, decision);
                 }
             }
@@ -83,7 +83,7 @@
         if code == event::STOP {
             return self.instances.remove(&instance).map(drop).ok_or_else(unknown);
         }
-        let (brain, columns) = self.instances.get_mut(&instance).ok_or_else(unknown)?;
+        let (engine, columns) = self.instances.get_mut(&instance).ok_or_else(unknown)?;
         match code {
             event::LIST => {
                 let whole = match record.u8(4) {
@@ -97,17 +97,19 @@
                 let list = list.ok_or_else(|| {
                     frame.error(format!("list {number} was not sent before it is referred to"))
                 })?;
-                brain.update_hosts(now, list, whole);
+                engine.update_hosts(now, list, whole);
+            }
+            event::VISIT => engine.visit_arrived(now, visit(record)),
+            event::HAND_OFF_ENDED => engine.hand_off_ended(now, ended(frame, record, *columns)?),
+            event::CLIENT_LEFT => engine.close_visit(VisitId(record.u32(4))),
+            event::WAKE => engine.tick(now),
+            event::PROBE_ANSWERED => {
+                engine.probe_answered(now, host(record, 6), report(record, 16, *columns))
             }
-            event::VISIT => brain.visit_arrived(now, visit(record)),
-            event::HAND_OFF_ENDED => brain.hand_off_ended(now, ended(frame, record, *columns)?),
-            event::CLIENT_LEFT => brain.close_visit(VisitId(record.u32(4))),
-            event::WAKE => brain.tick(now),
-            event::PROBE_ANSWERED => brain.probe_answered(now, host(record, 6), report(record, 16, *columns)),
             event::PURGE => {
                 let object = Some(record.u64(10)).filter(|key| *key != 0).map(ObjectId);
                 let ago = Span(u64::from(record.u32(4)));
-                brain.record_purge(now, GroupId(u32::from(record.u16(8))), object, ago);
+                engine.record_purge(now, GroupId(u32::from(record.u16(8))), object, ago);
             }
             _ => {}
         }
@@ -209,7 +211,9 @@
             record.put(8, &host_bytes(host)).put(14, &until.0.to_le_bytes());
             if let Some(fill) = fill {
                 let oldest = fill.max_age.0.min(u64::from(u32::MAX)) as u32;
-                let bits = u8::from(fill.may_join) | u8::from(fill.cached_only) << 1 | u8::from(fill.refresh_stale) << 3;
+                let bits = u8::from(fill.may_join)
+                    | u8::from(fill.cached_only) << 1
+                    | u8::from(fill.refresh_stale) << 3;
                 record.put(22, &host_bytes(fill.source)).put(28, &[fill.rank]);
                 record.put(29, &oldest.to_le_bytes()).put(33, &[bits]);
             }
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -40,7 +40,7 @@
     to_unix(now())
 }
 
-/// Converts a monotonic time as [`unix`] does.
+/// Converts a monotonic time as [`unix_now`] does.
 pub fn to_unix(time: Time) -> UnixTime {
     let start = process_start().unix;
     if time >= START {
--- a/crates/dispatcher/src/fleet_connection.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -6,8 +6,10 @@
 use crate::clock;
 use crate::config::Config;
 use crate::inbox::Input;
+use cherrypass::calls::{
+    EjectionCause, HostCondition, LimitUsage, Listing, Phase, ReportedCondition, SharedLimit,
+};
 use cherrypass::decision_engine::DecisionEngine;
-use cherrypass::calls::{EjectionCause, HostCondition, Listing, Phase, SharedLimit, LimitUsage, ReportedCondition};
 use cherrypass::ids::{ClassId, HostId, LocationId};
 use cherrypass::settings::Settings;
 use cherrypass::time::{Span, Time, UnixTime};
@@ -228,31 +230,31 @@
         }
     }
 
-    /// How long until the next exchange ([`Sharing::round`]) is due.
+    /// How long until the next exchange ([`FleetConnection::exchange`]) is due.
     pub fn until_next_exchange(&self) -> Duration {
         self.next_exchange.saturating_duration_since(Instant::now())
     }
 
     /// Before anything is served: sets the shares of all limits to zero until the fleet allots more. An
     /// earlier run of this process may have lent its share to others, or its hand-offs may still be using it.
-    pub fn set_initial_shares(&mut self, brain: &mut DecisionEngine) {
+    pub fn set_initial_shares(&mut self, engine: &mut DecisionEngine) {
         let Some(limits) = &self.fleet.limits else { return };
         let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
         let limited = totals.into_iter().filter(|(_, total)| total.is_some());
-        limited.for_each(|(key, _)| self.set_initial_share(brain, key, 0.0));
+        limited.for_each(|(key, _)| self.set_initial_share(engine, key, 0.0));
     }
 
     /// Sets the share that applies until the fleet allots one.
-    fn set_initial_share(&mut self, brain: &mut DecisionEngine, key: Key, amount: f64) {
+    fn set_initial_share(&mut self, engine: &mut DecisionEngine, key: Key, amount: f64) {
         self.shares.entry(key).or_insert(Share { amount, until: Instant::now(), after: amount });
-        self.apply_share(brain, key);
+        self.apply_share(engine, key);
     }
 
     /// Passes a share to the module.
-    fn apply_share(&self, brain: &mut DecisionEngine, key: Key) {
+    fn apply_share(&self, engine: &mut DecisionEngine, key: Key) {
         if let Some(Share { amount, until, after }) = self.shares.get(&key) {
             let scale = self.scale(key);
-            brain.set_allotment(shared_limit(key), scale * amount, module_time(*until), scale * after);
+            engine.set_allotment(shared_limit(key), scale * amount, module_time(*until), scale * after);
         }
     }
 
@@ -268,14 +270,14 @@
     }
 
     /// Puts rules in force.
-    fn apply_rules(&mut self, brain: &mut DecisionEngine, rules: Rules) {
+    fn apply_rules(&mut self, engine: &mut DecisionEngine, rules: Rules) {
         self.rules = rules;
         self.shares
             .keys()
             .copied()
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|key| self.apply_share(brain, key));
+            .for_each(|key| self.apply_share(engine, key));
         if let Some(file) = &self.fleet.verdicts {
             let rules = &self.rules.fleet.verdicts;
             let tellers = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
@@ -286,7 +288,7 @@
         }
         if !self.rules.fleet.verdicts.uses_findings {
             let hosts: Vec<HostId> = self.reported_hosts.keys().copied().collect();
-            hosts.into_iter().for_each(|host| self.withdraw_report(brain, host));
+            hosts.into_iter().for_each(|host| self.withdraw_report(engine, host));
         }
     }
 
@@ -298,23 +300,29 @@
     }
 
     /// Withdraws other dispatchers' report on a host from the module.
-    fn withdraw_report(&mut self, brain: &mut DecisionEngine, host: HostId) {
+    fn withdraw_report(&mut self, engine: &mut DecisionEngine, host: HostId) {
         if let Some(report) = self.reported_hosts.remove(&host) {
             let now = clock::now();
-            brain.apply_peer_report(now, host, self.start_of(host, report.started), ReportedCondition::Bad, now);
+            engine.apply_peer_report(
+                now,
+                host,
+                self.start_of(host, report.started),
+                ReportedCondition::Bad,
+                now,
+            );
         }
     }
 
     /// Handles a message of the fleet.
-    pub fn handle(&mut self, brain: &mut DecisionEngine, message: FromFleet) {
+    pub fn handle(&mut self, engine: &mut DecisionEngine, message: FromFleet) {
         match message {
             FromFleet::Part { key, number, amount, until, after } => {
                 // Nothing is kept for hosts that are gone.
-                if matches!(key, Key::Cold(host) if !brain.is_listed(host)) {
+                if matches!(key, Key::Cold(host) if !engine.is_listed(host)) {
                     return;
                 }
                 self.shares.insert(key, Share { amount, until, after });
-                self.apply_share(brain, key);
+                self.apply_share(engine, key);
                 (self.send)(ToFleet::Taken { key, number });
             }
             FromFleet::Hearsay { kind: Kind::Slow, .. } => {}
@@ -323,7 +331,13 @@
                 // Only once per start: a later start in the list takes precedence over repeated reports.
                 if self.restarted_hosts.insert(host, since) != Some(since) {
                     let start = self.start_of(host, since);
-                    brain.apply_peer_report(clock::now(), host, start, ReportedCondition::Restarted, module_time(until));
+                    engine.apply_peer_report(
+                        clock::now(),
+                        host,
+                        start,
+                        ReportedCondition::Restarted,
+                        module_time(until),
+                    );
                 }
             }
             FromFleet::Hearsay { host, since, until, .. } => {
@@ -332,17 +346,23 @@
                     .get(&host)
                     .is_some_and(|report| report.is_refuted && report.started == since);
                 self.reported_hosts.insert(host, ReportedHost { started: since, until, is_refuted });
-                brain.apply_peer_report(clock::now(), host, self.start_of(host, since), ReportedCondition::Bad, module_time(until));
+                engine.apply_peer_report(
+                    clock::now(),
+                    host,
+                    self.start_of(host, since),
+                    ReportedCondition::Bad,
+                    module_time(until),
+                );
             }
-            FromFleet::Withdraw { host } => self.withdraw_report(brain, host),
+            FromFleet::Withdraw { host } => self.withdraw_report(engine, host),
             FromFleet::Delivered(Delivered::KnownUpTo(at)) => {
                 self.known_up_to = self.known_up_to.max(Some(at));
-                self.update_proof(brain);
+                self.update_proof(engine);
             }
             FromFleet::Delivered(Delivered::Changes { .. } | Delivered::ReadLog(_)) => {}
-            FromFleet::Rules { number: 0, .. } => self.apply_rules(brain, Rules::default()),
+            FromFleet::Rules { number: 0, .. } => self.apply_rules(engine, Rules::default()),
             FromFleet::Rules { number, text } => match rules::decode(&text, &self.fleet) {
-                Ok(rules) => self.apply_rules(brain, rules),
+                Ok(rules) => self.apply_rules(engine, rules),
                 Err(error) => {
                     tracing::warn!("rules {number} are rejected ({}): {error}", error.code());
                     (self.send)(ToFleet::NotTaken { number, why: error.to_string() });
@@ -352,10 +372,10 @@
     }
 
     /// Tells the module whether there may be purges that are not known here.
-    fn update_proof(&mut self, brain: &mut DecisionEngine) {
+    fn update_proof(&mut self, engine: &mut DecisionEngine) {
         let (Some(delivery), Some(known)) = (&self.fleet.delivery, self.known_up_to) else { return };
         let is_unproven = known.elapsed() > clock::to_std(delivery.max_proof_age);
-        brain.set_purges_unverified(is_unproven && delivery.unproven == UnprovenCopies::Strict);
+        engine.set_purges_unverified(is_unproven && delivery.unproven == UnprovenCopies::Strict);
         if std::mem::replace(&mut self.is_unproven, is_unproven) != is_unproven {
             let age_ms = known.elapsed().as_millis();
             match is_unproven {
@@ -371,7 +391,7 @@
     }
 
     /// An entry of the host list was applied.
-    pub fn host_listed(&mut self, brain: &mut DecisionEngine, entry: &Listing, started: Option<UnixTime>) {
+    pub fn host_listed(&mut self, engine: &mut DecisionEngine, entry: &Listing, started: Option<UnixTime>) {
         self.starts.insert(entry.host, (started, entry.started_at));
         if entry.phase != Phase::Ready {
             return self.host_unlisted(entry.host, entry.phase == Phase::Gone);
@@ -381,7 +401,7 @@
         let used_by = if is_used_by_all { UsedBy::All } else { UsedBy::Location(entry.location) };
         (self.send)(ToFleet::Listed { host: entry.host, since: started, used_by });
         if entry.started_at.is_some() {
-            self.init_cold_share(brain, entry.host);
+            self.init_cold_share(engine, entry.host);
         }
     }
 
@@ -403,55 +423,57 @@
 
     /// Sets the share of a cold host for which the fleet has not allotted one to the floor, which no other
     /// member can have. The fleet may know too many hosts to allot shares for this one.
-    fn init_cold_share(&mut self, brain: &mut DecisionEngine, host: HostId) {
+    fn init_cold_share(&mut self, engine: &mut DecisionEngine, host: HostId) {
         let key = Key::Cold(host);
         let shares_cold_budgets = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
         if shares_cold_budgets && !self.shares.contains_key(&key) {
-            self.set_initial_share(brain, key, self.floor);
+            self.set_initial_share(engine, key, self.floor);
         }
     }
 
     /// Exchanges the current state between module and fleet, in both directions.
-    pub fn exchange(&mut self, brain: &mut DecisionEngine) {
+    pub fn exchange(&mut self, engine: &mut DecisionEngine) {
         let (now, instant) = (clock::now(), Instant::now());
         self.next_exchange = instant + EXCHANGE_INTERVAL;
         self.exchanges += 1;
-        self.update_proof(brain);
+        self.update_proof(engine);
         self.shares
             .keys()
             .copied()
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|key| self.apply_share(brain, key));
+            .for_each(|key| self.apply_share(engine, key));
         self.reported_hosts.retain(|_, report| instant < report.until);
         for (host, report) in &self.reported_hosts {
             let start = self.start_of(*host, report.started);
-            brain.apply_peer_report(now, *host, start, ReportedCondition::Bad, module_time(report.until));
+            engine.apply_peer_report(now, *host, start, ReportedCondition::Bad, module_time(report.until));
         }
         if self.fleet.verdicts.is_some() {
-            self.send_findings(brain, now);
+            self.send_findings(engine, now);
         }
-        self.send_ejections(brain);
-        self.send_demand(brain, now);
+        self.send_ejections(engine);
+        self.send_demand(engine, now);
         if self.exchanges.is_multiple_of(DEMAND_WINDOW) {
             (self.send)(ToFleet::Counted(std::mem::take(&mut self.counters)));
         }
     }
 
     /// Sends findings about hosts that are new or have changed.
-    fn send_findings(&mut self, brain: &DecisionEngine, now: Time) {
+    fn send_findings(&mut self, engine: &DecisionEngine, now: Time) {
         let mut current = BTreeMap::new();
-        for finding in brain.findings(now) {
+        for finding in engine.findings(now) {
             let kind = match finding.condition {
                 HostCondition::Restarted => Kind::JustStarted,
-                HostCondition::Ejected { cause: EjectionCause::Silent, .. } | HostCondition::Ejected { is_unreachable: true, .. } => Kind::CutOff,
+                HostCondition::Ejected { cause: EjectionCause::Silent, .. }
+                | HostCondition::Ejected { is_unreachable: true, .. } => Kind::CutOff,
                 HostCondition::Ejected { .. } => Kind::ShutOut,
             };
             let key = (finding.host, kind == Kind::JustStarted);
             let since = self.starts.get(&finding.host).and_then(|known| known.0);
             let content = (kind, finding.evidence_count, since);
             if self.sent_findings.get(&key) != Some(&content) {
-                let (host, evidence, age) = (finding.host, finding.evidence_count, now - finding.last_evidence_at);
+                let (host, evidence, age) =
+                    (finding.host, finding.evidence_count, now - finding.last_evidence_at);
                 (self.send)(ToFleet::Found(Finding { host, since, kind, evidence, age }));
             }
             current.insert(key, content);
@@ -459,7 +481,7 @@
         let cleared = self.sent_findings.keys().filter(|key| !key.1 && !current.contains_key(key));
         cleared.for_each(|key| (self.send)(ToFleet::Cleared(key.0)));
         self.sent_findings = current;
-        for host in brain.refuted_reports(now) {
+        for host in engine.refuted_reports(now) {
             if let Some(report) = self.reported_hosts.get_mut(&host).filter(|report| !report.is_refuted) {
                 report.is_refuted = true;
                 (self.send)(ToFleet::Refuted(host));
@@ -468,9 +490,9 @@
     }
 
     /// Sends which hosts were ejected or returned.
-    fn send_ejections(&mut self, brain: &DecisionEngine) {
+    fn send_ejections(&mut self, engine: &DecisionEngine) {
         let ejected: BTreeMap<HostId, bool> =
-            brain.ejected_hosts().map(|(host, why)| (host, why == EjectionCause::Reported)).collect();
+            engine.ejected_hosts().map(|(host, why)| (host, why == EjectionCause::Reported)).collect();
         for (host, by_report) in
             ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
         {
@@ -484,21 +506,21 @@
     }
 
     /// Sends the demand for each limit, and once a second its usage.
-    fn send_demand(&mut self, brain: &mut DecisionEngine, now: Time) {
+    fn send_demand(&mut self, engine: &mut DecisionEngine, now: Time) {
         let Some(limits) = &self.fleet.limits else { return };
         let totals = [(Key::Origin, limits.origin), (Key::Further, limits.retries_per_s)];
         let mut keys: BTreeSet<Key> =
             totals.into_iter().filter(|(_, total)| total.is_some()).map(|(key, _)| key).collect();
         if limits.shares_cold_budgets {
-            let cold: Vec<HostId> = brain.cold_hosts(now).collect();
-            cold.iter().for_each(|host| self.init_cold_share(brain, *host));
+            let cold: Vec<HostId> = engine.cold_hosts(now).collect();
+            cold.iter().for_each(|host| self.init_cold_share(engine, *host));
             keys.extend(cold.into_iter().map(Key::Cold));
         }
         self.recent_demand.retain(|key, _| keys.contains(key));
         let sends_usage = self.exchanges.is_multiple_of(DEMAND_WINDOW);
         for key in keys {
             let recent = self.recent_demand.entry(key).or_default();
-            recent.push_back(brain.take_limit_usage(now, shared_limit(key)));
+            recent.push_back(engine.take_limit_usage(now, shared_limit(key)));
             if recent.len() > DEMAND_WINDOW {
                 recent.pop_front();
             }
@@ -520,9 +542,9 @@
     }
 
     /// Counts a visit that was served.
-    pub fn count_served(&mut self, brain: &DecisionEngine, band: ClassId, took: Span) {
+    pub fn count_served(&mut self, engine: &DecisionEngine, class: ClassId, took: Span) {
         self.counters.visits += 1;
-        self.counters.in_time += u64::from(took.as_seconds() <= brain.target_seconds(band));
+        self.counters.in_time += u64::from(took.as_seconds() <= engine.target_seconds(class));
     }
 
     /// Counts a visit that was refused.
@@ -550,8 +572,15 @@
     const ORIGIN: HostId = HostId(9);
 
     fn class(writes: bool) -> ClassSettings {
-        let (quoted, zero) = (Span::millis(500), Span::ZERO);
-        ClassSettings { effect: Effect::Idempotent, target_latency: quoted, target_stretch: 2.0, fresh_for: zero, stale_for: zero, is_write: writes }
+        let (target_latency, zero) = (Span::millis(500), Span::ZERO);
+        ClassSettings {
+            effect: Effect::Idempotent,
+            target_latency,
+            target_stretch: 2.0,
+            fresh_for: zero,
+            stale_for: zero,
+            is_write: writes,
+        }
     }
 
     /// A decision module with four caches, the first of them cold, and an origin; and its connection to a
@@ -573,21 +602,28 @@
             may_bypass_caches: true,
             can_cancel: true,
             max_hand_offs: 6,
-            cold_cache: ColdStart { initial_share: share, ramp, overload_factor: multiple, overload_window: window },
+            cold_cache: ColdStart {
+                initial_share: share,
+                ramp,
+                overload_factor: multiple,
+                overload_window: window,
+            },
             ..Settings::default()
         };
-        let mut brain = DecisionEngine::new(settings.clone(), 7, clock::now());
+        let mut engine = DecisionEngine::new(settings.clone(), 7, clock::now());
         let (sender, sent) = unbounded();
         let mut sharing = FleetConnection::with(
             &fleet.fleet.unwrap(),
             &settings,
             Box::new(move |message| drop(sender.send(message))),
         );
-        sharing.set_initial_shares(&mut brain);
+        sharing.set_initial_shares(&mut engine);
         let entries: Vec<Listing> = (1..=CACHE_COUNT).map(HostId).chain([ORIGIN]).map(entry).collect();
-        brain.update_hosts(clock::now(), &entries, true);
-        entries.iter().for_each(|entry| sharing.host_listed(&mut brain, entry, entry.started_at.map(clock::to_unix)));
-        (brain, sharing, sent)
+        engine.update_hosts(clock::now(), &entries, true);
+        entries
+            .iter()
+            .for_each(|entry| sharing.host_listed(&mut engine, entry, entry.started_at.map(clock::to_unix)));
+        (engine, sharing, sent)
     }
 
     fn entry(host: HostId) -> Listing {
@@ -598,13 +634,16 @@
     }
 
     /// Starts visits of a request class; returns the host of each, with no entry for refused ones.
-    fn visits(brain: &mut DecisionEngine, first: u32, count: u32, class: u16) -> BTreeMap<u32, HostId> {
+    fn visits(engine: &mut DecisionEngine, first: u32, count: u32, class: u16) -> BTreeMap<u32, HostId> {
         let (now, mut sent_to) = (clock::now(), BTreeMap::new());
         for id in first..first + count {
             let (object, deadline) = (ObjectId(u64::from(id)), now + Span::seconds(6.0));
-            let (band, group, visit) = (ClassId(class), GroupId(0), VisitId(id));
-            brain.visit_arrived(now, Visit { id: visit, class: band, object, group, part: 0, kilobytes: None, deadline });
-            while let Some(decision) = brain.next_decision(now) {
+            let (class, group, visit) = (ClassId(class), GroupId(0), VisitId(id));
+            engine.visit_arrived(
+                now,
+                Visit { id: visit, class, object, group, part: 0, kilobytes: None, deadline },
+            );
+            while let Some(decision) = engine.next_decision(now) {
                 if let Decision::HandOff { visit, host, .. } = decision {
                     sent_to.insert(visit.0, host);
                 }
@@ -613,26 +652,29 @@
         sent_to
     }
 
-    fn end(brain: &mut DecisionEngine, sent_to: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
+    fn end(engine: &mut DecisionEngine, sent_to: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
         for (id, host) in sent_to {
             let outcome = if fails(*host) { Outcome::TimedOut } else { Outcome::Served };
             let (visit, number, note) = (VisitId(*id), HandOffNumber(0), Note::Unspecified);
             let (took, report) = (Span::millis(100), Report::default());
-            brain.hand_off_ended(clock::now(), HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: true });
+            engine.hand_off_ended(
+                clock::now(),
+                HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: true },
+            );
         }
-        while brain.next_decision(clock::now()).is_some() {}
+        while engine.next_decision(clock::now()).is_some() {}
     }
 
     #[test]
     fn shares_expire_by_themselves_and_demand_is_sent() {
-        let (mut brain, mut sharing, sent) = start();
-        assert_eq!(visits(&mut brain, 0, 5, 1).len(), 0, "no share is allotted yet");
+        let (mut engine, mut sharing, sent) = start();
+        assert_eq!(visits(&mut engine, 0, 5, 1).len(), 0, "no share is allotted yet");
         let until = Instant::now() + Duration::from_millis(60);
         let share = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
-        sharing.handle(&mut brain, share(Key::Origin, 3, 6.0, 0.0));
-        sharing.handle(&mut brain, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
-        assert_eq!(visits(&mut brain, 10, 9, 1).len(), 6);
-        sharing.exchange(&mut brain);
+        sharing.handle(&mut engine, share(Key::Origin, 3, 6.0, 0.0));
+        sharing.handle(&mut engine, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
+        assert_eq!(visits(&mut engine, 10, 9, 1).len(), 6);
+        sharing.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Taken { key: Key::Origin, number: 3 }));
         assert!(
@@ -649,20 +691,20 @@
         assert!(demand(Key::Origin).unwrap() > 6.0, "demand exceeds the share");
         assert!(demand(Key::Cold(HostId(1))).is_some() && demand(Key::Cold(HostId(2))).is_none());
         std::thread::sleep(Duration::from_millis(80));
-        end(&mut brain, &(0..30).map(|id| (id, ORIGIN)).collect(), |_| false);
-        assert_eq!(visits(&mut brain, 30, 4, 1).len(), 0, "the share has expired without a further call");
+        end(&mut engine, &(0..30).map(|id| (id, ORIGIN)).collect(), |_| false);
+        assert_eq!(visits(&mut engine, 30, 4, 1).len(), 0, "the share has expired without a further call");
     }
 
     #[test]
     fn rules_change_limits_and_invalid_rules_change_nothing() {
-        let (mut brain, mut sharing, sent) = start();
+        let (mut engine, mut sharing, sent) = start();
         let until = Instant::now() + Duration::from_secs(9);
         let key = Key::Origin;
-        sharing.handle(&mut brain, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
+        sharing.handle(&mut engine, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
         let mut rules = |number: u64, text: &str| {
-            sharing.handle(&mut brain, FromFleet::Rules { number, text: text.into() });
-            let before = brain.take_limit_usage(clock::now(), SharedLimit::Origin).used as u32;
-            visits(&mut brain, 100 * number as u32, 9, 1).len() as u32 + before
+            sharing.handle(&mut engine, FromFleet::Rules { number, text: text.into() });
+            let before = engine.take_limit_usage(clock::now(), SharedLimit::Origin).used as u32;
+            visits(&mut engine, 100 * number as u32, 9, 1).len() as u32 + before
         };
         assert_eq!(rules(1, r#"{"fleet": {"limits": {"origin": 20}}}"#), 4);
         assert_eq!(rules(2, r#"{"fleet": {"limits": {"origin": 0}}}"#), 4);
@@ -672,14 +714,14 @@
 
     #[test]
     fn own_findings_are_sent_and_those_of_others_are_not_repeated() {
-        let (mut brain, mut sharing, sent) = start();
+        let (mut engine, mut sharing, sent) = start();
         let bad = HostId(3);
         for first in [100, 200, 300, 400] {
-            let sent_to = visits(&mut brain, first, 60, 0);
-            end(&mut brain, &sent_to, |host| host == bad);
+            let sent_to = visits(&mut engine, first, 60, 0);
+            end(&mut engine, &sent_to, |host| host == bad);
         }
-        sharing.exchange(&mut brain);
-        sharing.exchange(&mut brain);
+        sharing.exchange(&mut engine);
+        sharing.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         let found =
             |message: &&ToFleet| matches!(message, ToFleet::Found(f) if f.host == bad && f.evidence > 0);
@@ -690,17 +732,18 @@
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
         let (kind, weight, age, tellers) = (Kind::ShutOut, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
-        sharing.handle(&mut brain, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
-        sharing.exchange(&mut brain);
+        sharing
+            .handle(&mut engine, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
+        sharing.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Shut { host, told: true }));
         assert!(
             !all.iter().any(|message| matches!(message, ToFleet::Found(f) if f.host == host)),
             "a report of others was repeated"
         );
-        sharing.handle(&mut brain, FromFleet::Withdraw { host });
-        brain.tick(clock::now());
-        sharing.exchange(&mut brain);
+        sharing.handle(&mut engine, FromFleet::Withdraw { host });
+        engine.tick(clock::now());
+        sharing.exchange(&mut engine);
         assert!(sent.try_iter().any(|message| message == ToFleet::Back { host }));
     }
 }
--- a/crates/dispatcher/src/host_connections.rs
+++ b/crates/dispatcher/src/host_connections.rs
@@ -26,7 +26,7 @@
 pub struct HostConnections {
     epoll: Epoll,
     capacity: HostCapacity,
-    connect_limit: Span,
+    connect_timeout: Span,
     /// The last key given out, and the connections by key.
     registered: Mutex<(u64, BTreeMap<u64, Registered>)>,
 }
@@ -43,11 +43,11 @@
 }
 
 impl HostConnections {
-    /// Starts the thread. A connect that takes longer than `connect_limit` fails.
-    pub fn start(capacity: HostCapacity, connect_limit: Span) -> io::Result<Arc<HostConnections>> {
+    /// Starts the thread. A connect that takes longer than `connect_timeout` fails.
+    pub fn start(capacity: HostCapacity, connect_timeout: Span) -> io::Result<Arc<HostConnections>> {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
         let connections =
-            Arc::new(HostConnections { epoll, capacity, connect_limit, registered: Mutex::default() });
+            Arc::new(HostConnections { epoll, capacity, connect_timeout, registered: Mutex::default() });
         let own = connections.clone();
         spawn("lines", move || own.run())?;
         Ok(connections)
@@ -81,7 +81,7 @@
 
     /// Gives up connects that exceed the connect limit.
     pub fn time_out_connects(&self, now: Time) {
-        let is_timed_out = |entry: &Registered| matches!(entry.state, State::Connecting { since, .. } if since + self.connect_limit <= now);
+        let is_timed_out = |entry: &Registered| matches!(entry.state, State::Connecting { since, .. } if since + self.connect_timeout <= now);
         self.lock().1.retain(|_, entry| {
             let ends = is_timed_out(entry);
             if ends {
--- a/crates/dispatcher/src/inbox.rs
+++ b/crates/dispatcher/src/inbox.rs
@@ -76,7 +76,7 @@
 /// A listed host with the address at which this dispatcher reaches it.
 #[derive(Clone, Debug)]
 pub struct ListedHost {
-    /// Its `since` is derived from `started` when the entry is applied to the list.
+    /// Its `started_at` is derived from `started` when the entry is applied to the list.
     pub listing: Listing,
     /// The host's start time in the change log's clock; none if that was long ago.
     pub started: Option<UnixTime>,
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -9,26 +9,26 @@
 use crate::clock;
 use crate::config::Config;
 use crate::connection::CloseReason;
+use crate::durable_state::{RestoredPurges, StateRecorder};
+use crate::fleet_connection::FleetConnection;
+use crate::host_list::{AppliedUpdate, Clocks, HostList};
 use crate::host_messages::{HandOff, HostMailbox, SendState, ToHost};
 use crate::hosts::Hosts;
 use crate::ids::{ClientId, HandOffId, HostActorId, ProbeId, Txn};
 use crate::inbox::{Change, FromClient, FromHost, Input, ListedHost};
-use crate::durable_state::{StateRecorder, RestoredPurges};
 use crate::latency::Latencies;
-use crate::host_list::{AppliedUpdate, Clocks, HostList};
 use crate::mailbox;
 use crate::msgpack::{self, Parts, VisitRequest};
 use crate::resp::Answer;
-use crate::fleet_connection::FleetConnection;
 use bytes::Bytes;
-use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
 use cherrypass::containers::TimerQueue;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::ids::*;
 use cherrypass::settings::Effect;
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_keep::purges::Purge;
-use cherrypass_keep::visits::{WriteAhead, InDoubtVisit, WriteResult};
+use cherrypass_keep::visits::{InDoubtVisit, WriteAhead, WriteResult};
 use crossbeam_channel::{Receiver, Sender};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -128,7 +128,7 @@
 /// The actor that connects clients and hosts to the decision module.
 pub struct Router {
     config: Config,
-    brain: DecisionEngine,
+    engine: DecisionEngine,
     /// From hosts, the change log and signals; and from clients.
     mailboxes: [Receiver<Input>; 2],
     host_actors: Hosts,
@@ -180,15 +180,16 @@
     ) -> std::io::Result<Router> {
         let now = clock::now();
         let capacity = HostCapacity::new(config.host_connections.max_connections, config.max_answer_bytes);
-        let brain = DecisionEngine::new(config.settings.clone(), config.seed, now);
+        let engine = DecisionEngine::new(config.settings.clone(), config.seed, now);
         let mut timers = TimerQueue::default();
         timers.push(now + SWEEP_INTERVAL, Timer::Sweep);
         let host_actors = Hosts::start(config.host_connections, capacity, sender)?;
         let settings = &config.settings;
-        let list = HostList::new(settings.cold_cache.ramp.max(settings.cold_parent.ramp), settings.has_weights);
+        let list =
+            HostList::new(settings.cold_cache.ramp.max(settings.cold_parent.ramp), settings.has_weights);
         Ok(Router {
             config,
-            brain,
+            engine,
             mailboxes,
             host_actors,
             open_visit_bytes: 0,
@@ -226,7 +227,7 @@
                 purges.iter().for_each(|purge| self.apply_purge(now, purge));
             }
             RestoredPurges::Unknown { groups } => {
-                (0..groups).for_each(|group| self.brain.record_purge(now, GroupId(group), None, Span::ZERO));
+                (0..groups).for_each(|group| self.engine.record_purge(now, GroupId(group), None, Span::ZERO));
             }
         }
         self.keeper = Some(keeper);
@@ -253,7 +254,7 @@
 
     /// Starts sharing limits and findings about hosts with other dispatchers.
     pub fn set_sharing(&mut self, mut sharing: FleetConnection) {
-        sharing.set_initial_shares(&mut self.brain);
+        sharing.set_initial_shares(&mut self.engine);
         self.sharing = Some(sharing);
     }
 
@@ -279,7 +280,7 @@
                 age.0 / 1000
             ),
         }
-        self.brain.record_purge(now, purge.group, purge.object, age);
+        self.engine.record_purge(now, purge.group, purge.object, age);
         let visits = &self.visits;
         let is_concerned = |id: &HandOffId| {
             let request = visits.get(&id.0).map(|open| &open.request);
@@ -318,8 +319,10 @@
                 }
             }
             self.run_timers();
-            if let Some(sharing) = self.sharing.as_mut().filter(|sharing| sharing.until_next_exchange().is_zero()) {
-                sharing.exchange(&mut self.brain);
+            if let Some(sharing) =
+                self.sharing.as_mut().filter(|sharing| sharing.until_next_exchange().is_zero())
+            {
+                sharing.exchange(&mut self.engine);
             }
             self.carry_out_decisions();
         }
@@ -353,7 +356,7 @@
             let Some(timer) = self.timers.pop(now) else { return };
             self.latencies.timers.record(now - at);
             match timer {
-                Timer::Wake => self.brain.tick(clock::now()),
+                Timer::Wake => self.engine.tick(clock::now()),
                 Timer::AnswerTimeout(id) => {
                     // The visit's time is over, so no further hand-off can overtake the cancel.
                     self.cancel_hand_off(id, Outcome::TimedOut);
@@ -397,7 +400,7 @@
             Input::HandOffRecordStored(id, taken) => self.record_stored(id, taken),
             Input::Fleet(message) => {
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.handle(&mut self.brain, message);
+                    sharing.handle(&mut self.engine, message);
                 }
             }
             Input::Stop => {
@@ -442,7 +445,10 @@
             }
             FromClient::Closing => {
                 let open = self.clients.get(&client).into_iter().flat_map(|known| known.open_visits.values());
-                open.copied().collect::<Vec<_>>().into_iter().for_each(|visit| self.brain.finish_unserved(visit));
+                open.copied()
+                    .collect::<Vec<_>>()
+                    .into_iter()
+                    .for_each(|visit| self.engine.finish_unserved(visit));
             }
             FromClient::Closed => {
                 let Some(known) = self.clients.remove(&client) else { return };
@@ -454,7 +460,7 @@
     /// Closes a visit whose client has left.
     fn abandon_visit(&mut self, visit: VisitId) {
         self.close_visit(visit, false);
-        self.brain.close_visit(visit);
+        self.engine.close_visit(visit);
     }
 
     fn close_visit(&mut self, visit: VisitId, is_served: bool) -> Option<OpenVisit> {
@@ -496,7 +502,9 @@
             None => Some("method"),
             // A second visit with the same id could get the first one's answers.
             Some(_) if owner.is_some() => Some("txn"),
-            Some((place, _)) if request.time_limit > self.config.class_deadlines[place] + TIME_LIMIT_MARGIN => {
+            Some((place, _))
+                if request.time_limit > self.config.class_deadlines[place] + TIME_LIMIT_MARGIN =>
+            {
                 Some("limit")
             }
             Some((_, class))
@@ -548,9 +556,9 @@
         self.visits.insert(visit, open);
         self.latencies.max_open_visits.fetch_max(self.visits.len(), Relaxed);
         self.latencies.mailbox.record(clock::now() - received_at);
-        self.brain.visit_arrived(received_at, call);
+        self.engine.visit_arrived(received_at, call);
         if let Some((sent, host)) = earlier {
-            self.brain.note_earlier_attempt(visit, clock::from_unix(sent), host);
+            self.engine.note_earlier_attempt(visit, clock::from_unix(sent), host);
         }
     }
 
@@ -589,7 +597,7 @@
     ) {
         let Some(open) = self.close_visit(visit, answer_read.is_some()) else { return };
         if let (Some(sharing), Some((at, _))) = (&mut self.sharing, &answer_read) {
-            sharing.count_served(&self.brain, open.class, *at - open.received_at);
+            sharing.count_served(&self.engine, open.class, *at - open.received_at);
         }
         if let Some(known) = self.clients.get_mut(&open.client) {
             known.open_visits.remove(&open.request_id);
@@ -643,7 +651,7 @@
                 Some((at, reservation)),
             );
         }
-        self.brain.hand_off_ended(at, end);
+        self.engine.hand_off_ended(at, end);
     }
 
     /// Feeds a copy's creation time, which the origin stamps with the same clock as the change log, to the
@@ -681,7 +689,7 @@
     /// Carries out the decisions that the module has made.
     fn carry_out_decisions(&mut self) {
         let now = clock::now();
-        while let Some(decision) = self.brain.next_decision(now) {
+        while let Some(decision) = self.engine.next_decision(now) {
             match decision {
                 Decision::HandOff { visit, host, times_out_at: until, send_before: latest, fill } => {
                     self.start_hand_off(now, visit, host, [until, latest], fill)
@@ -716,7 +724,7 @@
     /// Passes on a host's load, or nothing if it did not answer within the connect limit.
     fn end_probe(&mut self, probe: ProbeId, report: Report) {
         if let Some(host) = self.probes.remove(&probe) {
-            self.brain.probe_answered(clock::now(), host, report);
+            self.engine.probe_answered(clock::now(), host, report);
         }
     }
 
@@ -734,7 +742,8 @@
         open.hand_off_count = open.hand_off_count.saturating_add(1);
         if !open.cancel.is_live() {
             self.close_visit(visit, false);
-            self.brain.hand_off_ended(now, HandOffEnd { is_final: true, ..never_sent_end(id, Outcome::Expired) });
+            self.engine
+                .hand_off_ended(now, HandOffEnd { is_final: true, ..never_sent_end(id, Outcome::Expired) });
             return;
         }
         let triggered_at = std::mem::replace(&mut open.last_event_at, now);
@@ -759,12 +768,13 @@
         let Some((mailbox, host_name)) =
             self.hosts.get(&host).map(|known| (known.mailbox.clone(), &known.name))
         else {
-            self.brain.hand_off_ended(now, never_sent_end(id, Outcome::ConnectFailed));
+            self.engine.hand_off_ended(now, never_sent_end(id, Outcome::ConnectFailed));
             return;
         };
         let mut record = None;
         if let Some(keeper) = self.keeper.as_mut().filter(|keeper| keeper.records_hand_offs()) {
-            let effect = self.config.settings.classes.get(usize::from(open.class.0)).map(|class| class.effect);
+            let effect =
+                self.config.settings.classes.get(usize::from(open.class.0)).map(|class| class.effect);
             let may_have_run = InDoubtVisit {
                 class_name: String::from_utf8_lossy(&open.request.class).into_owned(),
                 sent_at: clock::to_unix(now).0,
@@ -773,7 +783,8 @@
                 repeat_window: None,
             };
             let effect = effect.unwrap_or(Effect::Idempotent);
-            if let WriteAhead::Required(to_store) = keeper.visits.register_hand_off(visit, open.key(), effect, may_have_run)
+            if let WriteAhead::Required(to_store) =
+                keeper.visits.register_hand_off(visit, open.key(), effect, may_have_run)
             {
                 keeper.write_hand_off_record(id, to_store);
                 record = Some(Box::new(hand_off.clone()));
@@ -827,7 +838,7 @@
         } else {
             // Not the host's fault, and another record would be rejected too: the visit is given up at once.
             self.end_hand_off(id, Outcome::Expired, None, clock::now());
-            self.brain.finish_unserved(id.0);
+            self.engine.finish_unserved(id.0);
         }
     }
 
@@ -841,7 +852,7 @@
             "host {:x} is {name}: its connections were reset, its process may be new",
             id.0
         );
-        self.brain.connection_lost(clock::now(), id);
+        self.engine.connection_lost(clock::now(), id);
     }
 
     /// Applies a change of the change log.
@@ -870,14 +881,14 @@
         let changed = self.changed_sources(&entries, &gone);
         gone.into_iter().for_each(|id| self.remove_host(id));
         hosts.into_iter().for_each(|host| self.update_host(host));
-        self.brain.update_hosts(now, &entries, whole);
+        self.engine.update_hosts(now, &entries, whole);
         let fills_from_changed =
             |out: &PendingHandOff| out.fill.is_some_and(|fill| changed.contains(&fill.source));
         let stale = self.hand_offs.iter().filter(|(_, out)| fills_from_changed(out));
         self.redecide_unsent(stale.map(|(id, _)| *id).collect());
         if let Some(sharing) = &mut self.sharing {
             for entry in &entries {
-                sharing.host_listed(&mut self.brain, entry, started.get(&entry.host).copied().flatten());
+                sharing.host_listed(&mut self.engine, entry, started.get(&entry.host).copied().flatten());
             }
         }
     }
@@ -885,8 +896,9 @@
     /// The hosts that are no longer valid as sources of fills: they are draining or gone, or their process is
     /// new.
     fn changed_sources(&self, entries: &[Listing], gone: &[HostId]) -> BTreeSet<HostId> {
-        let is_new =
-            |entry: &Listing| self.hosts.get(&entry.host).is_some_and(|known| known.started < entry.started_at);
+        let is_new = |entry: &Listing| {
+            self.hosts.get(&entry.host).is_some_and(|known| known.started < entry.started_at)
+        };
         let changed = entries.iter().filter(|entry| entry.phase != Phase::Ready || is_new(entry));
         changed.map(|entry| entry.host).chain(gone.iter().copied()).collect()
     }
@@ -950,11 +962,12 @@
             return;
         }
         let silent_for = clock::now() - self.changelog_read_at;
-        let is_silent = silent_for + SWEEP_INTERVAL >= MAX_ANNOUNCEMENT_DELAY + self.config.settings.purge_obey_time;
+        let is_silent =
+            silent_for + SWEEP_INTERVAL >= MAX_ANNOUNCEMENT_DELAY + self.config.settings.purge_obey_time;
         if std::mem::replace(&mut self.is_changelog_silent, is_silent) == is_silent {
             return;
         }
-        self.brain.set_log_silent(is_silent.then_some(MAX_ANNOUNCEMENT_DELAY));
+        self.engine.set_log_silent(is_silent.then_some(MAX_ANNOUNCEMENT_DELAY));
         let ms = silent_for.0 / 1000;
         if is_silent {
             // Hand-offs that have not been sent were decided without the limit.
@@ -971,7 +984,7 @@
     fn update_start_times(&mut self, now: Time) {
         let clocks = Clocks { now, wall: clock::wall_now(), change_clock: &self.change_clock };
         for (id, since) in self.list.redate(&clocks) {
-            self.brain.correct_start(id, since);
+            self.engine.correct_start(id, since);
             self.hosts.get_mut(&id).into_iter().for_each(|known| known.started = Some(since));
             self.sharing.iter_mut().for_each(|sharing| sharing.start_redated(id, since));
         }
@@ -1007,7 +1020,7 @@
         let last = self.last_answers_at(now);
         if now > last {
             let open: Vec<VisitId> = self.visits.keys().copied().collect();
-            open.into_iter().for_each(|visit| self.brain.finish_unserved(visit));
+            open.into_iter().for_each(|visit| self.engine.finish_unserved(visit));
             self.carry_out_decisions();
         }
         if self.visits.is_empty() && unread == 0 && self.shutdown.is_all_closed()
@@ -1050,7 +1063,11 @@
         if fill.max_age > Span::ZERO {
             let _ = write!(fields, ",oldest={}", (fill.max_age.0 / 1000).max(1));
         }
-        let modes = [(fill.may_join, "collapse"), (fill.cached_only, "only-if-cached"), (fill.refresh_stale, "refresh")];
+        let modes = [
+            (fill.may_join, "collapse"),
+            (fill.cached_only, "only-if-cached"),
+            (fill.refresh_stale, "refresh"),
+        ];
         let modes: Vec<&str> = modes.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
         if !modes.is_empty() {
             let _ = write!(fields, ",mode={}", modes.join("+"));
--- a/crates/dispatcher/src/router/tests.rs
+++ b/crates/dispatcher/src/router/tests.rs
@@ -2,9 +2,9 @@
 use super::*;
 use crate::change_log::host_id;
 use crate::connection::Connection;
+use crate::durable_state::StateStore;
 use crate::host_messages::HostThreadMessage;
 use crate::ids::HostActorId;
-use crate::durable_state::StateStore;
 use cherrypass_operator as operator;
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::simulated::{Call, Disk, Fate, Image};
@@ -57,7 +57,7 @@
         phase,
     };
     let entries: Vec<Listing> = hosts.iter().map(|(id, _)| entry(*id, Phase::Ready)).collect();
-    router.brain.update_hosts(clock::now(), &entries, true);
+    router.engine.update_hosts(clock::now(), &entries, true);
     for (id, (messages, _)) in &hosts {
         router.hosts.insert(*id, host_entry(messages));
     }
@@ -81,7 +81,7 @@
     let (first, send_state) = found.unwrap();
     let other = &hosts[1 - first];
     assert!(!is_started || send_state.start());
-    router.brain.update_hosts(clock::now(), &[entry(hosts[first].0, Phase::Gone)], false);
+    router.engine.update_hosts(clock::now(), &[entry(hosts[first].0, Phase::Gone)], false);
     router.carry_out_decisions();
     let Ok(HostThreadMessage::ToHost(_, ToHost::Cancel(id))) = hosts[first].1 .1.try_recv() else {
         panic!("not cancelled")
@@ -115,7 +115,11 @@
     let set = operator::Store { hand_offs, ..operator::Store::in_folder("none".into()) };
     let (mut router, sender) = router();
     let settings = router.config.settings.clone();
-    router.set_keeper(StateRecorder::restore(StateStore::with_store(Some(Arc::new(store)), set), &settings, sender));
+    router.set_keeper(StateRecorder::restore(
+        StateStore::with_store(Some(Arc::new(store)), set),
+        &settings,
+        sender,
+    ));
     let (id, host) = (host_id("a"), unbounded());
     router.hosts.insert(id, host_entry(&host.0));
     let listing = Listing {
@@ -127,7 +131,7 @@
         started_at: None,
         phase: Phase::Ready,
     };
-    router.brain.update_hosts(clock::now(), &[listing], true);
+    router.engine.update_hosts(clock::now(), &[listing], true);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let connection = open_client(&mut router, &listener, ClientId(0));
     let fields: &[u8] = b"\x94\x00\x01\xa4once\x92\x85\xa3txn\xb00000000000000001\xa5limit\xa3500\
@@ -161,7 +165,8 @@
             format!(r#"{{"id":"s-a","addr":"127.0.0.1:1","zone":"edge","kind":"small","state":"{state}"}}"#);
         let text = format!(r#"{{"results":[{{"seq":{},"fleet":{{"servers":[{entry}]}}}}]}}"#, seq + 1);
         let answer = serde_json::from_str(&text).unwrap();
-        let (changes, fault) = crate::change_log::decode(&answer, &router.config.names, &mut (seq as u64), None);
+        let (changes, fault) =
+            crate::change_log::decode(&answer, &router.config.names, &mut (seq as u64), None);
         assert!(fault.is_none());
         changes.into_iter().for_each(|change| router.apply_change(change));
         assert_eq!(router.hosts.len(), usize::from(*state != "terminated"), "{state}");
--- a/crates/dispatcher/src/startup.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -4,8 +4,8 @@
 use crate::config::Config;
 use crate::connection::spawn;
 use crate::durable_state::{StateRecorder, StateStore};
-use crate::router::Router;
 use crate::fleet_connection::FleetConnection;
+use crate::router::Router;
 use crate::signals::SignalTargets;
 use cherrypass::time::Span;
 use cherrypass_operator::Fleet;
@@ -73,7 +73,7 @@
         spawn("changes", move || {
             change_log::follow(FollowOptions {
                 address: config.changelog,
-                new_addresses: new_addresses,
+                new_addresses,
                 names: config.names,
                 last_change: last,
                 max_change_bytes: config.max_change_bytes,
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -2,8 +2,8 @@
 //! location have little traffic each, and a cache fails. Each case runs with and without shared verdicts, on
 //! the same visits and faults.
 //! `cargo run --release -p cherrypass-fleet --example verdicts [seeds [tellers [part]]]`
-use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::ids::*;
 use cherrypass::settings::{ClassSettings, ColdStart, Effect as Repeats, Settings};
 use cherrypass::time::{Span, Time};
@@ -66,7 +66,7 @@
 }
 
 struct Dispatcher {
-    brain: DecisionEngine,
+    engine: DecisionEngine,
     verdicts: Verdicts,
     arrivals: Pcg64Mcg,
     bad_link: bool,
@@ -172,7 +172,7 @@
             let seed = case.seed << 16 | of as u64;
             let (own, run) = (MemberId(of as u64), Incarnation(1));
             let mut one = Dispatcher {
-                brain: DecisionEngine::new(settings(case.dispatchers), seed, START),
+                engine: DecisionEngine::new(settings(case.dispatchers), seed, START),
                 verdicts: Verdicts::new(set.clone(), own, LocationId(0), run, seed, START),
                 arrivals: Pcg64Mcg::seed_from_u64(seed ^ 0x1111 << 40),
                 bad_link: matches!(case.fault, Fault::Links(n) if of < n as usize),
@@ -185,7 +185,7 @@
             let parents = (11..11 + PARENTS).map(HostId);
             let hosts: Vec<_> = caches().chain(parents).chain([ORIGIN]).collect();
             let list: Vec<_> = hosts.iter().map(|host| play.listing(*host, Time(1))).collect();
-            one.brain.update_hosts(START, &list, true);
+            one.engine.update_hosts(START, &list, true);
             for host in hosts {
                 let used_by = if host.0 <= CACHES { UsedBy::Location(LocationId(0)) } else { UsedBy::All };
                 one.verdicts.update_host(START, host, Some(Incarnation(1)), used_by);
@@ -210,7 +210,15 @@
         let weight = if kind == 0 { self.weight } else { 20.0 * self.weight };
         let location = LocationId(if kind == 0 { 0 } else { 9 });
         let since = Some(since);
-        Listing { host, location, kind: KindId(kind), cell: CellId(0), weight, started_at: since, phase: Phase::Ready }
+        Listing {
+            host,
+            location,
+            kind: KindId(kind),
+            cell: CellId(0),
+            weight,
+            started_at: since,
+            phase: Phase::Ready,
+        }
     }
 
     fn put(&mut self, at: Time, event: Event) {
@@ -232,7 +240,7 @@
             match event {
                 Event::Round(of) => {
                     self.put(at + Span(10_000), Event::Round(of));
-                    self.all[of].brain.tick(at);
+                    self.all[of].engine.tick(at);
                     self.carry_out_decisions(of);
                 }
                 Event::Tick(of) => {
@@ -254,7 +262,7 @@
                     let entry = self.listing(FAULTY, since);
                     for of in 0..self.all.len() {
                         let one = &mut self.all[of];
-                        one.brain.update_hosts(at, &[entry], false);
+                        one.engine.update_hosts(at, &[entry], false);
                         let back = self.measured.back.get_mut(&of);
                         back.into_iter().for_each(|back| *back = (*back).min(LIST_DELAY));
                         let by = UsedBy::Location(LocationId(0));
@@ -278,8 +286,8 @@
         let id = VisitId(one.next);
         one.visits.insert(id, (now, 0, false));
         let kilobytes = Some(SENDING_SECONDS * 5000.0);
-        let (band, group, deadline) = (ClassId(0), GroupId(0), now + Span::millis(4_000));
-        one.brain.visit_arrived(now, Visit { id, class: band, object, group, part: 0, kilobytes, deadline });
+        let (class, group, deadline) = (ClassId(0), GroupId(0), now + Span::millis(4_000));
+        one.engine.visit_arrived(now, Visit { id, class, object, group, part: 0, kilobytes, deadline });
         self.measured.visits += 1;
         self.put(now + Span::seconds(gap), Event::Arrives(of));
         self.carry_out_decisions(of);
@@ -291,7 +299,10 @@
         let Some(sent) = one.out.remove(&(visit, number)) else { return };
         let last = outcome == Outcome::Served;
         let (took, report, number) = (now - sent, Report::default(), HandOffNumber(number));
-        one.brain.hand_off_ended(now, HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last });
+        one.engine.hand_off_ended(
+            now,
+            HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last },
+        );
         if last {
             self.end_visit(of, visit, true);
         }
@@ -307,16 +318,14 @@
 
     fn carry_out_decisions(&mut self, of: usize) {
         let now = self.now;
-        while let Some(decision) = self.all[of].brain.next_decision(now) {
+        while let Some(decision) = self.all[of].engine.next_decision(now) {
             match decision {
                 Decision::HandOff { visit, host, fill, .. } => self.hand_off(of, visit, host, fill),
                 Decision::Cancel { visit, number } => {
                     let (outcome, note) = (Outcome::Cancelled, Note::Unspecified);
                     self.put(now, Event::Ends { of, visit, number: number.0, outcome, note });
                 }
-                Decision::Refuse { visit, .. } | Decision::Fail { visit } => {
-                    self.end_visit(of, visit, false)
-                }
+                Decision::Refuse { visit, .. } | Decision::Fail { visit } => self.end_visit(of, visit, false),
                 Decision::Log(line) => self.logged(of, &line),
                 Decision::Probe { .. } | Decision::Wake { .. } => {}
             }
@@ -392,10 +401,12 @@
         let now = self.now;
         let one = &mut self.all[of];
         let mut shut = BTreeSet::new();
-        for found in one.brain.findings(now) {
+        for found in one.engine.findings(now) {
             let kind = match found.condition {
                 HostCondition::Restarted => Kind::JustStarted,
-                HostCondition::Ejected { cause: EjectionCause::Failing, is_unreachable: false } => Kind::ShutOut,
+                HostCondition::Ejected { cause: EjectionCause::Failing, is_unreachable: false } => {
+                    Kind::ShutOut
+                }
                 HostCondition::Ejected { .. } => Kind::CutOff,
             };
             shut.extend((kind != Kind::JustStarted).then_some(found.host));
@@ -405,10 +416,10 @@
         }
         one.shut.difference(&shut).for_each(|host| one.verdicts.report_recovery(now, *host));
         one.shut = shut;
-        let refuted: Vec<HostId> = one.brain.refuted_reports(now).collect();
+        let refuted: Vec<HostId> = one.engine.refuted_reports(now).collect();
         refuted.into_iter().for_each(|host| one.verdicts.refute(now, host));
         for (host, (since, until)) in one.told.clone() {
-            one.brain.apply_peer_report(now, host, since, ReportedCondition::Bad, until);
+            one.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, until);
         }
         self.carry_out_decisions(of);
     }
@@ -430,16 +441,20 @@
                 Effect::Verdict { host, since, kind, age, until, .. } => {
                     self.measured.oldest = self.measured.oldest.max(age);
                     let (one, since) = (&mut self.all[of], since.map(|run| Time(run.0)));
-                    let word = if kind == Kind::JustStarted { ReportedCondition::Restarted } else { ReportedCondition::Bad };
+                    let word = if kind == Kind::JustStarted {
+                        ReportedCondition::Restarted
+                    } else {
+                        ReportedCondition::Bad
+                    };
                     if word == ReportedCondition::Bad {
                         one.told.insert(host, (since, until));
                     }
-                    one.brain.apply_peer_report(now, host, since, word, until);
+                    one.engine.apply_peer_report(now, host, since, word, until);
                 }
                 Effect::Withdraw { host } => {
                     let one = &mut self.all[of];
                     let since = one.told.remove(&host).and_then(|told| told.0);
-                    one.brain.apply_peer_report(now, host, since, ReportedCondition::Bad, now);
+                    one.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, now);
                 }
                 Effect::Log(line) => println!("  {line}"),
             }
@@ -452,10 +467,12 @@
     let rules = settings(1).cold_cache;
     let over = measured.to_cold.iter().enumerate().filter(|(first, from)| {
         let sent =
-            measured.to_cold[*first..].iter().take_while(|at| **at < **from + rules.overload_window).count() as f64;
+            measured.to_cold[*first..].iter().take_while(|at| **at < **from + rules.overload_window).count()
+                as f64;
         let age = (**from - (START + RESTARTED)).as_seconds() / rules.ramp.as_seconds();
         let warm = (rules.initial_share + (1.0 - rules.initial_share) * age).min(1.0);
-        let borne = rules.overload_factor * warm * weight / SENDING_SECONDS * rules.overload_window.as_seconds();
+        let borne =
+            rules.overload_factor * warm * weight / SENDING_SECONDS * rules.overload_window.as_seconds();
         age < 1.0 && sent > borne + 3.0 * borne.sqrt() + 3.0
     });
     over.count()
--- a/crates/fleet/src/members/links.rs
+++ b/crates/fleet/src/members/links.rs
@@ -30,7 +30,8 @@
     /// responses.
     pub fn timeout(&self, phi: f64, of_member: Option<&MovingAverage>, set: &Set) -> Span {
         let least = set.mean_response_bounds[0].as_seconds();
-        let start = set.mean_response_bounds[1].as_seconds() / f64::from(self.response_times.sample_count.max(1));
+        let start =
+            set.mean_response_bounds[1].as_seconds() / f64::from(self.response_times.sample_count.max(1));
         let of_member = of_member.filter(|mean| mean.sample_count >= 3).map_or(0.0, |mean| mean.value);
         let mean = self
             .response_times
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -1,7 +1,9 @@
 //! What a decision costs by the number of hosts: the module on made-up visits, in one thread, without sockets.
-use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::{Decision, HandOffEnd, Listing, Note, Outcome, Phase, Report, Visit};
-use cherrypass::ids::{ClassId, CellId, GroupId, HandOffNumber, HostId, KindId, LocationId, ObjectId, VisitId};
+use cherrypass::decision_engine::DecisionEngine;
+use cherrypass::ids::{
+    CellId, ClassId, GroupId, HandOffNumber, HostId, KindId, LocationId, ObjectId, VisitId,
+};
 use cherrypass::settings::{ClassSettings, Effect, Settings};
 use cherrypass::time::{Span, Time};
 use serde::{Deserialize, Serialize};
@@ -96,7 +98,10 @@
         let object = ObjectId((self.chance >> 33) % OBJECTS);
         let (band, group, deadline) = (ClassId(0), GroupId(0), self.now + LIMIT);
         let id = VisitId(id);
-        self.brain.visit_arrived(self.now, Visit { id, class: band, object, group, part: 0, kilobytes: None, deadline });
+        self.brain.visit_arrived(
+            self.now,
+            Visit { id, class: band, object, group, part: 0, kilobytes: None, deadline },
+        );
         let mut handed = false;
         while let Some(decision) = self.brain.next_decision(self.now) {
             handed |= matches!(decision, Decision::HandOff { visit, .. } if visit == id);
@@ -105,8 +110,10 @@
             self.hand_offs += 1;
             let (outcome, note, report) = (Outcome::Served, Note::Hit, Report::default());
             let number = HandOffNumber(0);
-            self.brain
-                .hand_off_ended(self.now, HandOffEnd { visit: id, number, outcome, note, duration: TOOK, report, is_final: true });
+            self.brain.hand_off_ended(
+                self.now,
+                HandOffEnd { visit: id, number, outcome, note, duration: TOOK, report, is_final: true },
+            );
             while self.brain.next_decision(self.now).is_some() {}
         }
     }
--- a/crates/scale/src/follower.rs
+++ b/crates/scale/src/follower.rs
@@ -3,7 +3,7 @@
 //! late, stop or drip is left out.
 use crate::changelog::Shared;
 use crate::traffic::{Tally, Way, With, CHANGE_LOG};
-use cherrypass_dispatcher::change_log::{read_answer, decode, ChangeLogError};
+use cherrypass_dispatcher::change_log::{decode, read_answer, ChangeLogError};
 use cherrypass_dispatcher::config::WireNames;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -145,7 +145,7 @@
 /// An observed condition of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostCondition {
-    /// Ejected; `unreached` if connections to it have only broken or been refused since.
+    /// Ejected; `is_unreachable` if connections to it have only broken or been refused since.
     Ejected { cause: EjectionCause, is_unreachable: bool },
     /// It recovered after its connections broke, most likely as a new process.
     Restarted,
@@ -219,7 +219,7 @@
     Fail {
         visit: VisitId,
     },
-    /// Call `woken` again after this time.
+    /// Call `DecisionEngine::tick` again after this time.
     Wake {
         after: Span,
     },
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -1,8 +1,8 @@
 //! All decisions of a dispatcher.
 //!
-//! The caller calls `start` once, then `listed`, `arrived`, `ended`, `left`, `purged`, `probed` and `woken`
-//! as events happen; these only update state. After each batch of events it pulls decisions with `next` until
-//! there is none. The values are in `calls`, the settings in `settings`. The ordinary path is the
+//! The caller calls `new` once, then `update_hosts`, `visit_arrived`, `hand_off_ended`, `close_visit`,
+//! `record_purge`, `probe_answered` and `tick` as events happen; these only update state. After each batch of
+//! events it pulls decisions with `next_decision` until there is none. The values are in `calls`, the settings in `settings`. The ordinary path is the
 //! semi-hashing rule of Ni et al.; docs/design.md lists every exception to it.
 use crate::calls::*;
 use crate::containers::MovingAverage;
@@ -118,22 +118,22 @@
 impl DecisionEngine {
     /// A decision module with an empty list of hosts.
     pub fn new(set: Settings, seed: u64, now: Time) -> DecisionEngine {
-        let mut brain = DecisionEngine::with_settings(set, seed);
-        brain.retry_budget.level = RETRY_BURST;
-        let link = brain.settings.location_link_transfers();
+        let mut engine = DecisionEngine::with_settings(set, seed);
+        engine.retry_budget.level = RETRY_BURST;
+        let link = engine.settings.location_link_transfers();
         let fills = link.map_or(FILL_LIMIT_START, |transfers| FILLS_PER_TRANSFER * transfers);
-        brain.fill_limiter.limit = fills / brain.settings.location_share_count();
-        brain.fill_limiter.max_limit = link.map_or(f64::INFINITY, |_| brain.fill_limiter.limit);
-        (brain.origin_limiter.limit, brain.origin_limiter.max_limit) =
-            (brain.fill_limiter.limit, f64::INFINITY);
-        (brain.fill_limiter.max_latency_ratio, brain.origin_limiter.max_latency_ratio) =
+        engine.fill_limiter.limit = fills / engine.settings.location_share_count();
+        engine.fill_limiter.max_limit = link.map_or(f64::INFINITY, |_| engine.fill_limiter.limit);
+        (engine.origin_limiter.limit, engine.origin_limiter.max_limit) =
+            (engine.fill_limiter.limit, f64::INFINITY);
+        (engine.fill_limiter.max_latency_ratio, engine.origin_limiter.max_latency_ratio) =
             (FILL_LATENCY_RATIO_MAX, ORIGIN_LATENCY_RATIO_MAX);
-        (brain.fill_limiter.log_latency_ratio.value, brain.origin_limiter.log_latency_ratio.value) =
+        (engine.fill_limiter.log_latency_ratio.value, engine.origin_limiter.log_latency_ratio.value) =
             (FILL_LATENCY_RATIO_MAX.ln(), ORIGIN_LATENCY_RATIO_MAX.ln());
-        brain.timers.push(now + COUNT_HALF_LIFE, Timer::DecayCounts);
-        brain.timers.push(now + SECOND, Timer::EverySecond);
-        brain.decisions.push_back(Decision::Wake { after: TICK_INTERVAL });
-        brain
+        engine.timers.push(now + COUNT_HALF_LIFE, Timer::DecayCounts);
+        engine.timers.push(now + SECOND, Timer::EverySecond);
+        engine.decisions.push_back(Decision::Wake { after: TICK_INTERVAL });
+        engine
     }
 
     /// A visit has arrived.
@@ -240,7 +240,9 @@
     /// Counts r_i and returns whether the object is popular: r_i > α·r_ave over the admitted set, or the set
     /// is empty. The set's bytes are limited to a share of all known bytes.
     fn is_popular(&mut self, now: Time, visit: &Visit) -> bool {
-        let bytes = visit.kilobytes.unwrap_or_else(|| self.transfer_seconds(visit.class) * self.settings.transfer_kb_per_s);
+        let bytes = visit
+            .kilobytes
+            .unwrap_or_else(|| self.transfer_seconds(visit.class) * self.settings.transfer_kb_per_s);
         let popularity = &mut self.popularity;
         popularity.record_visit(now, visit.object, visit.part, bytes);
         let Some(stats) = popularity.objects.get(&visit.object) else { return false };
@@ -267,7 +269,7 @@
         if is_late || has_no_hand_offs_left {
             return self.finish_unserved(id);
         }
-        let is_write = self.class_settings(visit.class).is_some_and(|band| band.is_write);
+        let is_write = self.class_settings(visit.class).is_some_and(|class| class.is_write);
         let choice = if is_write { self.choose_for_write(now, visit) } else { self.choose(now, visit) };
         match choice {
             Choice::HandOff(host, fill) => self.hand_off(now, id, host, fill),
@@ -281,7 +283,7 @@
     fn latest_hand_off(&self, open: &OpenVisit) -> Time {
         let last = open.visit.deadline - ANSWER_MARGIN;
         let Some((first, _)) = open.first_possible_run else { return last };
-        match self.class_settings(open.visit.class).map(|band| band.effect) {
+        match self.class_settings(open.visit.class).map(|class| class.effect) {
             Some(Idempotent) => last,
             Some(Deduplicated { retention: memory, .. }) => last.min(first + memory - ANSWER_MARGIN),
             _ => Time::default(),
@@ -296,7 +298,7 @@
         let Some((_, first)) = open.first_possible_run else { return true };
         let both = self.hosts.get(&first).zip(self.hosts.get(&host));
         let match_by = |same: fn(&Host, &Host) -> bool| both.is_some_and(|(a, b)| same(a, b));
-        match self.class_settings(open.visit.class).map(|band| band.effect) {
+        match self.class_settings(open.visit.class).map(|class| class.effect) {
             Some(Deduplicated { group: Group::Location, .. }) => {
                 match_by(|a, b| a.entry.location == b.entry.location)
             }
@@ -310,7 +312,7 @@
     pub fn finish_unserved(&mut self, id: VisitId) {
         let Some(open) = self.visits.get(&id) else { return };
         let may_have_run = open.first_possible_run.is_some() || open.in_flight > 0;
-        let is_repeat_safe = match self.class_settings(open.visit.class).map(|band| band.effect) {
+        let is_repeat_safe = match self.class_settings(open.visit.class).map(|class| class.effect) {
             Some(Idempotent | Deduplicated { group: Group::All, .. }) => true,
             _ => !may_have_run,
         };
@@ -367,7 +369,7 @@
         sources.extend(origin.filter(|_| may_reach_origin));
         let work = self.cold_cost(visit.class);
         let (rank, join) = (FILL_RANKS[usize::from(is_popular)], self.settings.joins_fills);
-        let renew = self.class_settings(visit.class).is_some_and(|band| band.fresh_for > Span::ZERO);
+        let renew = self.class_settings(visit.class).is_some_and(|class| class.fresh_for > Span::ZERO);
         let has_no_caches = caches.is_empty();
         let mut cache =
             caches.iter().copied().find(|c| self.has_room(now, *c) && self.can_send(now, *c, work));
@@ -383,8 +385,9 @@
         }
         // A fill in flight is joined or waited for. Guards against transferring the same bytes twice.
         let is_fill_in_flight = cache.is_some_and(|cache| self.is_fill_in_flight(now, &visit, cache));
-        let max_wait =
-            self.class_settings(visit.class).map_or(Span::ZERO, |band| band.target_latency.times(FILL_WAIT_FRACTION));
+        let max_wait = self
+            .class_settings(visit.class)
+            .map_or(Span::ZERO, |class| class.target_latency.times(FILL_WAIT_FRACTION));
         if is_fill_in_flight && !join && now < arrived_at + max_wait {
             return Choice::Wait;
         }
@@ -409,11 +412,31 @@
                 self.fill_limiter.restricted_count += u32::from(source.is_none());
                 self.origin_limiter.restricted_count += u32::from(is_cached_only);
                 let source = source.unwrap_or(cache);
-                Choice::HandOff(cache, Some(Fill { source, rank, max_age: oldest, may_join: join, refresh_stale: renew, cached_only: is_cached_only }))
+                Choice::HandOff(
+                    cache,
+                    Some(Fill {
+                        source,
+                        rank,
+                        max_age: oldest,
+                        may_join: join,
+                        refresh_stale: renew,
+                        cached_only: is_cached_only,
+                    }),
+                )
             }
             (None, Some(host)) if self.settings.may_bypass_caches && has_no_caches && origin_admits => {
                 let source = origin.unwrap_or(host);
-                Choice::HandOff(host, Some(Fill { source, rank: 0, max_age: oldest, may_join: join, refresh_stale: false, cached_only: false }))
+                Choice::HandOff(
+                    host,
+                    Some(Fill {
+                        source,
+                        rank: 0,
+                        max_age: oldest,
+                        may_join: join,
+                        refresh_stale: false,
+                        cached_only: false,
+                    }),
+                )
             }
             _ => Choice::GiveUp,
         }
@@ -441,7 +464,14 @@
         }
         let mut caches = self.hosts_by_hash(visit.object.0, |h| self.is_cache(h));
         caches.retain(|host| self.is_eligible(open, *host));
-        let fill = Fill { source, rank: 0, max_age: Span::ZERO, may_join: false, refresh_stale: false, cached_only: false };
+        let fill = Fill {
+            source,
+            rank: 0,
+            max_age: Span::ZERO,
+            may_join: false,
+            refresh_stale: false,
+            cached_only: false,
+        };
         let work = self.cold_cost(visit.class);
         let cache = caches.into_iter().find(|cache| self.can_send(now, *cache, work));
         cache.map_or(Choice::GiveUp, |cache| Choice::HandOff(cache, Some(fill)))
@@ -492,13 +522,13 @@
             self.origin_limiter.origin_rate.value_or(ORIGIN_RATE_START)
         };
         let origin_probability = if is_cached_only { 0.0 } else { fill_probability * origin_rate };
-        let (is_first_fill, band) = (!was_cached && fill_probability > 0.0, visit.class);
+        let (is_first_fill, class) = (!was_cached && fill_probability > 0.0, visit.class);
         let sent = SentHandOff {
             sent_at: now,
             trial_sent_at,
             host,
             source,
-            band,
+            class,
             copy,
             was_cached,
             is_first_fill,
@@ -508,16 +538,22 @@
         };
         self.count_in_flight(&sent, 1);
         self.in_flight.insert((id, number), sent);
-        self.decisions.push_back(Decision::HandOff { visit: id, host, times_out_at: until, send_before: latest, fill });
+        self.decisions.push_back(Decision::HandOff {
+            visit: id,
+            host,
+            times_out_at: until,
+            send_before: latest,
+            fill,
+        });
     }
 
     /// Maximum age of a copy, zero for any age. Once the object was purged it is the time since then, and
     /// never zero, since a stalled host may not have dropped older copies. While purges may have been missed
     /// it is at most the time in which a purge has to be obeyed. Guards rule 5.
     fn max_copy_age(&self, now: Time, visit: &Visit, filled: bool) -> Span {
-        let Some(band) = self.class_settings(visit.class) else { return Span::ZERO };
-        let max_age = if filled { band.fresh_for } else { band.fresh_for + band.stale_for };
-        let max_age = Some(max_age).filter(|_| band.fresh_for > Span::ZERO);
+        let Some(class) = self.class_settings(visit.class) else { return Span::ZERO };
+        let max_age = if filled { class.fresh_for } else { class.fresh_for + class.stale_for };
+        let max_age = Some(max_age).filter(|_| class.fresh_for > Span::ZERO);
         let purge = self.purges.latest(visit.group, visit.object);
         let since_purge = purge.map(|at| (now - at).max(Span(1)));
         let while_unverified = self.unverified_max_age.into_iter().chain(self.log_silence_max_age);
@@ -546,7 +582,7 @@
     }
 
     /// Budget of this dispatcher for a cold host, in seconds of transfer time a second, and its window in
-    /// seconds: a part of `multiple` x present capacity, which rises linearly from the initial share. Guards
+    /// seconds: a part of `overload_factor` x present capacity, which rises linearly from the initial share. Guards
     /// rule 4.
     pub(crate) fn cold_budget(&self, now: Time, id: HostId) -> Option<(f64, f64)> {
         let (total, window) = self.total_cold_budget(now, id)?;
@@ -560,8 +596,8 @@
         let rules = if self.is_parent(host) { self.settings.cold_parent } else { self.settings.cold_cache };
         let age = host.process_age(now).filter(|age| *age < rules.ramp)?;
         let (window, ramp) = (rules.overload_window.as_seconds(), rules.ramp.as_seconds());
-        let capacity_share =
-            rules.initial_share + (1.0 - rules.initial_share) * (age.as_seconds() - window / 2.0).max(0.0) / ramp;
+        let capacity_share = rules.initial_share
+            + (1.0 - rules.initial_share) * (age.as_seconds() - window / 2.0).max(0.0) / ramp;
         Some((COLD_BUDGET_FRACTION * rules.overload_factor * capacity_share * self.capacity(host), window))
     }
 
@@ -638,14 +674,14 @@
         let is_fill = matches!(end.note, Note::Filled | Note::FilledByOrigin | Note::Joined);
         let took = end.duration.as_seconds();
         let latency_ratio =
-            took / self.class_settings(sent.band).map_or(SECOND, |band| band.target_latency).as_seconds();
+            took / self.class_settings(sent.class).map_or(SECOND, |class| class.target_latency).as_seconds();
         let mut slowdown = None;
         if is_served && !is_fill {
-            let seen = self.class_stats.get_mut(usize::from(sent.band.0));
+            let seen = self.class_stats.get_mut(usize::from(sent.class.0));
             seen.into_iter().for_each(|seen| seen.transfer_seconds.push(took, 0.02));
             slowdown = self.popularity.slowdown(sent.copy.0, end.duration);
         }
-        let (work, sharers) = (self.transfer_seconds(sent.band), self.settings.location_share_count());
+        let (work, sharers) = (self.transfer_seconds(sent.class), self.settings.location_share_count());
         let limit = self.hosts.get(&sent.host).map_or(HOST_LIMIT_MIN, |h| self.limit(h));
         let mut is_repeat = false;
         if let Some(host) = self.hosts.get_mut(&sent.host) {
@@ -697,8 +733,8 @@
 
     /// Updates what is known of the source by the end of a hand-off.
     fn update_source_stats(&mut self, now: Time, sent: &SentHandOff, end: &HandOffEnd, is_fill: bool) {
-        let (work, cost) = (self.transfer_seconds(sent.band), self.cold_cost(sent.band));
-        let (quoted, blame) = (self.target_seconds(sent.band), self.origin_blame(sent));
+        let (work, cost) = (self.transfer_seconds(sent.class), self.cold_cost(sent.class));
+        let (target_seconds, blame) = (self.target_seconds(sent.class), self.origin_blame(sent));
         let Some(source) = sent.source.and_then(|id| self.hosts.get_mut(&id)) else { return };
         let (has_no_note, is_source_at_fault) = (end.note == Note::Unspecified, is_source_at_fault(end));
         let (is_served, has_source_missed) =
@@ -737,7 +773,7 @@
                 Some(FAILURE_LATENCY_RATIO.ln())
             }
             _ if is_served && (is_fill || has_no_note) => {
-                Some((end.duration.as_seconds() / quoted).max(0.001).ln())
+                Some((end.duration.as_seconds() / target_seconds).max(0.001).ln())
             }
             _ => None,
         };
@@ -867,13 +903,25 @@
     /// Guards against visits lost before this dispatcher has evidence of its own, and against a cold host to
     /// which all dispatchers return at once. The cost of a wrong report: the host gets trials only, until
     /// enough of them succeed or the report expires, or a cold host's budget.
-    pub fn apply_peer_report(&mut self, now: Time, id: HostId, since: Option<Time>, word: ReportedCondition, until: Time) {
+    pub fn apply_peer_report(
+        &mut self,
+        now: Time,
+        id: HostId,
+        since: Option<Time>,
+        word: ReportedCondition,
+        until: Time,
+    ) {
         let Some(host) = self.record_peer_report(now, word, (id, since, until)) else { return };
         let has_own_success = host.last_success_at.is_some_and(|at| now < at + OWN_SUCCESS_VALIDITY);
         if word == ReportedCondition::Restarted {
             host.restart_cold_budget(now, 0, 0.0);
         } else if !has_own_success && !host.peer_report.is_some_and(|report| report.is_refuted(now)) {
-            self.open_breaker(now, id, EjectionCause::Reported, "reported as bad by other dispatchers".into());
+            self.open_breaker(
+                now,
+                id,
+                EjectionCause::Reported,
+                "reported as bad by other dispatchers".into(),
+            );
         }
         self.spread_trials(now, id);
     }
@@ -956,7 +1004,7 @@
             host.completed_work_rate.push(std::mem::take(&mut host.completed_work), 0.2);
         }
         // Guards against fills that hang: overdue ones count before they end.
-        let age = |s: &SentHandOff| (now - s.sent_at).as_seconds() / self.target_seconds(s.band);
+        let age = |s: &SentHandOff| (now - s.sent_at).as_seconds() / self.target_seconds(s.class);
         let overdue = self.in_flight.values().filter(|s| s.fill_probability > 0.0 && age(s) > 1.0);
         let overdue: Vec<_> =
             overdue.map(|s| (age(s).ln(), s.fill_probability, self.origin_blame(s))).collect();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    /// Hosts of `group` drop a repeat that arrives within `memory` of the first attempt.
+    /// Hosts of `group` drop a repeat that arrives within `retention` of the first attempt.
     Deduplicated {
         group: Group,
         retention: Span,
@@ -45,7 +45,7 @@
     pub initial_share: f64,
     /// Time from its start until it has its full capacity.
     pub ramp: Span,
-    /// The host fails when it is sent more than this multiple of its present capacity within `window`.
+    /// The host fails when it is sent more than this multiple of its present capacity within `overload_window`.
     pub overload_factor: f64,
     pub overload_window: Span,
 }
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -1,8 +1,8 @@
 //! Limits shared by several dispatchers, and their reports on hosts. Without allotments and reports none of
 //! this is in force, and a dispatcher decides on its own.
-use crate::decision_engine::{DecisionEngine, ORIGIN_RATE_START, TRIALS_TO_RECOVER, UNREACHED_MIN};
-use crate::calls::{EjectionCause, Finding, HostCondition, SharedLimit, LimitUsage, ReportedCondition};
+use crate::calls::{EjectionCause, Finding, HostCondition, LimitUsage, ReportedCondition, SharedLimit};
 use crate::containers::TokenBucket;
+use crate::decision_engine::{DecisionEngine, ORIGIN_RATE_START, TRIALS_TO_RECOVER, UNREACHED_MIN};
 use crate::ids::HostId;
 use crate::state::{Host, OpenBreaker, SentHandOff, Timer};
 use crate::time::Time;
@@ -60,7 +60,7 @@
         if self.allotments.is_empty() || !is_start {
             return;
         }
-        let work = self.cold_cost(sent.band);
+        let work = self.cold_cost(sent.class);
         for id in [Some(sent.host), sent.source].into_iter().flatten() {
             self.hosts.get_mut(&id).into_iter().for_each(|host| host.cold_usage.used += work);
         }
@@ -85,7 +85,8 @@
         }
         let hosts = &self.hosts;
         // Drops parts of hosts that are gone. The part of a host that is not listed yet is kept.
-        self.allotments.retain(|known, _| !matches!(known, SharedLimit::ColdStart(id) if !hosts.contains_key(id)));
+        self.allotments
+            .retain(|known, _| !matches!(known, SharedLimit::ColdStart(id) if !hosts.contains_key(id)));
         let bucket = self
             .allotments
             .get(&shared)
@@ -211,10 +212,9 @@
             let id = host.entry.host;
             let is_restarted =
                 host.restart_detected_at.is_some() && host.restart_detected_at == host.entry.started_at;
-            let (condition, evidence, at) = match host
-                .breaker
-                .filter(|breaker| breaker.cause != EjectionCause::Reported && breaker.trials_passed + 1 < TRIALS_TO_RECOVER)
-            {
+            let (condition, evidence, at) = match host.breaker.filter(|breaker| {
+                breaker.cause != EjectionCause::Reported && breaker.trials_passed + 1 < TRIALS_TO_RECOVER
+            }) {
                 Some(OpenBreaker { cause: why, evidence_count: evidence, last_evidence_at: at, .. }) => (
                     HostCondition::Ejected {
                         cause: why,
@@ -231,7 +231,7 @@
             Some(Finding {
                 host: id,
                 since: host.listed_start,
-                condition: condition,
+                condition,
                 evidence_count: evidence.max(1),
                 last_evidence_at: at,
             })
@@ -262,12 +262,15 @@
     /// The use of a shared limit since the last query, and the use there would have been had nothing been
     /// refused. Counted from the first allotment on.
     pub fn take_limit_usage(&mut self, now: Time, shared: SharedLimit) -> LimitUsage {
-        let total_target = self.settings.classes.iter().map(|band| band.target_latency.as_seconds()).sum::<f64>();
+        let total_target =
+            self.settings.classes.iter().map(|class| class.target_latency.as_seconds()).sum::<f64>();
         let fill_seconds = self.origin_limiter.log_latency_ratio.value.exp() * total_target
             / self.settings.classes.len().max(1) as f64;
         let in_flight = self.origin_in_flight();
         let total = match shared {
-            SharedLimit::ColdStart(id) => self.total_cold_budget(now, id).map_or(f64::INFINITY, |(total, _)| total),
+            SharedLimit::ColdStart(id) => {
+                self.total_cold_budget(now, id).map_or(f64::INFINITY, |(total, _)| total)
+            }
             _ => 1.0,
         };
         let counted = match shared {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! State of the decision module: hosts, objects, classes, visits and hand-offs, and the basic updates to it.
+use crate::calls::{Decision, EjectionCause, Fill, Listing, Outcome, Phase, SharedLimit, Visit};
+use crate::containers::{rendezvous, LatencyGradient, MovingAverage, TimerQueue, TokenBucket};
 use crate::decision_engine::{RESULT_WEIGHT, STATS_RETENTION};
-use crate::calls::{EjectionCause, Decision, Fill, Listing, Outcome, Phase, SharedLimit, Visit};
-use crate::containers::{rendezvous, TimerQueue, LatencyGradient, MovingAverage, TokenBucket};
 use crate::ids::{ClassId, GroupId, HandOffNumber, HostId, ObjectId, VisitId};
 use crate::popularity::Popularity;
 use crate::purges::Purges;
@@ -160,7 +160,8 @@
     /// Opens the circuit breaker. Evidence for silence are the hand-offs in flight, for failures the recent
     /// ones that failed.
     pub fn open_breaker(&mut self, now: Time, trial_interval: Span, cause: EjectionCause) {
-        let failed = self.failure_rate.value * f64::from(self.failure_rate.sample_count).min(1.0 / RESULT_WEIGHT[0]);
+        let failed =
+            self.failure_rate.value * f64::from(self.failure_rate.sample_count).min(1.0 / RESULT_WEIGHT[0]);
         let evidence = match cause {
             EjectionCause::Silent => self.in_flight,
             EjectionCause::Failing => failed.ceil() as u32,
@@ -194,7 +195,8 @@
             let cold_bucket = if is_detected { self.cold_bucket } else { TokenBucket::empty(now) };
             *self = Host { in_flight: self.in_flight, cold_bucket, ..Host::new(entry, now) };
         }
-        (self.entry, self.listed_start) = (Listing { started_at: since, ..entry }, self.listed_start.max(entry.started_at));
+        (self.entry, self.listed_start) =
+            (Listing { started_at: since, ..entry }, self.listed_start.max(entry.started_at));
     }
 
     /// Age of its process; `None` if it started long ago. A host that may run a new process counts as just
@@ -217,7 +219,8 @@
 
     /// Treats the host as just started, and charges the hand-offs it has had since to its new cold budget.
     pub fn restart_cold_budget(&mut self, now: Time, sent: u32, work: f64) {
-        (self.entry.started_at, self.cold_bucket) = (self.entry.started_at.max(Some(now)), TokenBucket::empty(now));
+        (self.entry.started_at, self.cold_bucket) =
+            (self.entry.started_at.max(Some(now)), TokenBucket::empty(now));
         self.cold_bucket.level -= f64::from(sent) * work;
     }
 
@@ -297,7 +300,7 @@
     pub trial_sent_at: Time,
     pub host: HostId,
     pub source: Option<HostId>,
-    pub band: ClassId,
+    pub class: ClassId,
     pub copy: CachedCopyId,
     /// Whether the part was known to be cached at the host.
     pub was_cached: bool,
@@ -436,9 +439,9 @@
         }
     }
 
-    /// Applies a list of hosts. If it is `whole`, hosts missing from it are gone; else it holds changes only.
-    pub fn update_hosts(&mut self, now: Time, entries: &[Listing], whole: bool) {
-        self.hosts.values_mut().filter(|_| whole).for_each(|host| host.entry.phase = Phase::Gone);
+    /// Applies a list of hosts. If it `is_complete`, hosts missing from it are gone; else it holds changes only.
+    pub fn update_hosts(&mut self, now: Time, entries: &[Listing], is_complete: bool) {
+        self.hosts.values_mut().filter(|_| is_complete).for_each(|host| host.entry.phase = Phase::Gone);
         for entry in entries {
             let host = self.hosts.entry(entry.host).or_insert_with(|| Host::new(*entry, now));
             host.update_listing(now, *entry);
@@ -472,11 +475,11 @@
     /// Cancels the idempotent hand-offs in flight at a host that is not expected to answer.
     pub(crate) fn cancel_in_flight(&mut self, id: HostId) {
         let is_idempotent =
-            |band: ClassId| self.class_settings(band).is_some_and(|b| b.effect == Effect::Idempotent);
+            |class: ClassId| self.class_settings(class).is_some_and(|b| b.effect == Effect::Idempotent);
         let out = self
             .in_flight
             .iter()
-            .filter(|(_, s)| self.settings.can_cancel && s.host == id && is_idempotent(s.band));
+            .filter(|(_, s)| self.settings.can_cancel && s.host == id && is_idempotent(s.class));
         let out: Vec<_> = out.map(|(&(visit, number), _)| Decision::Cancel { visit, number }).collect();
         self.decisions.extend(out);
     }
@@ -497,7 +500,7 @@
         if !matches!(outcome, Outcome::Expired | Outcome::NotSent) {
             return;
         }
-        let work = self.cold_cost(sent.band);
+        let work = self.cold_cost(sent.class);
         for id in [Some(sent.host), sent.source].into_iter().flatten() {
             self.hosts.get_mut(&id).into_iter().for_each(|host| host.refund_cold_budget(sent.sent_at, work));
         }
@@ -549,7 +552,7 @@
         }
         self.record_usage(sent, change > 0.0);
         let by_cache = change > 0.0 && self.hosts.get(&sent.host).is_some_and(|host| self.is_cache(host));
-        let work = Some(self.transfer_seconds(sent.band)).filter(|_| by_cache);
+        let work = Some(self.transfer_seconds(sent.class)).filter(|_| by_cache);
         work.into_iter().for_each(|work| self.mean_cache_work.push(work, 0.01));
     }
 
@@ -599,8 +602,9 @@
 
     /// Target latency of a class's mean visit, in seconds.
     pub fn target_seconds(&self, id: ClassId) -> f64 {
-        self.class_settings(id)
-            .map_or(1.0, |class| class.target_latency.as_seconds() + class.target_stretch * self.transfer_seconds(id))
+        self.class_settings(id).map_or(1.0, |class| {
+            class.target_latency.as_seconds() + class.target_stretch * self.transfer_seconds(id)
+        })
     }
 
     /// Other ready hosts of the same role: parents for a parent, else this location's caches.
@@ -617,7 +621,9 @@
     }
 
     pub(crate) fn hash_weight(&self, host: &Host) -> f64 {
-        Some(host.entry.weight).filter(|weight| self.settings.has_stable_weights && *weight > 0.0).unwrap_or(1.0)
+        Some(host.entry.weight)
+            .filter(|weight| self.settings.has_stable_weights && *weight > 0.0)
+            .unwrap_or(1.0)
     }
 
     /// Hand-offs in flight at a host over its limit.
--- a/tests/cold_in_sum.rs
+++ b/tests/cold_in_sum.rs
@@ -115,7 +115,7 @@
     start: Option<Start>,
     /// As in `Simulation`.
     max_connect_time: Option<u64>,
-    weights_told: bool,
+    has_weights: bool,
     /// As in `Simulation`.
     starts_known_by_log: bool,
 }
@@ -131,7 +131,7 @@
     load: LOAD,
     start: None,
     max_connect_time: None,
-    weights_told: true,
+    has_weights: true,
     starts_known_by_log: false,
 };
 
@@ -168,26 +168,31 @@
 }
 
 fn settings(case: &Case) -> Settings {
-    let band = |quoted| ClassSettings {
+    let class = |target_latency| ClassSettings {
         effect: Effect::Idempotent,
-        target_latency: Span::millis(quoted),
+        target_latency: Span::millis(target_latency),
         target_stretch: 2.0,
         fresh_for: Span::ZERO,
         stale_for: Span::ZERO,
         is_write: false,
     };
     let (ramp, window) = (Span(case.rules.ramp), Span(case.rules.window));
-    let cold = |share| ColdStart { initial_share: share, ramp, overload_factor: case.rules.overload_factor, overload_window: window };
+    let cold = |share| ColdStart {
+        initial_share: share,
+        ramp,
+        overload_factor: case.rules.overload_factor,
+        overload_window: window,
+    };
     let dispatchers = case.dispatchers as u32;
     Settings {
         dispatchers,
         location: LocationId(0),
         location_dispatchers: dispatchers,
-        classes: vec![band(500), band(250)],
+        classes: vec![class(500), class(250)],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        has_weights: case.weights_told,
-        has_stable_weights: case.weights_told,
+        has_weights: case.has_weights,
+        has_stable_weights: case.has_weights,
         may_bypass_caches: true,
         reports_fill_source: true,
         can_cancel: true,
@@ -230,7 +235,7 @@
         announced_kb_per_s: kb_per_s,
     });
     // If weights are not given, capacity is estimated by what warm hosts carry.
-    let slots_per_weight = if case.weights_told { UNLIMITED_SLOTS } else { 1.0 };
+    let slots_per_weight = if case.has_weights { UNLIMITED_SLOTS } else { 1.0 };
     let mut simulation =
         Simulation::new(settings(case), entries, slots_per_weight, classes.collect(), case.seed);
     simulation.retries = 2;
@@ -683,7 +688,7 @@
 fn weights_are_not_told(dispatchers: usize) {
     let case = Case {
         dispatchers,
-        weights_told: false,
+        has_weights: false,
         start: start_of(StartKind::Restarts, 0, NO_LAG),
         ..RESTART_CASE
     };
--- a/tests/largest_requests.rs
+++ b/tests/largest_requests.rs
@@ -37,9 +37,9 @@
 }
 
 fn settings(dispatchers: u32) -> Settings {
-    let band = |quoted| ClassSettings {
+    let class = |target_latency| ClassSettings {
         effect: Effect::Idempotent,
-        target_latency: Span::millis(quoted),
+        target_latency: Span::millis(target_latency),
         target_stretch: 2.0,
         fresh_for: Span::ZERO,
         stale_for: Span::ZERO,
@@ -48,7 +48,7 @@
     Settings {
         dispatchers,
         location_dispatchers: dispatchers,
-        classes: vec![band(500), band(250)],
+        classes: vec![class(500), class(250)],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
         has_weights: true,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -33,8 +33,8 @@
 //!
 //! Always checked: each visit gets one final answer and no hand-off after it, never has two hand-offs in
 //! flight, and each refusal has a retry-after time.
-use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::ids::*;
 use cherrypass::settings::*;
 use cherrypass::time::{Span, Time};
@@ -60,7 +60,7 @@
     settings: Settings,
     names: BTreeMap<String, HostId>,
     listings: BTreeMap<HostId, Listing>,
-    brain: Option<DecisionEngine>,
+    engine: Option<DecisionEngine>,
     now: u64,
     next_wake: u64,
     visits: BTreeMap<u32, VisitRecord>,
@@ -124,18 +124,18 @@
 
     fn call_module(&mut self, input: impl FnOnce(&mut DecisionEngine, Time)) {
         let now = Time(self.now);
-        if self.brain.is_none() {
-            let mut brain = DecisionEngine::new(self.settings.clone(), 7, now);
-            brain.update_hosts(now, &self.listings.values().copied().collect::<Vec<_>>(), true);
-            self.brain = Some(brain);
+        if self.engine.is_none() {
+            let mut engine = DecisionEngine::new(self.settings.clone(), 7, now);
+            engine.update_hosts(now, &self.listings.values().copied().collect::<Vec<_>>(), true);
+            self.engine = Some(engine);
         }
-        input(self.brain.as_mut().unwrap(), now);
-        while let Some(decision) = self.brain.as_mut().unwrap().next_decision(now) {
+        input(self.engine.as_mut().unwrap(), now);
+        while let Some(decision) = self.engine.as_mut().unwrap().next_decision(now) {
             self.apply_decision(decision);
         }
         for host in std::mem::take(&mut self.open_probes) {
             let report = self.report(host);
-            self.brain.as_mut().unwrap().probe_answered(now, host, report);
+            self.engine.as_mut().unwrap().probe_answered(now, host, report);
         }
     }
 
@@ -236,8 +236,11 @@
         let (took, last) = (Span(self.now - record.sent_at), !record.final_answers.is_empty());
         let (visit, number) = (VisitId(id), HandOffNumber(number));
         let report = self.visits[&id].sent_to.map(|host| self.report(host)).unwrap_or_default();
-        self.call_module(|brain, now| {
-            brain.hand_off_ended(now, HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last })
+        self.call_module(|engine, now| {
+            engine.hand_off_ended(
+                now,
+                HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last },
+            )
         });
     }
 
@@ -254,7 +257,7 @@
                     let (outcome, note) = self.pending_answers.remove(&key).unwrap();
                     self.end_hand_off(key.1, key.2, &outcome, &note);
                 }
-                None => self.call_module(|brain, now| brain.tick(now)),
+                None => self.call_module(|engine, now| engine.tick(now)),
             }
         }
         self.now = then;
@@ -264,22 +267,22 @@
     fn add_visit(
         &mut self,
         id: u32,
-        band: &str,
+        class: &str,
         object: &str,
         limit: Option<&&str>,
         earlier_attempt: Option<(HostId, Span)>,
     ) {
-        let index = self.classes.iter().position(|known| known.0 == band).expect("a band");
+        let index = self.classes.iter().position(|known| known.0 == class).expect("a class");
         let limit = limit.map_or(self.classes[index].1, |word| micros(word));
-        let (band, object) = (ClassId(index as u16), ObjectId(object.parse().unwrap()));
+        let (class, object) = (ClassId(index as u16), ObjectId(object.parse().unwrap()));
         let deadline = Time(self.now + limit);
         self.visits.insert(id, VisitRecord::default());
         let (id, group, part) = (VisitId(id), GroupId(1), self.part);
-        let visit = Visit { id, class: band, object, group, part, kilobytes: None, deadline };
-        self.call_module(|brain, now| {
-            brain.visit_arrived(now, visit);
+        let visit = Visit { id, class, object, group, part, kilobytes: None, deadline };
+        self.call_module(|engine, now| {
+            engine.visit_arrived(now, visit);
             if let Some((host, ago)) = earlier_attempt {
-                brain.note_earlier_attempt(visit.id, now - ago, host);
+                engine.note_earlier_attempt(visit.id, now - ago, host);
             }
         });
     }
@@ -315,7 +318,7 @@
             since => since.map(|word| Time(START + micros(word))).or(listing.started_at),
         };
         let listing = *listing;
-        self.call_module(|brain, now| brain.update_hosts(now, &[listing], false));
+        self.call_module(|engine, now| engine.update_hosts(now, &[listing], false));
     }
 
     fn expect(&self, what: &str, key: &str, words: &[&str]) {
@@ -393,26 +396,27 @@
                 let location = LocationId(if kind == 0 { 2 } else { 0 });
                 let weight = weight.parse().unwrap();
                 let (kind, cell) = (KindId(kind as u16), CellId(0));
-                let entry = Listing { host, location, kind, cell, weight, started_at: None, phase: Phase::Ready };
+                let entry =
+                    Listing { host, location, kind, cell, weight, started_at: None, phase: Phase::Ready };
                 self.listings.insert(host, entry);
             }
             ["at", time] => self.run_until(START + micros(time)),
             ["list", name, phase, since @ ..] => self.update_listing(name, phase, since.first()),
-            ["visit", id, band, object, limit @ ..] => {
-                self.add_visit(id.parse().unwrap(), band, object, limit.first(), None)
+            ["visit", id, class, object, limit @ ..] => {
+                self.add_visit(id.parse().unwrap(), class, object, limit.first(), None)
             }
-            ["ran", host, ago, id, band, object] => {
+            ["ran", host, ago, id, class, object] => {
                 let earlier_attempt =
                     (self.names.get(*host).copied().unwrap_or(HostId(99)), Span(micros(ago)));
-                self.add_visit(id.parse().unwrap(), band, object, None, Some(earlier_attempt))
+                self.add_visit(id.parse().unwrap(), class, object, None, Some(earlier_attempt))
             }
             ["unproven", is] => {
                 let is = *is == "on";
-                self.call_module(|brain, _| brain.set_purges_unverified(is));
+                self.call_module(|engine, _| engine.set_purges_unverified(is));
             }
             ["purge", object, ago] => {
                 let (object, ago) = (object.parse().ok().map(ObjectId), Span(micros(ago)));
-                self.call_module(|brain, now| brain.record_purge(now, GroupId(1), object, ago));
+                self.call_module(|engine, now| engine.record_purge(now, GroupId(1), object, ago));
             }
             ["allot", what, amount, time, after] => {
                 let shared = match *what {
@@ -422,7 +426,7 @@
                 };
                 let (amount, after) = (amount.parse().unwrap(), after.parse().unwrap());
                 let until = Time(self.now + micros(time));
-                self.call_module(|brain, _| brain.set_allotment(shared, amount, until, after));
+                self.call_module(|engine, _| engine.set_allotment(shared, amount, until, after));
             }
             [word @ ("word" | "new"), name, time, since @ ..] => {
                 let word = if *word == "new" { ReportedCondition::Restarted } else { ReportedCondition::Bad };
@@ -430,12 +434,12 @@
                 let since = since.first().map(|word| Time(START + micros(word)));
                 let since = since.or(self.listings[&host].started_at);
                 let until = Time(self.now + micros(time));
-                self.call_module(|brain, now| brain.apply_peer_report(now, host, since, word, until));
+                self.call_module(|engine, now| engine.apply_peer_report(now, host, since, word, until));
             }
             ["leave", id] => {
                 let id = id.parse().unwrap();
                 self.visits.get_mut(&id).unwrap().final_answers.push("left");
-                self.call_module(|brain, _| brain.close_visit(VisitId(id)));
+                self.call_module(|engine, _| engine.close_visit(VisitId(id)));
             }
             ["end", id, outcome, note @ ..] => {
                 let id = id.parse().unwrap();
@@ -449,11 +453,11 @@
                     self.answers.insert(name.to_string(), (outcome.to_string(), note.clone(), after));
                 }
             }
-            ["flow", count, band, every, objects] => {
+            ["flow", count, class, every, objects] => {
                 for n in 0..count.parse().unwrap() {
                     let id = 1000 + self.visits.len() as u32;
                     let object = 100 + n % objects.parse::<u32>().unwrap();
-                    self.add_visit(id, band, &object.to_string(), None, None);
+                    self.add_visit(id, class, &object.to_string(), None, None);
                     self.run_until(self.now + micros(every));
                 }
             }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -3,8 +3,8 @@
 //! Requests are spread unevenly over dispatchers, hosts have slots and a queue, and cache misses are random.
 //! It records the attempts that reached each host and the result of each request. If connections are
 //! simulated, an attempt reaches its host only once its dispatcher's connection is up.
-use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::calls::*;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::ids::*;
 use cherrypass::settings::*;
 use cherrypass::time::{Span, Time};
@@ -242,8 +242,8 @@
         };
         simulation.logged_at = simulation.entries.iter().map(|entry| (entry.host, START)).collect();
         for _ in 0..simulation.settings.dispatchers {
-            let (brain, known_starts) = simulation.new_dispatcher(START);
-            simulation.dispatchers.push((brain, START));
+            let (engine, known_starts) = simulation.new_dispatcher(START);
+            simulation.dispatchers.push((engine, START));
             simulation.known_starts.push(known_starts);
             simulation.dispatchers_started_at.push(START);
         }
@@ -251,10 +251,10 @@
     }
 
     fn new_dispatcher(&mut self, now: u64) -> (DecisionEngine, BTreeMap<HostId, Option<Time>>) {
-        let mut brain = DecisionEngine::new(self.settings.clone(), self.rng.gen(), Time(now));
+        let mut engine = DecisionEngine::new(self.settings.clone(), self.rng.gen(), Time(now));
         let listed: Vec<Listing> = self.entries.iter().map(|entry| self.as_listed(*entry)).collect();
-        brain.update_hosts(Time(now), &listed, true);
-        (brain, self.entries.iter().map(|entry| (entry.host, entry.started_at)).collect())
+        engine.update_hosts(Time(now), &listed, true);
+        (engine, self.entries.iter().map(|entry| (entry.host, entry.started_at)).collect())
     }
 
     /// An entry as dispatchers see it: without the weight if the settings say that weights are not given.
@@ -264,8 +264,8 @@
 
     /// Restarts a dispatcher: its attempts are reset, and it knows the present list only.
     pub fn restart_dispatcher(&mut self, now: u64, dispatcher: usize) {
-        let (brain, known_starts) = self.new_dispatcher(now);
-        self.dispatchers[dispatcher] = (brain, now);
+        let (engine, known_starts) = self.new_dispatcher(now);
+        self.dispatchers[dispatcher] = (engine, now);
         self.known_starts[dispatcher] = known_starts;
         self.dispatchers_started_at[dispatcher] = now;
         let own: Vec<AttemptKey> = self.attempts.keys().filter(|key| key.0 == dispatcher).copied().collect();
@@ -373,7 +373,10 @@
                 self.entries.push(Listing { host: *id, ..entry });
             }
             let since = Some(Time(self.started_at[id]));
-            self.entries.iter_mut().filter(|entry| entry.host == *id).for_each(|entry| entry.started_at = since);
+            self.entries
+                .iter_mut()
+                .filter(|entry| entry.host == *id)
+                .for_each(|entry| entry.started_at = since);
             self.logged_at.insert(*id, now);
         }
         self.schedule_log_updates(now, ids, within);
@@ -529,7 +532,11 @@
                     self.send_attempt(now, (dispatcher, visit), (host, fill), latest);
                 }
                 Decision::Cancel { visit, number } => {
-                    self.end_attempt(now, (dispatcher, visit, number.0), (Outcome::Cancelled, Note::Unspecified));
+                    self.end_attempt(
+                        now,
+                        (dispatcher, visit, number.0),
+                        (Outcome::Cancelled, Note::Unspecified),
+                    );
                 }
                 Decision::Refuse { visit, retry_after } => {
                     let Some((request, _)) = self.visits.remove(&(dispatcher, visit)) else { continue };
@@ -767,7 +774,15 @@
             }
         }
         let (number, took) = (HandOffNumber(number), Span(now - decided_at));
-        let end = HandOffEnd { visit, number, outcome, note, duration: took, report: Report::default(), is_final: last };
+        let end = HandOffEnd {
+            visit,
+            number,
+            outcome,
+            note,
+            duration: took,
+            report: Report::default(),
+            is_final: last,
+        };
         self.dispatchers[dispatcher].0.hand_off_ended(Time(now), end);
         self.apply_decisions(now, dispatcher);
     }
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -44,7 +44,10 @@
     let mut host = restarted_host(at(5));
     host.record_result(at(41).unwrap(), true, 1.0);
     host.update_listing(at(45).unwrap(), entry(listed));
-    assert_eq!((host.entry.started_at, host.listed_start, host.failure_rate.sample_count), (at(40), at(5), 1));
+    assert_eq!(
+        (host.entry.started_at, host.listed_start, host.failure_rate.sample_count),
+        (at(40), at(5), 1)
+    );
     assert!(host.cold_bucket.level < 0.0);
 }
 
