--- a/crates/dispatcher/src/carried_changes.rs
+++ b/crates/dispatcher/src/carried_changes.rs
@@ -1,8 +1,8 @@
 //! Change log entries delivered by carriers of the fleet instead of by polling (docs/fleet-delivery.md):
 //! their encoding, and the source of changes for the thread that follows the log.
+use crate::change_decoding::{ChangeDecoder, ChangeLogError};
 use crate::config::WireNames;
 use crate::inbox::{Change, Input};
-use crate::change_decoding::{ChangeDecoder, ChangeLogError};
 use cherrypass::time::Span;
 use cherrypass_peers::delivery::{Delivered, LogChange, LogRead};
 use cherrypass_peers::{ChangeNumber, FromFleet, ToFleet};
@@ -163,13 +163,15 @@
     let Some(change) = decode(record, number) else {
         tracing::warn!(
             change = number,
-            "change {number} as delivered by a carrier can't be decoded and is ignored"
+            "change {number} delivered by a carrier cannot be decoded and is ignored"
         );
         *last = number.max(*last);
         return Ok(None);
     };
     match ChangeDecoder::new(names, last, None).decode(&change) {
-        Err(ChangeLogError::InvalidChange(number, _)) => ChangeDecoder::new(names, last, Some(number)).decode(&change),
+        Err(ChangeLogError::InvalidChange(number, _)) => {
+            ChangeDecoder::new(names, last, Some(number)).decode(&change)
+        }
         decoded => decoded,
     }
 }
--- a/crates/dispatcher/src/change_decoding.rs
+++ b/crates/dispatcher/src/change_decoding.rs
@@ -13,7 +13,7 @@
 pub enum ChangeLogError {
     #[error("no connection: {0}")]
     Unreachable(io::Error),
-    #[error("silent or cut: {0}")]
+    #[error("connection timed out or closed: {0}")]
     Interrupted(#[from] io::Error),
     #[error("its address has changed")]
     AddressChanged,
@@ -27,13 +27,13 @@
     TooDeep,
     #[error("change {0} has over {1} bytes")]
     ChangeTooLong(u64, usize),
-    #[error("change {0}: {} can't be used{}", .1 .0, .1.entry())]
+    #[error("change {0}: invalid {}{}", .1 .0, .1.entry())]
     InvalidChange(u64, InvalidKey),
-    #[error("change {0} follows on {1}")]
+    #[error("change {0} follows change {1}, changes between them are missing")]
     Gap(u64, u64),
 }
 
-/// The key of a change that can't be used, and the index of its entry in a list of hosts.
+/// An invalid key of a change, and the index of its entry in a list of hosts.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidKey(pub &'static str, pub Option<usize>);
 
@@ -69,7 +69,11 @@
 }
 
 impl<'a> ChangeDecoder<'a> {
-    pub(crate) fn new(names: &'a WireNames, last: &'a mut u64, known_invalid: Option<u64>) -> ChangeDecoder<'a> {
+    pub(crate) fn new(
+        names: &'a WireNames,
+        last: &'a mut u64,
+        known_invalid: Option<u64>,
+    ) -> ChangeDecoder<'a> {
         ChangeDecoder { names, previous: *last, last, known_invalid, first_repeated: None }
     }
 
@@ -98,9 +102,9 @@
         }
         let skips_invalid = self.known_invalid == Some(number);
         if skips_invalid {
-            tracing::warn!(change = number, "change {number} is passed over in part");
+            tracing::warn!(change = number, "change {number}: invalid entries are skipped");
         } else if seq.is_none() {
-            return Err(ChangeLogError::InvalidChange(number, "its number".into()));
+            return Err(ChangeLogError::InvalidChange(number, "sequence number".into()));
         }
         let found = match decode_change(result, self.names, number, skips_invalid) {
             Err(what) if !skips_invalid => return Err(ChangeLogError::InvalidChange(number, what)),
@@ -131,7 +135,7 @@
         }
     }
     if let Some(number) = decoder.first_repeated {
-        tracing::warn!("known changes: change {number} comes again and is ignored");
+        tracing::warn!("known changes: change {number} is repeated and ignored");
     }
     (changes, None)
 }
--- a/crates/dispatcher/src/change_log.rs
+++ b/crates/dispatcher/src/change_log.rs
@@ -2,11 +2,11 @@
 //! takes effect as soon as it has arrived, before the rest of the answer. After a failure the current list
 //! stays in force and the log is polled again.
 use crate::carried_changes::{Delivery, Source};
-use crate::clock;
-use crate::config::{WireNames, Nesting};
-use crate::inbox::Input;
 use crate::change_decoding::ChangeDecoder;
 pub use crate::change_decoding::{decode, host_id, ChangeLogError, InvalidKey};
+use crate::clock;
+use crate::config::{Nesting, WireNames};
+use crate::inbox::Input;
 use cherrypass::time::{Span, Time};
 use crossbeam_channel::{Receiver, Sender};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -76,10 +76,20 @@
 
 /// Follows the change log until the router has stopped.
 pub fn follow(following: FollowOptions) {
-    let FollowOptions { address, new_addresses, names, mut last_change, max_change_bytes, seed, router, delivery } = following;
+    let FollowOptions {
+        address,
+        new_addresses,
+        names,
+        mut last_change,
+        max_change_bytes,
+        seed,
+        router,
+        delivery,
+    } = following;
     let mut source = Source::new(delivery);
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let mut connections = Connections { address, new_addresses, idle: None, dials: Vec::new(), max_change_bytes };
+    let mut connections =
+        Connections { address, new_addresses, idle: None, dials: Vec::new(), max_change_bytes };
     let mut retry_delay = MIN_RETRY_DELAY;
     let (mut is_failing, mut is_behind, mut is_repeating) = (false, false, false);
     let mut has_stalled = false;
@@ -114,7 +124,10 @@
             return;
         }
         if let Some(number) = repeated.filter(|_| !is_repeating) {
-            tracing::warn!(change = last_change, "changelog tells change {number} again, after {last_change}: ignored");
+            tracing::warn!(
+                change = last_change,
+                "changelog tells change {number} again, after {last_change}: ignored"
+            );
         }
         is_repeating = repeated.is_some();
         let fault = match found {
@@ -351,7 +364,8 @@
             found.and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim)
         };
         let length = header("content-length").map(|text| text.parse::<u64>());
-        let length = length.transpose().map_err(|_| ChangeLogError::InvalidResponse("invalid Content-Length"))?;
+        let length =
+            length.transpose().map_err(|_| ChangeLogError::InvalidResponse("invalid Content-Length"))?;
         let is_chunked = header("transfer-encoding").is_some_and(|t| t.eq_ignore_ascii_case("chunked"));
         let closes = header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         break (length, is_chunked, !closes && response.version == Some(1));
@@ -421,7 +435,9 @@
     match found.and_then(|seq| json.end().map(|()| seq)) {
         Ok(seq) => Ok(seq),
         Err(error) => Err(fault.unwrap_or_else(|| match error.is_io() {
-            true => io::Error::from(error).downcast::<ChangeLogError>().unwrap_or_else(ChangeLogError::Interrupted),
+            true => io::Error::from(error)
+                .downcast::<ChangeLogError>()
+                .unwrap_or_else(ChangeLogError::Interrupted),
             false => ChangeLogError::NotJson,
         })),
     }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -6,27 +6,26 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Why a configuration can't be used. Each message is one line with the file, key or line at fault and the
-/// remedy.
+/// Why a configuration is invalid. Each message is one line with the invalid file, key or line and the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("no configuration: name it with --config or in GW_CONFIG")]
     NoConfigurationFile,
-    #[error("the configuration {0} can't be read: {1}; name a file that is there and may be read")]
+    #[error("cannot read the configuration {0}: {1}; name a file that exists and is readable")]
     Unreadable(String, std::io::Error),
-    #[error("the configuration isn't JSON: {0}; {}", json_remedy(.0))]
+    #[error("the configuration is not valid JSON: {0}; {}", json_remedy(.0))]
     NotJson(serde_json::Error),
-    #[error("the configuration is nested over {0} levels deep; write it with the documented keys")]
+    #[error("the configuration is nested more than {0} levels deep; use the documented keys only")]
     TooDeep(usize),
-    #[error("the configuration lacks {0}: add it")]
+    #[error("the configuration is missing {0}; add this key")]
     MissingKey(String),
-    #[error("the configuration's {0} can't be used: {1}; it has to be {2}")]
+    #[error("the configuration has an invalid {0}: {1}; it must be {2}")]
     InvalidValue(&'static str, String, String),
-    #[error("{0}: add it")]
+    #[error("{0}; add it")]
     MissingSetting(#[from] settings::MissingSetting),
-    #[error("the configuration's {0}")]
+    #[error("invalid configuration: {0}")]
     InvalidSetting(#[from] settings::InvalidSetting),
-    #[error("the configuration's known: {0}; look at who writes it")]
+    #[error("the configuration has an invalid known: {0}; check the program that writes it")]
     KnownChanges(crate::change_log::ChangeLogError),
     #[error("{1} (in {0})")]
     InFile(String, Box<Error>),
@@ -34,9 +33,9 @@
 
 fn json_remedy(error: &serde_json::Error) -> &'static str {
     if error.is_eof() {
-        "it is empty or cut short, write it whole"
+        "the file is empty or truncated"
     } else {
-        "mend it there"
+        "correct the syntax there"
     }
 }
 
@@ -164,7 +163,7 @@
             name: string(&all, "name")?.to_owned(),
             listen: address(&all, "listen")?,
             seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| invalid("seed", &all["seed"], "a text of up to 16 hex digits"))?,
+                .map_err(|_| invalid("seed", &all["seed"], "a string of up to 16 hex digits"))?,
             changelog: address(&all, "changelog")?,
             known_changes: all.get("known").cloned().unwrap_or(Value::Null),
             settings: settings::read(settings_json)?,
@@ -194,7 +193,9 @@
     /// Checks that all changes known at the start are valid.
     pub fn check_known(&self) -> Result<(), Error> {
         let (_, fault) = crate::change_log::decode(&self.known_changes, &self.names, &mut 0, None);
-        fault.filter(|_| !self.known_changes.is_null()).map_or(Ok(()), |fault| Err(Error::KnownChanges(fault)))
+        fault
+            .filter(|_| !self.known_changes.is_null())
+            .map_or(Ok(()), |fault| Err(Error::KnownChanges(fault)))
     }
 
     /// The longest deadline of any request class.
@@ -205,7 +206,8 @@
     /// Whether another configuration differs in anything but the change log's address, the known changes and
     /// the seed.
     pub fn needs_restart_for(&self, other: &Config) -> bool {
-        let same = Config { changelog: self.changelog, known_changes: self.known_changes.clone(), ..other.clone() };
+        let same =
+            Config { changelog: self.changelog, known_changes: self.known_changes.clone(), ..other.clone() };
         Config { seed: self.seed, ..same } != *self
     }
 }
@@ -228,7 +230,7 @@
 
 fn string<'a>(all: &'a Value, key: &'static str) -> Result<&'a str, Error> {
     let value = required(all, key)?;
-    value.as_str().ok_or_else(|| invalid(key, value, "a text"))
+    value.as_str().ok_or_else(|| invalid(key, value, "a string"))
 }
 
 fn address(all: &Value, key: &'static str) -> Result<SocketAddr, Error> {
--- a/crates/dispatcher/src/durable_state.rs
+++ b/crates/dispatcher/src/durable_state.rs
@@ -9,7 +9,7 @@
 use cherrypass_keep::purges::{self, Purge};
 use cherrypass_keep::records::Record;
 use cherrypass_keep::versions::{self, Version};
-use cherrypass_keep::visits::{self, WriteResult, Visits};
+use cherrypass_keep::visits::{self, Visits, WriteResult};
 use cherrypass_operator as operator;
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::error::Error;
@@ -66,10 +66,7 @@
                 Some(Arc::new(store))
             }
             Err(error) => {
-                tracing::error!(
-                    "store: {} can't be used: {error}; serving without it",
-                    settings.dir.display()
-                );
+                tracing::error!("store: cannot open {}: {error}; serving without it", settings.dir.display());
                 None
             }
         };
@@ -88,7 +85,7 @@
     /// Marks the store as cleanly closed at the end of the process.
     pub fn close(&self) {
         match self.store.as_ref().map(|store| store.mark()) {
-            Some(Err(error)) => tracing::warn!("store: it can't be marked as cleanly closed: {error}"),
+            Some(Err(error)) => tracing::warn!("store: cannot mark it as cleanly closed: {error}"),
             Some(Ok(())) => tracing::info!("store: closed"),
             None => {}
         }
@@ -99,7 +96,7 @@
         match store.scan(space, Bound::Unbounded, NO_LIMIT) {
             Ok(values) => Some(values),
             Err(error) => {
-                tracing::error!("store: {space} can't be read: {error}");
+                tracing::error!("store: cannot read {space}: {error}");
                 None
             }
         }
@@ -155,7 +152,7 @@
 /// The purges from before a start.
 pub enum RestoredPurges {
     Purges(Vec<Purge>),
-    /// They can't be read; each group counts as purged now.
+    /// They cannot be read; all groups are treated as purged now.
     Unknown {
         groups: u32,
     },
@@ -180,8 +177,13 @@
 
 impl StateRecorder {
     /// Restores the visits that may have run, and the purges to pass to the decision module.
-    pub fn restore(kept: StateStore, settings: &Settings, router: Sender<Input>) -> (StateRecorder, RestoredPurges) {
-        let (now, purge_retention) = (clock::unix_now(), settings.purge_retention().max(purges::MIN_RETENTION));
+    pub fn restore(
+        kept: StateStore,
+        settings: &Settings,
+        router: Sender<Input>,
+    ) -> (StateRecorder, RestoredPurges) {
+        let (now, purge_retention) =
+            (clock::unix_now(), settings.purge_retention().max(purges::MIN_RETENTION));
         let stored_purges = kept.values(purges::SPACE);
         let purges = match &stored_purges {
             Some(values) => RestoredPurges::Purges(purges::replay(
@@ -191,7 +193,7 @@
             )),
             None if kept.settings.unknown_purges == operator::UnknownPurges::Distrust => {
                 tracing::warn!(
-                    "store: the purges before this start are unknown; every copy counts as purged"
+                    "store: the purges before this start are unknown; all copies are treated as purged"
                 );
                 RestoredPurges::Unknown { groups: GROUP_COUNT }
             }
@@ -202,7 +204,7 @@
         let sends_unrecorded = kept.settings.without_record == operator::WithoutRecord::Send;
         let visits = Visits::restore(now, records, kept.settings.visit_retention, sends_unrecorded);
         let may_have_run = visits.unresolved().count();
-        tracing::info!("store: {} purges told anew, {may_have_run} visits may have run", purges.count());
+        tracing::info!("store: {} purges restored, {may_have_run} visits may have run", purges.count());
         for (key, visit) in visits.unresolved().filter(|(_, visit)| visit.repeat_window.is_none()) {
             let key = String::from_utf8_lossy(key);
             tracing::warn!(
--- a/crates/dispatcher/src/host_list.rs
+++ b/crates/dispatcher/src/host_list.rs
@@ -16,14 +16,14 @@
 /// Why an entry is not taken as listed, and how it is interpreted. Starts are Unix milliseconds.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum EntryFault {
-    #[error("its start {listed} is earlier than {known}, which was listed before and stays in effect")]
+    #[error("start {listed} is before the previously listed start {known}, which stays in effect")]
     EarlierStart { listed: u64, known: u64 },
-    #[error("its start {0} is in the future: the host is cold until then and ramps up from there")]
+    #[error("start {0} is in the future: the host is cold until then and ramps up from there")]
     FutureStart(u64),
-    #[error("weight {listed} can't be used, it counts as {effective}")]
+    #[error("invalid weight {listed}, using {effective} instead")]
     UnusableWeight { listed: f64, effective: f64 },
     #[error(
-        "{address} is the address of {holder} now: the host counts as gone until it is listed elsewhere"
+        "{address} is now the address of {holder}: the host is treated as gone until it is listed elsewhere"
     )]
     AddressTaken { address: SocketAddr, holder: String },
 }
@@ -164,7 +164,8 @@
             self.warming.insert(id);
         }
         let start = self.starts.get(&id);
-        (host.started, host.listing.started_at) = (start.map(|start| start.listed), start.map(|start| start.at));
+        (host.started, host.listing.started_at) =
+            (start.map(|start| start.listed), start.map(|start| start.at));
         let ms = |start: Option<UnixTime>| start.map_or(0, UnixTime::as_millis);
         let fault = if listed < known {
             EntryFault::EarlierStart { listed: ms(listed), known: ms(known) }
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -41,7 +41,11 @@
 
 impl Hosts {
     /// Starts the threads of the host actors and of their connections.
-    pub fn start(reach: HostConnectionLimits, capacity: HostCapacity, router: Sender<Input>) -> std::io::Result<Hosts> {
+    pub fn start(
+        reach: HostConnectionLimits,
+        capacity: HostCapacity,
+        router: Sender<Input>,
+    ) -> std::io::Result<Hosts> {
         let (messages, mailbox) = unbounded();
         let connections = HostConnections::start(capacity.clone(), reach.connect_timeout)?;
         let shared = Shared { reach, capacity: capacity.clone(), connections, router };
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -3,7 +3,7 @@
 use cherrypass_dispatcher::config::{Config, Error};
 use cherrypass_dispatcher::durable_state::StateStore;
 use cherrypass_dispatcher::startup::Dispatcher;
-use cherrypass_dispatcher::{logger, rollout_commands, fleet_connection, signals, store_commands};
+use cherrypass_dispatcher::{fleet_connection, logger, rollout_commands, signals, store_commands};
 use cherrypass_operator as operator;
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
@@ -30,7 +30,7 @@
         /// Format of log lines
         #[arg(long, value_enum, default_value_t)]
         log_format: logger::Format,
-        /// If the configuration can't be used, start with the last valid one from the operators' store
+        /// If the configuration is invalid, start with the last valid one from the operators' store
         #[arg(long)]
         last_good: bool,
     },
@@ -100,20 +100,21 @@
     };
     let log = logger::start(level, format);
     let kept = operator.store.map(StateStore::open);
-    let loaded = files.config.ok_or(Error::NoConfigurationFile).and_then(|path| match Config::load_text(&path) {
-        Ok((config, text)) => Ok((path, config, text)),
-        Err(error) if last_good => {
-            let known = kept.as_ref().and_then(StateStore::last_good).ok_or(error)?;
-            let config = Config::decode(&known.text)?;
-            tracing::warn!(
-                "the configuration can't be used; number {}, in force since {}, is taken instead",
-                known.number,
-                known.in_force_since
-            );
-            Ok((path, config, known.text))
-        }
-        Err(error) => Err(error),
-    });
+    let loaded =
+        files.config.ok_or(Error::NoConfigurationFile).and_then(|path| match Config::load_text(&path) {
+            Ok((config, text)) => Ok((path, config, text)),
+            Err(error) if last_good => {
+                let known = kept.as_ref().and_then(StateStore::last_good).ok_or(error)?;
+                let config = Config::decode(&known.text)?;
+                tracing::warn!(
+                    "invalid configuration, starting with number {}, in force since {}, instead",
+                    known.number,
+                    known.in_force_since
+                );
+                Ok((path, config, known.text))
+            }
+            Err(error) => Err(error),
+        });
     let (path, mut config, text) = match loaded {
         Ok(loaded) => loaded,
         Err(error) => {
@@ -121,7 +122,8 @@
             return fail_configuration(error);
         }
     };
-    let fleet = operator.fleet.map(|fleet| fleet_connection::fleet_settings(&fleet, &config).map(|set| (fleet, set)));
+    let fleet =
+        operator.fleet.map(|fleet| fleet_connection::fleet_settings(&fleet, &config).map(|set| (fleet, set)));
     let fleet = match fleet.transpose() {
         Ok(fleet) => fleet,
         Err(error) => {
@@ -165,7 +167,7 @@
         Err(error) => return fail_configuration(error),
     };
     println!(
-        "{} on {}: {} bands, {} dispatchers; {} clients, {} connections to hosts, {} kB unread at most",
+        "{} on {}: {} classes, {} dispatchers; {} clients, {} connections to hosts, {} kB unread at most",
         config.name,
         config.listen,
         config.names.classes.len(),
@@ -178,7 +180,9 @@
         Some(store) => println!("store in {}: hand-offs {:?}", store.dir.display(), store.hand_offs),
         None => println!("no store"),
     }
-    if let Some(Err(error)) = operator.fleet.as_ref().map(|fleet| fleet_connection::fleet_settings(fleet, &config)) {
+    if let Some(Err(error)) =
+        operator.fleet.as_ref().map(|fleet| fleet_connection::fleet_settings(fleet, &config))
+    {
         return fail_configuration(error);
     }
     match operator.fleet {
--- a/crates/dispatcher/src/resp.rs
+++ b/crates/dispatcher/src/resp.rs
@@ -45,7 +45,8 @@
         return Err(CloseReason::Unreadable);
     }
     let mut ends = [(0, 0); 4];
-    let most = [MAX_ID_BYTES, MAX_ID_BYTES, MAX_FIELDS_BYTES, MAX_HOST_MESSAGE_BYTES - MAX_FIELDS_BYTES - 256];
+    let most =
+        [MAX_ID_BYTES, MAX_ID_BYTES, MAX_FIELDS_BYTES, MAX_HOST_MESSAGE_BYTES - MAX_FIELDS_BYTES - 256];
     for (end, most) in ends.iter_mut().zip(most) {
         let Some(length) = read_length(buffer, &mut at, b'$')? else { return Ok(Parsed::Incomplete(1)) };
         if length > most {
--- a/crates/dispatcher/src/signals.rs
+++ b/crates/dispatcher/src/signals.rs
@@ -1,9 +1,9 @@
 //! Signal handling: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration. A
-//! configuration that can't be used leaves the current one in force.
+//! configuration that is invalid leaves the current one in force.
 use crate::config::Config;
 use crate::connection::spawn;
-use crate::inbox::Input;
 use crate::durable_state::StateStore;
+use crate::inbox::Input;
 use crossbeam_channel::Sender;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -43,7 +43,12 @@
     Ok(())
 }
 
-fn reload(path: &std::path::Path, config: &Config, kept: Option<&StateStore>, changelog: &Sender<SocketAddr>) {
+fn reload(
+    path: &std::path::Path,
+    config: &Config,
+    kept: Option<&StateStore>,
+    changelog: &Sender<SocketAddr>,
+) {
     let (new, text) = match Config::load_text(path) {
         Ok(new) => new,
         Err(error) => {
--- a/crates/dispatcher/tests/bad_input.rs
+++ b/crates/dispatcher/tests/bad_input.rs
@@ -56,7 +56,7 @@
     let line = error_line(command, 2, &path, None);
     assert_contains(
         &line,
-        &[path.to_str().unwrap(), "can't be read", "name a file that is there and may be read"],
+        &[path.to_str().unwrap(), "cannot read the configuration", "name a file that exists and is readable"],
     );
 }
 
@@ -67,7 +67,11 @@
     let line = error_line(command, 2, files.0.path(), None);
     assert_contains(
         &line,
-        &[files.0.path().to_str().unwrap(), "can't be read", "name a file that is there and may be read"],
+        &[
+            files.0.path().to_str().unwrap(),
+            "cannot read the configuration",
+            "name a file that exists and is readable",
+        ],
     );
 }
 
@@ -79,29 +83,33 @@
     let line = error_line(command, 2, &config, Some(&path));
     assert_contains(
         &line,
-        &[path.to_str().unwrap(), "can't be read", "name one that is there and may be read, or none"],
+        &[
+            path.to_str().unwrap(),
+            "cannot read the operators' file",
+            "name a file that exists and is readable, or none",
+        ],
     );
 }
 
-#[test_case(|_| String::new(), &["line 1 column 0", "it is empty or cut short, write it whole"]; "empty")]
-#[test_case(|good| good[..good.len() - 2].to_owned(), &["line 8 column", "it is empty or cut short, write it whole"]; "cut")]
-#[test_case(|good| good.replacen("\"limits\":", "limits:", 1), &["line 2 column 2", "mend it there"]; "not JSON")]
-#[test_case(|_| "[".repeat(200_000), &["over 16 levels deep"]; "too deep")]
-#[test_case(|_| "[1]".to_owned(), &["lacks settings: add it"]; "a list")]
-#[test_case(|good| good.replacen("\"name\":\"n0\",", "", 1), &["lacks name: add it"]; "no name")]
-#[test_case(|good| good.replacen("\"n0\"", "7", 1), &["name can't be used: 7", "has to be a text"]; "a name that is none")]
-#[test_case(|good| good.replacen("64", "\"64\"", 1), &["limits/memory_mb can't be used: \"64\"", "has to be a number"]; "memory as a text")]
-#[test_case(|good| good.replacen("64", "-64", 1), &["limits/memory_mb can't be used: -64", "has to be a number, 1 at least"]; "negative memory")]
-#[test_case(|good| good.replacen("256", "15", 1), &["limits/sockets can't be used: 15", "a number, 16 at least"]; "few descriptors")]
-#[test_case(|good| good.replacen("127.0.0.1:1", "discovery", 1), &["changelog can't be used: \"discovery\"", "an address and a port, as in"]; "an address that is none")]
-#[test_case(|good| good.replacen("00f1", "x", 1), &["seed can't be used: \"x\"", "hex digits"]; "a seed that is none")]
-#[test_case(|good| good.replacen("\"aim\":500000,", "", 1), &["lack the number /services/0/aim: add it"]; "no aim")]
-#[test_case(|good| good.replacen("\"deadline\":6000000,", "", 1), &["lacks settings/services/0/deadline: add it"]; "no deadline")]
-#[test_case(|good| good.replacen("\"name\":\"video\",", "", 1), &["lacks settings/services/0/name: add it"]; "a class without a name")]
-#[test_case(|good| good.replacen("idempotent", "often", 1), &["settings/services/0/effect has to be one of idempotent"]; "an unknown effect")]
-#[test_case(|good| good.replacen(",\"effect\":\"idempotent\"", "", 1), &["/services/0/effect", "idempotent, deduplicated or at_most_once: add it"]; "no effect")]
-#[test_case(|good| good.replacen("\"cold_from\":0.2", "\"cold_from\":2", 1), &["settings/rules/cold_from is out of range: 2; it has to be from 0 to 1"]; "out of range")]
-#[test_case(|good| good.replacen("\"connect_timeout\":1", "\"connect_timeout\":-1", 1), &["settings/bounds/connect_timeout is out of range: -1; it has to be from 0 on"]; "below 0")]
+#[test_case(|_| String::new(), &["line 1 column 0", "the file is empty or truncated"]; "empty")]
+#[test_case(|good| good[..good.len() - 2].to_owned(), &["line 8 column", "the file is empty or truncated"]; "cut")]
+#[test_case(|good| good.replacen("\"limits\":", "limits:", 1), &["line 2 column 2", "correct the syntax there"]; "not JSON")]
+#[test_case(|_| "[".repeat(200_000), &["more than 16 levels deep"]; "too deep")]
+#[test_case(|_| "[1]".to_owned(), &["the configuration is missing settings; add this key"]; "a list")]
+#[test_case(|good| good.replacen("\"name\":\"n0\",", "", 1), &["the configuration is missing name; add this key"]; "no name")]
+#[test_case(|good| good.replacen("\"n0\"", "7", 1), &["invalid name: 7", "must be a string"]; "a name that is none")]
+#[test_case(|good| good.replacen("64", "\"64\"", 1), &["invalid limits/memory_mb: \"64\"", "must be a number"]; "memory as a text")]
+#[test_case(|good| good.replacen("64", "-64", 1), &["invalid limits/memory_mb: -64", "must be a number, 1 at least"]; "negative memory")]
+#[test_case(|good| good.replacen("256", "15", 1), &["invalid limits/sockets: 15", "a number, 16 at least"]; "few descriptors")]
+#[test_case(|good| good.replacen("127.0.0.1:1", "discovery", 1), &["invalid changelog: \"discovery\"", "an address and a port, as in"]; "an address that is none")]
+#[test_case(|good| good.replacen("00f1", "x", 1), &["invalid seed: \"x\"", "hex digits"]; "a seed that is none")]
+#[test_case(|good| good.replacen("\"aim\":500000,", "", 1), &["the settings are missing the number /services/0/aim; add it"]; "no aim")]
+#[test_case(|good| good.replacen("\"deadline\":6000000,", "", 1), &["is missing settings/services/0/deadline; add this key"]; "no deadline")]
+#[test_case(|good| good.replacen("\"name\":\"video\",", "", 1), &["is missing settings/services/0/name; add this key"]; "a class without a name")]
+#[test_case(|good| good.replacen("idempotent", "often", 1), &["settings/services/0/effect must be one of idempotent"]; "an unknown effect")]
+#[test_case(|good| good.replacen(",\"effect\":\"idempotent\"", "", 1), &["/services/0/effect", "idempotent, deduplicated or at_most_once; add it"]; "no effect")]
+#[test_case(|good| good.replacen("\"cold_from\":0.2", "\"cold_from\":2", 1), &["settings/rules/cold_from is out of range: 2; it must be from 0 to 1"]; "out of range")]
+#[test_case(|good| good.replacen("\"connect_timeout\":1", "\"connect_timeout\":-1", 1), &["settings/bounds/connect_timeout is out of range: -1; it must be at least 0"]; "below 0")]
 fn an_unusable_configuration(spoil: fn(&str) -> String, words: &[&str]) {
     let files = Files::new();
     let path = files.write("c.json", &spoil(GOOD));
@@ -114,12 +122,12 @@
 }
 
 /// With an unusable host list a dispatcher still starts and asks the change log; `check` reports the problem.
-#[test_case("\"in_service\"", "\"odd\"", "change 1: state can't be used (servers/0)"; "a state")]
-#[test_case("127.0.0.1:2", "host", "change 1: addr can't be used (servers/0)"; "an address")]
-#[test_case("\"id\":\"s-a\",", "", "change 1: id can't be used (servers/0)"; "no id")]
-#[test_case("\"edge\",\"kind\"", "\"north\",\"kind\"", "change 1: zone can't be used (servers/0)"; "an unknown zone")]
-#[test_case("\"kind\":\"small\"", "\"kind\":7", "change 1: kind can't be used (servers/0)"; "a kind that is none")]
-#[test_case("[{\"seq\":1", "[{\"seq\":4", "change 4 follows on 0"; "a gap")]
+#[test_case("\"in_service\"", "\"odd\"", "change 1: invalid state (servers/0)"; "a state")]
+#[test_case("127.0.0.1:2", "host", "change 1: invalid addr (servers/0)"; "an address")]
+#[test_case("\"id\":\"s-a\",", "", "change 1: invalid id (servers/0)"; "no id")]
+#[test_case("\"edge\",\"kind\"", "\"north\",\"kind\"", "change 1: invalid zone (servers/0)"; "an unknown zone")]
+#[test_case("\"kind\":\"small\"", "\"kind\":7", "change 1: invalid kind (servers/0)"; "a kind that is none")]
+#[test_case("[{\"seq\":1", "[{\"seq\":4", "change 4 follows change 0, changes between them are missing"; "a gap")]
 #[test_case("\"results\"", "\"result\"", "known: not JSON"; "no results")]
 fn an_unusable_host_list(part: &str, by: &str, words: &str) {
     let files = Files::new();
@@ -127,7 +135,7 @@
     assert_ne!(text, GOOD, "nothing was changed");
     assert_contains(
         &error_line("check", 2, &files.write("c.json", &text), None),
-        &["the configuration's known", words, "look at who writes it"],
+        &["the configuration has an invalid known", words, "check the program that writes it"],
     );
 }
 
--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -473,7 +473,7 @@
     let odd = list(2, false, &[("a", fixture.a, DRAINING)]).replace(r#""seq":2,"#, "");
     let events = [odd, list(3, false, &[("b", fixture.b, DRAINING)])];
     fixture.log.next_since(1).answer(&events);
-    fixture.dispatcher.wait_for_log_line("changelog fails: change 2: its number can't be used");
+    fixture.dispatcher.wait_for_log_line("changelog fails: change 2: invalid sequence number");
     fixture.log.next_since(1).answer(&events);
     fixture.log.next_since(3);
     fixture.check_unused(&["a", "b"]);
@@ -487,7 +487,9 @@
     let third = list(3, false, &[("b", fixture.b, DRAINING)]);
     let poll = fixture.log.next_since(1);
     poll.answer(&[third.clone(), second.clone()]);
-    fixture.dispatcher.wait_for_log_line("changelog fails: change 3 follows on 1");
+    fixture
+        .dispatcher
+        .wait_for_log_line("changelog fails: change 3 follows change 1, changes between them are missing");
     let old = [list(1, false, &[("b", fixture.b, READY)]), list(2, false, &[("a", fixture.a, READY)])];
     fixture.log.next_since(1).answer(&[vec![second, third], old.to_vec()].concat());
     fixture.dispatcher.wait_for_log_line("changelog tells change 1 again, after 3");
@@ -515,7 +517,8 @@
 #[test]
 fn a_signal_right_after_the_start() {
     for _ in 0..20 {
-        let dispatcher = Dispatcher::start(&config("127.0.0.1:0", FakeChangeLog::start().address, "null", 192));
+        let dispatcher =
+            Dispatcher::start(&config("127.0.0.1:0", FakeChangeLog::start().address, "null", 192));
         // A direct call is faster than running kill.
         kill(Pid::from_raw(dispatcher.child.id() as i32), Signal::SIGHUP).unwrap();
         dispatcher.wait_for_log_line("reload: change log at");
@@ -566,7 +569,7 @@
     let deep = format!("{}{}", "[".repeat(120), "]".repeat(120));
     std::fs::write(&fixture.dispatcher.config.0, deep).unwrap();
     fixture.dispatcher.signal("-HUP");
-    fixture.dispatcher.wait_for_log_line("reload: the configuration is nested over 16 levels deep");
+    fixture.dispatcher.wait_for_log_line("reload: the configuration is nested more than 16 levels deep");
     fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
     fixture.check_unused(&["a"]);
 }
--- a/crates/dispatcher/tests/following.rs
+++ b/crates/dispatcher/tests/following.rs
@@ -45,7 +45,18 @@
     let (router, inputs) = unbounded();
     let names = WireNames { classes: Vec::new(), locations: Vec::new(), kinds: Vec::new() };
     let (moved, most, seed) = (never(), 1 << 20, 1);
-    spawn(move || follow(FollowOptions { address: at, new_addresses: moved, names, last_change: 0, max_change_bytes: most, seed, router, delivery }));
+    spawn(move || {
+        follow(FollowOptions {
+            address: at,
+            new_addresses: moved,
+            names,
+            last_change: 0,
+            max_change_bytes: most,
+            seed,
+            router,
+            delivery,
+        })
+    });
     inputs
 }
 
--- a/crates/dispatcher/tests/full_size.rs
+++ b/crates/dispatcher/tests/full_size.rs
@@ -5,16 +5,16 @@
 #[allow(dead_code, reason = "shared with other tests, which use the rest")]
 mod bed;
 
-use bed::{event, Answer, Client, Dispatcher, FakeHosts, FakeChangeLog, STEP_TIMEOUT};
-use cherrypass::decision_engine::DecisionEngine;
+use bed::{event, Answer, Client, Dispatcher, FakeChangeLog, FakeHosts, STEP_TIMEOUT};
 use cherrypass::calls::{Decision, Listing, Visit};
 use cherrypass::containers::rendezvous;
+use cherrypass::decision_engine::DecisionEngine;
 use cherrypass::ids::{ClassId, GroupId, HostId, LocationId, ObjectId, VisitId};
 use cherrypass::time::{Span, Time};
 use cherrypass_dispatcher::change_log::{self, host_id};
 use cherrypass_dispatcher::config::Config;
-use cherrypass_dispatcher::inbox::Change;
 use cherrypass_dispatcher::fleet_connection;
+use cherrypass_dispatcher::inbox::Change;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -85,11 +85,11 @@
 const MEMBER_ZONES: [usize; 4] = [OWN_LOCATION, 255, 256, OWN_LOCATION - 256];
 
 /// The host to which a visit of a class is handed off first.
-fn first_host(brain: &mut DecisionEngine, now: Time, id: u32, class: u16) -> Option<HostId> {
+fn first_host(engine: &mut DecisionEngine, now: Time, id: u32, class: u16) -> Option<HostId> {
     let (object, deadline) = (ObjectId(u64::from(id)), now + Span::seconds(6.0));
-    let (id, band, group) = (VisitId(id), ClassId(class), GroupId(0));
-    brain.visit_arrived(now, Visit { id, class: band, object, group, part: 0, kilobytes: None, deadline });
-    std::iter::from_fn(|| brain.next_decision(now)).find_map(|decision| match decision {
+    let (id, class, group) = (VisitId(id), ClassId(class), GroupId(0));
+    engine.visit_arrived(now, Visit { id, class, object, group, part: 0, kilobytes: None, deadline });
+    std::iter::from_fn(|| engine.next_decision(now)).find_map(|decision| match decision {
         Decision::HandOff { host, .. } => Some(host),
         _ => None,
     })
@@ -115,16 +115,20 @@
     distinct(listings.iter().map(|listing| listing.location.0.into()).collect());
     distinct(listings.iter().map(|listing| listing.kind.0.into()).collect());
     let now = Time(1_000_000);
-    let mut brain = DecisionEngine::new(config.settings.clone(), 1, now);
-    brain.update_hosts(now, &listings, true);
-    assert!(listings.iter().all(|listing| brain.is_listed(listing.host)));
+    let mut engine = DecisionEngine::new(config.settings.clone(), 1, now);
+    engine.update_hosts(now, &listings, true);
+    assert!(listings.iter().all(|listing| engine.is_listed(listing.host)));
     let (own, origin) = (host_id(&format!("h{OWN_LOCATION}")), host_id(&format!("h{ORIGIN_KIND}")));
     assert_eq!(
-        first_host(&mut brain, now, 1, ORIGIN_KIND as u16 - 1),
+        first_host(&mut engine, now, 1, ORIGIN_KIND as u16 - 1),
         Some(own),
         "a read goes to the local cache"
     );
-    assert_eq!(first_host(&mut brain, now, 2, ORIGIN_KIND as u16), Some(origin), "the last class is a write");
+    assert_eq!(
+        first_host(&mut engine, now, 2, ORIGIN_KIND as u16),
+        Some(origin),
+        "the last class is a write"
+    );
 
     // The operators' file.
     let file = cherrypass_operator::decode("all.jsonnet", operators_file(FULL_SIZE, FULL_SIZE)).unwrap();
@@ -143,8 +147,7 @@
         let message =
             cherrypass_operator::decode("all.jsonnet", operators_file(members, followers)).unwrap_err();
         let message = message.to_string();
-        let words =
-            ["all.jsonnet", place, "1025 are more than 1024", "make a fleet of its own of the others"];
+        let words = ["all.jsonnet", place, "1025 entries exceed the maximum of 1024", "split the fleet"];
         assert!(words.iter().all(|word| message.contains(word)) && !message.contains('\n'), "{message}");
     }
     let places = cherrypass::ids::MAX_LIST_LENGTH;
@@ -161,7 +164,7 @@
     let value = config(FULL_SIZE, unused_address(), &[server]);
     let message =
         Config::decode(value.to_string().as_bytes()).unwrap().check_known().unwrap_err().to_string();
-    assert!(message.contains("change 1: cell can't be used (servers/0)"), "{message}");
+    assert!(message.contains("change 1: invalid cell (servers/0)"), "{message}");
 }
 
 /// Hosts that answer, among 1,024 listed.
@@ -232,5 +235,6 @@
     assert!(came.try_iter().count() >= VISITS, "fewer requests at hosts than answers");
     assert!(memory <= 32 * 1024, "{memory} kB");
     assert!(most <= 256, "{most} descriptors");
-    assert_eq!(dispatcher.count_log_lines("can't be used"), 0);
+    assert_eq!(dispatcher.count_log_lines("invalid"), 0);
+    assert_eq!(dispatcher.count_log_lines("cannot open"), 0);
 }
--- a/crates/dispatcher/tests/list.rs
+++ b/crates/dispatcher/tests/list.rs
@@ -4,8 +4,8 @@
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_dispatcher::change_clock::ChangeClock;
 use cherrypass_dispatcher::change_log::host_id;
-use cherrypass_dispatcher::inbox::ListedHost;
 use cherrypass_dispatcher::host_list::{AppliedUpdate, Clocks, EntryFault, HostList};
+use cherrypass_dispatcher::inbox::ListedHost;
 use std::net::SocketAddr;
 use test_case::test_case;
 
--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -652,7 +652,7 @@
     Received::Answer(ClientAnswer { id, word: word.into(), bytes, fields: map(from), at: Instant::now() })
 }
 
-fn encode_request(port: u16, id: u32, band: &str, object: &str, given: &[&str]) -> Vec<u8> {
+fn encode_request(port: u16, id: u32, class: &str, object: &str, given: &[&str]) -> Vec<u8> {
     use rmp::encode::*;
     let mut fields: BTreeMap<&str, String> = BTreeMap::new();
     fields.insert("txn", format!("{port:08x}{id:08x}"));
@@ -672,7 +672,7 @@
     write_array_len(&mut out, 4).unwrap();
     write_uint(&mut out, 0).unwrap();
     write_uint(&mut out, u64::from(id)).unwrap();
-    write_str(&mut out, band).unwrap();
+    write_str(&mut out, class).unwrap();
     write_array_len(&mut out, 2).unwrap();
     write_map_len(&mut out, fields.len() as u32).unwrap();
     for (name, value) in fields {
@@ -724,10 +724,10 @@
         }));
     }
 
-    fn ask(&mut self, id: u32, band: &str, object: &str, given: &[&str]) {
+    fn ask(&mut self, id: u32, class: &str, object: &str, given: &[&str]) {
         self.sent_at.insert(id, Instant::now());
         let port = self.stream.local_addr().unwrap().port();
-        let _ = self.stream.write_all(&encode_request(port, id, band, object, given));
+        let _ = self.stream.write_all(&encode_request(port, id, class, object, given));
     }
 
     /// Receives the next answer or the end of the stream; false after the end, or if nothing arrives in time.
@@ -1198,8 +1198,8 @@
                 let client = Client::start(listen, more.contains(&"deaf"), more.contains(&"narrow"));
                 self.clients.insert((*name).into(), client);
             }
-            ["ask", client, id, band, object, given @ ..] => {
-                self.clients.get_mut(*client).unwrap().ask(id.parse().unwrap(), band, object, given);
+            ["ask", client, id, class, object, given @ ..] => {
+                self.clients.get_mut(*client).unwrap().ask(id.parse().unwrap(), class, object, given);
             }
             ["flood", client, name] => {
                 for id in 1..=200 {
@@ -1592,20 +1592,20 @@
     }
 }
 
-#[test_case("\"limits\"", "\"limit\"", 2, "lacks limits/memory_mb"; "a key")]
-#[test_case("\"settings\"", "\"set\"", 2, "lacks settings"; "the settings")]
-#[test_case("\"zone\":", "\"zon\":", 2, "lack the number /zone"; "a key of the settings")]
-#[test_case("\"cold_from\"", "\"cold\"", 2, "lack the number /rules/cold_from"; "a number of the rules")]
-#[test_case("\"may_pass_by\": true", "\"may_pass_by\": 1", 2, "settings/domain/may_pass_by has to be true"; "a wrong type")]
+#[test_case("\"limits\"", "\"limit\"", 2, "the configuration is missing limits/memory_mb"; "a key")]
+#[test_case("\"settings\"", "\"set\"", 2, "the configuration is missing settings"; "the settings")]
+#[test_case("\"zone\":", "\"zon\":", 2, "the settings are missing the number /zone"; "a key of the settings")]
+#[test_case("\"cold_from\"", "\"cold\"", 2, "the settings are missing the number /rules/cold_from"; "a number of the rules")]
+#[test_case("\"may_pass_by\": true", "\"may_pass_by\": 1", 2, "settings/domain/may_pass_by must be true"; "a wrong type")]
 #[test_case("\"cold_from\": 0.2", "\"cold_from\": 2", 2, "settings/rules/cold_from is out of range"; "out of range")]
-#[test_case("\"domain\": {", "\"domain\": {\"detail\": \"some\",", 2, "settings/domain/detail has to be one of"; "an unknown word")]
+#[test_case("\"domain\": {", "\"domain\": {\"detail\": \"some\",", 2, "settings/domain/detail must be one of"; "an unknown word")]
 #[test_case("[0, 0, 0, 0]", "[0, 0]", 2, "settings/domain/class_fresh has 2 places, settings/services has 4"; "another number of classes")]
 #[test_case("[0, 2]", "[0, 2, 1]", 2, "settings/domain/count_by_zone has 3 places"; "another number of locations")]
 #[test_case("[0, 2]", "[0, 2], \"stale_for\": [0, 9, 0, 0]", 2, "settings/domain/stale_for/1 has no"; "a grace without a fresh time")]
 #[test_case("\"pace_kb_per_s\": 5000", "\"zone_link_kb_per_s\": [0, 9]", 2, "settings/domain/pace_kb_per_s is wanted"; "links without a pace")]
 #[test_case("\"parent_kind\": 1", "\"parent_kind\": 2", 2, "settings/domain/parent_kind is the same as"; "one kind for parents and origin")]
-#[test_case("00f1", "seed", 2, "seed can't be used"; "an invalid seed")]
-#[test_case("{\"name\"", "name", 2, "isn't JSON"; "not JSON")]
+#[test_case("00f1", "seed", 2, "invalid seed"; "an invalid seed")]
+#[test_case("{\"name\"", "name", 2, "is not valid JSON"; "not JSON")]
 #[test_case("127.0.0.1:0", "TAKEN", 1, "can't serve on"; "an address in use")]
 fn an_unusable_configuration_ends_the_start(part: &str, by: &str, code: i32, words: &str) {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/keep/src/purges.rs
+++ b/crates/keep/src/purges.rs
@@ -35,7 +35,8 @@
 pub fn record(now: UnixTime, purge: &Purge, retention: Span) -> Option<Record> {
     let expires_at = purge.issued_at + retention;
     let object = purge.object.map(|object| object.0);
-    let stored = StoredPurge { group: purge.group.0, object, at: purge.issued_at.0, change: purge.change_number };
+    let stored =
+        StoredPurge { group: purge.group.0, object, at: purge.issued_at.0, change: purge.change_number };
     let key = match purge.object {
         Some(object) => [&b"o"[..], &object.0.to_be_bytes()].concat(),
         None => [&b"g"[..], &purge.group.0.to_be_bytes()].concat(),
--- a/crates/keep/src/versions.rs
+++ b/crates/keep/src/versions.rs
@@ -47,7 +47,8 @@
     };
     let ended = last.map(|last| put(&Version { in_force_until: Some(now.0), ..last.clone() }));
     let (number, source) = (last.map_or(1, |last| last.number + 1), source.to_owned());
-    let new = put(&Version { number, source, in_force_since: now.0, in_force_until: None, text: text.to_vec() });
+    let new =
+        put(&Version { number, source, in_force_since: now.0, in_force_until: None, text: text.to_vec() });
     let excess = (versions.len() + 1).saturating_sub(max_versions.max(1));
     let oldest = versions.iter().take(excess);
     let deleted =
--- a/crates/keep/src/visits.rs
+++ b/crates/keep/src/visits.rs
@@ -90,7 +90,8 @@
         sends_unrecorded: bool,
     ) -> Visits {
         let stored = records.filter_map(|(key, value)| Some((key.to_vec(), decode::<InDoubtVisit>(value)?)));
-        let stored = stored.map(|(key, visit)| (key, InDoubtVisit { sent_at: visit.sent_at.min(now.0), ..visit }));
+        let stored =
+            stored.map(|(key, visit)| (key, InDoubtVisit { sent_at: visit.sent_at.min(now.0), ..visit }));
         let unresolved = stored.filter(|(_, visit)| now < expires_at(visit, retention)).collect();
         Visits { open: BTreeMap::new(), unresolved, retention, sends_unrecorded, refused_count: 0 }
     }
@@ -106,7 +107,9 @@
     /// Time and host of the first hand-off of an earlier try of an arriving visit, if that may have run.
     pub fn earlier_try(&self, now: UnixTime, key: &[u8]) -> Option<(UnixTime, HostId)> {
         let visit = self.unresolved.get(key).filter(|visit| now < expires_at(visit, self.retention));
-        visit.or_else(|| self.concurrent_try(key).map(|open| &open.first_hand_off)).map(InDoubtVisit::first_hand_off)
+        visit
+            .or_else(|| self.concurrent_try(key).map(|open| &open.first_hand_off))
+            .map(InDoubtVisit::first_hand_off)
     }
 
     /// Another open try of the same visit that may have run.
@@ -116,7 +119,13 @@
 
     /// Registers a hand-off that is about to be sent. Only the first that may run needs a record: repeats are
     /// dropped at the host that it names.
-    pub fn register_hand_off(&mut self, id: VisitId, key: &[u8], effect: Effect, sent: InDoubtVisit) -> WriteAhead {
+    pub fn register_hand_off(
+        &mut self,
+        id: VisitId,
+        key: &[u8],
+        effect: Effect,
+        sent: InDoubtVisit,
+    ) -> WriteAhead {
         let memory = match effect {
             Effect::Idempotent => return WriteAhead::NotNeeded,
             Effect::Deduplicated { retention: memory, .. } => Some(memory.0),
--- a/crates/keep/tests/keep.rs
+++ b/crates/keep/tests/keep.rs
@@ -4,7 +4,7 @@
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_keep::purges::{self, Purge};
 use cherrypass_keep::versions;
-use cherrypass_keep::visits::{WriteAhead, InDoubtVisit, WriteResult, Visits};
+use cherrypass_keep::visits::{InDoubtVisit, Visits, WriteAhead, WriteResult};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -16,7 +16,13 @@
 }
 
 fn sent(at: u64) -> InDoubtVisit {
-    InDoubtVisit { class_name: "paid".into(), sent_at: at, host: 7, host_name: "s-a".into(), repeat_window: None }
+    InDoubtVisit {
+        class_name: "paid".into(),
+        sent_at: at,
+        host: 7,
+        host_name: "s-a".into(),
+        repeat_window: None,
+    }
 }
 
 /// The store's contents.
@@ -46,7 +52,10 @@
 #[test]
 fn only_the_first_hand_off_writes_a_record() {
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
-    assert_eq!(visits.register_hand_off(VisitId(9), b"x", Effect::Idempotent, sent(1)), WriteAhead::NotNeeded);
+    assert_eq!(
+        visits.register_hand_off(VisitId(9), b"x", Effect::Idempotent, sent(1)),
+        WriteAhead::NotNeeded
+    );
     assert!(hand_off(&mut visits, &mut contents, 1, 10) && contents.len() == 1);
     visits.hand_off_ended(VisitId(1), false);
     assert!(!hand_off(&mut visits, &mut contents, 1, 20));
@@ -90,7 +99,10 @@
     // The first is served while the second is pending: the record must survive a crash at this point.
     visits.hand_off_ended(VisitId(1), false);
     assert_eq!(visits.close(VisitId(1), true), None);
-    assert_eq!(restore(UnixTime(70), &contents).earlier_try(UnixTime(70), KEY), Some((UnixTime(10), HostId(7))));
+    assert_eq!(
+        restore(UnixTime(70), &contents).earlier_try(UnixTime(70), KEY),
+        Some((UnixTime(10), HostId(7)))
+    );
     visits.hand_off_ended(VisitId(2), false);
     apply(&mut contents, visits.close(VisitId(2), true).unwrap());
     assert!(contents.is_empty());
@@ -102,11 +114,15 @@
     assert!(hand_off(&mut visits, &mut contents, 1, 10));
     visits.hand_off_ended(VisitId(1), true);
     let other = InDoubtVisit { host: 9, host_name: "s-b".into(), ..sent(50) };
-    let WriteAhead::Required(record) = visits.register_hand_off(VisitId(1), KEY, deduplicated(), other) else {
+    let WriteAhead::Required(record) = visits.register_hand_off(VisitId(1), KEY, deduplicated(), other)
+    else {
         panic!("no record")
     };
     apply(&mut contents, record);
-    assert_eq!(restore(UnixTime(70), &contents).earlier_try(UnixTime(70), KEY), Some((UnixTime(50), HostId(9))));
+    assert_eq!(
+        restore(UnixTime(70), &contents).earlier_try(UnixTime(70), KEY),
+        Some((UnixTime(50), HostId(9)))
+    );
 }
 
 #[test]
@@ -137,12 +153,18 @@
 #[test_case(true, true; "sent unrecorded")]
 fn a_refused_record(sends_unrecorded: bool, is_sent: bool) {
     let mut visits = Visits::restore(UnixTime(0), std::iter::empty(), ONE_DAY, sends_unrecorded);
-    assert!(matches!(visits.register_hand_off(VisitId(1), KEY, deduplicated(), sent(1)), WriteAhead::Required(_)));
+    assert!(matches!(
+        visits.register_hand_off(VisitId(1), KEY, deduplicated(), sent(1)),
+        WriteAhead::Required(_)
+    ));
     assert_eq!(visits.record_result(VisitId(1), WriteResult::Refused), is_sent);
     assert_eq!((visits.take_refused_count(), visits.take_refused_count()), (1, 0));
     // The next hand-off requires its record again.
     visits.hand_off_ended(VisitId(1), true);
-    assert!(matches!(visits.register_hand_off(VisitId(1), KEY, deduplicated(), sent(2)), WriteAhead::Required(_)));
+    assert!(matches!(
+        visits.register_hand_off(VisitId(1), KEY, deduplicated(), sent(2)),
+        WriteAhead::Required(_)
+    ));
 }
 
 #[test]
@@ -175,6 +197,7 @@
     assert_eq!(put(b"one", 2).0, 0);
     put(b"two", 3);
     let (_, known) = put(b"three", 4);
-    let seen: Vec<_> = known.iter().map(|v| (v.number, &v.text[..], v.in_force_since, v.in_force_until)).collect();
+    let seen: Vec<_> =
+        known.iter().map(|v| (v.number, &v.text[..], v.in_force_since, v.in_force_until)).collect();
     assert_eq!(seen, [(2, &b"two"[..], 3, Some(4)), (3, &b"three"[..], 4, None)]);
 }
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -321,7 +321,7 @@
             if found > MAX_ENTRIES {
                 return error(
                     &format!(".{key}"),
-                    format!("{found} are more than {MAX_ENTRIES}; make a fleet of its own of the others"),
+                    format!("{found} entries exceed the maximum of {MAX_ENTRIES}; split the fleet"),
                 );
             }
         }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -19,9 +19,9 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    #[error("the operators' file {0} can't be read: {1}; name one that is there and may be read, or none")]
+    #[error("cannot read the operators' file {0}: {1}; name a file that exists and is readable, or none")]
     Unreadable(String, std::io::Error),
-    #[error("the operators' file {0} can't be evaluated: {1}")]
+    #[error("cannot evaluate the operators' file {0}: {1}")]
     EvaluationFailed(String, String),
     #[error("the operators' file {file}: {path}: {what}")]
     Invalid { file: String, path: String, what: String },
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -111,9 +111,9 @@
 #[test_case("{ store: { dir: 7 } }", "store.dir", "expected path string"; "a wrong type")]
 #[test_case("{ store: { dir: 'x', background: { core_share: 2 } } }", "store.background.core_share", "2 is not within 0.001 and 1"; "out of range")]
 #[test_case("{ store: { dir: 'x', hand_offs: 'often' } }", "store.hand_offs", "expected one of `off`, `written`, `synced`"; "an unknown enum value")]
-#[test_case("{ store: {\n  dir: 'x' ++ } }", "line 2", "can't be evaluated"; "not Jsonnet")]
-#[test_case("{ store: { dir: error 'set me' } }", "set me", "can't be evaluated"; "an explicit error")]
-#[test_case("local a = import 'missing.libsonnet'; a", "missing.libsonnet", "can't be evaluated"; "a missing import")]
+#[test_case("{ store: {\n  dir: 'x' ++ } }", "line 2", "cannot evaluate"; "not Jsonnet")]
+#[test_case("{ store: { dir: error 'set me' } }", "set me", "cannot evaluate"; "an explicit error")]
+#[test_case("local a = import 'missing.libsonnet'; a", "missing.libsonnet", "cannot evaluate"; "a missing import")]
 fn a_mistake_is_one_line_with_its_place(text: &str, place: &str, words: &str) {
     let message = read(text).unwrap_err().to_string();
     assert!(message.contains(place) && message.contains(words) && !message.contains('\n'), "{message}");
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -112,14 +112,18 @@
         ValueType::Boolean => (value.is_boolean(), "true or false"),
         ValueType::Number(least, most) => match value.as_f64() {
             Some(number) if !(least..=most).contains(&number) => {
-                let most = if most < f64::MAX { format!(" to {most}") } else { " on".to_owned() };
-                return invalid(key, format!("is out of range: {number}; it has to be from {least}{most}"));
+                let range = if most < f64::MAX {
+                    format!("from {least} to {most}")
+                } else {
+                    format!("at least {least}")
+                };
+                return invalid(key, format!("is out of range: {number}; it must be {range}"));
             }
             number => (number.is_some(), "a number"),
         },
         ValueType::OneOf(words) => match value.as_str() {
             Some(word) if !words.contains(&word) => {
-                return invalid(key, format!("has to be one of {}, not {value}", words.join(" ").trim()));
+                return invalid(key, format!("must be one of {}, not {value}", words.join(" ").trim()));
             }
             word => (word.is_some(), "a string"),
         },
@@ -133,7 +137,7 @@
     if is_valid {
         Ok(())
     } else {
-        invalid(key, format!("has to be {expected}"))
+        invalid(key, format!("must be {expected}"))
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,11 +12,13 @@
 /// A required setting that is missing or has the wrong type.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum MissingSetting {
-    #[error("the settings lack the number {0}")]
+    #[error("the settings are missing the number {0}")]
     Number(String),
-    #[error("the settings lack the list {0}")]
+    #[error("the settings are missing the list {0}")]
     List(&'static str),
-    #[error("the settings lack the string /services/{0}/effect, idempotent, deduplicated or at_most_once")]
+    #[error(
+        "the settings are missing the string /services/{0}/effect, idempotent, deduplicated or at_most_once"
+    )]
     Effect(usize),
 }
 
@@ -96,8 +98,8 @@
 pub fn read(root: &Value) -> Result<Settings, MissingSetting> {
     let services = root.pointer("/services").and_then(Value::as_array);
     let services = services.ok_or(MissingSetting::List("/services"))?;
-    let bands = services.iter().enumerate().map(|(index, service)| class_settings(root, service, index));
-    let bands = bands.collect::<Result<Vec<ClassSettings>, MissingSetting>>()?;
+    let classes = services.iter().enumerate().map(|(index, service)| class_settings(root, service, index));
+    let classes = classes.collect::<Result<Vec<ClassSettings>, MissingSetting>>()?;
     let dispatchers = required_number(root, "/balancers")? as u32;
     let location = required_number(root, "/zone")? as u16;
     let dispatchers_here = number(root, &format!("/domain/count_by_zone/{location}"));
@@ -107,7 +109,7 @@
         dispatchers,
         location: LocationId(location),
         location_dispatchers: dispatchers_here.map_or(dispatchers, |n| n as u32).max(1),
-        classes: bands,
+        classes,
         parent_kind: kind(root, "/domain/parent_kind"),
         origin_kind: kind(root, "/domain/source_kind"),
         has_weights: !matches!(text(root, "/weight_source"), "" | "none"),
@@ -118,7 +120,8 @@
         joins_fills: flag(root, "/domain/joins"),
         reports_fill_source: text(root, "/domain/detail") != "hit",
         can_cancel: flag(root, "/bounds/cancel"),
-        can_probe: flag(root, "/bounds/probing") && report_columns(root).iter().any(|name| LOAD_COLUMNS.contains(name)),
+        can_probe: flag(root, "/bounds/probing")
+            && report_columns(root).iter().any(|name| LOAD_COLUMNS.contains(name)),
         max_hand_offs: number(root, "/bounds/max_attempts").unwrap_or(1.0).clamp(1.0, 255.0) as u8,
         max_retry_after: if flag(root, "/bounds/retry_after") {
             span(root, "/bounds/max_retry_after")
