--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -74,7 +74,7 @@
 #[test_case(frame(&[record(&[&999u16.to_le_bytes()])], &[]), "unknown event code 999"; "unknown code")]
 #[test_case(frame(&[start(SETTINGS)], b"{"), "outside the tail"; "offset outside the tail")]
 #[test_case(frame(&[start("{")], b"{"), "aren't JSON"; "settings that are not JSON")]
-#[test_case(frame(&[start("{}")], b"{}"), "lack"; "settings that lack a key")]
+#[test_case(frame(&[start("{}")], b"{}"), "the settings are missing the list /services"; "settings that lack a key")]
 #[test_case(frame(&[arrival(1)], &[]), "has not started"; "unknown instance")]
 fn invalid_input_is_reported(input: Vec<u8>, expected: &str) {
     let error = answer(&input).expect_err("an error");
--- a/crates/dispatcher/src/change_decoding.rs
+++ b/crates/dispatcher/src/change_decoding.rs
@@ -156,8 +156,8 @@
         let hosts = hosts.collect::<Result<Vec<ListedHost>, _>>()?;
         // A host whose entry was skipped must not count as gone.
         let is_complete = hosts.len() == servers.len();
-        let whole = is_complete && fleet.get("full").and_then(Value::as_bool).unwrap_or(false);
-        return Ok(Some(Change::HostList { is_complete: whole, hosts }));
+        let is_full = is_complete && fleet.get("full").and_then(Value::as_bool).unwrap_or(false);
+        return Ok(Some(Change::HostList { is_complete: is_full, hosts }));
     }
     let Some(purge) = result.get("invalidate") else { return Ok(None) };
     let at = purge.get("time").and_then(Value::as_u64).ok_or("time")?;
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -148,7 +148,7 @@
         let memory = number(&all, "limits/memory_mb", 1.0)?;
         let sockets = number(&all, "limits/sockets", MIN_SOCKETS)? as usize;
         let sixteenth = (memory * 1024.0 * 1024.0 / 16.0) as usize;
-        let clients = sockets / 3;
+        let max_clients = sockets / 3;
         let seed = string(&all, "seed")?;
         let required = |path: &str| settings::required_number(settings_json, path);
         let services = settings::list(settings_json, "/services");
@@ -158,7 +158,7 @@
             let deadline = settings::number(class, "/deadline").ok_or_else(|| missing("deadline"))?;
             Ok(Span(deadline as u64))
         };
-        let limits = services.iter().enumerate().map(deadline).collect::<Result<_, Error>>()?;
+        let class_deadlines = services.iter().enumerate().map(deadline).collect::<Result<_, Error>>()?;
         Ok(Config {
             name: string(&all, "name")?.to_owned(),
             listen: address(&all, "listen")?,
@@ -177,12 +177,12 @@
                 idle_timeout: Span(required("/bounds/conn_idle")? as u64),
                 streams_per_connection: (required("/bounds/streams_per_conn")? as usize).max(1),
                 max_connections: sockets
-                    .saturating_sub(clients + RESERVED_DESCRIPTORS)
+                    .saturating_sub(max_clients + RESERVED_DESCRIPTORS)
                     .min(4 * sixteenth / MAX_HOST_MESSAGE_BYTES)
                     .max(1),
             },
-            class_deadlines: limits,
-            max_clients: clients,
+            class_deadlines,
+            max_clients,
             max_unread_bytes: 2 * sixteenth,
             max_answer_bytes: 3 * sixteenth,
             max_visit_bytes: sixteenth,
--- a/crates/dispatcher/src/fleet_connection.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -571,7 +571,7 @@
     const CACHE_COUNT: u64 = 4;
     const ORIGIN: HostId = HostId(9);
 
-    fn class(writes: bool) -> ClassSettings {
+    fn class(is_write: bool) -> ClassSettings {
         let (target_latency, zero) = (Span::millis(500), Span::ZERO);
         ClassSettings {
             effect: Effect::Idempotent,
@@ -579,7 +579,7 @@
             target_stretch: 2.0,
             fresh_for: zero,
             stale_for: zero,
-            is_write: writes,
+            is_write,
         }
     }
 
@@ -612,18 +612,18 @@
         };
         let mut engine = DecisionEngine::new(settings.clone(), 7, clock::now());
         let (sender, sent) = unbounded();
-        let mut sharing = FleetConnection::with(
+        let mut connection = FleetConnection::with(
             &fleet.fleet.unwrap(),
             &settings,
             Box::new(move |message| drop(sender.send(message))),
         );
-        sharing.set_initial_shares(&mut engine);
+        connection.set_initial_shares(&mut engine);
         let entries: Vec<Listing> = (1..=CACHE_COUNT).map(HostId).chain([ORIGIN]).map(entry).collect();
         engine.update_hosts(clock::now(), &entries, true);
-        entries
-            .iter()
-            .for_each(|entry| sharing.host_listed(&mut engine, entry, entry.started_at.map(clock::to_unix)));
-        (engine, sharing, sent)
+        entries.iter().for_each(|entry| {
+            connection.host_listed(&mut engine, entry, entry.started_at.map(clock::to_unix))
+        });
+        (engine, connection, sent)
     }
 
     fn entry(host: HostId) -> Listing {
@@ -667,14 +667,14 @@
 
     #[test]
     fn shares_expire_by_themselves_and_demand_is_sent() {
-        let (mut engine, mut sharing, sent) = start();
+        let (mut engine, mut connection, sent) = start();
         assert_eq!(visits(&mut engine, 0, 5, 1).len(), 0, "no share is allotted yet");
         let until = Instant::now() + Duration::from_millis(60);
         let share = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
-        sharing.handle(&mut engine, share(Key::Origin, 3, 6.0, 0.0));
-        sharing.handle(&mut engine, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
+        connection.handle(&mut engine, share(Key::Origin, 3, 6.0, 0.0));
+        connection.handle(&mut engine, share(Key::Cold(HostId(77)), 4, 1.0, 1.0));
         assert_eq!(visits(&mut engine, 10, 9, 1).len(), 6);
-        sharing.exchange(&mut engine);
+        connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Taken { key: Key::Origin, number: 3 }));
         assert!(
@@ -697,12 +697,12 @@
 
     #[test]
     fn rules_change_limits_and_invalid_rules_change_nothing() {
-        let (mut engine, mut sharing, sent) = start();
+        let (mut engine, mut connection, sent) = start();
         let until = Instant::now() + Duration::from_secs(9);
         let key = Key::Origin;
-        sharing.handle(&mut engine, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
+        connection.handle(&mut engine, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
         let mut rules = |number: u64, text: &str| {
-            sharing.handle(&mut engine, FromFleet::Rules { number, text: text.into() });
+            connection.handle(&mut engine, FromFleet::Rules { number, text: text.into() });
             let before = engine.take_limit_usage(clock::now(), SharedLimit::Origin).used as u32;
             visits(&mut engine, 100 * number as u32, 9, 1).len() as u32 + before
         };
@@ -714,14 +714,14 @@
 
     #[test]
     fn own_findings_are_sent_and_those_of_others_are_not_repeated() {
-        let (mut engine, mut sharing, sent) = start();
+        let (mut engine, mut connection, sent) = start();
         let bad = HostId(3);
         for first in [100, 200, 300, 400] {
             let sent_to = visits(&mut engine, first, 60, 0);
             end(&mut engine, &sent_to, |host| host == bad);
         }
-        sharing.exchange(&mut engine);
-        sharing.exchange(&mut engine);
+        connection.exchange(&mut engine);
+        connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         let found =
             |message: &&ToFleet| matches!(message, ToFleet::Found(f) if f.host == bad && f.evidence > 0);
@@ -732,18 +732,18 @@
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
         let (kind, weight, age, tellers) = (Kind::ShutOut, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
-        sharing
+        connection
             .handle(&mut engine, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
-        sharing.exchange(&mut engine);
+        connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Shut { host, told: true }));
         assert!(
             !all.iter().any(|message| matches!(message, ToFleet::Found(f) if f.host == host)),
             "a report of others was repeated"
         );
-        sharing.handle(&mut engine, FromFleet::Withdraw { host });
+        connection.handle(&mut engine, FromFleet::Withdraw { host });
         engine.tick(clock::now());
-        sharing.exchange(&mut engine);
+        connection.exchange(&mut engine);
         assert!(sent.try_iter().any(|message| message == ToFleet::Back { host }));
     }
 }
--- a/crates/dispatcher/src/host_list.rs
+++ b/crates/dispatcher/src/host_list.rs
@@ -105,11 +105,11 @@
             faults.extend(self.apply_start(clocks, host).map(|fault| (host.name.clone(), fault)));
         }
         hosts.iter().for_each(|host| self.insert(host));
-        let lost = self.resolve_addresses(&hosts, &mut faults);
-        hosts.retain(|host| lost.iter().all(|lost| lost.host != host.listing.host));
+        let displaced = self.resolve_addresses(&hosts, &mut faults);
+        hosts.retain(|host| displaced.iter().all(|displaced| displaced.host != host.listing.host));
         let (entries, ramp) = (&self.entries, self.ramp);
         self.starts.retain(|id, start| entries.contains_key(id) || clocks.now < start.at + ramp);
-        AppliedUpdate { hosts, displaced: lost, faults }
+        AppliedUpdate { hosts, displaced, faults }
     }
 
     /// Dates the starts of hosts that are not warm yet again, and returns those that were earlier than known.
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -153,9 +153,9 @@
     pub latencies: Arc<Latencies>,
     sweep_count: u32,
     is_done: bool,
-    keeper: Option<StateRecorder>,
+    recorder: Option<StateRecorder>,
     /// The connection to other dispatchers, if any are configured.
-    sharing: Option<FleetConnection>,
+    fleet_connection: Option<FleetConnection>,
     attempt_log: AttemptLog,
     change_clock: ChangeClock,
     /// All changes that the change log had at this time are applied.
@@ -209,8 +209,8 @@
             latencies: Arc::default(),
             sweep_count: 0,
             is_done: false,
-            keeper: None,
-            sharing: None,
+            recorder: None,
+            fleet_connection: None,
             attempt_log: AttemptLog::default(),
             change_clock: ChangeClock::default(),
             changelog_read_at: now,
@@ -219,9 +219,9 @@
     }
 
     /// Starts persisting purges and visits, and applies the state that was persisted before.
-    pub fn set_keeper(&mut self, (keeper, replayed): (StateRecorder, RestoredPurges)) {
+    pub fn set_recorder(&mut self, (recorder, restored): (StateRecorder, RestoredPurges)) {
         let now = clock::now();
-        match replayed {
+        match restored {
             RestoredPurges::Purges(purges) => {
                 purges.iter().for_each(|purge| self.change_clock.observe(now, purge.issued_at));
                 purges.iter().for_each(|purge| self.apply_purge(now, purge));
@@ -230,7 +230,7 @@
                 (0..groups).for_each(|group| self.engine.record_purge(now, GroupId(group), None, Span::ZERO));
             }
         }
-        self.keeper = Some(keeper);
+        self.recorder = Some(recorder);
     }
 
     /// Applies the changes known at startup. All timestamps are observed first, as each may help to date the
@@ -253,14 +253,14 @@
     }
 
     /// Starts sharing limits and findings about hosts with other dispatchers.
-    pub fn set_sharing(&mut self, mut sharing: FleetConnection) {
-        sharing.set_initial_shares(&mut self.engine);
-        self.sharing = Some(sharing);
+    pub fn set_fleet_connection(&mut self, mut fleet_connection: FleetConnection) {
+        fleet_connection.set_initial_shares(&mut self.engine);
+        self.fleet_connection = Some(fleet_connection);
     }
 
     fn apply_purge(&mut self, now: Time, purge: &Purge) {
-        if let Some(keeper) = &self.keeper {
-            keeper.record_purge(purge);
+        if let Some(recorder) = &self.recorder {
+            recorder.record_purge(purge);
         }
         // The wall clock is not used: if it were ahead, copies older than the purge would be served.
         let age = self.change_clock.min_age(now, purge.issued_at);
@@ -299,7 +299,10 @@
         while !self.is_done {
             let now = clock::now();
             let wait = clock::to_std(self.timers.next_due().map_or(SWEEP_INTERVAL, |at| at - now));
-            let wait = self.sharing.as_ref().map_or(wait, |sharing| wait.min(sharing.until_next_exchange()));
+            let wait = self
+                .fleet_connection
+                .as_ref()
+                .map_or(wait, |fleet_connection| wait.min(fleet_connection.until_next_exchange()));
             let input = mailbox::recv_timeout(&self.mailboxes, wait);
             if clock::now() > now + Span(wait.as_micros() as u64) + SUSPENSION_THRESHOLD {
                 self.catch_up();
@@ -319,10 +322,12 @@
                 }
             }
             self.run_timers();
-            if let Some(sharing) =
-                self.sharing.as_mut().filter(|sharing| sharing.until_next_exchange().is_zero())
+            if let Some(fleet_connection) = self
+                .fleet_connection
+                .as_mut()
+                .filter(|fleet_connection| fleet_connection.until_next_exchange().is_zero())
             {
-                sharing.exchange(&mut self.engine);
+                fleet_connection.exchange(&mut self.engine);
             }
             self.carry_out_decisions();
         }
@@ -339,7 +344,7 @@
             let now = clock::now();
             if now >= until
                 || self.changelog_read_at >= since
-                || self.sharing.as_ref().is_some_and(FleetConnection::has_carriers)
+                || self.fleet_connection.as_ref().is_some_and(FleetConnection::has_carriers)
             {
                 return;
             }
@@ -399,8 +404,8 @@
             Input::HostReset(actor) => self.host_reset(actor),
             Input::HandOffRecordStored(id, taken) => self.record_stored(id, taken),
             Input::Fleet(message) => {
-                if let Some(sharing) = &mut self.sharing {
-                    sharing.handle(&mut self.engine, message);
+                if let Some(fleet_connection) = &mut self.fleet_connection {
+                    fleet_connection.handle(&mut self.engine, message);
                 }
             }
             Input::Stop => {
@@ -465,8 +470,8 @@
 
     fn close_visit(&mut self, visit: VisitId, is_served: bool) -> Option<OpenVisit> {
         let open = self.visits.remove(&visit)?;
-        if let Some(keeper) = &mut self.keeper {
-            keeper.close_visit(visit, is_served);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.close_visit(visit, is_served);
         }
         self.open_visit_bytes -= open.request.retained_bytes();
         self.txns.remove(&Txn::parse(&open.request.txn));
@@ -520,7 +525,7 @@
             return;
         };
         if self.open_visit_bytes + request.retained_bytes() > self.config.max_visit_bytes {
-            self.sharing.iter_mut().for_each(FleetConnection::count_refused);
+            self.fleet_connection.iter_mut().for_each(FleetConnection::count_refused);
             self.send_to_client(client, msgpack::refused(id, Span::ZERO), None, Some(in_use));
             return;
         }
@@ -550,9 +555,9 @@
             cancel,
         };
         let earlier = self
-            .keeper
+            .recorder
             .as_ref()
-            .and_then(|keeper| keeper.visits.earlier_try(clock::to_unix(received_at), open.key()));
+            .and_then(|recorder| recorder.visits.earlier_try(clock::to_unix(received_at), open.key()));
         self.visits.insert(visit, open);
         self.latencies.max_open_visits.fetch_max(self.visits.len(), Relaxed);
         self.latencies.mailbox.record(clock::now() - received_at);
@@ -596,8 +601,8 @@
         answer_read: Option<(Time, Reservation)>,
     ) {
         let Some(open) = self.close_visit(visit, answer_read.is_some()) else { return };
-        if let (Some(sharing), Some((at, _))) = (&mut self.sharing, &answer_read) {
-            sharing.count_served(&self.engine, open.class, *at - open.received_at);
+        if let (Some(fleet_connection), Some((at, _))) = (&mut self.fleet_connection, &answer_read) {
+            fleet_connection.count_served(&self.engine, open.class, *at - open.received_at);
         }
         if let Some(known) = self.clients.get_mut(&open.client) {
             known.open_visits.remove(&open.request_id);
@@ -630,8 +635,8 @@
             outcome,
             fill: out.fill,
         });
-        if let Some(keeper) = &mut self.keeper {
-            keeper.visits.hand_off_ended(visit, outcome.is_not_executed());
+        if let Some(recorder) = &mut self.recorder {
+            recorder.visits.hand_off_ended(visit, outcome.is_not_executed());
         }
         let is_served = outcome == Outcome::Served;
         let end = HandOffEnd {
@@ -698,11 +703,11 @@
                     self.cancel_hand_off(HandOffId(visit, number), Outcome::Cancelled)
                 }
                 Decision::Refuse { visit, retry_after } => {
-                    self.sharing.iter_mut().for_each(FleetConnection::count_refused);
+                    self.fleet_connection.iter_mut().for_each(FleetConnection::count_refused);
                     self.finish_visit(visit, |id| msgpack::refused(id, retry_after), None);
                 }
                 Decision::Fail { visit } => {
-                    self.sharing.iter_mut().for_each(FleetConnection::count_failed);
+                    self.fleet_connection.iter_mut().for_each(FleetConnection::count_failed);
                     self.finish_visit(visit, msgpack::failed, None);
                 }
                 Decision::Wake { after } => self.timers.push(now + after, Timer::Wake),
@@ -737,7 +742,7 @@
         fill: Option<Fill>,
     ) {
         let Some(open) = self.visits.get_mut(&visit) else { return };
-        self.sharing.iter_mut().for_each(FleetConnection::count_hand_off);
+        self.fleet_connection.iter_mut().for_each(FleetConnection::count_hand_off);
         let id = HandOffId(visit, HandOffNumber(open.hand_off_count));
         open.hand_off_count = open.hand_off_count.saturating_add(1);
         if !open.cancel.is_live() {
@@ -772,7 +777,7 @@
             return;
         };
         let mut record = None;
-        if let Some(keeper) = self.keeper.as_mut().filter(|keeper| keeper.records_hand_offs()) {
+        if let Some(recorder) = self.recorder.as_mut().filter(|recorder| recorder.records_hand_offs()) {
             let effect =
                 self.config.settings.classes.get(usize::from(open.class.0)).map(|class| class.effect);
             let may_have_run = InDoubtVisit {
@@ -784,9 +789,9 @@
             };
             let effect = effect.unwrap_or(Effect::Idempotent);
             if let WriteAhead::Required(to_store) =
-                keeper.visits.register_hand_off(visit, open.key(), effect, may_have_run)
+                recorder.visits.register_hand_off(visit, open.key(), effect, may_have_run)
             {
-                keeper.write_hand_off_record(id, to_store);
+                recorder.write_hand_off_record(id, to_store);
                 record = Some(Box::new(hand_off.clone()));
             }
         }
@@ -828,8 +833,8 @@
     /// The store has accepted or rejected a hand-off's record. The hand-off may have been cancelled
     /// meanwhile.
     fn record_stored(&mut self, id: HandOffId, taken: WriteResult) {
-        let Some(keeper) = &mut self.keeper else { return };
-        let may_be_sent = keeper.visits.record_result(id.0, taken);
+        let Some(recorder) = &mut self.recorder else { return };
+        let may_be_sent = recorder.visits.record_result(id.0, taken);
         let Some(hand_off) = self.hand_offs.get_mut(&id).and_then(|out| out.awaiting_record.take()) else {
             return;
         };
@@ -860,35 +865,39 @@
         self.observe_timestamps(&change);
         let now = clock::now();
         match change {
-            Change::HostList { is_complete: whole, hosts } => self.apply_list(now, hosts, whole),
+            Change::HostList { is_complete, hosts } => self.apply_list(now, hosts, is_complete),
             Change::Purge(purge) => self.apply_purge(now, &purge),
         }
     }
 
-    fn apply_list(&mut self, now: Time, listed: Vec<ListedHost>, whole: bool) {
+    fn apply_list(&mut self, now: Time, listed: Vec<ListedHost>, is_full: bool) {
         let clocks = Clocks { now, wall: clock::wall_now(), change_clock: &self.change_clock };
-        let AppliedUpdate { hosts, displaced: lost, faults } = self.list.apply(&clocks, listed, whole);
+        let AppliedUpdate { hosts, displaced, faults } = self.list.apply(&clocks, listed, is_full);
         for (name, fault) in faults {
             tracing::warn!(host = &name[..], "list: host {name}: {fault}");
         }
         let started: BTreeMap<HostId, Option<UnixTime>> =
             hosts.iter().map(|host| (host.listing.host, host.started)).collect();
         let entries: Vec<Listing> =
-            hosts.iter().map(|host| host.listing).chain(lost.iter().copied()).collect();
+            hosts.iter().map(|host| host.listing).chain(displaced.iter().copied()).collect();
         let kept: BTreeSet<HostId> = hosts.iter().map(|host| host.listing.host).collect();
-        let missing = self.hosts.keys().filter(|id| whole && !kept.contains(id)).copied();
-        let gone: Vec<HostId> = missing.chain(lost.iter().map(|lost| lost.host)).collect();
+        let missing = self.hosts.keys().filter(|id| is_full && !kept.contains(id)).copied();
+        let gone: Vec<HostId> = missing.chain(displaced.iter().map(|displaced| displaced.host)).collect();
         let changed = self.changed_sources(&entries, &gone);
         gone.into_iter().for_each(|id| self.remove_host(id));
         hosts.into_iter().for_each(|host| self.update_host(host));
-        self.engine.update_hosts(now, &entries, whole);
+        self.engine.update_hosts(now, &entries, is_full);
         let fills_from_changed =
             |out: &PendingHandOff| out.fill.is_some_and(|fill| changed.contains(&fill.source));
         let stale = self.hand_offs.iter().filter(|(_, out)| fills_from_changed(out));
         self.redecide_unsent(stale.map(|(id, _)| *id).collect());
-        if let Some(sharing) = &mut self.sharing {
+        if let Some(fleet_connection) = &mut self.fleet_connection {
             for entry in &entries {
-                sharing.host_listed(&mut self.engine, entry, started.get(&entry.host).copied().flatten());
+                fleet_connection.host_listed(
+                    &mut self.engine,
+                    entry,
+                    started.get(&entry.host).copied().flatten(),
+                );
             }
         }
     }
@@ -916,7 +925,9 @@
     /// Removes a host; its actor ends by itself once no hand-off is in flight.
     fn remove_host(&mut self, id: HostId) {
         if let Some(known) = self.hosts.remove(&id) {
-            self.sharing.iter_mut().for_each(|sharing| sharing.host_unlisted(id, true));
+            self.fleet_connection
+                .iter_mut()
+                .for_each(|fleet_connection| fleet_connection.host_unlisted(id, true));
             let _ = known.mailbox.send(ToHost::Remove);
         }
     }
@@ -947,8 +958,8 @@
         self.check_changelog();
         self.sweep_count += 1;
         if self.sweep_count.is_multiple_of(SWEEPS_PER_REPORT) {
-            if let Some(keeper) = &mut self.keeper {
-                keeper.remove_expired();
+            if let Some(recorder) = &mut self.recorder {
+                recorder.remove_expired();
             }
             self.log_latencies();
         }
@@ -958,7 +969,7 @@
     /// be guarded against: any host may be draining.
     fn check_changelog(&mut self) {
         // With carriers the fleet proves that no change is missing.
-        if self.sharing.as_ref().is_some_and(FleetConnection::has_carriers) {
+        if self.fleet_connection.as_ref().is_some_and(FleetConnection::has_carriers) {
             return;
         }
         let silent_for = clock::now() - self.changelog_read_at;
@@ -986,7 +997,9 @@
         for (id, since) in self.list.redate(&clocks) {
             self.engine.correct_start(id, since);
             self.hosts.get_mut(&id).into_iter().for_each(|known| known.started = Some(since));
-            self.sharing.iter_mut().for_each(|sharing| sharing.start_redated(id, since));
+            self.fleet_connection
+                .iter_mut()
+                .for_each(|fleet_connection| fleet_connection.start_redated(id, since));
         }
     }
 
--- a/crates/dispatcher/src/router/tests.rs
+++ b/crates/dispatcher/src/router/tests.rs
@@ -115,7 +115,7 @@
     let set = operator::Store { hand_offs, ..operator::Store::in_folder("none".into()) };
     let (mut router, sender) = router();
     let settings = router.config.settings.clone();
-    router.set_keeper(StateRecorder::restore(
+    router.set_recorder(StateRecorder::restore(
         StateStore::with_store(Some(Arc::new(store)), set),
         &settings,
         sender,
--- a/crates/dispatcher/src/startup.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -37,27 +37,28 @@
         let (router_sender, mailbox) = unbounded();
         let (client_sender, client_receiver) = bounded(CLIENT_QUEUE_LEN);
         let (changelog, new_addresses) = unbounded();
-        let mut last = 0;
+        let mut last_change = 0;
         let events = config.known_changes.take();
-        let (known, fault) = change_log::decode(&events, &config.names, &mut last, None);
+        let (known, fault) = change_log::decode(&events, &config.names, &mut last_change, None);
         if let Some(fault) = fault.filter(|_| !events.is_null()) {
-            tracing::warn!("known changes: {fault}; applied up to change {last}");
+            tracing::warn!("known changes: {fault}; applied up to change {last_change}");
         }
-        tracing::info!("start: {} on {}, change {last}", config.name, listener.local_addr()?);
+        tracing::info!("start: {} on {}, change {last_change}", config.name, listener.local_addr()?);
         let shutdown = Arc::new(Shutdown::default());
         let mut router =
             Router::new(config.clone(), router_sender.clone(), [mailbox, client_receiver], shutdown.clone())?;
         let store = kept.as_ref().and_then(StateStore::store);
         if let Some(kept) = kept {
-            router.set_keeper(StateRecorder::restore(kept, &config.settings, router_sender.clone()));
+            router.set_recorder(StateRecorder::restore(kept, &config.settings, router_sender.clone()));
         }
         let mut delivery = None;
         if let Some((fleet, mut set)) = fleet {
-            set.delivery.iter_mut().for_each(|set| set.last = ChangeNumber(last));
-            let sharing = FleetConnection::start(&fleet, set, &config.settings, store, router_sender.clone());
-            let mut sharing = sharing.map_err(io::Error::other)?;
-            delivery = sharing.take_delivery();
-            router.set_sharing(sharing);
+            set.delivery.iter_mut().for_each(|set| set.last = ChangeNumber(last_change));
+            let fleet_connection =
+                FleetConnection::start(&fleet, set, &config.settings, store, router_sender.clone());
+            let mut fleet_connection = fleet_connection.map_err(io::Error::other)?;
+            delivery = fleet_connection.take_delivery();
+            router.set_fleet_connection(fleet_connection);
         }
         router.apply_known_changes(known);
         let changes_sender = router_sender.clone();
@@ -75,7 +76,7 @@
                 address: config.changelog,
                 new_addresses,
                 names: config.names,
-                last_change: last,
+                last_change,
                 max_change_bytes: config.max_change_bytes,
                 seed: config.seed,
                 router: changes_sender,
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -310,9 +310,9 @@
     }
 
     /// Ends a visit. It counts as lost if it had a hand-off to the faulty host and no answer in time.
-    fn end_visit(&mut self, of: usize, visit: VisitId, settled: bool) {
+    fn end_visit(&mut self, of: usize, visit: VisitId, served: bool) {
         let Some((arrived, _, met)) = self.all[of].visits.remove(&visit) else { return };
-        let in_time = settled && self.now - arrived <= QUOTED_TIME;
+        let in_time = served && self.now - arrived <= QUOTED_TIME;
         self.measured.lost += u64::from(met && !in_time);
     }
 
--- a/crates/keep/src/visits.rs
+++ b/crates/keep/src/visits.rs
@@ -126,12 +126,12 @@
         effect: Effect,
         sent: InDoubtVisit,
     ) -> WriteAhead {
-        let memory = match effect {
+        let repeat_window = match effect {
             Effect::Idempotent => return WriteAhead::NotNeeded,
-            Effect::Deduplicated { retention: memory, .. } => Some(memory.0),
+            Effect::Deduplicated { retention: repeat_window, .. } => Some(repeat_window.0),
             Effect::AtMostOnce => None,
         };
-        let sent = InDoubtVisit { repeat_window: memory, ..sent };
+        let sent = InDoubtVisit { repeat_window, ..sent };
         if let Some(open) = self.open.get_mut(&id) {
             // No earlier hand-off ran, so this is the first that counts.
             if !open.may_have_run() {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -103,8 +103,9 @@
     let dispatchers = required_number(root, "/balancers")? as u32;
     let location = required_number(root, "/zone")? as u16;
     let dispatchers_here = number(root, &format!("/domain/count_by_zone/{location}"));
-    let links = list(root, "/domain/zone_link_kb_per_s").iter().filter_map(Value::as_f64).collect();
-    let window = span(root, "/rules/overload_for");
+    let location_link_kb_per_s =
+        list(root, "/domain/zone_link_kb_per_s").iter().filter_map(Value::as_f64).collect();
+    let overload_window = span(root, "/rules/overload_for");
     Ok(Settings {
         dispatchers,
         location: LocationId(location),
@@ -115,7 +116,7 @@
         has_weights: !matches!(text(root, "/weight_source"), "" | "none"),
         has_stable_weights: matches!(text(root, "/weight_source"), "nominal" | "rough"),
         transfer_kb_per_s: number(root, "/domain/pace_kb_per_s").unwrap_or(0.0),
-        location_link_kb_per_s: links,
+        location_link_kb_per_s,
         may_bypass_caches: flag(root, "/domain/may_pass_by"),
         joins_fills: flag(root, "/domain/joins"),
         reports_fill_source: text(root, "/domain/detail") != "hit",
@@ -132,13 +133,13 @@
             initial_share: required_number(root, "/rules/cold_from")?,
             ramp: span(root, "/rules/cold"),
             overload_factor: required_number(root, "/rules/overload_factor")?,
-            overload_window: window,
+            overload_window,
         },
         cold_parent: ColdStart {
             initial_share: number(root, "/domain/parent_starts_at").unwrap_or(0.0),
             ramp: span(root, "/domain/parent_ramp"),
             overload_factor: number(root, "/domain/parent_limit_factor").unwrap_or(1.0),
-            overload_window: window,
+            overload_window,
         },
         purge_drop_time: span(root, "/domain/purge_done"),
         purge_obey_time: span(root, "/domain/obey_after"),
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -285,7 +285,7 @@
         let Some((first, _)) = open.first_possible_run else { return last };
         match self.class_settings(open.visit.class).map(|class| class.effect) {
             Some(Idempotent) => last,
-            Some(Deduplicated { retention: memory, .. }) => last.min(first + memory - ANSWER_MARGIN),
+            Some(Deduplicated { retention, .. }) => last.min(first + retention - ANSWER_MARGIN),
             _ => Time::default(),
         }
     }
@@ -368,8 +368,9 @@
                 || self.admits(self.origin_limiter.limit - self.origin_limiter.expected_fills));
         sources.extend(origin.filter(|_| may_reach_origin));
         let work = self.cold_cost(visit.class);
-        let (rank, join) = (FILL_RANKS[usize::from(is_popular)], self.settings.joins_fills);
-        let renew = self.class_settings(visit.class).is_some_and(|class| class.fresh_for > Span::ZERO);
+        let (rank, may_join) = (FILL_RANKS[usize::from(is_popular)], self.settings.joins_fills);
+        let refresh_stale =
+            self.class_settings(visit.class).is_some_and(|class| class.fresh_for > Span::ZERO);
         let has_no_caches = caches.is_empty();
         let mut cache =
             caches.iter().copied().find(|c| self.has_room(now, *c) && self.can_send(now, *c, work));
@@ -388,7 +389,7 @@
         let max_wait = self
             .class_settings(visit.class)
             .map_or(Span::ZERO, |class| class.target_latency.times(FILL_WAIT_FRACTION));
-        if is_fill_in_flight && !join && now < arrived_at + max_wait {
+        if is_fill_in_flight && !may_join && now < arrived_at + max_wait {
             return Choice::Wait;
         }
         // Guards against congestion behind the caches (a full link, overloaded parents, no capacity for
@@ -399,13 +400,13 @@
             .reported_link_load
             .is_some_and(|(at, full)| now < at + LINK_REPORT_VALIDITY && full > LINK_LOAD_MAX);
         let may_fill = (may_reach_origin || !has_parent_missed)
-            && (is_fill_in_flight && join
+            && (is_fill_in_flight && may_join
                 || !is_link_congested
                     && self.admits(self.fill_limiter.limit - self.fill_limiter.expected_fills));
         let source =
             sources.into_iter().find(|s| may_fill && self.admits_fill(*s) && self.can_send(now, *s, work));
         let is_cached_only = source.is_some() && !may_reach_origin;
-        let oldest = self.max_copy_age(now, &visit, source.is_some() && may_reach_origin);
+        let max_age = self.max_copy_age(now, &visit, source.is_some() && may_reach_origin);
         match (cache, source) {
             (_, None) if has_cache_missed => Choice::GiveUp,
             (Some(cache), source) => {
@@ -417,9 +418,9 @@
                     Some(Fill {
                         source,
                         rank,
-                        max_age: oldest,
-                        may_join: join,
-                        refresh_stale: renew,
+                        max_age,
+                        may_join,
+                        refresh_stale,
                         cached_only: is_cached_only,
                     }),
                 )
@@ -431,8 +432,8 @@
                     Some(Fill {
                         source,
                         rank: 0,
-                        max_age: oldest,
-                        may_join: join,
+                        max_age,
+                        may_join,
                         refresh_stale: false,
                         cached_only: false,
                     }),
@@ -479,8 +480,8 @@
 
     fn hand_off(&mut self, now: Time, id: VisitId, host: HostId, fill: Option<Fill>) {
         let Some(open) = self.visits.get(&id) else { return };
-        let (visit, latest) = (open.visit, self.latest_hand_off(open));
-        let (copy, until) = ((visit.object, visit.part, host), visit.deadline - ANSWER_MARGIN);
+        let (visit, send_before) = (open.visit, self.latest_hand_off(open));
+        let (copy, times_out_at) = ((visit.object, visit.part, host), visit.deadline - ANSWER_MARGIN);
         let was_cached = self.is_known_cached(now, &visit, host);
         let start = MISS_RATES_START[usize::from(was_cached)];
         let miss_rate =
@@ -513,8 +514,9 @@
         // Guards against attempts that wait for connections and then reach a cold host within one window.
         let waits =
             [Some(host), source].into_iter().flatten().filter_map(|id| self.total_cold_budget(now, id));
-        let latest = waits
-            .fold(latest, |at, (_, window)| at.min(now + Span::seconds(COLD_SEND_WINDOW_FRACTION * window)));
+        let send_before = waits.fold(send_before, |at, (_, window)| {
+            at.min(now + Span::seconds(COLD_SEND_WINDOW_FRACTION * window))
+        });
         let is_cached_only = fill.is_some_and(|fill| fill.cached_only);
         let origin_rate = if has_parent_missed || to_origin {
             1.0
@@ -538,13 +540,7 @@
         };
         self.count_in_flight(&sent, 1);
         self.in_flight.insert((id, number), sent);
-        self.decisions.push_back(Decision::HandOff {
-            visit: id,
-            host,
-            times_out_at: until,
-            send_before: latest,
-            fill,
-        });
+        self.decisions.push_back(Decision::HandOff { visit: id, host, times_out_at, send_before, fill });
     }
 
     /// Maximum age of a copy, zero for any age. Once the object was purged it is the time since then, and
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -212,16 +212,17 @@
             let id = host.entry.host;
             let is_restarted =
                 host.restart_detected_at.is_some() && host.restart_detected_at == host.entry.started_at;
-            let (condition, evidence, at) = match host.breaker.filter(|breaker| {
+            let (condition, evidence_count, last_evidence_at) = match host.breaker.filter(|breaker| {
                 breaker.cause != EjectionCause::Reported && breaker.trials_passed + 1 < TRIALS_TO_RECOVER
             }) {
-                Some(OpenBreaker { cause: why, evidence_count: evidence, last_evidence_at: at, .. }) => (
+                Some(OpenBreaker { cause, evidence_count, last_evidence_at, .. }) => (
                     HostCondition::Ejected {
-                        cause: why,
-                        is_unreachable: host.is_connection_broken || host.last_answer_at + UNREACHED_MIN < at,
+                        cause,
+                        is_unreachable: host.is_connection_broken
+                            || host.last_answer_at + UNREACHED_MIN < last_evidence_at,
                     },
-                    evidence,
-                    at,
+                    evidence_count,
+                    last_evidence_at,
                 ),
                 None if is_restarted && self.cold_budget(now, id).is_some() => {
                     (HostCondition::Restarted, TRIALS_TO_RECOVER, host.restart_detected_at?)
@@ -232,8 +233,8 @@
                 host: id,
                 since: host.listed_start,
                 condition,
-                evidence_count: evidence.max(1),
-                last_evidence_at: at,
+                evidence_count: evidence_count.max(1),
+                last_evidence_at,
             })
         })
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -162,7 +162,7 @@
     pub fn open_breaker(&mut self, now: Time, trial_interval: Span, cause: EjectionCause) {
         let failed =
             self.failure_rate.value * f64::from(self.failure_rate.sample_count).min(1.0 / RESULT_WEIGHT[0]);
-        let evidence = match cause {
+        let evidence_count = match cause {
             EjectionCause::Silent => self.in_flight,
             EjectionCause::Failing => failed.ceil() as u32,
             EjectionCause::Reported => 0,
@@ -174,7 +174,7 @@
             trial_interval,
             trials_passed: 0,
             cause,
-            evidence_count: evidence,
+            evidence_count,
             last_evidence_at: now,
         });
     }
@@ -188,7 +188,7 @@
     /// cache: all that was known of the host is discarded. Otherwise the latest known start stays, listed or
     /// detected. Guards against treating a host as warm because the list gives an earlier start or none.
     pub fn update_listing(&mut self, now: Time, entry: Listing) {
-        let since = self.entry.started_at.max(entry.started_at);
+        let started_at = self.entry.started_at.max(entry.started_at);
         if entry.started_at > self.listed_start {
             // If the restart was detected earlier, its cold budget began then.
             let is_detected = self.connection_lost_at.is_some() || self.entry.started_at >= entry.started_at;
@@ -196,7 +196,7 @@
             *self = Host { in_flight: self.in_flight, cold_bucket, ..Host::new(entry, now) };
         }
         (self.entry, self.listed_start) =
-            (Listing { started_at: since, ..entry }, self.listed_start.max(entry.started_at));
+            (Listing { started_at, ..entry }, self.listed_start.max(entry.started_at));
     }
 
     /// Age of its process; `None` if it started long ago. A host that may run a new process counts as just
