--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -204,11 +204,11 @@
 
 fn encode_decision(reply: &mut Reply, instance: u16, decision: Decision) {
     match decision {
-        Decision::HandOff { visit, host, times_out_at: until, fill, .. } => {
+        Decision::HandOff { visit, host, times_out_at, fill, .. } => {
             let mut record =
                 reply.record(if fill.is_some() { action::READ_THROUGH } else { action::HAND_OFF }, instance);
             record.put(4, &visit.0.to_le_bytes());
-            record.put(8, &host_bytes(host)).put(14, &until.0.to_le_bytes());
+            record.put(8, &host_bytes(host)).put(14, &times_out_at.0.to_le_bytes());
             if let Some(fill) = fill {
                 let oldest = fill.max_age.0.min(u64::from(u32::MAX)) as u32;
                 let bits = u8::from(fill.may_join)
--- a/crates/dispatcher/src/fleet_connection.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -542,9 +542,9 @@
     }
 
     /// Counts a visit that was served.
-    pub fn count_served(&mut self, engine: &DecisionEngine, class: ClassId, took: Span) {
+    pub fn count_served(&mut self, engine: &DecisionEngine, class: ClassId, duration: Span) {
         self.counters.visits += 1;
-        self.counters.in_time += u64::from(took.as_seconds() <= engine.target_seconds(class));
+        self.counters.in_time += u64::from(duration.as_seconds() <= engine.target_seconds(class));
     }
 
     /// Counts a visit that was refused.
@@ -591,7 +591,8 @@
             "members": [{"name": "d1", "address": "127.0.0.1:1", "location": "edge"},
                         {"name": "d2", "address": "127.0.0.1:2", "location": "edge"}]}}"#;
         let fleet = cherrypass_operator::decode("test", serde_json::from_str(text).unwrap()).unwrap();
-        let (share, ramp, multiple, window) = (0.2, Span::seconds(60.0), 2.0, Span::seconds(2.0));
+        let (initial_share, ramp, overload_factor, overload_window) =
+            (0.2, Span::seconds(60.0), 2.0, Span::seconds(2.0));
         let settings = Settings {
             dispatchers: 2,
             location_dispatchers: 2,
@@ -602,12 +603,7 @@
             may_bypass_caches: true,
             can_cancel: true,
             max_hand_offs: 6,
-            cold_cache: ColdStart {
-                initial_share: share,
-                ramp,
-                overload_factor: multiple,
-                overload_window: window,
-            },
+            cold_cache: ColdStart { initial_share, ramp, overload_factor, overload_window },
             ..Settings::default()
         };
         let mut engine = DecisionEngine::new(settings.clone(), 7, clock::now());
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -402,7 +402,7 @@
                 self.check_changelog();
             }
             Input::HostReset(actor) => self.host_reset(actor),
-            Input::HandOffRecordStored(id, taken) => self.record_stored(id, taken),
+            Input::HandOffRecordStored(id, result) => self.record_stored(id, result),
             Input::Fleet(message) => {
                 if let Some(fleet_connection) = &mut self.fleet_connection {
                     fleet_connection.handle(&mut self.engine, message);
@@ -696,8 +696,8 @@
         let now = clock::now();
         while let Some(decision) = self.engine.next_decision(now) {
             match decision {
-                Decision::HandOff { visit, host, times_out_at: until, send_before: latest, fill } => {
-                    self.start_hand_off(now, visit, host, [until, latest], fill)
+                Decision::HandOff { visit, host, times_out_at, send_before, fill } => {
+                    self.start_hand_off(now, visit, host, [times_out_at, send_before], fill)
                 }
                 Decision::Cancel { visit, number } => {
                     self.cancel_hand_off(HandOffId(visit, number), Outcome::Cancelled)
@@ -780,7 +780,7 @@
         if let Some(recorder) = self.recorder.as_mut().filter(|recorder| recorder.records_hand_offs()) {
             let effect =
                 self.config.settings.classes.get(usize::from(open.class.0)).map(|class| class.effect);
-            let may_have_run = InDoubtVisit {
+            let in_doubt_visit = InDoubtVisit {
                 class_name: String::from_utf8_lossy(&open.request.class).into_owned(),
                 sent_at: clock::to_unix(now).0,
                 host: host.0,
@@ -789,7 +789,7 @@
             };
             let effect = effect.unwrap_or(Effect::Idempotent);
             if let WriteAhead::Required(to_store) =
-                recorder.visits.register_hand_off(visit, open.key(), effect, may_have_run)
+                recorder.visits.register_hand_off(visit, open.key(), effect, in_doubt_visit)
             {
                 recorder.write_hand_off_record(id, to_store);
                 record = Some(Box::new(hand_off.clone()));
@@ -832,9 +832,9 @@
 
     /// The store has accepted or rejected a hand-off's record. The hand-off may have been cancelled
     /// meanwhile.
-    fn record_stored(&mut self, id: HandOffId, taken: WriteResult) {
+    fn record_stored(&mut self, id: HandOffId, result: WriteResult) {
         let Some(recorder) = &mut self.recorder else { return };
-        let may_be_sent = recorder.visits.record_result(id.0, taken);
+        let may_be_sent = recorder.visits.record_result(id.0, result);
         let Some(hand_off) = self.hand_offs.get_mut(&id).and_then(|out| out.awaiting_record.take()) else {
             return;
         };
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -142,7 +142,7 @@
     }
 }
 
-fn read_polls(stream: TcpStream, line: usize, sender: &Sender<Poll>) {
+fn read_polls(stream: TcpStream, connection: usize, sender: &Sender<Poll>) {
     stream.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     loop {
@@ -157,7 +157,7 @@
         }
         let since = first.split("since=").nth(1).and_then(|rest| rest.split('&').next()?.parse().ok());
         let (since, stream) = (since.unwrap(), stream.try_clone().unwrap());
-        let _ = sender.send(Poll { since, at, connection: line, stream });
+        let _ = sender.send(Poll { since, at, connection, stream });
     }
 }
 
--- a/crates/dispatcher/tests/following.rs
+++ b/crates/dispatcher/tests/following.rs
@@ -41,17 +41,17 @@
 }
 
 /// Follows a log; returns the router's inputs.
-fn start_following(at: SocketAddr, delivery: Option<Delivery>) -> Receiver<Input> {
+fn start_following(address: SocketAddr, delivery: Option<Delivery>) -> Receiver<Input> {
     let (router, inputs) = unbounded();
     let names = WireNames { classes: Vec::new(), locations: Vec::new(), kinds: Vec::new() };
-    let (moved, most, seed) = (never(), 1 << 20, 1);
+    let (new_addresses, max_change_bytes, seed) = (never(), 1 << 20, 1);
     spawn(move || {
         follow(FollowOptions {
-            address: at,
-            new_addresses: moved,
+            address,
+            new_addresses,
             names,
             last_change: 0,
-            max_change_bytes: most,
+            max_change_bytes,
             seed,
             router,
             delivery,
--- a/crates/keep/tests/keep.rs
+++ b/crates/keep/tests/keep.rs
@@ -15,14 +15,8 @@
     Effect::Deduplicated { group: Group::Location, retention: Span::millis(4_000) }
 }
 
-fn sent(at: u64) -> InDoubtVisit {
-    InDoubtVisit {
-        class_name: "paid".into(),
-        sent_at: at,
-        host: 7,
-        host_name: "s-a".into(),
-        repeat_window: None,
-    }
+fn sent(sent_at: u64) -> InDoubtVisit {
+    InDoubtVisit { class_name: "paid".into(), sent_at, host: 7, host_name: "s-a".into(), repeat_window: None }
 }
 
 /// The store's contents.
--- a/tests/cold_in_sum.rs
+++ b/tests/cold_in_sum.rs
@@ -177,8 +177,8 @@
         is_write: false,
     };
     let (ramp, window) = (Span(case.rules.ramp), Span(case.rules.window));
-    let cold = |share| ColdStart {
-        initial_share: share,
+    let cold = |initial_share| ColdStart {
+        initial_share,
         ramp,
         overload_factor: case.rules.overload_factor,
         overload_window: window,
@@ -357,14 +357,16 @@
 /// Measures the load at a host. A window counts if over two thirds of the work were sent by dispatchers that
 /// knew of the start.
 fn measure_host(simulation: &Simulation, id: HostId, case: &Case) -> Measurement {
-    let Rules { initial_shares: shares, overload_factor: multiple, window, ramp } = case.rules;
+    let Rules { initial_shares, overload_factor, window, ramp } = case.rules;
     let entry = simulation.entries.iter().find(|entry| entry.host == id).unwrap();
-    let (share, started_at) = (shares[usize::from(entry.kind == KindId(1))], entry.started_at.unwrap().0);
+    let (share, started_at) =
+        (initial_shares[usize::from(entry.kind == KindId(1))], entry.started_at.unwrap().0);
     let (requested, ends) = (requested_from(simulation, entry), START + case.duration);
     // N for a window that begins at `from`; capacity is lowest at its beginning.
     let allowed = |from: u64| {
         let age = from.saturating_sub(started_at) as f64 / ramp as f64;
-        multiple * (share + (1.0 - share) * age.min(1.0)) * entry.weight * (window as f64 / 1e6) / mean_work()
+        overload_factor * (share + (1.0 - share) * age.min(1.0)) * entry.weight * (window as f64 / 1e6)
+            / mean_work()
     };
     let arrived: Vec<_> = simulation.arrivals.iter().filter(|r| r.host == id && r.at >= started_at).collect();
     let mut measured = Measurement {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -92,8 +92,8 @@
 
 impl ScenarioRunner {
     fn new() -> ScenarioRunner {
-        let cold = |share: f64, seconds: u64| ColdStart {
-            initial_share: share,
+        let cold = |initial_share: f64, seconds: u64| ColdStart {
+            initial_share,
             ramp: Span::millis(seconds * 1000),
             overload_factor: 2.0,
             overload_window: Span::millis(2000),
@@ -233,14 +233,12 @@
         if outcome == Served && record.final_answers.is_empty() {
             record.final_answers.push("settled");
         }
-        let (took, last) = (Span(self.now - record.sent_at), !record.final_answers.is_empty());
+        let (duration, is_final) = (Span(self.now - record.sent_at), !record.final_answers.is_empty());
         let (visit, number) = (VisitId(id), HandOffNumber(number));
         let report = self.visits[&id].sent_to.map(|host| self.report(host)).unwrap_or_default();
         self.call_module(|engine, now| {
-            engine.hand_off_ended(
-                now,
-                HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last },
-            )
+            engine
+                .hand_off_ended(now, HandOffEnd { visit, number, outcome, note, duration, report, is_final })
         });
     }
 
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -172,14 +172,14 @@
 }
 
 /// A ready host's list entry.
-pub fn listing(id: u64, kind: u16, weight: f64, since: Option<Time>) -> Listing {
+pub fn listing(id: u64, kind: u16, weight: f64, started_at: Option<Time>) -> Listing {
     Listing {
         host: HostId(id),
         location: LocationId(u16::from(kind > 0)),
         kind: KindId(kind),
         cell: CellId(0),
         weight,
-        started_at: since,
+        started_at,
         phase: Phase::Ready,
     }
 }
@@ -528,8 +528,8 @@
     fn apply_decisions(&mut self, now: u64, dispatcher: usize) {
         while let Some(decision) = self.dispatchers[dispatcher].0.next_decision(Time(now)) {
             match decision {
-                Decision::HandOff { visit, host, fill, send_before: latest, .. } => {
-                    self.send_attempt(now, (dispatcher, visit), (host, fill), latest);
+                Decision::HandOff { visit, host, fill, send_before, .. } => {
+                    self.send_attempt(now, (dispatcher, visit), (host, fill), send_before);
                 }
                 Decision::Cancel { visit, number } => {
                     self.end_attempt(
@@ -767,22 +767,14 @@
         let answered = target.filter(|_| !matches!(outcome, Outcome::Cancelled | Outcome::Reset));
         let connection = answered.and_then(|target| self.connections.get_mut(&(dispatcher, target)));
         connection.into_iter().for_each(|connection| connection.last_used_at = now);
-        let mut last = false;
+        let mut is_final = false;
         if outcome == Outcome::Served {
             if let Some((request, _)) = self.visits.remove(&(dispatcher, visit)) {
-                (self.requests[request].is_served, last) = (true, true);
+                (self.requests[request].is_served, is_final) = (true, true);
             }
         }
-        let (number, took) = (HandOffNumber(number), Span(now - decided_at));
-        let end = HandOffEnd {
-            visit,
-            number,
-            outcome,
-            note,
-            duration: took,
-            report: Report::default(),
-            is_final: last,
-        };
+        let (number, duration) = (HandOffNumber(number), Span(now - decided_at));
+        let end = HandOffEnd { visit, number, outcome, note, duration, report: Report::default(), is_final };
         self.dispatchers[dispatcher].0.hand_off_ended(Time(now), end);
         self.apply_decisions(now, dispatcher);
     }
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -12,9 +12,9 @@
     Some(Time(seconds * 1_000_000))
 }
 
-fn entry(since: Option<Time>) -> Listing {
+fn entry(started_at: Option<Time>) -> Listing {
     let (host, location, kind, cell) = (HostId(1), LocationId(0), KindId(0), CellId(0));
-    Listing { host, location, kind, cell, weight: 6.0, started_at: since, phase: Phase::Ready }
+    Listing { host, location, kind, cell, weight: 6.0, started_at, phase: Phase::Ready }
 }
 
 /// A host whose restart was detected at 40 s, after three trials.
