--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -33,7 +33,7 @@
 /// State shared by all host actors.
 #[derive(Clone)]
 struct Shared {
-    reach: HostConnectionLimits,
+    limits: HostConnectionLimits,
     capacity: HostCapacity,
     connections: Arc<HostConnections>,
     router: Sender<Input>,
@@ -42,13 +42,13 @@
 impl Hosts {
     /// Starts the threads of the host actors and of their connections.
     pub fn start(
-        reach: HostConnectionLimits,
+        limits: HostConnectionLimits,
         capacity: HostCapacity,
         router: Sender<Input>,
     ) -> std::io::Result<Hosts> {
         let (messages, mailbox) = unbounded();
-        let connections = HostConnections::start(capacity.clone(), reach.connect_timeout)?;
-        let shared = Shared { reach, capacity: capacity.clone(), connections, router };
+        let connections = HostConnections::start(capacity.clone(), limits.connect_timeout)?;
+        let shared = Shared { limits, capacity: capacity.clone(), connections, router };
         spawn("hosts", move || run(&mailbox, &shared))?;
         Ok(Hosts { messages, next_id: 0, capacity })
     }
@@ -405,7 +405,7 @@
             self.report_end(hand_off.id, Outcome::Expired, None, clock::now());
             return;
         }
-        let streams = self.shared.reach.streams_per_connection;
+        let streams = self.shared.limits.streams_per_connection;
         let txn = Txn::parse(&hand_off.txn);
         let free = self.pool.iter().filter(|(_, pooled)| pooled.accepts(txn, streams));
         let best = free.min_by_key(|(_, pooled)| {
@@ -595,7 +595,7 @@
 
     /// Closes stalled connections, and idle ones before the host closes them.
     fn sweep(&mut self, now: Time) {
-        let idle = self.shared.reach.idle_timeout.times(0.8);
+        let idle = self.shared.limits.idle_timeout.times(0.8);
         for pooled in self.pool.values_mut() {
             pooled.cancelled.retain(|_, until| now < *until + LATE_ANSWER_MARGIN);
             pooled.answered.retain(|_, (until, _)| now < *until);
@@ -603,7 +603,7 @@
                 continue;
             };
             // An incomplete answer that stalls or trickles blocks all answers after it.
-            if connection.partial_for(now).is_some_and(|span| span > self.shared.reach.connect_timeout) {
+            if connection.partial_for(now).is_some_and(|span| span > self.shared.limits.connect_timeout) {
                 pooled.close(CloseReason::MessageTimeout);
             } else if pooled.in_flight.is_empty() && now - pooled.last_used > idle {
                 pooled.close(CloseReason::Idle);
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -675,8 +675,8 @@
         let is_revoked = out.send_state.revoke();
         let _ = out.mailbox.send(ToHost::Cancel(id));
         if is_revoked {
-            let never_ran = if outcome == Outcome::TimedOut { Outcome::Expired } else { outcome };
-            self.end_hand_off(id, never_ran, None, clock::now());
+            let reported_outcome = if outcome == Outcome::TimedOut { Outcome::Expired } else { outcome };
+            self.end_hand_off(id, reported_outcome, None, clock::now());
         } else {
             out.cancelled_as = Some(outcome);
         }
--- a/crates/keep/src/visits.rs
+++ b/crates/keep/src/visits.rs
@@ -178,10 +178,10 @@
     }
 
     /// A hand-off of the visit has ended.
-    pub fn hand_off_ended(&mut self, id: VisitId, never_ran: bool) {
+    pub fn hand_off_ended(&mut self, id: VisitId, is_not_executed: bool) {
         if let Some(open) = self.open.get_mut(&id) {
             open.pending_hand_offs = open.pending_hand_offs.saturating_sub(1);
-            open.has_run |= !never_ran;
+            open.has_run |= !is_not_executed;
         }
     }
 
--- a/crates/keep/tests/keep.rs
+++ b/crates/keep/tests/keep.rs
@@ -63,12 +63,12 @@
 #[test_case(false, false, false; "may have run")]
 fn the_record_is_deleted_only_if_a_repeat_can_do_no_harm(
     was_served: bool,
-    never_ran: bool,
+    is_not_executed: bool,
     is_deleted: bool,
 ) {
     let (mut visits, mut contents) = (restore(UnixTime(0), &StoreContents::new()), StoreContents::new());
     hand_off(&mut visits, &mut contents, 1, 10);
-    visits.hand_off_ended(VisitId(1), never_ran);
+    visits.hand_off_ended(VisitId(1), is_not_executed);
     assert_eq!(visits.close(VisitId(1), was_served).is_some(), is_deleted);
     assert_eq!(visits.earlier_try(UnixTime(11), KEY).is_none(), is_deleted);
 }
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -67,7 +67,7 @@
 #[test_case("followers: [{ name: 'd2', address: '127.0.0.1:9' }]", "fleet.followers[0].name", "is already used by fleet.members[1]"; "a follower with a member's name")]
 #[test_case("members: [m('d1', 1), m('d2', 1)]", "fleet.members[1].address", "127.0.0.1:1 is already used by fleet.members[0]"; "a duplicate address")]
 #[test_case("members: [m('d1', 1) + { location: '' }]", "fleet.members[0].location", "expected the name of a location"; "no location")]
-#[test_case("members: [m('d%d' % n, n) for n in std.range(1, 1025)]", "fleet.members", "1025 are more than 1024"; "too many members")]
+#[test_case("members: [m('d%d' % n, n) for n in std.range(1, 1025)]", "fleet.members", "1025 entries exceed the maximum of 1024"; "too many members")]
 #[test_case("members: [m('d1', '1:1')]", "fleet.members[0].address", "invalid socket address"; "an invalid address")]
 #[test_case("control: '192.0.2.1:7101'", "fleet.control", "not a loopback address"; "a control address that is not loopback")]
 #[test_case("limits: { floor: 1.5 }", "fleet.limits.floor", "1.5 is not within 0 and 1"; "a floor out of bounds")]
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -95,7 +95,7 @@
         self.allotments.insert(shared, Allotment { amount, until, amount_after: after, bucket });
     }
 
-    /// This dispatcher's part of a cold host's budget: what was allotted, else an equal share.
+    /// This dispatcher's part of a cold host's budget: its allotment, else an equal share.
     pub(crate) fn cold_allotment(&self, now: Time, id: HostId, total: f64) -> f64 {
         let parent = self.hosts.get(&id).is_some_and(|host| self.is_parent(host));
         let senders = if parent { self.settings.dispatchers } else { self.settings.location_dispatchers };
--- a/src/state.rs
+++ b/src/state.rs
@@ -519,8 +519,8 @@
     }
 
     /// Sets whether purges may have been missed.
-    pub fn set_purges_unverified(&mut self, unproven: bool) {
-        self.unverified_max_age = unproven.then_some(self.settings.purge_obey_time.max(Span(1)));
+    pub fn set_purges_unverified(&mut self, is_unverified: bool) {
+        self.unverified_max_age = is_unverified.then_some(self.settings.purge_obey_time.max(Span(1)));
     }
 
     /// The change log has been silent for so long that its purges count as known within `told_within` whether
