--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -25,7 +25,7 @@
     MissingSetting(#[from] settings::MissingSetting),
     #[error("invalid configuration: {0}")]
     InvalidSetting(#[from] settings::InvalidSetting),
-    #[error("the configuration has an invalid known: {0}; check the program that writes it")]
+    #[error("the configuration has invalid known changes: {0}; check the program that writes them")]
     KnownChanges(crate::change_log::ChangeLogError),
     #[error("{1} (in {0})")]
     InFile(String, Box<Error>),
--- a/crates/dispatcher/tests/bad_input.rs
+++ b/crates/dispatcher/tests/bad_input.rs
@@ -128,14 +128,14 @@
 #[test_case("\"edge\",\"kind\"", "\"north\",\"kind\"", "change 1: invalid zone (servers/0)"; "an unknown zone")]
 #[test_case("\"kind\":\"small\"", "\"kind\":7", "change 1: invalid kind (servers/0)"; "a kind that is none")]
 #[test_case("[{\"seq\":1", "[{\"seq\":4", "change 4 follows change 0, changes between them are missing"; "a gap")]
-#[test_case("\"results\"", "\"result\"", "known: not JSON"; "no results")]
+#[test_case("\"results\"", "\"result\"", "known changes: not JSON"; "no results")]
 fn an_unusable_host_list(part: &str, by: &str, words: &str) {
     let files = Files::new();
     let text = GOOD.replacen(part, by, 1);
     assert_ne!(text, GOOD, "nothing was changed");
     assert_contains(
         &error_line("check", 2, &files.write("c.json", &text), None),
-        &["the configuration has an invalid known", words, "check the program that writes it"],
+        &["the configuration has invalid known changes: ", words, "check the program that writes them"],
     );
 }
 
--- a/crates/dispatcher/tests/full_size.rs
+++ b/crates/dispatcher/tests/full_size.rs
@@ -155,7 +155,8 @@
         let mut value = config(FULL_SIZE, unused_address(), &[]);
         value["settings"][key] = json!(names("x", places + 1));
         let message = Config::decode(value.to_string().as_bytes()).unwrap_err().to_string();
-        let words = [&format!("settings/{key} has 65537 entries, 65536 are taken"), "leave out"];
+        let words =
+            [&format!("settings/{key} has 65537 entries, at most 65536 are allowed"), "remove unused ones"];
         assert!(words.iter().all(|word| message.contains(*word)) && !message.contains('\n'), "{message}");
     }
     // A cell out of range is not truncated to another one.
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -151,7 +151,7 @@
         if found > MAX_LIST_LENGTH {
             return invalid(
                 key,
-                format!("has {found} entries, {MAX_LIST_LENGTH} are taken: leave out those without use"),
+                format!("has {found} entries, at most {MAX_LIST_LENGTH} are allowed: remove unused ones"),
             );
         }
     }
@@ -189,29 +189,29 @@
         let (own, other) =
             (list(root, key).len(), if of == "services" { service_count } else { list(root, of).len() });
         if own > 0 && other > 0 && own != other {
-            return invalid(key, format!("has {own} places, settings/{of} has {other}"));
+            return invalid(key, format!("has {own} entries, settings/{of} has {other}"));
         }
     }
     let (zones, kinds) = (list(root, "zones").len(), list(root, "models").len());
     for (key, length) in [("zone", zones), ("domain/parent_kind", kinds), ("domain/source_kind", kinds)] {
         if let Some(index) = number(root, key).filter(|index| length > 0 && *index >= length as f64) {
-            return invalid(key, format!("is index {index}, and its list has {length} entries"));
+            return invalid(key, format!("is index {index}, but its list has {length} entries"));
         }
     }
     let (parent, origin) = (number(root, "domain/parent_kind"), number(root, "domain/source_kind"));
     if parent.is_some() && parent == origin {
         return invalid("domain/parent_kind", "is the same as settings/domain/source_kind");
     }
-    let direct = get(root, "domain/may_pass_by").and_then(Value::as_bool);
-    if direct == Some(false) && origin.is_none_or(|kind| kind < 0.0) {
+    let may_bypass_caches = get(root, "domain/may_pass_by").and_then(Value::as_bool);
+    if may_bypass_caches == Some(false) && origin.is_none_or(|kind| kind < 0.0) {
         return invalid("domain/source_kind", "is required where settings/domain/may_pass_by is false");
     }
-    for (index, grace) in list(root, "domain/stale_for").iter().enumerate() {
+    for (index, stale_for) in list(root, "domain/stale_for").iter().enumerate() {
         let fresh = number(root, &format!("domain/class_fresh/{index}")).unwrap_or(0.0);
-        if grace.as_f64().unwrap_or(0.0) > 0.0 && fresh == 0.0 {
+        if stale_for.as_f64().unwrap_or(0.0) > 0.0 && fresh == 0.0 {
             return invalid(
                 &format!("domain/stale_for/{index}"),
-                "has no settings/domain/class_fresh beside it",
+                "requires settings/domain/class_fresh for the same class",
             );
         }
     }
@@ -230,7 +230,7 @@
     if has_any_link && number(root, "domain/pace_kb_per_s").is_none_or(|pace| pace == 0.0) {
         return invalid(
             "domain/pace_kb_per_s",
-            "is wanted where settings/domain/zone_link_kb_per_s gives link capacities",
+            "is required where settings/domain/zone_link_kb_per_s gives link capacities",
         );
     }
     let has_link_load =
