--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -6,58 +6,57 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Why a configuration can't be used. Each message is one line with the file, key or line at fault and the
-/// remedy.
+/// Why a configuration is invalid. Each message is one line with the invalid file, key or line and the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("no configuration: name it with --config or in GW_CONFIG")]
-    Unnamed,
-    #[error("the configuration {0} can't be read: {1}; name a file that is there and may be read")]
+    NoConfigurationFile,
+    #[error("cannot read the configuration {0}: {1}; name a file that exists and is readable")]
     Unreadable(String, std::io::Error),
-    #[error("the configuration isn't JSON: {0}; {}", json_remedy(.0))]
+    #[error("the configuration is not valid JSON: {0}; {}", json_remedy(.0))]
     NotJson(serde_json::Error),
-    #[error("the configuration is nested over {0} levels deep; write it with the documented keys")]
+    #[error("the configuration is nested more than {0} levels deep; use the documented keys only")]
     TooDeep(usize),
-    #[error("the configuration lacks {0}: add it")]
+    #[error("the configuration is missing {0}; add this key")]
     MissingKey(String),
-    #[error("the configuration's {0} can't be used: {1}; it has to be {2}")]
+    #[error("the configuration has an invalid {0}: {1}; it must be {2}")]
     InvalidValue(&'static str, String, String),
-    #[error("{0}: add it")]
-    MissingSetting(#[from] settings::Missing),
-    #[error("the configuration's {0}")]
-    InvalidSetting(#[from] settings::Fault),
-    #[error("the configuration's known: {0}; look at who writes it")]
-    KnownChanges(crate::changes::Fault),
+    #[error("{0}; add it")]
+    MissingSetting(#[from] settings::MissingSetting),
+    #[error("invalid configuration: {0}")]
+    InvalidSetting(#[from] settings::InvalidSetting),
+    #[error("the configuration has invalid known changes: {0}; check the program that writes them")]
+    KnownChanges(crate::change_log::ChangeLogError),
     #[error("{1} (in {0})")]
     InFile(String, Box<Error>),
 }
 
 fn json_remedy(error: &serde_json::Error) -> &'static str {
     if error.is_eof() {
-        "it is empty or cut short, write it whole"
+        "the file is empty or truncated"
     } else {
-        "mend it there"
+        "correct the syntax there"
     }
 }
 
 /// The names used in messages, each at the index of its id.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
-    pub bands: Vec<String>,
+pub struct WireNames {
+    pub classes: Vec<String>,
     pub locations: Vec<String>,
     pub kinds: Vec<String>,
 }
 
 /// Limits of the connections to hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reach {
-    pub connect_limit: Span,
+pub struct HostConnectionLimits {
+    pub connect_timeout: Span,
     /// How long an unused connection stays open.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// Concurrent hand-offs per connection.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// Connections to all hosts.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// The decoded configuration.
@@ -68,26 +67,26 @@
     pub seed: u64,
     pub changelog: SocketAddr,
     /// Changes that are known at the start, in the form of the change log.
-    pub known: Value,
+    pub known_changes: Value,
     pub settings: Settings,
-    pub names: Names,
-    pub reach: Reach,
+    pub names: WireNames,
+    pub host_connections: HostConnectionLimits,
     /// The deadline of each request class.
-    pub limits: Vec<Span>,
+    pub class_deadlines: Vec<Span>,
     /// Maximum number of client connections.
-    pub clients: usize,
+    pub max_clients: usize,
     /// Maximum bytes of answers that wait for clients to read them.
-    pub unread: usize,
+    pub max_unread_bytes: usize,
     /// Maximum bytes of all answers in progress.
-    pub held: usize,
+    pub max_answer_bytes: usize,
     /// Maximum bytes that open visits may hold.
-    pub kept: usize,
+    pub max_visit_bytes: usize,
     /// Maximum bytes of one change of the change log; decoded, it takes several times as much memory.
-    pub changes: usize,
+    pub max_change_bytes: usize,
 }
 
 /// Maximum bytes of a host's message: an object of 240,000 bytes and room for its fields.
-pub const HOST_MESSAGE: usize = 256 * 1024;
+pub const MAX_HOST_MESSAGE_BYTES: usize = 256 * 1024;
 /// File descriptors for everything but clients and hosts: standard streams, listener, change log, signals,
 /// and connections that are being accepted or closed.
 const RESERVED_DESCRIPTORS: usize = 48;
@@ -149,9 +148,9 @@
         let memory = number(&all, "limits/memory_mb", 1.0)?;
         let sockets = number(&all, "limits/sockets", MIN_SOCKETS)? as usize;
         let sixteenth = (memory * 1024.0 * 1024.0 / 16.0) as usize;
-        let clients = sockets / 3;
+        let max_clients = sockets / 3;
         let seed = string(&all, "seed")?;
-        let required = |path: &str| settings::need(settings_json, path);
+        let required = |path: &str| settings::required_number(settings_json, path);
         let services = settings::list(settings_json, "/services");
         let deadline = |(index, class): (usize, &Value)| {
             let missing = |key| Error::MissingKey(format!("settings/services/{index}/{key}"));
@@ -159,53 +158,56 @@
             let deadline = settings::number(class, "/deadline").ok_or_else(|| missing("deadline"))?;
             Ok(Span(deadline as u64))
         };
-        let limits = services.iter().enumerate().map(deadline).collect::<Result<_, Error>>()?;
+        let class_deadlines = services.iter().enumerate().map(deadline).collect::<Result<_, Error>>()?;
         Ok(Config {
             name: string(&all, "name")?.to_owned(),
             listen: address(&all, "listen")?,
             seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| invalid("seed", &all["seed"], "a text of up to 16 hex digits"))?,
+                .map_err(|_| invalid("seed", &all["seed"], "a string of up to 16 hex digits"))?,
             changelog: address(&all, "changelog")?,
-            known: all.get("known").cloned().unwrap_or(Value::Null),
+            known_changes: all.get("known").cloned().unwrap_or(Value::Null),
             settings: settings::read(settings_json)?,
-            names: Names {
-                bands: services.iter().map(|class| settings::text(class, "/name").to_owned()).collect(),
+            names: WireNames {
+                classes: services.iter().map(|class| settings::text(class, "/name").to_owned()).collect(),
                 locations: names(settings_json, "/zones"),
                 kinds: names(settings_json, "/models"),
             },
-            reach: Reach {
-                connect_limit: Span(required("/bounds/connect_timeout")? as u64),
-                idle: Span(required("/bounds/conn_idle")? as u64),
-                streams: (required("/bounds/streams_per_conn")? as usize).max(1),
-                connections: sockets
-                    .saturating_sub(clients + RESERVED_DESCRIPTORS)
-                    .min(4 * sixteenth / HOST_MESSAGE)
+            host_connections: HostConnectionLimits {
+                connect_timeout: Span(required("/bounds/connect_timeout")? as u64),
+                idle_timeout: Span(required("/bounds/conn_idle")? as u64),
+                streams_per_connection: (required("/bounds/streams_per_conn")? as usize).max(1),
+                max_connections: sockets
+                    .saturating_sub(max_clients + RESERVED_DESCRIPTORS)
+                    .min(4 * sixteenth / MAX_HOST_MESSAGE_BYTES)
                     .max(1),
             },
-            limits,
-            clients,
-            unread: 2 * sixteenth,
-            held: 3 * sixteenth,
-            kept: sixteenth,
-            changes: sixteenth / 4,
+            class_deadlines,
+            max_clients,
+            max_unread_bytes: 2 * sixteenth,
+            max_answer_bytes: 3 * sixteenth,
+            max_visit_bytes: sixteenth,
+            max_change_bytes: sixteenth / 4,
         })
     }
 
     /// Checks that all changes known at the start are valid.
     pub fn check_known(&self) -> Result<(), Error> {
-        let (_, fault) = crate::changes::decode(&self.known, &self.names, &mut 0, None);
-        fault.filter(|_| !self.known.is_null()).map_or(Ok(()), |fault| Err(Error::KnownChanges(fault)))
+        let (_, fault) = crate::change_log::decode(&self.known_changes, &self.names, &mut 0, None);
+        fault
+            .filter(|_| !self.known_changes.is_null())
+            .map_or(Ok(()), |fault| Err(Error::KnownChanges(fault)))
     }
 
     /// The longest deadline of any request class.
-    pub fn longest(&self) -> Span {
-        self.limits.iter().copied().max().unwrap_or(Span::ZERO)
+    pub fn longest_deadline(&self) -> Span {
+        self.class_deadlines.iter().copied().max().unwrap_or(Span::ZERO)
     }
 
     /// Whether another configuration differs in anything but the change log's address, the known changes and
     /// the seed.
-    pub fn is_new_beyond_changelog(&self, other: &Config) -> bool {
-        let same = Config { changelog: self.changelog, known: self.known.clone(), ..other.clone() };
+    pub fn needs_restart_for(&self, other: &Config) -> bool {
+        let same =
+            Config { changelog: self.changelog, known_changes: self.known_changes.clone(), ..other.clone() };
         Config { seed: self.seed, ..same } != *self
     }
 }
@@ -228,7 +230,7 @@
 
 fn string<'a>(all: &'a Value, key: &'static str) -> Result<&'a str, Error> {
     let value = required(all, key)?;
-    value.as_str().ok_or_else(|| invalid(key, value, "a text"))
+    value.as_str().ok_or_else(|| invalid(key, value, "a string"))
 }
 
 fn address(all: &Value, key: &'static str) -> Result<SocketAddr, Error> {
--- a/crates/dispatcher/src/sharing.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -2,13 +2,15 @@
 //! the module; its own findings, demand and usage go to the fleet. No decisions are made here. Values from
 //! the fleet are valid until an `Instant`, and the remaining time is passed to the module again and again, so
 //! that a step of the system clock can't keep an expired share in force.
-use crate::carried::Delivery;
+use crate::carried_changes::Delivery;
 use crate::clock;
 use crate::config::Config;
 use crate::inbox::Input;
-use cherrypass::brain::Brain;
-use cherrypass::calls::{Bad, Found, Listing, Phase, Shared, Wanted, Word};
-use cherrypass::ids::{BandId, HostId, LocationId};
+use cherrypass::calls::{
+    EjectionCause, HostCondition, LimitUsage, Listing, Phase, ReportedCondition, SharedLimit,
+};
+use cherrypass::decision_engine::DecisionEngine;
+use cherrypass::ids::{ClassId, HostId, LocationId};
 use cherrypass::settings::Settings;
 use cherrypass::time::{Span, Time, UnixTime};
 use cherrypass_fleet::{limits, members, node, rollout, verdicts};
@@ -54,11 +56,11 @@
 }
 
 /// Converts the section `fleet` of the operators' file to the settings of the fleet's crates.
-pub fn set(fleet: &Fleet, config: &Config) -> Result<peers::Set, Error> {
+pub fn fleet_settings(fleet: &Fleet, config: &Config) -> Result<peers::Set, Error> {
     let zones = &config.names.locations;
     let location_id =
         |name: &String| zones.iter().position(|zone| zone == name).map(|index| LocationId(index as u16));
-    let mut set = peers::Set::of(&fleet.name, &fleet.me, fleet.listen);
+    let mut set = peers::Set::of(&fleet.name, &fleet.own_name, fleet.listen);
     for (index, operator::Member { name, address, location }) in fleet.members.iter().enumerate() {
         let id = location_id(location);
         let location = id.ok_or_else(|| Error::Location(index, location.clone(), zones.clone()))?;
@@ -70,7 +72,7 @@
     set.locations = zones.iter().filter_map(|zone| Some((zone.clone(), location_id(zone)?))).collect();
     (set.events, set.control, set.form) = (fleet.events.clone(), fleet.control, fleet.message_version);
     (set.every, set.seed) = (fleet.timer_period, config.seed);
-    let drain = config.longest().min(MAX_DRAIN);
+    let drain = config.longest_deadline().min(MAX_DRAIN);
     set.rooms = node::Settings {
         members: members::Settings { interval: fleet.probe_interval, ..members::Settings::default() },
         limits: fleet.limits.as_ref().map(|limits| limits::Settings {
@@ -124,7 +126,7 @@
 }
 
 /// The router's connection to the fleet.
-pub struct Sharing {
+pub struct FleetConnection {
     send: Box<dyn Fn(ToFleet)>,
     /// For the thread that follows the change log, which takes it once.
     delivery: Option<Delivery>,
@@ -150,17 +152,17 @@
     starts: BTreeMap<HostId, (Option<UnixTime>, Option<Time>)>,
     /// Hosts that the module has ejected, and whether only because of reports of others.
     ejected: BTreeMap<HostId, bool>,
-    recent_demand: BTreeMap<LimitKey, VecDeque<Wanted>>,
+    recent_demand: BTreeMap<LimitKey, VecDeque<LimitUsage>>,
     next_exchange: Instant,
     exchanges: usize,
     counters: Figures,
 }
 
-fn shared_limit(key: LimitKey) -> Shared {
+fn shared_limit(key: LimitKey) -> SharedLimit {
     match key {
-        LimitKey::Origin => Shared::Origin,
-        LimitKey::Retries => Shared::Further,
-        LimitKey::ColdHost(host) => Shared::Cold(host),
+        LimitKey::Origin => SharedLimit::Origin,
+        LimitKey::Retries => SharedLimit::Retries,
+        LimitKey::ColdHost(host) => SharedLimit::ColdStart(host),
     }
 }
 
@@ -169,7 +171,7 @@
     clock::now() + Span(instant.saturating_duration_since(Instant::now()).as_micros() as u64)
 }
 
-impl Sharing {
+impl FleetConnection {
     /// Joins the fleet, whose messages go to the router's mailbox.
     pub fn start(
         fleet: &Fleet,
@@ -177,7 +179,7 @@
         settings: &Settings,
         store: Option<Arc<Store>>,
         router: Sender<Input>,
-    ) -> Result<Sharing, Error> {
+    ) -> Result<FleetConnection, Error> {
         let (to_log_thread, from_fleet) = unbounded();
         let receive = move |from| {
             let _ = match from {
@@ -194,20 +196,20 @@
                 let sender = sender.clone();
                 move |message| sender.send(message)
             }),
-            is_carrier: delivery.carriers.contains(&fleet.me),
+            is_carrier: delivery.carriers.contains(&fleet.own_name),
         });
         let send = Box::new(move |message| sender.send(message));
-        Ok(Sharing { _peers: Some(peers), delivery, ..Sharing::with(fleet, settings, send) })
+        Ok(FleetConnection { _peers: Some(peers), delivery, ..FleetConnection::with(fleet, settings, send) })
     }
 
     /// Takes the channels for the thread that follows the change log.
-    pub fn delivery(&mut self) -> Option<Delivery> {
+    pub fn take_delivery(&mut self) -> Option<Delivery> {
         self.delivery.take()
     }
 
-    fn with(fleet: &Fleet, settings: &Settings, send: Box<dyn Fn(ToFleet)>) -> Sharing {
+    fn with(fleet: &Fleet, settings: &Settings, send: Box<dyn Fn(ToFleet)>) -> FleetConnection {
         let floor = fleet.limits.as_ref().map_or(0.0, |limits| limits.floor);
-        Sharing {
+        FleetConnection {
             send,
             delivery: None,
             known_up_to: fleet.delivery.is_some().then(Instant::now),
@@ -230,31 +232,31 @@
         }
     }
 
-    /// How long until the next exchange ([`Sharing::round`]) is due.
-    pub fn wait(&self) -> Duration {
+    /// How long until the next exchange ([`FleetConnection::exchange`]) is due.
+    pub fn until_next_exchange(&self) -> Duration {
         self.next_exchange.saturating_duration_since(Instant::now())
     }
 
     /// Before anything is served: sets the shares of all limits to zero until the fleet allots more. An
     /// earlier run of this process may have lent its share to others, or its hand-offs may still be using it.
-    pub fn begin(&mut self, brain: &mut Brain) {
+    pub fn set_initial_shares(&mut self, engine: &mut DecisionEngine) {
         let Some(limits) = &self.fleet.limits else { return };
         let totals = [(LimitKey::Origin, limits.origin), (LimitKey::Retries, limits.retries_per_s)];
         let limited = totals.into_iter().filter(|(_, total)| total.is_some());
-        limited.for_each(|(key, _)| self.set_initial_share(brain, key, 0.0));
+        limited.for_each(|(key, _)| self.set_initial_share(engine, key, 0.0));
     }
 
     /// Sets the share that applies until the fleet allots one.
-    fn set_initial_share(&mut self, brain: &mut Brain, key: LimitKey, amount: f64) {
+    fn set_initial_share(&mut self, engine: &mut DecisionEngine, key: LimitKey, amount: f64) {
         self.shares.entry(key).or_insert(Share { amount, until: Instant::now(), after: amount });
-        self.apply_share(brain, key);
+        self.apply_share(engine, key);
     }
 
     /// Passes a share to the module.
-    fn apply_share(&self, brain: &mut Brain, key: LimitKey) {
+    fn apply_share(&self, engine: &mut DecisionEngine, key: LimitKey) {
         if let Some(Share { amount, until, after }) = self.shares.get(&key) {
             let scale = self.scale(key);
-            brain.allotted(shared_limit(key), scale * amount, module_time(*until), scale * after);
+            engine.set_allotment(shared_limit(key), scale * amount, module_time(*until), scale * after);
         }
     }
 
@@ -270,14 +272,14 @@
     }
 
     /// Puts rules in force.
-    fn apply_rules(&mut self, brain: &mut Brain, rules: Rules) {
+    fn apply_rules(&mut self, engine: &mut DecisionEngine, rules: Rules) {
         self.rules = rules;
         self.shares
             .keys()
             .copied()
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|key| self.apply_share(brain, key));
+            .for_each(|key| self.apply_share(engine, key));
         if let Some(file) = &self.fleet.verdicts {
             let rules = &self.rules.fleet.verdicts;
             let tellers = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
@@ -288,7 +290,7 @@
         }
         if !self.rules.fleet.verdicts.uses_findings {
             let hosts: Vec<HostId> = self.reported_hosts.keys().copied().collect();
-            hosts.into_iter().for_each(|host| self.withdraw_report(brain, host));
+            hosts.into_iter().for_each(|host| self.withdraw_report(engine, host));
         }
     }
 
@@ -300,23 +302,29 @@
     }
 
     /// Withdraws other dispatchers' report on a host from the module.
-    fn withdraw_report(&mut self, brain: &mut Brain, host: HostId) {
+    fn withdraw_report(&mut self, engine: &mut DecisionEngine, host: HostId) {
         if let Some(report) = self.reported_hosts.remove(&host) {
             let now = clock::now();
-            brain.hearsay(now, host, self.start_of(host, report.started), Word::Bad, now);
+            engine.apply_peer_report(
+                now,
+                host,
+                self.start_of(host, report.started),
+                ReportedCondition::Bad,
+                now,
+            );
         }
     }
 
     /// Handles a message of the fleet.
-    pub fn take(&mut self, brain: &mut Brain, message: FromFleet) {
+    pub fn handle(&mut self, engine: &mut DecisionEngine, message: FromFleet) {
         match message {
             FromFleet::Part { key, number, amount, until, after } => {
                 // Nothing is kept for hosts that are gone.
-                if matches!(key, LimitKey::ColdHost(host) if !brain.is_listed(host)) {
+                if matches!(key, LimitKey::ColdHost(host) if !engine.is_listed(host)) {
                     return;
                 }
                 self.shares.insert(key, Share { amount, until, after });
-                self.apply_share(brain, key);
+                self.apply_share(engine, key);
                 (self.send)(ToFleet::Taken { key, number });
             }
             FromFleet::Hearsay { kind: FindingKind::Slow, .. } => {}
@@ -325,7 +333,13 @@
                 // Only once per start: a later start in the list takes precedence over repeated reports.
                 if self.restarted_hosts.insert(host, since) != Some(since) {
                     let start = self.start_of(host, since);
-                    brain.hearsay(clock::now(), host, start, Word::Anew, module_time(until));
+                    engine.apply_peer_report(
+                        clock::now(),
+                        host,
+                        start,
+                        ReportedCondition::Restarted,
+                        module_time(until),
+                    );
                 }
             }
             FromFleet::Hearsay { host, since, until, .. } => {
@@ -334,17 +348,23 @@
                     .get(&host)
                     .is_some_and(|report| report.is_refuted && report.started == since);
                 self.reported_hosts.insert(host, ReportedHost { started: since, until, is_refuted });
-                brain.hearsay(clock::now(), host, self.start_of(host, since), Word::Bad, module_time(until));
+                engine.apply_peer_report(
+                    clock::now(),
+                    host,
+                    self.start_of(host, since),
+                    ReportedCondition::Bad,
+                    module_time(until),
+                );
             }
-            FromFleet::Withdraw { host } => self.withdraw_report(brain, host),
+            FromFleet::Withdraw { host } => self.withdraw_report(engine, host),
             FromFleet::Delivered(Delivered::KnownUpTo(at)) => {
                 self.known_up_to = self.known_up_to.max(Some(at));
-                self.update_proof(brain);
+                self.update_proof(engine);
             }
             FromFleet::Delivered(Delivered::Changes { .. } | Delivered::ReadLog(_)) => {}
-            FromFleet::Rules { number: 0, .. } => self.apply_rules(brain, Rules::default()),
+            FromFleet::Rules { number: 0, .. } => self.apply_rules(engine, Rules::default()),
             FromFleet::Rules { number, text } => match rules::decode(&text, &self.fleet) {
-                Ok(rules) => self.apply_rules(brain, rules),
+                Ok(rules) => self.apply_rules(engine, rules),
                 Err(error) => {
                     tracing::warn!("rules {number} are rejected ({}): {error}", error.code());
                     (self.send)(ToFleet::NotTaken { number, why: error.to_string() });
@@ -354,10 +374,10 @@
     }
 
     /// Tells the module whether there may be purges that are not known here.
-    fn update_proof(&mut self, brain: &mut Brain) {
+    fn update_proof(&mut self, engine: &mut DecisionEngine) {
         let (Some(delivery), Some(known)) = (&self.fleet.delivery, self.known_up_to) else { return };
-        let is_unproven = known.elapsed() > clock::duration(delivery.max_proof_age);
-        brain.unproven(is_unproven && delivery.unproven == UnprovenCopies::Strict);
+        let is_unproven = known.elapsed() > clock::to_std(delivery.max_proof_age);
+        engine.set_purges_unverified(is_unproven && delivery.unproven == UnprovenCopies::Strict);
         if std::mem::replace(&mut self.is_unproven, is_unproven) != is_unproven {
             let age_ms = known.elapsed().as_millis();
             match is_unproven {
@@ -373,27 +393,27 @@
     }
 
     /// An entry of the host list was applied.
-    pub fn listed(&mut self, brain: &mut Brain, entry: &Listing, started: Option<UnixTime>) {
-        self.starts.insert(entry.host, (started, entry.since));
+    pub fn host_listed(&mut self, engine: &mut DecisionEngine, entry: &Listing, started: Option<UnixTime>) {
+        self.starts.insert(entry.host, (started, entry.started_at));
         if entry.phase != Phase::Ready {
-            return self.unlisted(entry.host, entry.phase == Phase::Gone);
+            return self.host_unlisted(entry.host, entry.phase == Phase::Gone);
         }
         let kind = Some(entry.kind);
         let is_used_by_all = kind == self.settings.parent_kind || kind == self.settings.origin_kind;
         let used_by = if is_used_by_all { UsedBy::All } else { UsedBy::Location(entry.location) };
         (self.send)(ToFleet::Listed { host: entry.host, since: started, used_by });
-        if entry.since.is_some() {
-            self.init_cold_share(brain, entry.host);
+        if entry.started_at.is_some() {
+            self.init_cold_share(engine, entry.host);
         }
     }
 
     /// A host's start was dated earlier than before.
-    pub fn redated(&mut self, host: HostId, since: Time) {
+    pub fn start_redated(&mut self, host: HostId, since: Time) {
         self.starts.get_mut(&host).into_iter().for_each(|known| known.1 = Some(since));
     }
 
     /// A host left the list, or drains.
-    pub fn unlisted(&mut self, host: HostId, is_gone: bool) {
+    pub fn host_unlisted(&mut self, host: HostId, is_gone: bool) {
         (self.send)(ToFleet::Unlisted(host));
         self.reported_hosts.remove(&host);
         if is_gone {
@@ -405,57 +425,57 @@
 
     /// Sets the share of a cold host for which the fleet has not allotted one to the floor, which no other
     /// member can have. The fleet may know too many hosts to allot shares for this one.
-    fn init_cold_share(&mut self, brain: &mut Brain, host: HostId) {
+    fn init_cold_share(&mut self, engine: &mut DecisionEngine, host: HostId) {
         let key = LimitKey::ColdHost(host);
         let shares_cold_budgets = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
         if shares_cold_budgets && !self.shares.contains_key(&key) {
-            self.set_initial_share(brain, key, self.floor);
+            self.set_initial_share(engine, key, self.floor);
         }
     }
 
     /// Exchanges the current state between module and fleet, in both directions.
-    pub fn round(&mut self, brain: &mut Brain) {
+    pub fn exchange(&mut self, engine: &mut DecisionEngine) {
         let (now, instant) = (clock::now(), Instant::now());
         self.next_exchange = instant + EXCHANGE_INTERVAL;
         self.exchanges += 1;
-        self.update_proof(brain);
+        self.update_proof(engine);
         self.shares
             .keys()
             .copied()
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|key| self.apply_share(brain, key));
+            .for_each(|key| self.apply_share(engine, key));
         self.reported_hosts.retain(|_, report| instant < report.until);
         for (host, report) in &self.reported_hosts {
             let start = self.start_of(*host, report.started);
-            brain.hearsay(now, *host, start, Word::Bad, module_time(report.until));
+            engine.apply_peer_report(now, *host, start, ReportedCondition::Bad, module_time(report.until));
         }
         if self.fleet.verdicts.is_some() {
-            self.send_findings(brain, now);
+            self.send_findings(engine, now);
         }
-        self.send_ejections(brain);
-        self.send_demand(brain, now);
+        self.send_ejections(engine);
+        self.send_demand(engine, now);
         if self.exchanges.is_multiple_of(DEMAND_WINDOW) {
             (self.send)(ToFleet::Counted(std::mem::take(&mut self.counters)));
         }
     }
 
     /// Sends findings about hosts that are new or have changed.
-    fn send_findings(&mut self, brain: &Brain, now: Time) {
+    fn send_findings(&mut self, engine: &DecisionEngine, now: Time) {
         let mut current = BTreeMap::new();
-        for finding in brain.findings(now) {
-            let kind = match finding.what {
-                Found::Anew => FindingKind::Restarted,
-                Found::Shut { why: Bad::Silent, .. } | Found::Shut { unreached: true, .. } => {
-                    FindingKind::Unreachable
-                }
-                Found::Shut { .. } => FindingKind::Failing,
+        for finding in engine.findings(now) {
+            let kind = match finding.condition {
+                HostCondition::Restarted => FindingKind::Restarted,
+                HostCondition::Ejected { cause: EjectionCause::Silent, .. }
+                | HostCondition::Ejected { is_unreachable: true, .. } => FindingKind::Unreachable,
+                HostCondition::Ejected { .. } => FindingKind::Failing,
             };
             let key = (finding.host, kind == FindingKind::Restarted);
             let since = self.starts.get(&finding.host).and_then(|known| known.0);
-            let content = (kind, finding.evidence, since);
+            let content = (kind, finding.evidence_count, since);
             if self.sent_findings.get(&key) != Some(&content) {
-                let (host, evidence, age) = (finding.host, finding.evidence, now - finding.at);
+                let (host, evidence, age) =
+                    (finding.host, finding.evidence_count, now - finding.last_evidence_at);
                 (self.send)(ToFleet::Found(Finding { host, since, kind, evidence, age }));
             }
             current.insert(key, content);
@@ -463,7 +483,7 @@
         let cleared = self.sent_findings.keys().filter(|key| !key.1 && !current.contains_key(key));
         cleared.for_each(|key| (self.send)(ToFleet::Cleared(key.0)));
         self.sent_findings = current;
-        for host in brain.refuted(now) {
+        for host in engine.refuted_reports(now) {
             if let Some(report) = self.reported_hosts.get_mut(&host).filter(|report| !report.is_refuted) {
                 report.is_refuted = true;
                 (self.send)(ToFleet::Refuted(host));
@@ -472,9 +492,9 @@
     }
 
     /// Sends which hosts were ejected or returned.
-    fn send_ejections(&mut self, brain: &Brain) {
+    fn send_ejections(&mut self, engine: &DecisionEngine) {
         let ejected: BTreeMap<HostId, bool> =
-            brain.shut_out_now().map(|(host, why)| (host, why == Bad::Told)).collect();
+            engine.ejected_hosts().map(|(host, why)| (host, why == EjectionCause::Reported)).collect();
         for (host, by_report) in
             ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
         {
@@ -488,30 +508,30 @@
     }
 
     /// Sends the demand for each limit, and once a second its usage.
-    fn send_demand(&mut self, brain: &mut Brain, now: Time) {
+    fn send_demand(&mut self, engine: &mut DecisionEngine, now: Time) {
         let Some(limits) = &self.fleet.limits else { return };
         let totals = [(LimitKey::Origin, limits.origin), (LimitKey::Retries, limits.retries_per_s)];
         let mut keys: BTreeSet<LimitKey> =
             totals.into_iter().filter(|(_, total)| total.is_some()).map(|(key, _)| key).collect();
         if limits.shares_cold_budgets {
-            let cold: Vec<HostId> = brain.cold(now).collect();
-            cold.iter().for_each(|host| self.init_cold_share(brain, *host));
+            let cold: Vec<HostId> = engine.cold_hosts(now).collect();
+            cold.iter().for_each(|host| self.init_cold_share(engine, *host));
             keys.extend(cold.into_iter().map(LimitKey::ColdHost));
         }
         self.recent_demand.retain(|key, _| keys.contains(key));
         let sends_usage = self.exchanges.is_multiple_of(DEMAND_WINDOW);
         for key in keys {
             let recent = self.recent_demand.entry(key).or_default();
-            recent.push_back(brain.wanted(now, shared_limit(key)));
+            recent.push_back(engine.take_limit_usage(now, shared_limit(key)));
             if recent.len() > DEMAND_WINDOW {
                 recent.pop_front();
             }
-            let aggregate = |of: fn(&Wanted) -> f64| match key {
+            let aggregate = |of: fn(&LimitUsage) -> f64| match key {
                 LimitKey::Origin => recent.iter().map(of).fold(0.0, f64::max),
                 _ => recent.iter().map(of).sum::<f64>() / recent.len() as f64,
             };
             let max = if matches!(key, LimitKey::ColdHost(_)) { 1.0 } else { f64::MAX };
-            (self.send)(ToFleet::Wants { key, amount: aggregate(|one| one.wanted).min(max) });
+            (self.send)(ToFleet::Wants { key, amount: aggregate(|one| one.demanded).min(max) });
             if sends_usage {
                 (self.send)(ToFleet::Used { key, amount: aggregate(|one| one.used) });
             }
@@ -519,24 +539,24 @@
     }
 
     /// Counts a hand-off.
-    pub fn handed_off(&mut self) {
+    pub fn count_hand_off(&mut self) {
         self.counters.hand_offs += 1;
     }
 
     /// Counts a visit that was served.
-    pub fn settled(&mut self, brain: &Brain, band: BandId, took: Span) {
+    pub fn count_served(&mut self, engine: &DecisionEngine, class: ClassId, duration: Span) {
         self.counters.visits += 1;
-        self.counters.in_time += u64::from(took.as_seconds() <= brain.quoted(band));
+        self.counters.in_time += u64::from(duration.as_seconds() <= engine.target_seconds(class));
     }
 
     /// Counts a visit that was refused.
-    pub fn turned_back(&mut self) {
+    pub fn count_refused(&mut self) {
         self.counters.visits += 1;
         self.counters.refused += 1;
     }
 
     /// Counts a visit that failed.
-    pub fn written_off(&mut self) {
+    pub fn count_failed(&mut self) {
         self.counters.visits += 1;
         self.counters.failed += 1;
     }
@@ -545,70 +565,83 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cherrypass::calls::{Decision, Ended, Note, Outcome, Report, Visit};
-    use cherrypass::ids::{CellId, GroupId, HandOffNo, KindId, ObjectId, VisitId};
-    use cherrypass::settings::{Band, ColdStart, Effect};
+    use cherrypass::calls::{Decision, HandOffEnd, Note, Outcome, Report, Visit};
+    use cherrypass::ids::{CellId, GroupId, HandOffNumber, KindId, ObjectId, VisitId};
+    use cherrypass::settings::{ClassSettings, ColdStart, Effect};
     use crossbeam_channel::{unbounded, Receiver};
 
     const CACHE_COUNT: u64 = 4;
     const ORIGIN: HostId = HostId(9);
 
-    fn class(writes: bool) -> Band {
-        let (quoted, zero) = (Span::millis(500), Span::ZERO);
-        Band { effect: Effect::Idempotent, quoted, stretch: 2.0, fresh: zero, grace: zero, writes }
+    fn class(is_write: bool) -> ClassSettings {
+        let (target_latency, zero) = (Span::millis(500), Span::ZERO);
+        ClassSettings {
+            effect: Effect::Idempotent,
+            target_latency,
+            target_stretch: 2.0,
+            fresh_for: zero,
+            stale_for: zero,
+            is_write,
+        }
     }
 
     /// A decision module with four caches, the first of them cold, and an origin; and its connection to a
     /// fleet of two. Messages to the fleet arrive at the receiver.
-    fn start() -> (Brain, Sharing, Receiver<ToFleet>) {
+    fn start() -> (DecisionEngine, FleetConnection, Receiver<ToFleet>) {
         let text = r#"{"fleet": {"name": "shop", "me": "d1", "listen": "127.0.0.1:0", "verdicts": {},
             "limits": {"origin": 40, "further_per_s": 20, "cold": true, "floor": 0.1},
             "members": [{"name": "d1", "address": "127.0.0.1:1", "location": "edge"},
                         {"name": "d2", "address": "127.0.0.1:2", "location": "edge"}]}}"#;
         let fleet = cherrypass_operator::decode("test", serde_json::from_str(text).unwrap()).unwrap();
-        let (share, ramp, multiple, window) = (0.2, Span::seconds(60.0), 2.0, Span::seconds(2.0));
+        let (initial_share, ramp, overload_factor, overload_window) =
+            (0.2, Span::seconds(60.0), 2.0, Span::seconds(2.0));
         let settings = Settings {
             dispatchers: 2,
             location_dispatchers: 2,
-            bands: vec![class(false), class(true)],
+            classes: vec![class(false), class(true)],
             origin_kind: Some(KindId(2)),
-            weights_told: true,
-            weights_steady: true,
-            direct: true,
-            cancel: true,
+            has_weights: true,
+            has_stable_weights: true,
+            may_bypass_caches: true,
+            can_cancel: true,
             max_hand_offs: 6,
-            cold_cache: ColdStart { share, ramp, multiple, window },
+            cold_cache: ColdStart { initial_share, ramp, overload_factor, overload_window },
             ..Settings::default()
         };
-        let mut brain = Brain::start(settings.clone(), 7, clock::now());
+        let mut engine = DecisionEngine::new(settings.clone(), 7, clock::now());
         let (sender, sent) = unbounded();
-        let mut sharing = Sharing::with(
+        let mut connection = FleetConnection::with(
             &fleet.fleet.unwrap(),
             &settings,
             Box::new(move |message| drop(sender.send(message))),
         );
-        sharing.begin(&mut brain);
+        connection.set_initial_shares(&mut engine);
         let entries: Vec<Listing> = (1..=CACHE_COUNT).map(HostId).chain([ORIGIN]).map(entry).collect();
-        brain.listed(clock::now(), &entries, true);
-        entries.iter().for_each(|entry| sharing.listed(&mut brain, entry, entry.since.map(clock::unix_at)));
-        (brain, sharing, sent)
+        engine.update_hosts(clock::now(), &entries, true);
+        entries.iter().for_each(|entry| {
+            connection.host_listed(&mut engine, entry, entry.started_at.map(clock::to_unix))
+        });
+        (engine, connection, sent)
     }
 
     fn entry(host: HostId) -> Listing {
         let (location, cell) = (LocationId(0), CellId(0));
         let kind = KindId(if host == ORIGIN { 2 } else { 0 });
         let since = Some(clock::now()).filter(|_| host == HostId(1));
-        Listing { host, location, kind, cell, weight: 20.0, since, phase: Phase::Ready }
+        Listing { host, location, kind, cell, weight: 20.0, started_at: since, phase: Phase::Ready }
     }
 
     /// Starts visits of a request class; returns the host of each, with no entry for refused ones.
-    fn visits(brain: &mut Brain, first: u32, count: u32, class: u16) -> BTreeMap<u32, HostId> {
+    fn visits(engine: &mut DecisionEngine, first: u32, count: u32, class: u16) -> BTreeMap<u32, HostId> {
         let (now, mut sent_to) = (clock::now(), BTreeMap::new());
         for id in first..first + count {
             let (object, deadline) = (ObjectId(u64::from(id)), now + Span::seconds(6.0));
-            let (band, group, visit) = (BandId(class), GroupId(0), VisitId(id));
-            brain.arrived(now, Visit { id: visit, band, object, group, part: 0, kilobytes: None, deadline });
-            while let Some(decision) = brain.next(now) {
+            let (class, group, visit) = (ClassId(class), GroupId(0), VisitId(id));
+            engine.visit_arrived(
+                now,
+                Visit { id: visit, class, object, group, part: 0, kilobytes: None, deadline },
+            );
+            while let Some(decision) = engine.next_decision(now) {
                 if let Decision::HandOff { visit, host, .. } = decision {
                     sent_to.insert(visit.0, host);
                 }
@@ -617,26 +650,29 @@
         sent_to
     }
 
-    fn end(brain: &mut Brain, sent_to: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
+    fn end(engine: &mut DecisionEngine, sent_to: &BTreeMap<u32, HostId>, fails: impl Fn(HostId) -> bool) {
         for (id, host) in sent_to {
-            let outcome = if fails(*host) { Outcome::TimedOut } else { Outcome::Settled };
-            let (visit, number, note) = (VisitId(*id), HandOffNo(0), Note::Untold);
+            let outcome = if fails(*host) { Outcome::TimedOut } else { Outcome::Served };
+            let (visit, number, note) = (VisitId(*id), HandOffNumber(0), Note::Unspecified);
             let (took, report) = (Span::millis(100), Report::default());
-            brain.ended(clock::now(), Ended { visit, number, outcome, note, took, report, last: true });
+            engine.hand_off_ended(
+                clock::now(),
+                HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: true },
+            );
         }
-        while brain.next(clock::now()).is_some() {}
+        while engine.next_decision(clock::now()).is_some() {}
     }
 
     #[test]
     fn shares_expire_by_themselves_and_demand_is_sent() {
-        let (mut brain, mut sharing, sent) = start();
-        assert_eq!(visits(&mut brain, 0, 5, 1).len(), 0, "no share is allotted yet");
+        let (mut engine, mut connection, sent) = start();
+        assert_eq!(visits(&mut engine, 0, 5, 1).len(), 0, "no share is allotted yet");
         let until = Instant::now() + Duration::from_millis(60);
         let share = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
-        sharing.take(&mut brain, share(LimitKey::Origin, 3, 6.0, 0.0));
-        sharing.take(&mut brain, share(LimitKey::ColdHost(HostId(77)), 4, 1.0, 1.0));
-        assert_eq!(visits(&mut brain, 10, 9, 1).len(), 6);
-        sharing.round(&mut brain);
+        connection.handle(&mut engine, share(LimitKey::Origin, 3, 6.0, 0.0));
+        connection.handle(&mut engine, share(LimitKey::ColdHost(HostId(77)), 4, 1.0, 1.0));
+        assert_eq!(visits(&mut engine, 10, 9, 1).len(), 6);
+        connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Taken { key: LimitKey::Origin, number: 3 }));
         assert!(
@@ -656,20 +692,20 @@
                 && demand(LimitKey::ColdHost(HostId(2))).is_none()
         );
         std::thread::sleep(Duration::from_millis(80));
-        end(&mut brain, &(0..30).map(|id| (id, ORIGIN)).collect(), |_| false);
-        assert_eq!(visits(&mut brain, 30, 4, 1).len(), 0, "the share has expired without a further call");
+        end(&mut engine, &(0..30).map(|id| (id, ORIGIN)).collect(), |_| false);
+        assert_eq!(visits(&mut engine, 30, 4, 1).len(), 0, "the share has expired without a further call");
     }
 
     #[test]
     fn rules_change_limits_and_invalid_rules_change_nothing() {
-        let (mut brain, mut sharing, sent) = start();
+        let (mut engine, mut connection, sent) = start();
         let until = Instant::now() + Duration::from_secs(9);
         let key = LimitKey::Origin;
-        sharing.take(&mut brain, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
+        connection.handle(&mut engine, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
         let mut rules = |number: u64, text: &str| {
-            sharing.take(&mut brain, FromFleet::Rules { number, text: text.into() });
-            let before = brain.wanted(clock::now(), Shared::Origin).used as u32;
-            visits(&mut brain, 100 * number as u32, 9, 1).len() as u32 + before
+            connection.handle(&mut engine, FromFleet::Rules { number, text: text.into() });
+            let before = engine.take_limit_usage(clock::now(), SharedLimit::Origin).used as u32;
+            visits(&mut engine, 100 * number as u32, 9, 1).len() as u32 + before
         };
         assert_eq!(rules(1, r#"{"fleet": {"limits": {"origin": 20}}}"#), 4);
         assert_eq!(rules(2, r#"{"fleet": {"limits": {"origin": 0}}}"#), 4);
@@ -679,14 +715,14 @@
 
     #[test]
     fn own_findings_are_sent_and_those_of_others_are_not_repeated() {
-        let (mut brain, mut sharing, sent) = start();
+        let (mut engine, mut connection, sent) = start();
         let bad = HostId(3);
         for first in [100, 200, 300, 400] {
-            let sent_to = visits(&mut brain, first, 60, 0);
-            end(&mut brain, &sent_to, |host| host == bad);
+            let sent_to = visits(&mut engine, first, 60, 0);
+            end(&mut engine, &sent_to, |host| host == bad);
         }
-        sharing.round(&mut brain);
-        sharing.round(&mut brain);
+        connection.exchange(&mut engine);
+        connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         let found =
             |message: &&ToFleet| matches!(message, ToFleet::Found(f) if f.host == bad && f.evidence > 0);
@@ -697,17 +733,18 @@
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
         let (kind, weight, age, tellers) = (FindingKind::Failing, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
-        sharing.take(&mut brain, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
-        sharing.round(&mut brain);
+        connection
+            .handle(&mut engine, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
+        connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         assert!(all.contains(&ToFleet::Shut { host, told: true }));
         assert!(
             !all.iter().any(|message| matches!(message, ToFleet::Found(f) if f.host == host)),
             "a report of others was repeated"
         );
-        sharing.take(&mut brain, FromFleet::Withdraw { host });
-        brain.woken(clock::now());
-        sharing.round(&mut brain);
+        connection.handle(&mut engine, FromFleet::Withdraw { host });
+        engine.tick(clock::now());
+        connection.exchange(&mut engine);
         assert!(sent.try_iter().any(|message| message == ToFleet::Back { host }));
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -19,9 +19,9 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    #[error("the operators' file {0} can't be read: {1}; name one that is there and may be read, or none")]
+    #[error("cannot read the operators' file {0}: {1}; name a file that exists and is readable, or none")]
     Unreadable(String, std::io::Error),
-    #[error("the operators' file {0} can't be evaluated: {1}")]
+    #[error("cannot evaluate the operators' file {0}: {1}")]
     EvaluationFailed(String, String),
     #[error("the operators' file {file}: {path}: {what}")]
     Invalid { file: String, path: String, what: String },
@@ -47,7 +47,7 @@
     pub dir: PathBuf,
     /// How a hand-off that must not run twice is recorded before its first byte is sent.
     #[serde(default)]
-    pub hand_offs: HandOffs,
+    pub hand_offs: HandOffDurability,
     /// Whether such a hand-off is sent while the store rejects records.
     #[serde(default)]
     pub without_record: WithoutRecord,
@@ -80,7 +80,7 @@
     pub fn in_folder(dir: PathBuf) -> Store {
         Store {
             dir,
-            hand_offs: HandOffs::default(),
+            hand_offs: HandOffDurability::default(),
             without_record: WithoutRecord::default(),
             unknown_purges: UnknownPurges::default(),
             visit_retention: default_visit_retention(),
@@ -94,7 +94,7 @@
 /// Durability of the records of hand-offs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum HandOffs {
+pub enum HandOffDurability {
     /// Nothing is recorded.
     Off,
     /// Records survive a crash of the process.
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,7 +1,7 @@
 //! Decoding of the operators' file: defaults, and the message for each mistake.
 use cherrypass::time::Span;
 use cherrypass_operator::fleet::UnprovenCopies;
-use cherrypass_operator::{load, Error, HandOffs, OperatorFile};
+use cherrypass_operator::{load, Error, HandOffDurability, OperatorFile};
 use test_case::test_case;
 
 fn read(text: &str) -> Result<OperatorFile, Error> {
@@ -23,7 +23,7 @@
     );
     let store = store.unwrap().store.unwrap();
     assert_eq!(store.dir.to_str(), Some("/var/lib/cp"));
-    assert_eq!((store.hand_offs, store.visit_retention), (HandOffs::Written, Span::seconds(120.0)));
+    assert_eq!((store.hand_offs, store.visit_retention), (HandOffDurability::Written, Span::seconds(120.0)));
 }
 
 /// A fleet of two members with the given keys added or replaced.
@@ -67,7 +67,7 @@
 #[test_case("followers: [{ name: 'd2', address: '127.0.0.1:9' }]", "fleet.followers[0].name", "is already used by fleet.members[1]"; "a follower with a member's name")]
 #[test_case("members: [m('d1', 1), m('d2', 1)]", "fleet.members[1].address", "127.0.0.1:1 is already used by fleet.members[0]"; "a duplicate address")]
 #[test_case("members: [m('d1', 1) + { location: '' }]", "fleet.members[0].location", "expected the name of a location"; "no location")]
-#[test_case("members: [m('d%d' % n, n) for n in std.range(1, 1025)]", "fleet.members", "1025 are more than 1024"; "too many members")]
+#[test_case("members: [m('d%d' % n, n) for n in std.range(1, 1025)]", "fleet.members", "1025 entries exceed the maximum of 1024"; "too many members")]
 #[test_case("members: [m('d1', '1:1')]", "fleet.members[0].address", "invalid socket address"; "an invalid address")]
 #[test_case("control: '192.0.2.1:7101'", "fleet.control", "not a loopback address"; "a control address that is not loopback")]
 #[test_case("limits: { floor: 1.5 }", "fleet.limits.floor", "1.5 is not within 0 and 1"; "a floor out of bounds")]
@@ -111,9 +111,9 @@
 #[test_case("{ store: { dir: 7 } }", "store.dir", "expected path string"; "a wrong type")]
 #[test_case("{ store: { dir: 'x', background: { core_share: 2 } } }", "store.background.core_share", "2 is not within 0.001 and 1"; "out of range")]
 #[test_case("{ store: { dir: 'x', hand_offs: 'often' } }", "store.hand_offs", "expected one of `off`, `written`, `synced`"; "an unknown enum value")]
-#[test_case("{ store: {\n  dir: 'x' ++ } }", "line 2", "can't be evaluated"; "not Jsonnet")]
-#[test_case("{ store: { dir: error 'set me' } }", "set me", "can't be evaluated"; "an explicit error")]
-#[test_case("local a = import 'missing.libsonnet'; a", "missing.libsonnet", "can't be evaluated"; "a missing import")]
+#[test_case("{ store: {\n  dir: 'x' ++ } }", "line 2", "cannot evaluate"; "not Jsonnet")]
+#[test_case("{ store: { dir: error 'set me' } }", "set me", "cannot evaluate"; "an explicit error")]
+#[test_case("local a = import 'missing.libsonnet'; a", "missing.libsonnet", "cannot evaluate"; "a missing import")]
 fn a_mistake_is_one_line_with_its_place(text: &str, place: &str, words: &str) {
     let message = read(text).unwrap_err().to_string();
     assert!(message.contains(place) && message.contains(words) && !message.contains('\n'), "{message}");
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -1,9 +1,11 @@
 //! Measures the processor time of decisions by number of hosts: runs the decision module on synthetic visits
 //! in one thread, without sockets.
-use cherrypass::brain::Brain;
-use cherrypass::calls::{Decision, Ended, Listing, Note, Outcome, Phase, Report, Visit};
-use cherrypass::ids::{BandId, CellId, GroupId, HandOffNo, HostId, KindId, LocationId, ObjectId, VisitId};
-use cherrypass::settings::{Band, Effect, Settings};
+use cherrypass::calls::{Decision, HandOffEnd, Listing, Note, Outcome, Phase, Report, Visit};
+use cherrypass::decision_engine::DecisionEngine;
+use cherrypass::ids::{
+    CellId, ClassId, GroupId, HandOffNumber, HostId, KindId, LocationId, ObjectId, VisitId,
+};
+use cherrypass::settings::{ClassSettings, Effect, Settings};
 use cherrypass::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
@@ -34,24 +36,24 @@
 }
 
 fn settings() -> Settings {
-    let band = Band {
+    let band = ClassSettings {
         effect: Effect::Idempotent,
-        quoted: Span::millis(500),
-        stretch: 2.0,
-        fresh: Span::ZERO,
-        grace: Span::ZERO,
-        writes: false,
+        target_latency: Span::millis(500),
+        target_stretch: 2.0,
+        fresh_for: Span::ZERO,
+        stale_for: Span::ZERO,
+        is_write: false,
     };
     Settings {
         dispatchers: 1,
         location_dispatchers: 1,
-        bands: vec![band],
+        classes: vec![band],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
-        weights_told: true,
-        weights_steady: true,
-        direct: true,
-        cancel: true,
+        has_weights: true,
+        has_stable_weights: true,
+        may_bypass_caches: true,
+        can_cancel: true,
         max_hand_offs: 6,
         ..Settings::default()
     }
@@ -59,7 +61,7 @@
 
 fn listing(host: u64, kind: KindId, location: usize) -> Listing {
     let (location, cell, weight) = (LocationId(location as u16), CellId(0), 1e6);
-    Listing { host: HostId(host), location, kind, cell, weight, since: None, phase: Phase::Ready }
+    Listing { host: HostId(host), location, kind, cell, weight, started_at: None, phase: Phase::Ready }
 }
 
 /// A list of hosts: caches, a parent for every `CACHES_PER_PARENT` of them, and an origin.
@@ -82,7 +84,7 @@
 }
 
 struct Benchmark {
-    brain: Brain,
+    brain: DecisionEngine,
     now: Time,
     hand_offs: u32,
     random_state: u64,
@@ -95,22 +97,33 @@
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let object = ObjectId((self.random_state >> 33) % OBJECT_COUNT);
-        let (band, group, deadline) = (BandId(0), GroupId(0), self.now + VISIT_DEADLINE);
+        let (band, group, deadline) = (ClassId(0), GroupId(0), self.now + VISIT_DEADLINE);
         let id = VisitId(id);
-        self.brain.arrived(self.now, Visit { id, band, object, group, part: 0, kilobytes: None, deadline });
+        self.brain.visit_arrived(
+            self.now,
+            Visit { id, class: band, object, group, part: 0, kilobytes: None, deadline },
+        );
         let mut handed_off = false;
-        while let Some(decision) = self.brain.next(self.now) {
+        while let Some(decision) = self.brain.next_decision(self.now) {
             handed_off |= matches!(decision, Decision::HandOff { visit, .. } if visit == id);
         }
         if handed_off {
             self.hand_offs += 1;
-            let (outcome, note, report) = (Outcome::Settled, Note::Hit, Report::default());
-            let number = HandOffNo(0);
-            self.brain.ended(
+            let (outcome, note, report) = (Outcome::Served, Note::Hit, Report::default());
+            let number = HandOffNumber(0);
+            self.brain.hand_off_ended(
                 self.now,
-                Ended { visit: id, number, outcome, note, took: HAND_OFF_TIME, report, last: true },
+                HandOffEnd {
+                    visit: id,
+                    number,
+                    outcome,
+                    note,
+                    duration: HAND_OFF_TIME,
+                    report,
+                    is_final: true,
+                },
             );
-            while self.brain.next(self.now).is_some() {}
+            while self.brain.next_decision(self.now).is_some() {}
         }
     }
 }
@@ -118,8 +131,8 @@
 /// Measures the cost per visit with `hosts` hosts spread over `locations` locations.
 pub fn measure(hosts: usize, locations: usize, visits: u32, seed: u64) -> DecisionCost {
     let now = Time(1_000_000_000);
-    let mut brain = Brain::start(settings(), seed, now);
-    brain.listed(now, &host_list(hosts, locations), true);
+    let mut brain = DecisionEngine::new(settings(), seed, now);
+    brain.update_hosts(now, &host_list(hosts, locations), true);
     let mut benchmark = Benchmark { brain, now, hand_offs: 0, random_state: seed | 1 };
     let warm_up = visits / WARM_UP_DIVISOR;
     (0..warm_up).for_each(|id| benchmark.run_visit(id));
--- a/crates/scale/src/delivery.rs
+++ b/crates/scale/src/delivery.rs
@@ -5,7 +5,7 @@
 use crate::traffic::Amount;
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, Time};
-use cherrypass_dispatcher::carried;
+use cherrypass_dispatcher::carried_changes;
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_fleet::delivery::{
     Carrier, ChangeNumber, DeliveryMessage, Effect, Follower, Record, Settings,
@@ -379,7 +379,7 @@
         } else {
             json!({ "seq": seq, "configuration": "x".repeat(self.settings.configuration_bytes) })
         };
-        carried::encode(&change).into()
+        carried_changes::encode(&change).into()
     }
 
     fn poll_log(&mut self) {
--- a/crates/scale/src/delivery_sockets.rs
+++ b/crates/scale/src/delivery_sockets.rs
@@ -5,7 +5,7 @@
 use crate::settings::DeliveryRun;
 use crate::subsystems;
 use cherrypass::ids::LocationId;
-use cherrypass_dispatcher::carried;
+use cherrypass_dispatcher::carried_changes;
 use cherrypass_fleet::delivery::Settings as DeliveryParameters;
 use cherrypass_peers::delivery::{Delivered, LogChange, LogRead, Set as Delivery};
 use cherrypass_peers::driven::Driven;
@@ -245,7 +245,7 @@
     let object = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let purge = json!({ "seq": number,
         "invalidate": { "object": format!("{object:016x}"), "time": 1_764_576_000_000_u64 + number } });
-    LogChange { number: ChangeNumber(number), record: carried::encode(&purge).into() }
+    LogChange { number: ChangeNumber(number), record: carried_changes::encode(&purge).into() }
 }
 
 /// Runs one size: `settle_s` until all followers have a carrier, then `seconds` that are counted.
--- a/crates/scale/src/follower.rs
+++ b/crates/scale/src/follower.rs
@@ -3,8 +3,8 @@
 //! and retries at the dispatcher's intervals, without its handling of slow or stalled connections.
 use crate::changelog::Shared;
 use crate::traffic::{Direction, PeerKind, TrafficCounters, CHANGE_LOG_KIND};
-use cherrypass_dispatcher::changes::{answer, decode, Fault};
-use cherrypass_dispatcher::config::Names;
+use cherrypass_dispatcher::change_log::{decode, read_answer, ChangeLogError};
+use cherrypass_dispatcher::config::WireNames;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
@@ -30,7 +30,7 @@
 /// One client of the change log.
 pub struct Follower {
     address: SocketAddr,
-    names: Names,
+    names: WireNames,
     shared: Arc<Shared>,
     counters: Arc<TrafficCounters>,
     connection: Option<TcpStream>,
@@ -46,7 +46,7 @@
     /// `last_change` is the number of the last change known from the configuration.
     pub fn new(
         address: SocketAddr,
-        names: Names,
+        names: WireNames,
         last_change: u64,
         shared: Arc<Shared>,
         counters: Arc<TrafficCounters>,
@@ -153,9 +153,9 @@
             results.push(result.clone());
             Ok(())
         };
-        match answer(&self.received[..], self.last_change, MAX_CHANGE_BYTES, collect) {
+        match read_answer(&self.received[..], self.last_change, MAX_CHANGE_BYTES, collect) {
             // The answer is still incomplete.
-            Err(Fault::Cut(_)) => return,
+            Err(ChangeLogError::Interrupted(_)) => return,
             Err(_) => return self.disconnect(),
             Ok(_) => {}
         }
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -8,8 +8,8 @@
 use crate::real;
 use crate::subsystems;
 use cherrypass::ids::LocationId;
-use cherrypass_dispatcher::carried;
-use cherrypass_dispatcher::changes::{self, Following};
+use cherrypass_dispatcher::carried_changes;
+use cherrypass_dispatcher::change_log::{self, FollowOptions};
 use cherrypass_dispatcher::inbox::{Change, Input};
 use cherrypass_fleet::delivery::{LogId, Settings as DeliveryParameters};
 use cherrypass_peers::delivery::{Delivered, Set as Delivery};
@@ -107,23 +107,23 @@
         let (to_thread, delivered) = unbounded();
         let (fleet_sender, to_fleet) = unbounded();
         let (router_sender, router) = unbounded();
-        let delivery = carried::Delivery {
+        let delivery = carried_changes::Delivery {
             from_fleet: delivered,
             to_fleet: Box::new(move |message| drop(fleet_sender.send(message))),
             is_carrier: false,
         };
-        let following = Following {
-            at: config.log_address,
-            moved: never(),
+        let following = FollowOptions {
+            address: config.log_address,
+            new_addresses: never(),
             names: real::change_names(&config.zones),
-            last: config.known_change,
-            most: MAX_CHANGE_BYTES,
+            last_change: config.known_change,
+            max_change_bytes: MAX_CHANGE_BYTES,
             seed,
             router: router_sender,
             delivery: Some(delivery),
         };
         let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-        thread.spawn(move || changes::follow(following)).map_err(io_error("a follower's thread"))?;
+        thread.spawn(move || change_log::follow(following)).map_err(io_error("a follower's thread"))?;
         Ok(Follower { number, driven, link, to_fleet, router, from_fleet, to_thread })
     }
 
@@ -190,7 +190,7 @@
 /// The event to note for an input of the dispatcher's router.
 fn event_of(input: &Input, clock: Clock) -> Option<Event> {
     match input {
-        Input::Changed(Change::Purge(purge)) => Some(Event::Took(purge.change)),
+        Input::Change(Change::Purge(purge)) => Some(Event::Took(purge.change_number)),
         Input::Fleet(FromFleet::Delivered(Delivered::KnownUpTo(at))) => {
             Some(Event::KnownUpTo(clock.micros(*at)))
         }
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -1,7 +1,7 @@
 //! Runs real dispatchers as processes of the built program, with generated configuration files.
 use crate::error::{io_error, Error};
 use crate::process::{self, ResourceUsage};
-use cherrypass_dispatcher::config::Names;
+use cherrypass_dispatcher::config::WireNames;
 use cherrypass_faultbed::processes::{Files, Process};
 use cherrypass_peers::Member;
 use nix::sys::signal::Signal;
@@ -83,8 +83,12 @@
 const HOST_KINDS: [&str; 3] = ["small", "parent", "origin"];
 
 /// Names for decoding the log's changes.
-pub fn change_names(zones: &[String]) -> Names {
-    Names { bands: Vec::new(), locations: zones.to_vec(), kinds: HOST_KINDS.map(str::to_owned).to_vec() }
+pub fn change_names(zones: &[String]) -> WireNames {
+    WireNames {
+        classes: Vec::new(),
+        locations: zones.to_vec(),
+        kinds: HOST_KINDS.map(str::to_owned).to_vec(),
+    }
 }
 
 fn configuration(spec: &DispatcherSpec) -> Value {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,12 +1,12 @@
 //! Validates settings: types, ranges and consistency between keys. Absent keys have defaults and are valid,
 //! unless another key requires them.
-use cherrypass::ids::PLACES;
+use cherrypass::ids::MAX_LIST_LENGTH;
 use serde_json::Value;
 
 /// An invalid key of the settings, and the reason.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("settings/{key} {why}")]
-pub struct Fault {
+pub struct InvalidSetting {
     pub key: String,
     pub why: String,
 }
@@ -27,7 +27,7 @@
 const NON_NEGATIVE: ValueType = ValueType::Number(0.0, f64::MAX);
 const FRACTION: ValueType = ValueType::Number(0.0, 1.0);
 /// Largest list index that a 16-bit id can express.
-const MAX_INDEX: f64 = (PLACES - 1) as f64;
+const MAX_INDEX: f64 = (MAX_LIST_LENGTH - 1) as f64;
 const KIND_INDEX: ValueType = ValueType::Number(-1.0, MAX_INDEX);
 
 /// Keys outside the services. Some are not read, but tell a configuration for another kind of deployment.
@@ -90,8 +90,8 @@
     ("domain/zone_link_kb_per_s", "zones"),
 ];
 
-fn invalid<T>(key: &str, why: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { key: key.into(), why: why.into() })
+fn invalid<T>(key: &str, why: impl Into<String>) -> Result<T, InvalidSetting> {
+    Err(InvalidSetting { key: key.into(), why: why.into() })
 }
 
 fn get<'a>(root: &'a Value, key: &str) -> Option<&'a Value> {
@@ -106,20 +106,24 @@
     get(root, key)?.as_f64()
 }
 
-fn check_value(key: &str, value: &Value, value_type: ValueType) -> Result<(), Fault> {
+fn check_value(key: &str, value: &Value, value_type: ValueType) -> Result<(), InvalidSetting> {
     let each = |fits: fn(&Value) -> bool| value.as_array().is_some_and(|all| all.iter().all(fits));
     let (is_valid, expected) = match value_type {
         ValueType::Boolean => (value.is_boolean(), "true or false"),
         ValueType::Number(least, most) => match value.as_f64() {
             Some(number) if !(least..=most).contains(&number) => {
-                let most = if most < f64::MAX { format!(" to {most}") } else { " on".to_owned() };
-                return invalid(key, format!("is out of range: {number}; it has to be from {least}{most}"));
+                let range = if most < f64::MAX {
+                    format!("from {least} to {most}")
+                } else {
+                    format!("at least {least}")
+                };
+                return invalid(key, format!("is out of range: {number}; it must be {range}"));
             }
             number => (number.is_some(), "a number"),
         },
         ValueType::OneOf(words) => match value.as_str() {
             Some(word) if !words.contains(&word) => {
-                return invalid(key, format!("has to be one of {}, not {value}", words.join(" ").trim()));
+                return invalid(key, format!("must be one of {}, not {value}", words.join(" ").trim()));
             }
             word => (word.is_some(), "a string"),
         },
@@ -133,7 +137,7 @@
     if is_valid {
         Ok(())
     } else {
-        invalid(key, format!("has to be {expected}"))
+        invalid(key, format!("must be {expected}"))
     }
 }
 
@@ -141,13 +145,13 @@
 const INDEXED_LISTS: [&str; 3] = ["zones", "models", "services"];
 
 /// Guards against lists longer than the range of ids: an entry beyond it would be mistaken for another one.
-fn check_lengths(root: &Value) -> Result<(), Fault> {
+fn check_lengths(root: &Value) -> Result<(), InvalidSetting> {
     for key in INDEXED_LISTS {
         let found = list(root, key).len();
-        if found > PLACES {
+        if found > MAX_LIST_LENGTH {
             return invalid(
                 key,
-                format!("has {found} entries, {PLACES} are taken: leave out those without use"),
+                format!("has {found} entries, at most {MAX_LIST_LENGTH} are allowed: remove unused ones"),
             );
         }
     }
@@ -155,7 +159,7 @@
 }
 
 /// Checks the settings, and returns the first invalid key.
-pub fn check(root: &Value) -> Result<(), Fault> {
+pub fn check(root: &Value) -> Result<(), InvalidSetting> {
     check_lengths(root)?;
     for (key, value_type) in KEYS {
         get(root, key).map_or(Ok(()), |value| check_value(key, value, value_type))?;
@@ -180,34 +184,34 @@
 }
 
 /// Checks that keys do not contradict each other.
-fn check_consistency(root: &Value, service_count: usize) -> Result<(), Fault> {
+fn check_consistency(root: &Value, service_count: usize) -> Result<(), InvalidSetting> {
     for (key, of) in PARALLEL_LISTS {
         let (own, other) =
             (list(root, key).len(), if of == "services" { service_count } else { list(root, of).len() });
         if own > 0 && other > 0 && own != other {
-            return invalid(key, format!("has {own} places, settings/{of} has {other}"));
+            return invalid(key, format!("has {own} entries, settings/{of} has {other}"));
         }
     }
     let (zones, kinds) = (list(root, "zones").len(), list(root, "models").len());
     for (key, length) in [("zone", zones), ("domain/parent_kind", kinds), ("domain/source_kind", kinds)] {
         if let Some(index) = number(root, key).filter(|index| length > 0 && *index >= length as f64) {
-            return invalid(key, format!("is index {index}, and its list has {length} entries"));
+            return invalid(key, format!("is index {index}, but its list has {length} entries"));
         }
     }
     let (parent, origin) = (number(root, "domain/parent_kind"), number(root, "domain/source_kind"));
     if parent.is_some() && parent == origin {
         return invalid("domain/parent_kind", "is the same as settings/domain/source_kind");
     }
-    let direct = get(root, "domain/may_pass_by").and_then(Value::as_bool);
-    if direct == Some(false) && origin.is_none_or(|kind| kind < 0.0) {
+    let may_bypass_caches = get(root, "domain/may_pass_by").and_then(Value::as_bool);
+    if may_bypass_caches == Some(false) && origin.is_none_or(|kind| kind < 0.0) {
         return invalid("domain/source_kind", "is required where settings/domain/may_pass_by is false");
     }
-    for (index, grace) in list(root, "domain/stale_for").iter().enumerate() {
+    for (index, stale_for) in list(root, "domain/stale_for").iter().enumerate() {
         let fresh = number(root, &format!("domain/class_fresh/{index}")).unwrap_or(0.0);
-        if grace.as_f64().unwrap_or(0.0) > 0.0 && fresh == 0.0 {
+        if stale_for.as_f64().unwrap_or(0.0) > 0.0 && fresh == 0.0 {
             return invalid(
                 &format!("domain/stale_for/{index}"),
-                "has no settings/domain/class_fresh beside it",
+                "requires settings/domain/class_fresh for the same class",
             );
         }
     }
@@ -226,11 +230,11 @@
     if has_any_link && number(root, "domain/pace_kb_per_s").is_none_or(|pace| pace == 0.0) {
         return invalid(
             "domain/pace_kb_per_s",
-            "is wanted where settings/domain/zone_link_kb_per_s gives link capacities",
+            "is required where settings/domain/zone_link_kb_per_s gives link capacities",
         );
     }
     let has_link_load =
-        list(root, "stats/columns").iter().any(|name| name.as_str() == Some(crate::LINK_FULL));
+        list(root, "stats/columns").iter().any(|name| name.as_str() == Some(crate::LINK_LOAD_COLUMN));
     if has_link_load && get(root, "domain/report_x1").is_some_and(|column| column.as_str() == Some("")) {
         return invalid("domain/report_x1", "is empty, and settings/stats/columns names x1");
     }
--- a/tests/cold_in_sum.rs
+++ b/tests/cold_in_sum.rs
@@ -115,7 +115,7 @@
     start: Option<Start>,
     /// As in `Simulation`.
     max_connect_time: Option<u64>,
-    weights_told: bool,
+    has_weights: bool,
     /// As in `Simulation`.
     starts_known_by_log: bool,
 }
@@ -131,7 +131,7 @@
     load: LOAD,
     start: None,
     max_connect_time: None,
-    weights_told: true,
+    has_weights: true,
     starts_known_by_log: false,
 };
 
@@ -168,33 +168,38 @@
 }
 
 fn settings(case: &Case) -> Settings {
-    let band = |quoted| Band {
+    let class = |target_latency| ClassSettings {
         effect: Effect::Idempotent,
-        quoted: Span::millis(quoted),
-        stretch: 2.0,
-        fresh: Span::ZERO,
-        grace: Span::ZERO,
-        writes: false,
+        target_latency: Span::millis(target_latency),
+        target_stretch: 2.0,
+        fresh_for: Span::ZERO,
+        stale_for: Span::ZERO,
+        is_write: false,
     };
     let (ramp, window) = (Span(case.rules.ramp), Span(case.rules.window));
-    let cold = |share| ColdStart { share, ramp, multiple: case.rules.overload_factor, window };
+    let cold = |initial_share| ColdStart {
+        initial_share,
+        ramp,
+        overload_factor: case.rules.overload_factor,
+        overload_window: window,
+    };
     let dispatchers = case.dispatchers as u32;
     Settings {
         dispatchers,
         location: LocationId(0),
         location_dispatchers: dispatchers,
-        bands: vec![band(500), band(250)],
+        classes: vec![class(500), class(250)],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        weights_told: case.weights_told,
-        weights_steady: case.weights_told,
-        direct: true,
-        ways_told: true,
-        cancel: true,
+        has_weights: case.has_weights,
+        has_stable_weights: case.has_weights,
+        may_bypass_caches: true,
+        reports_fill_source: true,
+        can_cancel: true,
         // Large enough that only the parents' budgets limit fills.
-        links: vec![PACE * 500.0],
+        location_link_kb_per_s: vec![PACE * 500.0],
         max_hand_offs: 6,
-        retry_after_most: Span::millis(2000),
+        max_retry_after: Span::millis(2000),
         cold_cache: cold(case.rules.initial_shares[0]),
         cold_parent: cold(case.rules.initial_shares[1]),
         ..Settings::default()
@@ -230,7 +235,7 @@
         announced_kb_per_s: kb_per_s,
     });
     // If weights are not given, capacity is estimated by what warm hosts carry.
-    let slots_per_weight = if case.weights_told { UNLIMITED_SLOTS } else { 1.0 };
+    let slots_per_weight = if case.has_weights { UNLIMITED_SLOTS } else { 1.0 };
     let mut simulation =
         Simulation::new(settings(case), entries, slots_per_weight, classes.collect(), case.seed);
     simulation.retries = 2;
@@ -328,7 +333,7 @@
 /// misses.
 fn requested_from(simulation: &Simulation, entry: &Listing) -> Vec<(u64, f64)> {
     let alike = |other: &&Listing| other.kind == entry.kind && other.phase == Phase::Ready;
-    let weight = |entry: &Listing| if simulation.settings.weights_steady { entry.weight } else { 1.0 };
+    let weight = |entry: &Listing| if simulation.settings.has_stable_weights { entry.weight } else { 1.0 };
     let misses = if entry.kind == KindId(1) { simulation.miss_rates[0] } else { 1.0 };
     let home = |object: u64| {
         let value = |entry: &Listing| rendezvous(object, entry.host, weight(entry));
@@ -352,14 +357,16 @@
 /// Measures the load at a host. A window counts if over two thirds of the work were sent by dispatchers that
 /// knew of the start.
 fn measure_host(simulation: &Simulation, id: HostId, case: &Case) -> Measurement {
-    let Rules { initial_shares: shares, overload_factor: multiple, window, ramp } = case.rules;
+    let Rules { initial_shares, overload_factor, window, ramp } = case.rules;
     let entry = simulation.entries.iter().find(|entry| entry.host == id).unwrap();
-    let (share, started_at) = (shares[usize::from(entry.kind == KindId(1))], entry.since.unwrap().0);
+    let (share, started_at) =
+        (initial_shares[usize::from(entry.kind == KindId(1))], entry.started_at.unwrap().0);
     let (requested, ends) = (requested_from(simulation, entry), START + case.duration);
     // N for a window that begins at `from`; capacity is lowest at its beginning.
     let allowed = |from: u64| {
         let age = from.saturating_sub(started_at) as f64 / ramp as f64;
-        multiple * (share + (1.0 - share) * age.min(1.0)) * entry.weight * (window as f64 / 1e6) / mean_work()
+        overload_factor * (share + (1.0 - share) * age.min(1.0)) * entry.weight * (window as f64 / 1e6)
+            / mean_work()
     };
     let arrived: Vec<_> = simulation.arrivals.iter().filter(|r| r.host == id && r.at >= started_at).collect();
     let mut measured = Measurement {
@@ -683,7 +690,7 @@
 fn weights_are_not_told(dispatchers: usize) {
     let case = Case {
         dispatchers,
-        weights_told: false,
+        has_weights: false,
         start: start_of(StartKind::Restarts, 0, NO_LAG),
         ..RESTART_CASE
     };
