--- a/crates/background/src/runner.rs
+++ b/crates/background/src/runner.rs
@@ -1,5 +1,5 @@
 //! The thread that runs background work as decided by [`Schedule`].
-use crate::schedule::{Backlog, Kind, KindId, Next, Schedule, Whole};
+use crate::schedule::{Backlog, Kind, KindId, Next, Schedule, WorkBudget};
 use cherrypass::time::{Span, Time};
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -46,7 +46,7 @@
 
 impl Runner {
     /// Starts the background thread; each kind comes with the function that runs its steps.
-    pub fn start(budget: Whole, kinds: Vec<(Kind, Work)>) -> std::io::Result<Runner> {
+    pub fn start(budget: WorkBudget, kinds: Vec<(Kind, Work)>) -> std::io::Result<Runner> {
         let (sender, messages) = unbounded();
         let (kinds, work): (Vec<Kind>, Vec<Work>) = kinds.into_iter().unzip();
         let backlogs = Arc::new(Mutex::new(Vec::new()));
@@ -77,7 +77,7 @@
 }
 
 fn run(
-    budget: Whole,
+    budget: WorkBudget,
     kinds: Vec<Kind>,
     mut work: Vec<Work>,
     messages: &Receiver<Message>,
--- a/crates/background/src/schedule.rs
+++ b/crates/background/src/schedule.rs
@@ -23,10 +23,10 @@
 
 /// The budget of all kinds together, and the limits of one step.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Whole {
-    pub bytes_a_second: f64,
+pub struct WorkBudget {
+    pub bytes_per_second: f64,
     /// The share of one CPU core.
-    pub time_share: f64,
+    pub core_share: f64,
     /// The longest that a step should take, estimated from the measured throughput.
     pub max_step_time: Span,
     pub max_step_bytes: usize,
@@ -82,7 +82,7 @@
 
 /// Chooses the next step among kinds of background work.
 pub struct Schedule {
-    budget: Whole,
+    budget: WorkBudget,
     kinds: Vec<KindState>,
     /// Tokens that kinds left unused, available to any kind.
     unused_bytes: TokenBucket,
@@ -90,14 +90,14 @@
 }
 
 impl Schedule {
-    pub fn new(budget: Whole, kinds: Vec<Kind>, now: Time) -> Schedule {
+    pub fn new(budget: WorkBudget, kinds: Vec<Kind>, now: Time) -> Schedule {
         let total_weight: f64 = kinds.iter().map(|kind| kind.weight).sum();
         let rate = |per_second: f64| Rate { per_second, burst: per_second * BURST_SECONDS };
         let states = kinds.into_iter().map(|kind| {
             let share = kind.weight / total_weight.max(1e-9);
             KindState {
-                bytes: TokenBucket::new(rate(budget.bytes_a_second * share), now),
-                time: TokenBucket::new(rate(budget.time_share * share), now),
+                bytes: TokenBucket::new(rate(budget.bytes_per_second * share), now),
+                time: TokenBucket::new(rate(budget.core_share * share), now),
                 kind,
                 backlog: Backlog::default(),
                 waiting_since: now,
@@ -112,8 +112,8 @@
             bucket.spend(per_second * BURST_SECONDS);
             bucket
         };
-        let unused_bytes = empty_bucket(budget.bytes_a_second);
-        let unused_seconds = empty_bucket(budget.time_share);
+        let unused_bytes = empty_bucket(budget.bytes_per_second);
+        let unused_seconds = empty_bucket(budget.core_share);
         Schedule { budget, kinds: states.collect(), unused_bytes, unused_seconds }
     }
 
--- a/crates/background/tests/schedule.rs
+++ b/crates/background/tests/schedule.rs
@@ -1,12 +1,16 @@
 //! Budgets, priorities and maximum waits of the schedule, with a simulated clock.
 use cherrypass::time::{Span, Time};
-use cherrypass_background::schedule::{Kind, KindId, Next, Schedule, Whole};
+use cherrypass_background::schedule::{Kind, KindId, Next, Schedule, WorkBudget};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use test_case::test_case;
 
-const BUDGET: Whole =
-    Whole { bytes_a_second: 1e6, time_share: 0.2, max_step_time: Span::millis(5), max_step_bytes: 64 << 10 };
+const BUDGET: WorkBudget = WorkBudget {
+    bytes_per_second: 1e6,
+    core_share: 0.2,
+    max_step_time: Span::millis(5),
+    max_step_bytes: 64 << 10,
+};
 
 fn kinds() -> Vec<Kind> {
     let kind = |name, priority, weight| Kind { name, priority, weight, max_wait: Span::millis(2_000) };
--- a/crates/dispatcher/src/durable_state.rs
+++ b/crates/dispatcher/src/durable_state.rs
@@ -5,7 +5,7 @@
 use cherrypass::ids::VisitId;
 use cherrypass::settings::Settings;
 use cherrypass::time::Span;
-use cherrypass_background::schedule::Whole;
+use cherrypass_background::schedule::WorkBudget;
 use cherrypass_keep::purges::{self, Purge};
 use cherrypass_keep::records::Record;
 use cherrypass_keep::versions::{self, Version};
@@ -13,7 +13,7 @@
 use cherrypass_operator as operator;
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::error::Error;
-use cherrypass_store::store::{Outlasts, Store, BUDGET};
+use cherrypass_store::store::{Durability, Store, DEFAULT_WORK_BUDGET};
 use crossbeam_channel::Sender;
 use std::ops::Bound;
 use std::path::Path;
@@ -46,23 +46,24 @@
 
 /// Opens the store on a disk with the faults that the environment orders.
 #[cfg(feature = "faults")]
-fn open(dir: &Path, options: Options, budget: Whole) -> Result<Store, Error> {
+fn open(dir: &Path, options: Options, budget: WorkBudget) -> Result<Store, Error> {
     let disk = cherrypass_peers::disk::over(cherrypass_store::disk::Folder::lock(dir)?);
-    Store::on(disk, options, Arc::new(clock::unix), Some(budget))
+    Store::open_on(disk, options, Arc::new(clock::unix), Some(budget))
 }
 
 impl StateStore {
     /// Opens the store. A failure is logged, and the settings say what works without a store.
     pub fn open(settings: operator::Store) -> StateStore {
         let (bytes_a_second, time_share) = (settings.background.bytes_per_s, settings.background.core_share);
-        let budget = Whole { bytes_a_second, time_share, ..BUDGET };
+        let budget =
+            WorkBudget { bytes_per_second: bytes_a_second, core_share: time_share, ..DEFAULT_WORK_BUDGET };
         let store = match open(&settings.dir, options(settings.segment_kb), budget) {
             Ok(store) => {
                 let stats = store.stats();
                 let (records, bytes) = (stats.records, stats.log_bytes / 1024);
                 tracing::info!("store: {} with {records} records, {bytes} kB of log", settings.dir.display());
                 stats.notes.iter().for_each(|note| tracing::info!("store: {note}"));
-                store.verify_soon();
+                store.request_verification();
                 Some(Arc::new(store))
             }
             Err(error) => {
@@ -84,7 +85,7 @@
 
     /// Marks the store as cleanly closed at the end of the process.
     pub fn close(&self) {
-        match self.store.as_ref().map(|store| store.mark()) {
+        match self.store.as_ref().map(|store| store.write_end_mark()) {
             Some(Err(error)) => tracing::warn!("store: cannot mark it as cleanly closed: {error}"),
             Some(Ok(())) => tracing::info!("store: closed"),
             None => {}
@@ -103,7 +104,12 @@
     }
 
     /// Writes records in the background; calls `on_done` with whether they were written.
-    fn submit(&self, outlasts: Outlasts, records: Vec<Record>, on_done: impl FnOnce(bool) + Send + 'static) {
+    fn submit(
+        &self,
+        outlasts: Durability,
+        records: Vec<Record>,
+        on_done: impl FnOnce(bool) + Send + 'static,
+    ) {
         let Some(store) = &self.store else { return on_done(false) };
         let batch =
             records.into_iter().fold(Batch::new(), |batch, record| match (record.value, record.expires_at) {
@@ -122,7 +128,7 @@
             }
             on_done(result.is_ok());
         };
-        store.submit_for(outlasts, batch, Box::new(done));
+        store.submit_with(outlasts, batch, Box::new(done));
     }
 
     /// Records a configuration that has come into force.
@@ -138,7 +144,7 @@
             self.settings.max_configurations,
         );
         if !records.is_empty() {
-            self.submit(Outlasts::Machine, records, |_| {});
+            self.submit(Durability::Machine, records, |_| {});
         }
     }
 
@@ -225,15 +231,15 @@
     /// Records a purge.
     pub fn record_purge(&self, purge: &Purge) {
         if let Some(record) = purges::record(clock::unix_now(), purge, self.purge_retention) {
-            self.kept.submit(Outlasts::Machine, vec![record], |_| {});
+            self.kept.submit(Durability::Machine, vec![record], |_| {});
         }
     }
 
     /// Writes a hand-off's record and sends the result to the router.
     pub fn write_hand_off_record(&self, id: crate::ids::HandOffId, record: Record) {
         let outlasts = match self.kept.settings.hand_offs {
-            operator::HandOffDurability::Synced => Outlasts::Machine,
-            _ => Outlasts::Process,
+            operator::HandOffDurability::Synced => Durability::Machine,
+            _ => Durability::Process,
         };
         let router = self.router.clone();
         self.kept.submit(outlasts, vec![record], move |was_written| {
@@ -245,7 +251,7 @@
     /// Closes a visit and deletes its record if that is no longer needed.
     pub fn close_visit(&mut self, id: VisitId, was_served: bool) {
         if let Some(record) = self.visits.close(id, was_served) {
-            self.kept.submit(Outlasts::Process, vec![record], |_| {});
+            self.kept.submit(Durability::Process, vec![record], |_| {});
         }
     }
 
--- a/crates/dispatcher/src/router/tests.rs
+++ b/crates/dispatcher/src/router/tests.rs
@@ -7,7 +7,7 @@
 use crate::ids::HostActorId;
 use cherrypass_operator as operator;
 use cherrypass_store::engine::{Batch, Options};
-use cherrypass_store::simulated::{Call, Disk, Fate, Image};
+use cherrypass_store::simulated::{Call, CallOutcome, Disk, Image};
 use cherrypass_store::store::Store;
 use crossbeam_channel::unbounded;
 use std::net::{TcpListener, TcpStream};
@@ -105,10 +105,10 @@
         if matches!(call, Call::Sync { .. }) && stalling.load(Relaxed) {
             std::thread::sleep(Duration::from_millis(2_000));
         }
-        Fate::Well
+        CallOutcome::Success
     };
     let disk = Disk::new(Image::default(), Some(Box::new(watch)));
-    let store = Store::on(Arc::new(disk), Options::default(), Arc::new(clock::unix_now), None).unwrap();
+    let store = Store::open_on(Arc::new(disk), Options::default(), Arc::new(clock::unix_now), None).unwrap();
     // The first batch starts a segment, which needs a sync of its own.
     store.write(Batch::new().put("s", "k", "v")).unwrap();
     is_stalling.store(true, Relaxed);
--- a/crates/dispatcher/src/store_commands.rs
+++ b/crates/dispatcher/src/store_commands.rs
@@ -4,7 +4,7 @@
 use cherrypass_store::disk::{Disk, Folder};
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::error::{Damage, Error};
-use cherrypass_store::store::{Store, BUDGET};
+use cherrypass_store::store::{Store, DEFAULT_WORK_BUDGET};
 use cherrypass_store::{export, repair};
 use clap::{Args, Subcommand};
 use crossbeam_channel::bounded;
@@ -105,7 +105,7 @@
 }
 
 fn open(dir: &Path, segment_kb: u64) -> Result<Store, Error> {
-    Store::open(dir, options(segment_kb), Arc::new(clock::unix_now), Some(BUDGET))
+    Store::open(dir, options(segment_kb), Arc::new(clock::unix_now), Some(DEFAULT_WORK_BUDGET))
 }
 
 fn open_read_only(dir: &Path) -> Result<Store, Error> {
@@ -174,7 +174,7 @@
             if json {
                 let value = match &found {
                     Ok(checked) => serde_json::json!({"whole": true, "checked": checked}),
-                    Err(Error::Damaged(Damage { file, offset, what })) => {
+                    Err(Error::Damaged(Damage { file, offset, description: what })) => {
                         serde_json::json!({"whole": false, "file": file, "offset": offset, "what": what})
                     }
                     Err(error) => serde_json::json!({"whole": null, "error": error.to_string()}),
@@ -213,14 +213,14 @@
             let name = file.display().to_string();
             let bytes = std::fs::read(&file).map_err(|error| Failure::File(name.clone(), error))?;
             let batches = export::import(&name, &bytes)?;
-            let records = export::count(&batches);
+            let records = export::count_puts(&batches);
             let store = open(&dir, 8192)?;
             batches.into_iter().try_for_each(|batch| store.write(batch).map(drop))?;
             store.close()?;
             writeln!(out, "{records} records")?;
         }
         Command::Repair { dir, into } => {
-            let old = Folder::look(&dir)?;
+            let old = Folder::open_read_only(&dir)?;
             if into.exists() {
                 let exists = io::ErrorKind::AlreadyExists.into();
                 return Err(Failure::File(into.display().to_string(), exists));
--- a/crates/peers/src/disk.rs
+++ b/crates/peers/src/disk.rs
@@ -110,7 +110,7 @@
             }
             (false, true) => {
                 let bytes = held.take().unwrap_or_default();
-                self.inner.cut(bytes.len() as u64)?;
+                self.inner.truncate(bytes.len() as u64)?;
                 write_all(&*self.inner, 0, &bytes)?;
             }
             _ => {}
@@ -162,13 +162,13 @@
         }
     }
 
-    fn cut(&self, length: u64) -> io::Result<()> {
+    fn truncate(&self, length: u64) -> io::Result<()> {
         match &mut *self.content_in_memory()? {
             Some(held) => {
                 held.resize(length as usize, 0);
                 Ok(())
             }
-            None => self.inner.cut(length),
+            None => self.inner.truncate(length),
         }
     }
 
--- a/crates/peers/src/rollout_store.rs
+++ b/crates/peers/src/rollout_store.rs
@@ -4,7 +4,7 @@
 use crate::events::Log;
 use cherrypass_fleet::rollout::{Record, State, VersionId};
 use cherrypass_store::engine::Batch;
-use cherrypass_store::store::{Outlasts, Store};
+use cherrypass_store::store::{Durability, Store};
 use std::collections::BTreeSet;
 use std::ops::Bound;
 use std::sync::Arc;
@@ -101,7 +101,7 @@
                 obsolete.into_iter().fold(batch, |batch, id| batch.delete(SPACE, document_key(id)))
             }
         };
-        store.submit_for(Outlasts::Machine, batch, Box::new(move |result| then(result.is_ok())));
+        store.submit_with(Durability::Machine, batch, Box::new(move |result| then(result.is_ok())));
     }
 }
 
--- a/crates/peers/tests/rollout_store.rs
+++ b/crates/peers/tests/rollout_store.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 fn store(disk: Arc<dyn Disk>) -> Arc<Store> {
-    Arc::new(Store::on(disk, Options::default(), Arc::new(|| UnixTime(1)), None).unwrap())
+    Arc::new(Store::open_on(disk, Options::default(), Arc::new(|| UnixTime(1)), None).unwrap())
 }
 
 fn folder(path: &Path) -> Arc<dyn Disk> {
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -4,7 +4,7 @@
 use cherrypass_store::error::Error;
 use cherrypass_store::format::{SegmentId, Seq};
 use cherrypass_store::index::{Entry, Index};
-use cherrypass_store::store::{Clock, Outlasts, Store, BUDGET};
+use cherrypass_store::store::{Clock, Durability, Store, DEFAULT_WORK_BUDGET};
 use hdrhistogram::Histogram;
 use std::fs::File;
 use std::io::Write;
@@ -224,7 +224,7 @@
         }
         let idle = write_p99(&store, 1.0, 500);
         store.close().unwrap();
-        let store = Store::open(dir.path(), options, clock(), Some(BUDGET)).unwrap();
+        let store = Store::open(dir.path(), options, clock(), Some(DEFAULT_WORK_BUDGET)).unwrap();
         let before = store.stats().moved_records;
         store.write(Batch::new().put("live", "x", "y")).unwrap();
         let busy = write_p99(&store, 1.0, 500);
@@ -239,8 +239,11 @@
     for _ in 0..3 {
         let dir = tempfile::tempdir_in(".").unwrap();
         let options = Options { segment_bytes: 1 << 20, ..Options::default() };
-        let budget =
-            cherrypass_background::schedule::Whole { bytes_a_second: 1e9, time_share: 1.0, ..BUDGET };
+        let budget = cherrypass_background::schedule::WorkBudget {
+            bytes_per_second: 1e9,
+            core_share: 1.0,
+            ..DEFAULT_WORK_BUDGET
+        };
         let store = Store::open(dir.path(), options, clock(), Some(budget)).unwrap();
         for round in 0..10u8 {
             for chunk in 0..200u32 {
@@ -264,7 +267,7 @@
 
 /// The time from submitting a record until its callback, at 500 records per second.
 fn record() {
-    for durability in [Outlasts::Process, Outlasts::Machine] {
+    for durability in [Durability::Process, Durability::Machine] {
         let dir = tempfile::tempdir_in(".").unwrap();
         let store = open(dir.path(), Options::default());
         let times = Arc::new(Mutex::new(Histogram::<u64>::new(3).unwrap()));
@@ -275,7 +278,7 @@
                 times.lock().unwrap().record(started.elapsed().as_micros() as u64).unwrap();
             };
             let batch = Batch::new().put("visits", format!("{number:032x}"), vec![7; 40]);
-            store.submit_for(durability, batch, Box::new(done));
+            store.submit_with(durability, batch, Box::new(done));
             std::thread::sleep(Duration::from_millis(2));
         }
         let times = times.lock().unwrap();
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -15,7 +15,7 @@
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
     fn length(&self) -> io::Result<u64>;
     /// Sets the length of the file.
-    fn cut(&self, length: u64) -> io::Result<()>;
+    fn truncate(&self, length: u64) -> io::Result<()>;
     /// Makes earlier writes survive a crash of the machine. After an error the file's unsynced data must not
     /// be trusted, even if a later call succeeds.
     fn sync(&self) -> io::Result<()>;
@@ -97,7 +97,7 @@
     }
 
     /// Opens an existing store for reading with a shared lock; creates and writes nothing.
-    pub fn look(path: &Path) -> Result<Folder, Error> {
+    pub fn open_read_only(path: &Path) -> Result<Folder, Error> {
         let context = |what: &str| Error::io(format!("{what} {}", path.display()));
         let lock = fs::File::open(path.join(LOCK_FILE)).map_err(context("opening the store in"))?;
         match lock.try_lock_shared() {
@@ -160,7 +160,7 @@
         Ok(self.metadata()?.len())
     }
 
-    fn cut(&self, length: u64) -> io::Result<()> {
+    fn truncate(&self, length: u64) -> io::Result<()> {
         self.set_len(length)
     }
 
--- a/crates/store/src/engine.rs
+++ b/crates/store/src/engine.rs
@@ -404,7 +404,7 @@
         if error.kind() != io::ErrorKind::StorageFull {
             return self.become_read_only(format!("writing {file} failed: {error}"));
         }
-        match segment.file.cut(end).and_then(|()| segment.file.sync()) {
+        match segment.file.truncate(end).and_then(|()| segment.file.sync()) {
             Ok(()) => Error::DiskFull(error.to_string()),
             Err(truncate_error) => self.become_read_only(format!(
                 "truncating {file} after a failed write ({error}) failed: {truncate_error}"
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -10,18 +10,18 @@
     /// In bytes from the start of the file.
     pub offset: u64,
     /// What is wrong there.
-    pub what: String,
+    pub description: String,
 }
 
 impl Damage {
     pub fn new(file: impl Into<String>, offset: u64, what: impl Into<String>) -> Damage {
-        Damage { file: file.into(), offset, what: what.into() }
+        Damage { file: file.into(), offset, description: what.into() }
     }
 }
 
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} at byte {}: {}", self.file, self.offset, self.what)
+        write!(f, "{} at byte {}: {}", self.file, self.offset, self.description)
     }
 }
 
--- a/crates/store/src/export.rs
+++ b/crates/store/src/export.rs
@@ -89,7 +89,7 @@
 }
 
 /// The number of records that the batches put.
-pub fn count(batches: &[Batch]) -> usize {
+pub fn count_puts(batches: &[Batch]) -> usize {
     batches
         .iter()
         .map(|batch: &Batch| batch.changes.iter().filter(|c| matches!(c, Change::Put { .. })).count())
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -25,8 +25,8 @@
 
 /// What happens to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Well,
+pub enum CallOutcome {
+    Success,
     /// Reports success without doing anything.
     Ignored,
     /// A write writes only this many bytes and reports that.
@@ -39,7 +39,7 @@
 }
 
 /// Called before each call of the disk with the state of the disk; decides what happens to the call.
-pub type CallHook = Box<dyn FnMut(&Image, Call) -> Fate + Send>;
+pub type CallHook = Box<dyn FnMut(&Image, Call) -> CallOutcome + Send>;
 
 #[derive(Clone, Debug, Default)]
 struct FileContent {
@@ -253,20 +253,20 @@
 }
 
 impl State {
-    fn outcome_of(&mut self, call: Call) -> Fate {
+    fn outcome_of(&mut self, call: Call) -> CallOutcome {
         match &mut self.hook {
             Some(hook) => hook(&self.image, call),
-            None => Fate::Well,
+            None => CallOutcome::Success,
         }
     }
 
     /// Carries out a call that either succeeds as a whole or fails.
     fn run_call(&mut self, call: Call, then: impl FnOnce(&mut Image) -> io::Result<()>) -> io::Result<()> {
         match self.outcome_of(call) {
-            Fate::Well | Fate::ShortWrite(_) => then(&mut self.image),
-            Fate::Ignored => Ok(()),
-            Fate::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
-            Fate::Error => Err(io::Error::other("injected failure")),
+            CallOutcome::Success | CallOutcome::ShortWrite(_) => then(&mut self.image),
+            CallOutcome::Ignored => Ok(()),
+            CallOutcome::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
+            CallOutcome::Error => Err(io::Error::other("injected failure")),
         }
     }
 }
@@ -293,10 +293,10 @@
         let name = self.name(&state);
         let outcome = state.outcome_of(Call::Write { file: &name, offset, bytes });
         let written = match outcome {
-            Fate::Well => bytes.len(),
-            Fate::Ignored => return Ok(bytes.len()),
-            Fate::ShortWrite(limit) | Fate::DiskFull(limit) => limit.min(bytes.len()),
-            Fate::Error => 0,
+            CallOutcome::Success => bytes.len(),
+            CallOutcome::Ignored => return Ok(bytes.len()),
+            CallOutcome::ShortWrite(limit) | CallOutcome::DiskFull(limit) => limit.min(bytes.len()),
+            CallOutcome::Error => 0,
         };
         let content = state.image.files.get_mut(&self.id).ok_or_else(not_found)?;
         let (from, to) = (offset as usize, offset as usize + written);
@@ -307,8 +307,8 @@
             content.mark_written(from, to);
         }
         match outcome {
-            Fate::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
-            Fate::Error => Err(io::Error::other("injected failure")),
+            CallOutcome::DiskFull(_) => Err(io::ErrorKind::StorageFull.into()),
+            CallOutcome::Error => Err(io::Error::other("injected failure")),
             _ => Ok(written),
         }
     }
@@ -316,7 +316,7 @@
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
         let mut state = self.disk.state();
         let name = self.name(&state);
-        if let Fate::Error = state.outcome_of(Call::Read { file: &name }) {
+        if let CallOutcome::Error = state.outcome_of(Call::Read { file: &name }) {
             return Err(io::Error::other("injected failure"));
         }
         let content = state.image.files.get(&self.id).ok_or_else(not_found)?;
@@ -330,7 +330,7 @@
         Ok(self.disk.state().image.files.get(&self.id).ok_or_else(not_found)?.current.len() as u64)
     }
 
-    fn cut(&self, length: u64) -> io::Result<()> {
+    fn truncate(&self, length: u64) -> io::Result<()> {
         let mut state = self.disk.state();
         let name = self.name(&state);
         let id = self.id;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -10,7 +10,7 @@
 use crate::index::{Cursor, Entry, Segment, View};
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_background::runner::{Requester, Runner, Step, Work};
-use cherrypass_background::schedule::{Backlog, Kind, KindId, Whole};
+use cherrypass_background::schedule::{Backlog, Kind, KindId, WorkBudget};
 use std::collections::VecDeque;
 use std::ops::Bound;
 use std::path::Path;
@@ -27,7 +27,7 @@
 
 /// The crash that a batch must survive before its writer is notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outlasts {
+pub enum Durability {
     /// A crash of the process. The batch is still synced soon after.
     Process,
     /// A crash of the machine.
@@ -65,9 +65,9 @@
 }
 
 /// The default budget of background work.
-pub const BUDGET: Whole = Whole {
-    bytes_a_second: 32e6,
-    time_share: 0.2,
+pub const DEFAULT_WORK_BUDGET: WorkBudget = WorkBudget {
+    bytes_per_second: 32e6,
+    core_share: 0.2,
     max_step_time: Span::millis(2),
     max_step_bytes: 128 << 10,
 };
@@ -127,7 +127,7 @@
 #[derive(Default)]
 struct CommitGroup {
     items: Vec<QueuedItem>,
-    callbacks: Vec<(u64, Outlasts, CommitCallback)>,
+    callbacks: Vec<(u64, Durability, CommitCallback)>,
     bytes: usize,
     result: Arc<GroupResult>,
 }
@@ -225,7 +225,7 @@
         &self,
         queue: &mut Queue,
         item: QueuedItem,
-        done: Option<(Outlasts, CommitCallback)>,
+        done: Option<(Durability, CommitCallback)>,
     ) -> (Arc<GroupResult>, u64) {
         if queue.groups.back().is_none_or(|group| group.bytes >= MAX_GROUP_BYTES) {
             queue.groups.push_back(CommitGroup::default());
@@ -261,7 +261,7 @@
     /// Commits a group, notifies its writers and lets the next commit begin.
     fn commit(&self, mut group: CommitGroup) {
         let (after_write, after_sync): (Vec<_>, Vec<_>) =
-            group.callbacks.drain(..).partition(|(_, durability, _)| *durability == Outlasts::Process);
+            group.callbacks.drain(..).partition(|(_, durability, _)| *durability == Durability::Process);
         let mut after_write = Some(after_write);
         let items: Vec<CommitItem> = group.items.iter().map(QueuedItem::item).collect();
         let (result, due_work) = {
@@ -291,7 +291,7 @@
     fn run_callbacks(
         &self,
         items: &[QueuedItem],
-        callbacks: Vec<(u64, Outlasts, CommitCallback)>,
+        callbacks: Vec<(u64, Durability, CommitCallback)>,
         first_seq: Result<Seq, Error>,
     ) {
         for (index, _, done) in callbacks {
@@ -331,18 +331,26 @@
 impl Store {
     /// Opens the store in a folder and locks it against other processes. Background work runs if a budget is
     /// given.
-    pub fn open(path: &Path, options: Options, clock: Clock, budget: Option<Whole>) -> Result<Store, Error> {
-        let disk: Arc<dyn Disk> =
-            if options.read_only { Arc::new(Folder::look(path)?) } else { Arc::new(Folder::lock(path)?) };
-        Store::on(disk, options, clock, budget)
+    pub fn open(
+        path: &Path,
+        options: Options,
+        clock: Clock,
+        budget: Option<WorkBudget>,
+    ) -> Result<Store, Error> {
+        let disk: Arc<dyn Disk> = if options.read_only {
+            Arc::new(Folder::open_read_only(path)?)
+        } else {
+            Arc::new(Folder::lock(path)?)
+        };
+        Store::open_on(disk, options, clock, budget)
     }
 
     /// Opens the store on a disk. Background work runs if a budget is given.
-    pub fn on(
+    pub fn open_on(
         disk: Arc<dyn Disk>,
         options: Options,
         clock: Clock,
-        budget: Option<Whole>,
+        budget: Option<WorkBudget>,
     ) -> Result<Store, Error> {
         let engine = Engine::open(disk, options.clone())?;
         let shared = Arc::new(Shared {
@@ -379,11 +387,11 @@
 
     /// Queues a batch and returns at once; `done` is called when the batch is durable or has been rejected.
     pub fn submit(&self, batch: Batch, done: CommitCallback) {
-        self.submit_for(Outlasts::Machine, batch, done);
+        self.submit_with(Durability::Machine, batch, done);
     }
 
     /// Like `submit`, with the crash that the batch must survive before `done` is called.
-    pub fn submit_for(&self, durability: Outlasts, batch: Batch, done: CommitCallback) {
+    pub fn submit_with(&self, durability: Durability, batch: Batch, done: CommitCallback) {
         if let Err(error) = batch.check() {
             done(Err(error));
             return;
@@ -470,7 +478,7 @@
     }
 
     /// Requests a check of all valid data by the background thread.
-    pub fn verify_soon(&self) {
+    pub fn request_verification(&self) {
         if let Some(background) = &self.background {
             background.requester().request(VERIFICATION);
         }
@@ -517,11 +525,11 @@
     /// Commits all submitted batches, marks a clean end of the run and closes the store.
     pub fn close(mut self) -> Result<(), Error> {
         self.shut_down();
-        self.mark()
+        self.write_end_mark()
     }
 
     /// Marks a clean end of the run without closing the store; later batches are appended after the mark.
-    pub fn mark(&self) -> Result<(), Error> {
+    pub fn write_end_mark(&self) -> Result<(), Error> {
         let now = (self.shared.clock)();
         self.shared.engine().write_end_mark(now)
     }
@@ -699,7 +707,7 @@
     })
 }
 
-fn start_background(shared: &Arc<Shared>, budget: Whole) -> std::io::Result<Runner> {
+fn start_background(shared: &Arc<Shared>, budget: WorkBudget) -> std::io::Result<Runner> {
     let mut compactor = Compactor { shared: shared.clone(), next_position: None };
     let compact: Work = Box::new(move |bytes| {
         let result = compactor.run(bytes);
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -8,7 +8,7 @@
 use cherrypass_store::engine::{self, Batch, Change, CommitItem, Engine, Options};
 use cherrypass_store::error::Error;
 use cherrypass_store::format;
-use cherrypass_store::simulated::{Call, Crash, Disk, Fate, Image};
+use cherrypass_store::simulated::{Call, CallOutcome, Crash, Disk, Image};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -113,8 +113,8 @@
     fn length(&self) -> io::Result<u64> {
         self.0.length()
     }
-    fn cut(&self, length: u64) -> io::Result<()> {
-        self.0.cut(length)
+    fn truncate(&self, length: u64) -> io::Result<()> {
+        self.0.truncate(length)
     }
     fn sync(&self) -> io::Result<()> {
         self.0.sync()
@@ -197,7 +197,7 @@
                     snapshots_of_hook.lock().unwrap().push((image.clone(), previous_call.clone()));
                 }
                 previous_call = call_name(&call).into();
-                Fate::Well
+                CallOutcome::Success
             };
             let mut engine = match self.open(Disk::new(after, Some(Box::new(hook))), seed) {
                 Ok(engine) => engine,
@@ -344,14 +344,14 @@
         let fault_probability = if matches!(call, Call::Write { .. }) { 0.15 } else { 0.03 };
         let is_fault = with_faults && !progress.is_recovering && call_rng.gen_bool(fault_probability);
         match call {
-            _ if is_skipped => Fate::Ignored,
+            _ if is_skipped => CallOutcome::Ignored,
             Call::Write { bytes, .. } if is_fault => {
                 let written = call_rng.gen_range(0..=bytes.len());
-                [Fate::ShortWrite(written.max(1)), Fate::DiskFull(written), Fate::Error]
+                [CallOutcome::ShortWrite(written.max(1)), CallOutcome::DiskFull(written), CallOutcome::Error]
                     [call_rng.gen_range(0..3)]
             }
-            Call::Sync { .. } | Call::SyncFolder | Call::Create(_) if is_fault => Fate::Error,
-            _ => Fate::Well,
+            Call::Sync { .. } | Call::SyncFolder | Call::Create(_) if is_fault => CallOutcome::Error,
+            _ => CallOutcome::Success,
         }
     };
     let disk = Disk::new(Image::default(), Some(Box::new(hook)));
--- a/crates/store/tests/cuts.rs
+++ b/crates/store/tests/cuts.rs
@@ -155,7 +155,7 @@
         let Err(Error::Damaged(damage)) = open(&image.without_file(name)) else {
             panic!("the missing {name} is not detected")
         };
-        assert!(damage.what.contains("missing") && damage.file == *name, "{damage}");
+        assert!(damage.description.contains("missing") && damage.file == *name, "{damage}");
     }
 }
 
@@ -186,7 +186,10 @@
     match open(&mixed) {
         Ok(result) if !is_newer => assert_eq!(model(&result), model(&engine)),
         Err(Error::Damaged(damage)) if is_newer => {
-            assert!(damage.what.contains("checkpoint") || damage.what.contains("missing"), "{damage}")
+            assert!(
+                damage.description.contains("checkpoint") || damage.description.contains("missing"),
+                "{damage}"
+            )
         }
         other => panic!("{:?}", other.map(|_| ()).map_err(|error| error.to_string())),
     }
@@ -219,7 +222,7 @@
     for length in 0..bytes.len() {
         assert!(export::import("x", &bytes[..length]).is_err(), "truncated at {length}");
     }
-    assert_eq!(export::count(&export::import("x", &bytes).unwrap()), models[20].len());
+    assert_eq!(export::count_puts(&export::import("x", &bytes).unwrap()), models[20].len());
     // An export is a valid store by itself.
     let restored = open(&Image::default().with_file("0000000001.log", bytes)).unwrap();
     assert_eq!(model(&restored), models[20]);
--- a/crates/store/tests/threads.rs
+++ b/crates/store/tests/threads.rs
@@ -1,10 +1,10 @@
 //! The store with its threads, on a real folder and on a disk that stalls.
 use cherrypass::time::UnixTime;
-use cherrypass_background::schedule::Whole;
+use cherrypass_background::schedule::WorkBudget;
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::error::Error;
-use cherrypass_store::simulated::{Call, Disk, Fate, Image};
-use cherrypass_store::store::{Clock, Store, BUDGET};
+use cherrypass_store::simulated::{Call, CallOutcome, Disk, Image};
+use cherrypass_store::store::{Clock, Store, DEFAULT_WORK_BUDGET};
 use std::ops::Bound;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::sync::mpsc::channel;
@@ -17,7 +17,7 @@
     (Arc::new(move || UnixTime(shared.load(SeqCst))), at)
 }
 
-const FAST_BUDGET: Whole = Whole { bytes_a_second: 1e9, time_share: 1.0, ..BUDGET };
+const FAST_BUDGET: WorkBudget = WorkBudget { bytes_per_second: 1e9, core_share: 1.0, ..DEFAULT_WORK_BUDGET };
 
 fn key(number: u32) -> Vec<u8> {
     number.to_be_bytes().to_vec()
@@ -126,10 +126,10 @@
         if matches!(call, Call::Sync { .. }) {
             std::thread::sleep(Duration::from_millis(shared.load(SeqCst)));
         }
-        Fate::Well
+        CallOutcome::Success
     };
     let disk = Disk::new(Image::default(), Some(Box::new(hook)));
-    let store = Store::on(Arc::new(disk), Options::default(), clock, None).unwrap();
+    let store = Store::open_on(Arc::new(disk), Options::default(), clock, None).unwrap();
     store.write(Batch::new().put("s", "a", "1")).unwrap();
     stall.store(500, SeqCst);
     let (sender, results) = channel();
@@ -154,12 +154,12 @@
     let fail = Arc::new(AtomicU64::new(0));
     let shared = fail.clone();
     let hook = move |_: &Image, call: Call| match call {
-        Call::Sync { .. } if shared.load(SeqCst) == 1 => Fate::Error,
-        Call::Write { .. } if shared.load(SeqCst) == 2 => Fate::DiskFull(3),
-        _ => Fate::Well,
+        Call::Sync { .. } if shared.load(SeqCst) == 1 => CallOutcome::Error,
+        Call::Write { .. } if shared.load(SeqCst) == 2 => CallOutcome::DiskFull(3),
+        _ => CallOutcome::Success,
     };
     let disk = Disk::new(Image::default(), Some(Box::new(hook)));
-    let store = Store::on(Arc::new(disk), Options::default(), clock, None).unwrap();
+    let store = Store::open_on(Arc::new(disk), Options::default(), clock, None).unwrap();
     store.write(Batch::new().put("s", "a", "1")).unwrap();
     fail.store(2, SeqCst);
     assert!(matches!(store.write(Batch::new().put("s", "a", "2")), Err(Error::DiskFull(_))));
