--- a/crates/dispatcher/src/carried_changes.rs
+++ b/crates/dispatcher/src/carried_changes.rs
@@ -4,7 +4,7 @@
 use crate::config::WireNames;
 use crate::inbox::{Change, Input};
 use cherrypass::time::Span;
-use cherrypass_peers::delivery::{Delivered, LogChange, LogRead};
+use cherrypass_peers::delivery::{DeliveryEvent, LogChange, LogRead};
 use cherrypass_peers::{ChangeNumber, FromFleet, ToFleet};
 use crossbeam_channel::{Receiver, Sender, TryRecvError};
 use serde::{Deserialize, Serialize};
@@ -63,7 +63,7 @@
 
 /// The channels between the thread that follows the change log and the fleet.
 pub struct Delivery {
-    pub from_fleet: Receiver<Delivered>,
+    pub from_fleet: Receiver<DeliveryEvent>,
     pub to_fleet: Box<dyn Fn(ToFleet) + Send>,
     /// Whether this dispatcher is a carrier, which always reads the log and forwards its changes.
     pub is_carrier: bool,
@@ -92,12 +92,12 @@
     ) -> Result<(), ChangeLogError> {
         while let Some(delivered) = self.next() {
             match delivered {
-                Delivered::ReadLog(reads) => self.reads_log = reads || self.is_carrier(),
-                Delivered::KnownUpTo(at) => {
-                    let known = Input::Fleet(FromFleet::Delivered(Delivered::KnownUpTo(at)));
+                DeliveryEvent::ReadLogDirectly(reads) => self.reads_log = reads || self.is_carrier(),
+                DeliveryEvent::CompleteUpTo(at) => {
+                    let known = Input::Fleet(FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at)));
                     router.send(known).map_err(|_| ChangeLogError::RouterStopped)?;
                 }
-                Delivered::Changes { first, records } => {
+                DeliveryEvent::Changes { first, records } => {
                     for (number, record) in (first.0..).zip(records) {
                         if let Some(change) = decode_delivered(&record, number, names, last)? {
                             router.send(Input::Change(change)).map_err(|_| ChangeLogError::RouterStopped)?;
@@ -121,7 +121,7 @@
     }
 
     /// The next delivery; waits for it while the log is not to be read.
-    fn next(&mut self) -> Option<Delivered> {
+    fn next(&mut self) -> Option<DeliveryEvent> {
         let from_fleet = &self.delivery.as_ref()?.from_fleet;
         let found = match self.reads_log {
             true => from_fleet.try_recv(),
@@ -147,7 +147,7 @@
     pub(crate) fn answer_ended(&mut self, last: u64, requested_at: Option<Instant>) {
         let changes = std::mem::take(&mut self.unsent);
         if let Some(delivery) = &self.delivery {
-            let read = LogRead { changes, last: ChangeNumber(last), asked: requested_at };
+            let read = LogRead { changes, last_change: ChangeNumber(last), requested_at: requested_at };
             (delivery.to_fleet)(ToFleet::LogRead(read));
         }
     }
--- a/crates/dispatcher/src/durable_state.rs
+++ b/crates/dispatcher/src/durable_state.rs
@@ -47,8 +47,8 @@
 /// Opens the store on a disk with the faults that the environment orders.
 #[cfg(feature = "faults")]
 fn open(dir: &Path, options: Options, budget: WorkBudget) -> Result<Store, Error> {
-    let disk = cherrypass_peers::disk::over(cherrypass_store::disk::Folder::lock(dir)?);
-    Store::open_on(disk, options, Arc::new(clock::unix), Some(budget))
+    let disk = cherrypass_peers::disk::with_faults(cherrypass_store::disk::Folder::lock(dir)?);
+    Store::open_on(disk, options, Arc::new(clock::unix_now), Some(budget))
 }
 
 impl StateStore {
--- a/crates/dispatcher/src/fleet_connection.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -17,7 +17,7 @@
 use cherrypass_operator::fleet::{self as operator, Fleet, UnprovenCopies};
 use cherrypass_operator::rules::{self, Rules};
 use cherrypass_peers as peers;
-use cherrypass_peers::delivery::{self, Delivered};
+use cherrypass_peers::delivery::{self, DeliveryEvent};
 use cherrypass_peers::{
     ChangeNumber, Figures, Finding, FindingKind, FromFleet, LimitKey, LogId, Peers, ToFleet, UsedBy,
 };
@@ -56,11 +56,11 @@
 }
 
 /// Converts the section `fleet` of the operators' file to the settings of the fleet's crates.
-pub fn fleet_settings(fleet: &Fleet, config: &Config) -> Result<peers::Set, Error> {
+pub fn fleet_settings(fleet: &Fleet, config: &Config) -> Result<peers::Settings, Error> {
     let zones = &config.names.locations;
     let location_id =
         |name: &String| zones.iter().position(|zone| zone == name).map(|index| LocationId(index as u16));
-    let mut set = peers::Set::of(&fleet.name, &fleet.own_name, fleet.listen);
+    let mut set = peers::Settings::new(&fleet.name, &fleet.own_name, fleet.listen);
     for (index, operator::Member { name, address, location }) in fleet.members.iter().enumerate() {
         let id = location_id(location);
         let location = id.ok_or_else(|| Error::Location(index, location.clone(), zones.clone()))?;
@@ -70,10 +70,10 @@
         |one: &operator::Follower| peers::Follower { name: one.name.clone(), address: one.address };
     set.followers = fleet.followers.iter().map(follower).collect();
     set.locations = zones.iter().filter_map(|zone| Some((zone.clone(), location_id(zone)?))).collect();
-    (set.events, set.control, set.form) = (fleet.events.clone(), fleet.control, fleet.message_version);
-    (set.every, set.seed) = (fleet.timer_period, config.seed);
+    (set.events, set.control, set.newest_form) = (fleet.events.clone(), fleet.control, fleet.message_version);
+    (set.timer_interval, set.seed) = (fleet.timer_period, config.seed);
     let drain = config.longest_deadline().min(MAX_DRAIN);
-    set.rooms = node::Settings {
+    set.protocols = node::Settings {
         members: members::Settings { interval: fleet.probe_interval, ..members::Settings::default() },
         limits: fleet.limits.as_ref().map(|limits| limits::Settings {
             origin: limits.origin,
@@ -95,10 +95,10 @@
         }),
         ..node::Settings::default()
     };
-    set.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Set {
+    set.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Settings {
         carriers: delivery.carriers.clone(),
-        last: ChangeNumber::default(),
-        room: cherrypass_fleet::delivery::Settings {
+        last_change: ChangeNumber::default(),
+        protocol: cherrypass_fleet::delivery::Settings {
             log: LogId::of(&delivery.log),
             max_followers: delivery.followers_per_carrier as usize,
             fallback_delay: delivery.fallback_after,
@@ -175,7 +175,7 @@
     /// Joins the fleet, whose messages go to the router's mailbox.
     pub fn start(
         fleet: &Fleet,
-        set: peers::Set,
+        set: peers::Settings,
         settings: &Settings,
         store: Option<Arc<Store>>,
         router: Sender<Input>,
@@ -184,7 +184,7 @@
         let receive = move |from| {
             let _ = match from {
                 // That thread forwards how much is known, in order with the changes that it has applied.
-                FromFleet::Delivered(delivered) => to_log_thread.send(delivered).is_ok(),
+                FromFleet::Delivery(delivered) => to_log_thread.send(delivered).is_ok(),
                 from => router.send(Input::Fleet(from)).is_ok(),
             };
         };
@@ -283,9 +283,9 @@
         if let Some(file) = &self.fleet.verdicts {
             let rules = &self.rules.fleet.verdicts;
             let tellers = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
-            (self.send)(ToFleet::Weighed {
-                tellers,
-                part: rules.min_reporting_fraction.unwrap_or(file.min_reporting_fraction),
+            (self.send)(ToFleet::VerdictThresholds {
+                reporters: tellers,
+                location_fraction: rules.min_reporting_fraction.unwrap_or(file.min_reporting_fraction),
             });
         }
         if !self.rules.fleet.verdicts.uses_findings {
@@ -318,18 +318,18 @@
     /// Handles a message of the fleet.
     pub fn handle(&mut self, engine: &mut DecisionEngine, message: FromFleet) {
         match message {
-            FromFleet::Part { key, number, amount, until, after } => {
+            FromFleet::Allowance { key, number, amount, until, after } => {
                 // Nothing is kept for hosts that are gone.
                 if matches!(key, LimitKey::ColdHost(host) if !engine.is_listed(host)) {
                     return;
                 }
                 self.shares.insert(key, Share { amount, until, after });
                 self.apply_share(engine, key);
-                (self.send)(ToFleet::Taken { key, number });
+                (self.send)(ToFleet::AllowanceApplied { key, number });
             }
-            FromFleet::Hearsay { kind: FindingKind::Slow, .. } => {}
-            FromFleet::Hearsay { .. } if !self.rules.fleet.verdicts.uses_findings => {}
-            FromFleet::Hearsay { host, since, kind: FindingKind::Restarted, until, .. } => {
+            FromFleet::Verdict { kind: FindingKind::Slow, .. } => {}
+            FromFleet::Verdict { .. } if !self.rules.fleet.verdicts.uses_findings => {}
+            FromFleet::Verdict { host, started_at: since, kind: FindingKind::Restarted, until, .. } => {
                 // Only once per start: a later start in the list takes precedence over repeated reports.
                 if self.restarted_hosts.insert(host, since) != Some(since) {
                     let start = self.start_of(host, since);
@@ -342,7 +342,7 @@
                     );
                 }
             }
-            FromFleet::Hearsay { host, since, until, .. } => {
+            FromFleet::Verdict { host, started_at: since, until, .. } => {
                 let is_refuted = self
                     .reported_hosts
                     .get(&host)
@@ -356,18 +356,18 @@
                     module_time(until),
                 );
             }
-            FromFleet::Withdraw { host } => self.withdraw_report(engine, host),
-            FromFleet::Delivered(Delivered::KnownUpTo(at)) => {
+            FromFleet::WithdrawVerdict { host } => self.withdraw_report(engine, host),
+            FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at)) => {
                 self.known_up_to = self.known_up_to.max(Some(at));
                 self.update_proof(engine);
             }
-            FromFleet::Delivered(Delivered::Changes { .. } | Delivered::ReadLog(_)) => {}
+            FromFleet::Delivery(DeliveryEvent::Changes { .. } | DeliveryEvent::ReadLogDirectly(_)) => {}
             FromFleet::Rules { number: 0, .. } => self.apply_rules(engine, Rules::default()),
             FromFleet::Rules { number, text } => match rules::decode(&text, &self.fleet) {
                 Ok(rules) => self.apply_rules(engine, rules),
                 Err(error) => {
                     tracing::warn!("rules {number} are rejected ({}): {error}", error.code());
-                    (self.send)(ToFleet::NotTaken { number, why: error.to_string() });
+                    (self.send)(ToFleet::RulesRejected { number, reason: error.to_string() });
                 }
             },
         }
@@ -401,7 +401,7 @@
         let kind = Some(entry.kind);
         let is_used_by_all = kind == self.settings.parent_kind || kind == self.settings.origin_kind;
         let used_by = if is_used_by_all { UsedBy::All } else { UsedBy::Location(entry.location) };
-        (self.send)(ToFleet::Listed { host: entry.host, since: started, used_by });
+        (self.send)(ToFleet::HostListed { host: entry.host, started_at: started, used_by });
         if entry.started_at.is_some() {
             self.init_cold_share(engine, entry.host);
         }
@@ -414,7 +414,7 @@
 
     /// A host left the list, or drains.
     pub fn host_unlisted(&mut self, host: HostId, is_gone: bool) {
-        (self.send)(ToFleet::Unlisted(host));
+        (self.send)(ToFleet::HostUnlisted(host));
         self.reported_hosts.remove(&host);
         if is_gone {
             self.starts.remove(&host);
@@ -456,7 +456,7 @@
         self.send_ejections(engine);
         self.send_demand(engine, now);
         if self.exchanges.is_multiple_of(DEMAND_WINDOW) {
-            (self.send)(ToFleet::Counted(std::mem::take(&mut self.counters)));
+            (self.send)(ToFleet::Figures(std::mem::take(&mut self.counters)));
         }
     }
 
@@ -476,17 +476,17 @@
             if self.sent_findings.get(&key) != Some(&content) {
                 let (host, evidence, age) =
                     (finding.host, finding.evidence_count, now - finding.last_evidence_at);
-                (self.send)(ToFleet::Found(Finding { host, since, kind, evidence, age }));
+                (self.send)(ToFleet::Finding(Finding { host, started_at: since, kind, evidence, age }));
             }
             current.insert(key, content);
         }
         let cleared = self.sent_findings.keys().filter(|key| !key.1 && !current.contains_key(key));
-        cleared.for_each(|key| (self.send)(ToFleet::Cleared(key.0)));
+        cleared.for_each(|key| (self.send)(ToFleet::Recovery(key.0)));
         self.sent_findings = current;
         for host in engine.refuted_reports(now) {
             if let Some(report) = self.reported_hosts.get_mut(&host).filter(|report| !report.is_refuted) {
                 report.is_refuted = true;
-                (self.send)(ToFleet::Refuted(host));
+                (self.send)(ToFleet::VerdictRefuted(host));
             }
         }
     }
@@ -499,10 +499,10 @@
             ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
         {
             self.counters.ejected += u64::from(!self.ejected.contains_key(host));
-            (self.send)(ToFleet::Shut { host: *host, told: *by_report });
+            (self.send)(ToFleet::HostEjected { host: *host, by_reports: *by_report });
         }
         for host in self.ejected.keys().filter(|host| !ejected.contains_key(host)) {
-            (self.send)(ToFleet::Back { host: *host });
+            (self.send)(ToFleet::HostReadmitted { host: *host });
         }
         self.ejected = ejected;
     }
@@ -531,9 +531,9 @@
                 _ => recent.iter().map(of).sum::<f64>() / recent.len() as f64,
             };
             let max = if matches!(key, LimitKey::ColdHost(_)) { 1.0 } else { f64::MAX };
-            (self.send)(ToFleet::Wants { key, amount: aggregate(|one| one.demanded).min(max) });
+            (self.send)(ToFleet::Demand { key, amount: aggregate(|one| one.demanded).min(max) });
             if sends_usage {
-                (self.send)(ToFleet::Used { key, amount: aggregate(|one| one.used) });
+                (self.send)(ToFleet::PeakUse { key, amount: aggregate(|one| one.used) });
             }
         }
     }
@@ -668,20 +668,23 @@
         let (mut engine, mut connection, sent) = start();
         assert_eq!(visits(&mut engine, 0, 5, 1).len(), 0, "no share is allotted yet");
         let until = Instant::now() + Duration::from_millis(60);
-        let share = |key, number, amount, after| FromFleet::Part { key, number, amount, until, after };
+        let share = |key, number, amount, after| FromFleet::Allowance { key, number, amount, until, after };
         connection.handle(&mut engine, share(LimitKey::Origin, 3, 6.0, 0.0));
         connection.handle(&mut engine, share(LimitKey::ColdHost(HostId(77)), 4, 1.0, 1.0));
         assert_eq!(visits(&mut engine, 10, 9, 1).len(), 6);
         connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
-        assert!(all.contains(&ToFleet::Taken { key: LimitKey::Origin, number: 3 }));
+        assert!(all.contains(&ToFleet::AllowanceApplied { key: LimitKey::Origin, number: 3 }));
         assert!(
-            !all.iter().any(|message| matches!(message, ToFleet::Taken { key: LimitKey::ColdHost(_), .. })),
+            !all.iter().any(|message| matches!(
+                message,
+                ToFleet::AllowanceApplied { key: LimitKey::ColdHost(_), .. }
+            )),
             "the host is not listed"
         );
         let demand = |wanted: LimitKey| {
             let find = |message: &ToFleet| match message {
-                ToFleet::Wants { key, amount } if *key == wanted => Some(*amount),
+                ToFleet::Demand { key, amount } if *key == wanted => Some(*amount),
                 _ => None,
             };
             all.iter().find_map(find)
@@ -701,7 +704,8 @@
         let (mut engine, mut connection, sent) = start();
         let until = Instant::now() + Duration::from_secs(9);
         let key = LimitKey::Origin;
-        connection.handle(&mut engine, FromFleet::Part { key, number: 1, amount: 8.0, until, after: 0.0 });
+        connection
+            .handle(&mut engine, FromFleet::Allowance { key, number: 1, amount: 8.0, until, after: 0.0 });
         let mut rules = |number: u64, text: &str| {
             connection.handle(&mut engine, FromFleet::Rules { number, text: text.into() });
             let before = engine.take_limit_usage(clock::now(), SharedLimit::Origin).used as u32;
@@ -709,7 +713,7 @@
         };
         assert_eq!(rules(1, r#"{"fleet": {"limits": {"origin": 20}}}"#), 4);
         assert_eq!(rules(2, r#"{"fleet": {"limits": {"origin": 0}}}"#), 4);
-        assert!(sent.try_iter().any(|message| matches!(message, ToFleet::NotTaken { number: 2, .. })));
+        assert!(sent.try_iter().any(|message| matches!(message, ToFleet::RulesRejected { number: 2, .. })));
         assert_eq!(rules(0, ""), 8);
     }
 
@@ -725,26 +729,28 @@
         connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
         let found =
-            |message: &&ToFleet| matches!(message, ToFleet::Found(f) if f.host == bad && f.evidence > 0);
+            |message: &&ToFleet| matches!(message, ToFleet::Finding(f) if f.host == bad && f.evidence > 0);
         assert_eq!(all.iter().filter(found).count(), 1, "an unchanged finding was sent again");
-        assert!(all.contains(&ToFleet::Shut { host: bad, told: false }));
+        assert!(all.contains(&ToFleet::HostEjected { host: bad, by_reports: false }));
         // Host 2 is ejected only because of others' reports, and returns when they are withdrawn. Own
         // successes take precedence for 2 s.
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
         let (kind, weight, age, tellers) = (FindingKind::Failing, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
-        connection
-            .handle(&mut engine, FromFleet::Hearsay { host, since: None, kind, weight, until, age, tellers });
+        connection.handle(
+            &mut engine,
+            FromFleet::Verdict { host, started_at: None, kind, weight, until, age, reporters: tellers },
+        );
         connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
-        assert!(all.contains(&ToFleet::Shut { host, told: true }));
+        assert!(all.contains(&ToFleet::HostEjected { host, by_reports: true }));
         assert!(
-            !all.iter().any(|message| matches!(message, ToFleet::Found(f) if f.host == host)),
+            !all.iter().any(|message| matches!(message, ToFleet::Finding(f) if f.host == host)),
             "a report of others was repeated"
         );
-        connection.handle(&mut engine, FromFleet::Withdraw { host });
+        connection.handle(&mut engine, FromFleet::WithdrawVerdict { host });
         engine.tick(clock::now());
         connection.exchange(&mut engine);
-        assert!(sent.try_iter().any(|message| message == ToFleet::Back { host }));
+        assert!(sent.try_iter().any(|message| message == ToFleet::HostReadmitted { host }));
     }
 }
--- a/crates/dispatcher/src/startup.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -31,7 +31,7 @@
     pub fn start(
         mut config: Config,
         kept: Option<StateStore>,
-        fleet: Option<(Fleet, peers::Set)>,
+        fleet: Option<(Fleet, peers::Settings)>,
     ) -> io::Result<(Dispatcher, SignalTargets)> {
         let listener = TcpListener::bind(config.listen)?;
         let (router_sender, mailbox) = unbounded();
@@ -53,7 +53,7 @@
         }
         let mut delivery = None;
         if let Some((fleet, mut set)) = fleet {
-            set.delivery.iter_mut().for_each(|set| set.last = ChangeNumber(last_change));
+            set.delivery.iter_mut().for_each(|set| set.last_change = ChangeNumber(last_change));
             let fleet_connection =
                 FleetConnection::start(&fleet, set, &config.settings, store, router_sender.clone());
             let mut fleet_connection = fleet_connection.map_err(io::Error::other)?;
--- a/crates/faultbed/src/notation.rs
+++ b/crates/faultbed/src/notation.rs
@@ -38,7 +38,7 @@
 //!   orders), `hold end 2` (at the end rules 2 are in force everywhere), `hold halted 2 edge` (in force
 //!   in `edge` only, and halted), `hold never 2` (never in force anywhere)
 use cherrypass_shim::control::Call;
-use cherrypass_shim::errors::errno;
+use cherrypass_shim::errors::errno_from_name;
 use winnow::ascii::{alpha1, alphanumeric1, dec_uint, float, space0, space1, till_line_ending};
 use winnow::combinator::{alt, cut_err, delimited, eof, opt, preceded, repeat, separated, terminated};
 use winnow::error::{ContextError, ErrMode, StrContext, StrContextValue};
@@ -308,12 +308,12 @@
 
 fn call(input: &mut &str) -> Parsed<Call> {
     let word = take_while(1.., |c: char| c.is_ascii_lowercase() || c == '-');
-    let found = preceded(space1, word).verify_map(Call::named);
+    let found = preceded(space1, word).verify_map(Call::from_name);
     cut_err(found.context(expected("a system call"))).parse_next(input)
 }
 
 fn error(input: &mut &str) -> Parsed<i32> {
-    let found = preceded(space1, alphanumeric1).verify_map(errno);
+    let found = preceded(space1, alphanumeric1).verify_map(errno_from_name);
     cut_err(found.context(expected("an error's name or a number of bytes"))).parse_next(input)
 }
 
--- a/crates/faultbed/src/play.rs
+++ b/crates/faultbed/src/play.rs
@@ -6,7 +6,7 @@
 use crate::links::{Link, LinkFaults};
 use crate::notation::{Fault, HostKind, LinkSelection, PlannedFault, Scenario};
 use crate::notes::{parse_events, unix_micros, Absences, Event, Note, Notes, TimedNotes};
-use crate::processes::{accepts_files, supports_faults, Files, Process};
+use crate::processes::{accepts_files, supports_faults, Process, ProcessFiles};
 use cherrypass_shim::control::{Call, ALL_CALLS};
 use cherrypass_shim::Shim;
 use nix::sys::signal::Signal;
@@ -87,7 +87,7 @@
 }
 
 struct Dispatcher {
-    files: Files,
+    files: ProcessFiles,
     shim: Option<Shim>,
     address: SocketAddr,
     process: Option<Process>,
@@ -255,7 +255,7 @@
             } else {
                 None
             };
-            let files = Files { config: at(".json"), operator: None, log: at(".log"), environment };
+            let files = ProcessFiles { config: at(".json"), operator: None, log: at(".log"), environment };
             std::fs::write(&files.config, self.config(index, name, address))
                 .map_err(io_error("a configuration"))?;
             let of =
@@ -329,7 +329,7 @@
         let Some(dispatcher) = self.dispatchers.get_mut(name) else { return Ok(()) };
         dispatcher.is_older_build = older;
         if let Some(process) = dispatcher.process.take() {
-            if !process.end(END_TIMEOUT) {
+            if !process.terminate(END_TIMEOUT) {
                 self.abnormal_exits
                     .push(format!("{name} did not exit cleanly on SIGTERM before the build was switched"));
             }
@@ -342,7 +342,7 @@
         let Some(dispatcher) = self.dispatchers.get_mut(name) else { return Ok(()) };
         let until = Instant::now() + START_TIMEOUT;
         while TcpStream::connect(dispatcher.address).is_err() {
-            let ended = dispatcher.process.as_mut().and_then(Process::ended);
+            let ended = dispatcher.process.as_mut().and_then(Process::exit_status);
             if ended.is_some() || Instant::now() > until {
                 return Err(Error::NotStarted(
                     name.into(),
@@ -353,7 +353,7 @@
         }
         // Detects a process that exited because another play has taken its port and answers instead.
         std::thread::sleep(Duration::from_millis(20));
-        match dispatcher.process.as_mut().and_then(Process::ended) {
+        match dispatcher.process.as_mut().and_then(Process::exit_status) {
             Some(ended) => Err(Error::NotStarted(name.into(), ended)),
             None => Ok(()),
         }
@@ -621,10 +621,10 @@
                 }
             }
             Fault::Calls(name, call, how, part) => {
-                let fault = cherrypass_shim::Fault { per_million: (or(*part) * 1e6) as u64, how: *how };
+                let fault = cherrypass_shim::Fault { per_million: (or(*part) * 1e6) as u64, outcome: *how };
                 if let Some(shim) = self.dispatchers.get(name).and_then(|dispatcher| dispatcher.shim.as_ref())
                 {
-                    shim.set(*call, fault).map_err(io_error("a shim"))?;
+                    shim.set_fault(*call, fault).map_err(io_error("a shim"))?;
                 }
             }
             Fault::Fail(name, _)
@@ -671,14 +671,14 @@
         let Some(mut process) = dispatcher.process.take() else { return Ok(()) };
         process.signal(Signal::SIGTERM);
         let signalled = Instant::now();
-        while process.ended().is_none() && signalled.elapsed() < KILL_DELAY {
+        while process.exit_status().is_none() && signalled.elapsed() < KILL_DELAY {
             if signalled.elapsed() >= AVOIDANCE_DELAY {
                 dispatcher.load.set_avoided(true);
             }
             std::thread::sleep(Duration::from_millis(1));
         }
         let from = unix_micros();
-        if let Some(ended) = process.ended().filter(|ended| !ended.contains("exit status: 0")) {
+        if let Some(ended) = process.exit_status().filter(|ended| !ended.contains("exit status: 0")) {
             self.abnormal_exits.push(format!("{name} did not exit cleanly on SIGTERM: {ended}"));
         }
         drop(process);
@@ -719,7 +719,7 @@
         for name in &names {
             let stopped = self.dispatchers[name].unavailable_since.is_some();
             let Some(dispatcher) = self.dispatchers.get_mut(name) else { continue };
-            if let Some(ended) = dispatcher.process.as_mut().and_then(Process::ended) {
+            if let Some(ended) = dispatcher.process.as_mut().and_then(Process::exit_status) {
                 self.abnormal_exits.push(format!("{name} exited unexpectedly: {ended}"));
             } else if let Some(process) = dispatcher.process.as_ref().filter(|_| stopped) {
                 process.signal(Signal::SIGCONT);
@@ -733,7 +733,7 @@
             .collect();
         let ends: Vec<_> = processes
             .into_iter()
-            .map(|(name, process)| (name.clone(), std::thread::spawn(move || process.end(END_TIMEOUT))))
+            .map(|(name, process)| (name.clone(), std::thread::spawn(move || process.terminate(END_TIMEOUT))))
             .collect();
         for (name, end) in ends {
             let already = self.abnormal_exits.iter().any(|line| line.starts_with(&format!("{name} ")));
@@ -759,7 +759,7 @@
         let mut delivered = Vec::new();
         for call in ALL_CALLS {
             let shims = self.dispatchers.values().filter_map(|dispatcher| dispatcher.shim.as_ref());
-            let counts = shims.map(|shim| shim.delivered(call)).collect::<io::Result<Vec<_>>>();
+            let counts = shims.map(|shim| shim.counts(call)).collect::<io::Result<Vec<_>>>();
             let counts = counts.map_err(io_error("a shim"))?;
             let sum = counts.iter().fold([0, 0], |sum, found| [sum[0] + found[0], sum[1] + found[1]]);
             delivered.push((call, sum));
--- a/crates/faultbed/src/processes.rs
+++ b/crates/faultbed/src/processes.rs
@@ -15,7 +15,7 @@
 
 /// The files and environment of a process.
 #[derive(Clone, Debug)]
-pub struct Files {
+pub struct ProcessFiles {
     pub config: PathBuf,
     pub operator: Option<PathBuf>,
     /// File to which standard error is appended.
@@ -31,14 +31,14 @@
 }
 
 /// Whether a build accepts these files. Builds without fleet support reject the `fleet` section.
-pub fn accepts_files(program: &Path, files: &Files) -> io::Result<bool> {
+pub fn accepts_files(program: &Path, files: &ProcessFiles) -> io::Result<bool> {
     let mut command = Command::new(program);
     command.arg("check").arg("--config").arg(&files.config).args(files.operator_arguments());
     let status = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).status()?;
     Ok(status.success())
 }
 
-impl Files {
+impl ProcessFiles {
     fn operator_arguments(&self) -> impl Iterator<Item = &OsStr> {
         self.operator.iter().flat_map(|path| [OsStr::new("--operator"), path.as_os_str()])
     }
@@ -54,7 +54,7 @@
 
 impl Process {
     /// Starts `serve`.
-    pub fn start(program: &Path, files: &Files) -> io::Result<Process> {
+    pub fn start(program: &Path, files: &ProcessFiles) -> io::Result<Process> {
         let log = OpenOptions::new().create(true).append(true).open(&files.log)?;
         let mut command = Command::new(program);
         command.arg("serve").arg("--config").arg(&files.config).args(files.operator_arguments());
@@ -77,19 +77,19 @@
     }
 
     /// The exit status, if the process has exited.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn exit_status(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
     /// Sends SIGTERM, and SIGKILL if it has not exited in time. Returns whether it exited successfully by
     /// itself.
-    pub fn end(self, within: Duration) -> bool {
+    pub fn terminate(self, within: Duration) -> bool {
         self.signal(Signal::SIGTERM);
         self.wait_for_exit(within)
     }
 
     /// Like `end`, but closes its standard input, which has to be a pipe, instead of sending SIGTERM.
-    pub fn end_input(mut self, within: Duration) -> bool {
+    pub fn close_input(mut self, within: Duration) -> bool {
         drop(self.child.stdin.take());
         self.wait_for_exit(within)
     }
--- a/crates/peers/examples/idle.rs
+++ b/crates/peers/examples/idle.rs
@@ -3,7 +3,7 @@
 //! listener.
 use cherrypass::ids::LocationId;
 use cherrypass_fleet::{limits, node, rollout, verdicts};
-use cherrypass_peers::{Member, Peers, Set};
+use cherrypass_peers::{Member, Peers, Settings};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
         .collect();
     let mut all = Vec::new();
     for (i, at) in at.iter().enumerate() {
-        let mut set = Set::of("shop", &name(i), *at);
+        let mut set = Settings::new("shop", &name(i), *at);
         set.members = members.clone();
         if all_on {
             set.events = Some(events.clone());
@@ -48,7 +48,7 @@
             limits_cold_hosts: true,
             ..limits::Settings::default()
         };
-        set.rooms = node::Settings {
+        set.protocols = node::Settings {
             limits: Some(limits),
             verdicts: Some(verdicts::Settings::default()),
             rollout: Some(rollout::Settings::default()),
--- a/crates/peers/src/delivery.rs
+++ b/crates/peers/src/delivery.rs
@@ -19,12 +19,12 @@
 
 /// Settings of the delivery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set {
+pub struct Settings {
     /// Names of the members that are carriers.
     pub carriers: Vec<String>,
     /// The last change included in the configuration.
-    pub last: ChangeNumber,
-    pub room: delivery::Settings,
+    pub last_change: ChangeNumber,
+    pub protocol: delivery::Settings,
 }
 
 /// A change read from the log, encoded for delivery.
@@ -40,20 +40,20 @@
     /// The changes in order; only set at a carrier.
     pub changes: Vec<LogChange>,
     /// The last change known to the process.
-    pub last: ChangeNumber,
+    pub last_change: ChangeNumber,
     /// Time of the request, if its answer was complete.
-    pub asked: Option<Instant>,
+    pub requested_at: Option<Instant>,
 }
 
 /// A message from the delivery to the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Delivered {
+pub enum DeliveryEvent {
     /// Consecutive changes in order, with the number of the first.
     Changes { first: ChangeNumber, records: Vec<Record> },
     /// Whether the dispatcher has to read the log directly from now on.
-    ReadLog(bool),
+    ReadLogDirectly(bool),
     /// All changes that the log had at this time have been delivered.
-    KnownUpTo(Instant),
+    CompleteUpTo(Instant),
 }
 
 enum Role {
@@ -75,13 +75,13 @@
 }
 
 impl Delivery {
-    pub fn start(set: Set, own: MemberId, seed: u64, now: Time) -> Delivery {
+    pub fn start(set: Settings, own: MemberId, seed: u64, now: Time) -> Delivery {
         let carriers: Vec<MemberId> = set.carriers.iter().map(|name| MemberId::of(name)).collect();
-        let max_guests = set.room.max_followers.saturating_mul(GUESTS_PER_FOLLOWER);
+        let max_guests = set.protocol.max_followers.saturating_mul(GUESTS_PER_FOLLOWER);
         let role = if carriers.contains(&own) {
-            Role::Carrier(Box::new(Carrier::new(set.room, set.last)))
+            Role::Carrier(Box::new(Carrier::new(set.protocol, set.last_change)))
         } else {
-            Role::Follower(Box::new(Follower::new(set.room, own, &carriers, set.last, seed, now)))
+            Role::Follower(Box::new(Follower::new(set.protocol, own, &carriers, set.last_change, seed, now)))
         };
         Delivery { role, guests: BTreeMap::new(), max_guests }
     }
@@ -142,10 +142,10 @@
             Role::Carrier(carrier) => {
                 read.changes.into_iter().for_each(|change| carrier.add_change(change.number, change.record));
                 asked.into_iter().for_each(|asked| carrier.note_log_answer(asked));
-                read.asked.map(|asked| FromFleet::Delivered(Delivered::KnownUpTo(asked)))
+                read.requested_at.map(|asked| FromFleet::Delivery(DeliveryEvent::CompleteUpTo(asked)))
             }
             Role::Follower(follower) => {
-                follower.note_log_read(read.last, asked);
+                follower.note_log_read(read.last_change, asked);
                 None
             }
         }
--- a/crates/peers/src/disk.rs
+++ b/crates/peers/src/disk.rs
@@ -14,7 +14,7 @@
 pub const ORDERS_VARIABLE: &str = "CHERRYPASS_DISK_ORDERS";
 
 /// The folder itself, or wrapped in a [`FaultyDisk`] if the environment names an orders file.
-pub fn over(folder: Folder) -> Arc<dyn Disk> {
+pub fn with_faults(folder: Folder) -> Arc<dyn Disk> {
     match std::env::var_os(ORDERS_VARIABLE) {
         Some(orders) => Arc::new(FaultyDisk::new(Arc::new(folder), orders.into())),
         None => Arc::new(folder),
--- a/crates/peers/src/driven.rs
+++ b/crates/peers/src/driven.rs
@@ -3,7 +3,7 @@
 //! [`crate::Peers`].
 use crate::event_loop::{Backlog, EventLoop, Input};
 use crate::rollout_store::RolloutStore;
-use crate::{assemble, Environment, Error, FromFleet, Set, ToFleet};
+use crate::{assemble, Environment, Error, FromFleet, Settings, ToFleet};
 use cherrypass::time::{Span, Time};
 use crossbeam_channel::Receiver;
 use std::net::SocketAddr;
@@ -11,26 +11,26 @@
 use std::time::Instant;
 
 /// One running member. It has no disk: rollout records count as stored at once and are lost with it.
-pub struct Driven {
+pub struct DrivenMember {
     run: EventLoop,
     own: Receiver<Input>,
     every: Span,
     next: Time,
 }
 
-impl Driven {
+impl DrivenMember {
     /// `out` sends one datagram, `tell` receives messages to the dispatcher, `log` lines for the operator.
     /// `listen` and
     /// `control` of the settings are not used.
     pub fn start(
-        set: Set,
+        set: Settings,
         out: impl Fn(&[u8], SocketAddr) + Send + 'static,
         tell: impl Fn(FromFleet) + Send + 'static,
         log: impl Fn(&str) + Send + Sync + 'static,
-    ) -> Result<Driven, Error> {
+    ) -> Result<DrivenMember, Error> {
         set.check()?;
         let (own, inputs) = crossbeam_channel::unbounded();
-        let every = set.every;
+        let every = set.timer_interval;
         let environment = Environment {
             rollout_store: RolloutStore::in_memory(),
             stored_records: Vec::new(),
@@ -42,30 +42,30 @@
         };
         let mut run = assemble(set, environment)?;
         let next = run.start() + every;
-        Ok(Driven { run, own: inputs, every, next })
+        Ok(DrivenMember { run, own: inputs, every, next })
     }
 
     /// Handles a received datagram.
-    pub fn datagram(&mut self, bytes: &[u8], from: SocketAddr) {
+    pub fn handle_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         let now = self.run.clock.now();
         self.run.handle_datagram(now, bytes, from);
         self.apply_effects(now);
     }
 
     /// Handles a message from the dispatcher.
-    pub fn told(&mut self, what: ToFleet) {
+    pub fn handle_dispatcher_message(&mut self, what: ToFleet) {
         let now = self.run.clock.now();
         self.run.handle_dispatcher_message(now, what);
         self.apply_effects(now);
     }
 
     /// When [`Driven::woken`] has to be called next.
-    pub fn due(&self) -> Instant {
+    pub fn next_tick(&self) -> Instant {
         self.run.clock.instant(self.next)
     }
 
     /// Runs the periodic timer; does nothing before it is due.
-    pub fn woken(&mut self) {
+    pub fn tick(&mut self) {
         let now = self.run.clock.now();
         if now < self.next {
             return;
--- a/crates/peers/src/event_loop.rs
+++ b/crates/peers/src/event_loop.rs
@@ -2,7 +2,7 @@
 //! listener, runs the periodic timer, and applies the effects that the protocols return.
 use crate::clock::Clock;
 use crate::control::{Answer, ControlRequest};
-use crate::delivery::{Delivered, Delivery, LogRead};
+use crate::delivery::{Delivery, DeliveryEvent, LogRead};
 use crate::events::{Events, Log};
 use crate::link::{self, Envelope, LinkError, LocationByte};
 use crate::rejection_log::{RejectionLog, Source};
@@ -74,7 +74,7 @@
 
 impl Peer {
     pub fn new(name: &str, address: SocketAddr, location: LocationId) -> Peer {
-        let (incarnation, reads) = (Incarnation::default(), link::OLDEST);
+        let (incarnation, reads) = (Incarnation::default(), link::OLDEST_FORM);
         Peer {
             name: name.to_owned(),
             address,
@@ -126,7 +126,7 @@
 
 /// Receives datagrams until the event loop has ended. Empty datagrams only wake the thread.
 pub fn receive_datagrams(socket: &UdpSocket, inputs: &Sender<Input>, backlog: &Backlog) {
-    let mut bytes = vec![0; link::DATAGRAM_MOST + 1];
+    let mut bytes = vec![0; link::MAX_DATAGRAM_BYTES + 1];
     while !backlog.has_ended.load(Relaxed) {
         match socket.recv_from(&mut bytes) {
             Ok((0, _)) => {}
@@ -322,7 +322,7 @@
             Ok(envelope) => envelope,
             Err(why) => return self.reject(now, why, by_address),
         };
-        let (from, incarnation) = (envelope.from, envelope.incarnation);
+        let (from, incarnation) = (envelope.sender, envelope.incarnation);
         if from == self.me && incarnation == self.incarnation {
             // An own message that was sent back.
             return;
@@ -361,7 +361,7 @@
             Err(Rejection::UnlistedSender) => self.reject(now, LinkError::UnlistedSender, who),
             Ok(()) | Err(Rejection::ComponentOff) => {
                 if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.incarnation <= incarnation) {
-                    (peer.incarnation, peer.newest_form) = (incarnation, envelope.reads);
+                    (peer.incarnation, peer.newest_form) = (incarnation, envelope.newest_form);
                 }
             }
         }
@@ -369,7 +369,7 @@
 
     /// Handles a delivery message. Its sender may be unlisted; it is then answered at its source address.
     fn handle_delivery_datagram(&mut self, now: Time, envelope: &Envelope, at: SocketAddr) {
-        let (from, incarnation) = (envelope.from, envelope.incarnation);
+        let (from, incarnation) = (envelope.sender, envelope.incarnation);
         let Some(delivery) = &mut self.delivery else { return };
         if from == self.me {
             return self.reject(now, LinkError::OwnName, Source::Address(at.ip()));
@@ -382,10 +382,10 @@
         };
         match self.peers.get_mut(&from) {
             Some(peer) if peer.incarnation <= incarnation => {
-                (peer.incarnation, peer.newest_form) = (incarnation, envelope.reads);
+                (peer.incarnation, peer.newest_form) = (incarnation, envelope.newest_form);
             }
             Some(_) => {}
-            None if delivery.admits_guest(now, from, at, envelope.reads) => {}
+            None if delivery.admits_guest(now, from, at, envelope.newest_form) => {}
             None => return self.reject(now, LinkError::UnlistedSender, Source::Address(at.ip())),
         }
         delivery.handle_message(now, from, incarnation, message);
@@ -393,7 +393,7 @@
 
     fn handle_log_read(&mut self, read: LogRead) {
         let Some(delivery) = &mut self.delivery else { return };
-        let asked = read.asked.map(|asked| self.clock.time(asked));
+        let asked = read.requested_at.map(|asked| self.clock.time(asked));
         if let Some(message) = delivery.handle_log_read(asked, read) {
             (self.notify_dispatcher)(message);
         }
@@ -405,42 +405,44 @@
         }
         let Role::Member(fleet) = &mut self.role else { return };
         match message {
-            ToFleet::Wants { key, amount } => fleet.set_demand(now, key, amount),
-            ToFleet::Taken { key, number } => {
+            ToFleet::Demand { key, amount } => fleet.set_demand(now, key, amount),
+            ToFleet::AllowanceApplied { key, number } => {
                 // A confirmation of an older allowance is ignored: it would let a lowered share be lent too
                 // early.
                 if self.allowances.get(&key).is_some_and(|(last, _)| *last == number) {
                     fleet.confirm_applied(now, key);
                 }
             }
-            ToFleet::Found(crate::Finding { host, since, kind, evidence, age }) => {
+            ToFleet::Finding(crate::Finding { host, started_at: since, kind, evidence, age }) => {
                 fleet.report_finding(
                     now,
                     Finding { host, since: host_incarnation(since), kind, evidence, age },
                 );
             }
-            ToFleet::Cleared(host) => fleet.report_recovery(now, host),
-            ToFleet::Weighed { tellers, part } => fleet.set_verdict_thresholds(now, tellers, part),
-            ToFleet::Refuted(host) => fleet.refute_verdict(now, host),
-            ToFleet::Listed { host, since, used_by } => {
+            ToFleet::Recovery(host) => fleet.report_recovery(now, host),
+            ToFleet::VerdictThresholds { reporters: tellers, location_fraction: part } => {
+                fleet.set_verdict_thresholds(now, tellers, part)
+            }
+            ToFleet::VerdictRefuted(host) => fleet.refute_verdict(now, host),
+            ToFleet::HostListed { host, started_at: since, used_by } => {
                 fleet.update_host(now, host, host_incarnation(since), used_by)
             }
-            ToFleet::Unlisted(host) => fleet.remove_host(now, host),
-            ToFleet::Counted(figures) => fleet.report_figures(now, figures),
-            ToFleet::NotTaken { number, why } => fleet.reject_rules(now, number, &why),
+            ToFleet::HostUnlisted(host) => fleet.remove_host(now, host),
+            ToFleet::Figures(figures) => fleet.report_figures(now, figures),
+            ToFleet::RulesRejected { number, reason: why } => fleet.reject_rules(now, number, &why),
             ToFleet::Order(order) => {
                 if let Some(Err(error)) = fleet.order(now, order) {
                     (self.log)(&format!("rollout: order rejected ({}): {error}", error.code()));
                 }
             }
-            ToFleet::Used { key, amount } => {
+            ToFleet::PeakUse { key, amount } => {
                 self.events.write_event(now, "use", |_| json!({ "key": key_name(key), "amount": amount }));
             }
-            ToFleet::Shut { host, told } => {
+            ToFleet::HostEjected { host, by_reports: told } => {
                 let why = if told { "told" } else { "own" };
                 self.events.write_event(now, "shut", |_| json!({ "host": host_name(host), "why": why }));
             }
-            ToFleet::Back { host } => {
+            ToFleet::HostReadmitted { host } => {
                 self.events.write_event(now, "back", |_| json!({ "host": host_name(host) }));
             }
             ToFleet::Stop | ToFleet::LogRead(_) => {}
@@ -479,7 +481,7 @@
                 return self.send_payload(now, to, kind::DELIVERY, &payload);
             }
             delivery::Effect::Log(line) => return (self.log)(&format!("delivery: {line}")),
-            delivery::Effect::Deliver { first, records } => Delivered::Changes { first, records },
+            delivery::Effect::Deliver { first, records } => DeliveryEvent::Changes { first, records },
             delivery::Effect::ReadLog(reads) => {
                 self.events.write_event(now, "read-log", |_| json!({ "reads": reads }));
                 (self.log)(if reads {
@@ -487,11 +489,11 @@
                 } else {
                     "delivery: receiving changes from a carrier"
                 });
-                Delivered::ReadLog(reads)
+                DeliveryEvent::ReadLogDirectly(reads)
             }
-            delivery::Effect::KnownUpTo(at) => Delivered::KnownUpTo(self.clock.instant(at)),
+            delivery::Effect::KnownUpTo(at) => DeliveryEvent::CompleteUpTo(self.clock.instant(at)),
         };
-        (self.notify_dispatcher)(FromFleet::Delivered(message));
+        (self.notify_dispatcher)(FromFleet::Delivery(message));
     }
 
     fn apply_fleet_effect(&mut self, now: Time, effect: Effect) {
@@ -507,19 +509,19 @@
                             "age_ms": age.0 / 1000, "hold_ms": (until - now).0 / 1000 })
                 });
                 let (since, until) = (since.map(|since| UnixTime(since.0)), self.clock.instant(until));
-                (self.notify_dispatcher)(FromFleet::Hearsay {
+                (self.notify_dispatcher)(FromFleet::Verdict {
                     host,
-                    since,
+                    started_at: since,
                     kind,
                     weight,
                     until,
                     age,
-                    tellers,
+                    reporters: tellers,
                 });
             }
             Effect::Withdraw { host } => {
                 self.events.write_event(now, "withdraw", |_| json!({ "host": host_name(host) }));
-                (self.notify_dispatcher)(FromFleet::Withdraw { host });
+                (self.notify_dispatcher)(FromFleet::WithdrawVerdict { host });
             }
             Effect::Store { ticket, record } => {
                 let own = self.own_inputs.clone();
@@ -626,7 +628,7 @@
             json!({ "key": key_name(key), "amount": amount, "until": until, "after": after })
         });
         let (number, until) = (self.last_allowance_number, self.clock.instant(until));
-        (self.notify_dispatcher)(FromFleet::Part { key, number, amount, until, after });
+        (self.notify_dispatcher)(FromFleet::Allowance { key, number, amount, until, after });
     }
 
     fn send(&mut self, now: Time, to: MemberId, message: &Message) {
@@ -639,9 +641,9 @@
         let guest = || self.delivery.as_ref().and_then(|delivery| delivery.guest(to));
         let Some(peer) = self.peers.get(&to).or_else(guest) else { return };
         let envelope = Envelope {
-            reads: self.form,
+            newest_form: self.form,
             fleet: &self.fleet,
-            from: self.me,
+            sender: self.me,
             incarnation: self.incarnation,
             location: Some(LocationByte::of(self.location)),
             kind,
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -32,7 +32,7 @@
 use cherrypass_store::store::Store;
 use clock::Clock;
 use crossbeam_channel::Sender;
-use delivery::{Delivered, Delivery, LogRead};
+use delivery::{Delivery, DeliveryEvent, LogRead};
 use event_loop::{Backlog, EventLoop, Input, Peer, Role, SendDatagram};
 use events::{Events, Log};
 use rejection_log::RejectionLog;
@@ -46,16 +46,16 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of members of a fleet, and of its followers.
-pub const MEMBERS: usize = rollout::MAX_MEMBERS;
-pub const FOLLOWERS: usize = 1_024;
+pub const MAX_MEMBERS: usize = rollout::MAX_MEMBERS;
+pub const MAX_FOLLOWERS: usize = 1_024;
 /// Maximum encoded size of one member in a message: id and incarnation at ten bytes each; in the feed also a
 /// number.
 const MEMBER_BYTES: usize = 20;
 const FEED_MEMBER_BYTES: usize = 30;
 /// Maximum encoded size of the rest of such a message: numbers, ballots, steps and the reason of a halt.
 const OTHER_BYTES: usize = 1_024;
-const _: () = assert!(MEMBERS * MEMBER_BYTES + OTHER_BYTES <= link::PAYLOAD_MOST);
-const _: () = assert!(MEMBERS * FEED_MEMBER_BYTES + OTHER_BYTES <= link::PAYLOAD_MOST);
+const _: () = assert!(MAX_MEMBERS * MEMBER_BYTES + OTHER_BYTES <= link::MAX_PAYLOAD_BYTES);
+const _: () = assert!(MAX_MEMBERS * FEED_MEMBER_BYTES + OTHER_BYTES <= link::MAX_PAYLOAD_BYTES);
 /// Maximum number of dispatcher messages that may wait for the event loop.
 const MAX_WAITING_DISPATCHER_MESSAGES: usize = 16 << 10;
 const THREAD_STACK_BYTES: usize = 512 << 10;
@@ -65,7 +65,7 @@
 pub struct Finding {
     pub host: HostId,
     /// Start time of the host as given by the host list; identical at all dispatchers.
-    pub since: Option<UnixTime>,
+    pub started_at: Option<UnixTime>,
     pub kind: FindingKind,
     /// Number of hand-offs that support the finding.
     pub evidence: u32,
@@ -77,33 +77,33 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToFleet {
     /// What the dispatcher would use of a limit; has to be repeated at least every 10 s while it lasts.
-    Wants { key: LimitKey, amount: f64 },
+    Demand { key: LimitKey, amount: f64 },
     /// The `FromFleet::Part` of this key and number is in force. Until this is confirmed, the member lends
     /// nothing.
-    Taken { key: LimitKey, number: u64 },
+    AllowanceApplied { key: LimitKey, number: u64 },
     /// Peak use within the last second. Only written to the event log.
-    Used { key: LimitKey, amount: f64 },
+    PeakUse { key: LimitKey, amount: f64 },
     /// A finding based only on own hand-offs; sent again when there is new evidence.
-    Found(Finding),
+    Finding(Finding),
     /// The earlier finding about this host no longer holds.
-    Cleared(HostId),
+    Recovery(HostId),
     /// Own hand-offs to a host succeeded although others reported it as failing.
-    Refuted(HostId),
+    VerdictRefuted(HostId),
     /// The host list has this host in service.
-    Listed { host: HostId, since: Option<UnixTime>, used_by: UsedBy },
+    HostListed { host: HostId, started_at: Option<UnixTime>, used_by: UsedBy },
     /// The host is draining or no longer listed.
-    Unlisted(HostId),
+    HostUnlisted(HostId),
     /// Traffic figures of the last period, for the rollout.
-    Counted(Figures),
+    Figures(Figures),
     /// Verdict thresholds of the rules in force: how many dispatchers must report the same about a host, and
     /// which fraction of those at the location.
-    Weighed { tellers: u8, part: f64 },
+    VerdictThresholds { reporters: u8, location_fraction: f64 },
     /// `FromFleet::Rules` of this number can't be applied; the previous rules stay in force.
-    NotTaken { number: u64, why: String },
+    RulesRejected { number: u64, reason: String },
     /// A host was ejected, because of reports (`told`) or own evidence. Only written to the event log.
-    Shut { host: HostId, told: bool },
+    HostEjected { host: HostId, by_reports: bool },
     /// A host was readmitted. Only written to the event log.
-    Back { host: HostId },
+    HostReadmitted { host: HostId },
     /// An operator order to the rollout.
     Order(Order),
     /// Changes read from the change log. Only used where delivery is configured.
@@ -117,24 +117,24 @@
 pub enum FromFleet {
     /// This dispatcher's allowance of a limit: `amount` until `until`, then `after` without a further
     /// message. The dispatcher answers with `ToFleet::Taken` and the same number once it is in force.
-    Part { key: LimitKey, number: u64, amount: f64, until: Instant, after: f64 },
+    Allowance { key: LimitKey, number: u64, amount: f64, until: Instant, after: f64 },
     /// Other dispatchers report that a host is failing or has restarted; expires at `until`. `weight` is
     /// relative to own evidence and below 1, `age` the maximum age of the underlying evidence.
-    Hearsay {
+    Verdict {
         host: HostId,
-        since: Option<UnixTime>,
+        started_at: Option<UnixTime>,
         kind: FindingKind,
         weight: f64,
         until: Instant,
         age: Span,
-        tellers: u8,
+        reporters: u8,
     },
     /// The verdict on this host no longer holds.
-    Withdraw { host: HostId },
+    WithdrawVerdict { host: HostId },
     /// Rules in force here from now on. Number 0 with an empty text: only those of the operator file.
     Rules { number: u64, text: Arc<str> },
     /// A message of the delivery of the change log.
-    Delivered(Delivered),
+    Delivery(DeliveryEvent),
 }
 
 /// A configured member of the fleet.
@@ -155,10 +155,10 @@
 
 /// Settings of a fleet as seen by one process.
 #[derive(Clone, Debug)]
-pub struct Set {
+pub struct Settings {
     pub fleet: String,
     /// Name of this process; one of the members or followers.
-    pub me: String,
+    pub own_name: String,
     pub listen: SocketAddr,
     pub members: Vec<Member>,
     pub followers: Vec<Follower>,
@@ -170,44 +170,46 @@
     pub control: Option<SocketAddr>,
     /// Newest message form to read and write; the newest known one by default. Each pair of members uses the
     /// newest form that both support.
-    pub form: Option<u8>,
+    pub newest_form: Option<u8>,
     /// Interval of the periodic timer.
-    pub every: Span,
+    pub timer_interval: Span,
     pub seed: u64,
-    pub rooms: node::Settings,
+    pub protocols: node::Settings,
     /// Without it, each process reads the change log itself.
-    pub delivery: Option<delivery::Set>,
+    pub delivery: Option<delivery::Settings>,
 }
 
-impl Set {
+impl Settings {
     /// Default settings without members.
-    pub fn of(fleet: &str, me: &str, listen: SocketAddr) -> Set {
-        Set {
+    pub fn new(fleet: &str, me: &str, listen: SocketAddr) -> Settings {
+        Settings {
             fleet: fleet.to_owned(),
-            me: me.to_owned(),
+            own_name: me.to_owned(),
             listen,
             members: Vec::new(),
             followers: Vec::new(),
             locations: BTreeMap::new(),
             events: None,
             control: None,
-            form: None,
-            every: Span::millis(50),
+            newest_form: None,
+            timer_interval: Span::millis(50),
             seed: 0,
-            rooms: node::Settings::default(),
+            protocols: node::Settings::default(),
             delivery: None,
         }
     }
 
     /// Checks the settings for errors that prevent a start.
     pub fn check(&self) -> Result<(), Error> {
-        if !(1..=link::NAME_MOST).contains(&self.fleet.len()) {
-            return Err(Error::InvalidName { most: link::NAME_MOST });
+        if !(1..=link::MAX_NAME_BYTES).contains(&self.fleet.len()) {
+            return Err(Error::InvalidName { most: link::MAX_NAME_BYTES });
         }
         let members = self.members.iter().map(|member| &member.name);
         let names: Vec<&String> = members.chain(self.followers.iter().map(|one| &one.name)).collect();
-        let counts =
-            [("members", self.members.len(), MEMBERS), ("followers", self.followers.len(), FOLLOWERS)];
+        let counts = [
+            ("members", self.members.len(), MAX_MEMBERS),
+            ("followers", self.followers.len(), MAX_FOLLOWERS),
+        ];
         if let Some((what, found, most)) = counts.into_iter().find(|(_, found, most)| found > most) {
             return Err(Error::TooManyListed { what, found, most });
         }
@@ -218,28 +220,28 @@
         // A process that only receives change log records need not be listed.
         let carriers = self.delivery.iter().flat_map(|delivery| &delivery.carriers);
         let unlisted = carriers.clone().find(|name| !self.members.iter().any(|one| one.name == **name));
-        if let Some(name) =
-            unlisted.or((!names.contains(&&self.me) && self.delivery.is_none()).then_some(&self.me))
+        if let Some(name) = unlisted
+            .or((!names.contains(&&self.own_name) && self.delivery.is_none()).then_some(&self.own_name))
         {
             return Err(Error::NotListed { name: name.clone() });
         }
-        let (least, most) = (link::OLDEST, link::NEWEST);
-        if let Some(found) = self.form.filter(|form| !(least..=most).contains(form)) {
+        let (least, most) = (link::OLDEST_FORM, link::NEWEST_FORM);
+        if let Some(found) = self.newest_form.filter(|form| !(least..=most).contains(form)) {
             return Err(Error::UnsupportedForm { found, least, most });
         }
-        if !(Span::millis(10)..=Span::millis(1_000)).contains(&self.every) {
-            let found = format!("{} ms", self.every.0 / 1000);
+        if !(Span::millis(10)..=Span::millis(1_000)).contains(&self.timer_interval) {
+            let found = format!("{} ms", self.timer_interval.0 / 1000);
             return Err(Error::InvalidValue { what: "the timer", found, wanted: "give 10 to 1000 ms" });
         }
         if let Some(at) = self.control.filter(|at| !at.ip().is_loopback()) {
             return Err(Error::NotLoopback { at });
         }
-        let own = MemberId::of(&self.me);
+        let own = MemberId::of(&self.own_name);
         let ids: Vec<MemberId> = self.members.iter().map(|member| MemberId::of(&member.name)).collect();
-        if let Some(limits) = self.rooms.limits.as_ref().filter(|_| ids.contains(&own)) {
-            limits::Settings { interval: self.every, ..limits.clone() }.check(own, &ids)?;
+        if let Some(limits) = self.protocols.limits.as_ref().filter(|_| ids.contains(&own)) {
+            limits::Settings { interval: self.timer_interval, ..limits.clone() }.check(own, &ids)?;
         }
-        if let Some(verdicts) = &self.rooms.verdicts {
+        if let Some(verdicts) = &self.protocols.verdicts {
             verdicts.check()?;
         }
         Ok(())
@@ -258,24 +260,24 @@
 }
 
 /// Builds the event loop without threads and sockets; `set` has been checked.
-fn assemble(set: Set, environment: Environment) -> Result<EventLoop, Error> {
+fn assemble(set: Settings, environment: Environment) -> Result<EventLoop, Error> {
     let clock = Clock::start();
-    let (me, incarnation) = (MemberId::of(&set.me), Incarnation(clock.start_unix));
-    let own = set.members.iter().find(|member| member.name == set.me);
+    let (me, incarnation) = (MemberId::of(&set.own_name), Incarnation(clock.start_unix));
+    let own = set.members.iter().find(|member| member.name == set.own_name);
     let location = own.map(|own| own.location).unwrap_or_default();
     let listed: Vec<(MemberId, LocationId)> =
         set.members.iter().map(|member| (MemberId::of(&member.name), member.location)).collect();
     let followers: Vec<MemberId> = set.followers.iter().map(|one| MemberId::of(&one.name)).collect();
-    let events = Events::open(set.events.as_deref(), &set.me, clock, environment.log.clone())?;
+    let events = Events::open(set.events.as_deref(), &set.own_name, clock, environment.log.clone())?;
     let peers = peers_of(&set, me);
     let seed = set.seed ^ incarnation.0;
-    let max_incarnation_lead = set.rooms.members.max_incarnation_lead;
+    let max_incarnation_lead = set.protocols.members.max_incarnation_lead;
     let now = clock.now();
     let role = match own {
         Some(_) => {
-            let (records, every) = (environment.stored_records, set.every);
+            let (records, every) = (environment.stored_records, set.timer_interval);
             Role::Member(Box::new(FleetNode::new(
-                set.rooms,
+                set.protocols,
                 me,
                 incarnation,
                 &listed,
@@ -289,7 +291,7 @@
         None if !followers.contains(&me) => Role::Unlisted,
         None => {
             let ids: Vec<MemberId> = listed.iter().map(|(id, _)| *id).collect();
-            let feed = feed::Settings { interval: set.every, ..set.rooms.feed };
+            let feed = feed::Settings { interval: set.timer_interval, ..set.protocols.feed };
             Role::Follower(Box::new(feed::Follower::new(feed, me, incarnation, &ids, now)))
         }
     };
@@ -301,7 +303,7 @@
         me,
         incarnation,
         location,
-        form: set.form.unwrap_or(link::NEWEST),
+        form: set.newest_form.unwrap_or(link::NEWEST_FORM),
         max_incarnation_lead,
         peers,
         send_datagram: environment.send_datagram,
@@ -319,7 +321,7 @@
 }
 
 /// All other members and followers by id.
-fn peers_of(set: &Set, me: MemberId) -> BTreeMap<MemberId, Peer> {
+fn peers_of(set: &Settings, me: MemberId) -> BTreeMap<MemberId, Peer> {
     let members = set.members.iter().map(|one| (&one.name, one.address, one.location));
     let followers = set.followers.iter().map(|one| (&one.name, one.address, LocationId::default()));
     let all = members.chain(followers);
@@ -361,7 +363,7 @@
 impl Peers {
     /// `tell` is called on the event loop's thread and must not block; `log` receives lines for the operator.
     pub fn start(
-        set: Set,
+        set: Settings,
         store: Option<Arc<Store>>,
         tell: impl Fn(FromFleet) + Send + 'static,
         log: impl Fn(&str) + Send + Sync + 'static,
@@ -380,9 +382,9 @@
         let server = server.transpose()?;
         let (to, inputs) = crossbeam_channel::unbounded();
         let backlog = Arc::new(Backlog::default());
-        let (every, locations) = (set.every, set.locations.clone());
+        let (every, locations) = (set.timer_interval, set.locations.clone());
         let has_rollout =
-            set.rooms.rollout.is_some() && set.members.iter().any(|member| member.name == set.me);
+            set.protocols.rollout.is_some() && set.members.iter().any(|member| member.name == set.own_name);
         let (rollout_store, stored_records) = RolloutStore::open(store.filter(|_| has_rollout), &log);
         let environment = Environment {
             rollout_store,
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -17,12 +17,12 @@
 }
 
 /// The supported message forms.
-pub const OLDEST: u8 = 1;
-pub const NEWEST: u8 = 2;
+pub const OLDEST_FORM: u8 = 1;
+pub const NEWEST_FORM: u8 = 2;
 /// Maximum size in bytes of a fleet's name, of a payload and of a datagram.
-pub const NAME_MOST: usize = 64;
-pub const PAYLOAD_MOST: usize = 32 << 10;
-pub const DATAGRAM_MOST: usize = PAYLOAD_MOST + NAME_MOST + 64;
+pub const MAX_NAME_BYTES: usize = 64;
+pub const MAX_PAYLOAD_BYTES: usize = 32 << 10;
+pub const MAX_DATAGRAM_BYTES: usize = MAX_PAYLOAD_BYTES + MAX_NAME_BYTES + 64;
 
 const DIGEST_BYTES: usize = 4;
 
@@ -30,9 +30,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope<'a> {
     /// The newest form that the sender supports.
-    pub reads: u8,
+    pub newest_form: u8,
     pub fleet: &'a str,
-    pub from: MemberId,
+    pub sender: MemberId,
     pub incarnation: Incarnation,
     /// Location of the sender; absent in form 1.
     pub location: Option<LocationByte>,
@@ -81,7 +81,7 @@
     Malformed,
     #[error("checksum mismatch; check the network link")]
     ChecksumMismatch,
-    #[error("message form {0} is not supported, this build supports {OLDEST} to {NEWEST}; upgrade the older build, or set `form` at the sender")]
+    #[error("message form {0} is not supported, this build supports {OLDEST_FORM} to {NEWEST_FORM}; upgrade the older build, or set `form` at the sender")]
     UnsupportedForm(u8),
     #[error("message of another fleet; check `name` and `members` at both ends")]
     OtherFleet,
@@ -121,8 +121,9 @@
 
 /// Encodes a message in a form. None if it is too long or the form is unknown.
 pub fn encode(form: u8, envelope: &Envelope) -> Option<Vec<u8>> {
-    let Envelope { reads, fleet, from, incarnation, location, kind, payload } = *envelope;
-    if payload.len() > PAYLOAD_MOST || fleet.len() > NAME_MOST {
+    let Envelope { newest_form: reads, fleet, sender: from, incarnation, location, kind, payload } =
+        *envelope;
+    if payload.len() > MAX_PAYLOAD_BYTES || fleet.len() > MAX_NAME_BYTES {
         return None;
     }
     match form {
@@ -142,7 +143,7 @@
 
 /// Decodes a datagram without allocating; the envelope borrows from it.
 pub fn decode<'a>(bytes: &'a [u8], fleet: &str) -> Result<Envelope<'a>, LinkError> {
-    if bytes.len() > DATAGRAM_MOST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(LinkError::TooLong);
     }
     let envelope = match bytes.first() {
@@ -150,7 +151,7 @@
         Some(1) => {
             let found: EnvelopeForm1 = postcard::from_bytes(bytes).map_err(|_| LinkError::Malformed)?;
             let EnvelopeForm1 { reads, fleet, from, incarnation, kind, payload, .. } = found;
-            Envelope { reads, fleet, from, incarnation, location: None, kind, payload }
+            Envelope { newest_form: reads, fleet, sender: from, incarnation, location: None, kind, payload }
         }
         Some(2) => {
             let (body, digest) = bytes.split_last_chunk::<DIGEST_BYTES>().ok_or(LinkError::Malformed)?;
@@ -159,20 +160,28 @@
                 return Err(LinkError::ChecksumMismatch);
             }
             let EnvelopeForm2 { reads, fleet, from, incarnation, location, kind, payload, .. } = found;
-            Envelope { reads, fleet, from, incarnation, location: Some(location), kind, payload }
+            Envelope {
+                newest_form: reads,
+                fleet,
+                sender: from,
+                incarnation,
+                location: Some(location),
+                kind,
+                payload,
+            }
         }
         Some(form) => return Err(LinkError::UnsupportedForm(*form)),
     };
     match () {
-        () if envelope.fleet.len() > NAME_MOST => Err(LinkError::Malformed),
+        () if envelope.fleet.len() > MAX_NAME_BYTES => Err(LinkError::Malformed),
         () if envelope.fleet != fleet => Err(LinkError::OtherFleet),
-        () if envelope.payload.len() > PAYLOAD_MOST => Err(LinkError::TooLong),
-        () if envelope.reads < bytes[0] => Err(LinkError::Malformed),
+        () if envelope.payload.len() > MAX_PAYLOAD_BYTES => Err(LinkError::TooLong),
+        () if envelope.newest_form < bytes[0] => Err(LinkError::Malformed),
         () => Ok(envelope),
     }
 }
 
 /// The form for a recipient that supports up to `reads`; `own` is the newest form this process may write.
 pub fn form_for(own: u8, reads: u8) -> u8 {
-    own.min(reads).max(OLDEST)
+    own.min(reads).max(OLDEST_FORM)
 }
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -2,8 +2,8 @@
 use cherrypass::ids::LocationId;
 use cherrypass::time::Span;
 use cherrypass_fleet::delivery::{Record, Settings as Room};
-use cherrypass_peers::delivery::{Delivered, LogChange, LogRead, Set as Delivery};
-use cherrypass_peers::{ChangeNumber, Error, FromFleet, LogId, Member, Peers, Set, ToFleet};
+use cherrypass_peers::delivery::{DeliveryEvent, LogChange, LogRead, Settings as Delivery};
+use cherrypass_peers::{ChangeNumber, Error, FromFleet, LogId, Member, Peers, Settings, ToFleet};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -32,19 +32,19 @@
 }
 
 impl Node {
-    fn start(set: Set) -> Node {
+    fn start(set: Settings) -> Node {
         let observed = Arc::new(Mutex::new(Observed::default()));
         let (messages, logged) = (observed.clone(), observed.clone());
         let tell = move |what| {
             let mut observed = messages.lock().unwrap();
             match what {
-                FromFleet::Delivered(Delivered::Changes { first, records }) => {
+                FromFleet::Delivery(DeliveryEvent::Changes { first, records }) => {
                     let next = *observed.first.get_or_insert(first.0) + observed.records.len() as u64;
                     assert_eq!(first.0, next, "a gap or a repeat");
                     observed.records.extend(records);
                 }
-                FromFleet::Delivered(Delivered::ReadLog(reads)) => observed.reads_log = reads,
-                FromFleet::Delivered(Delivered::KnownUpTo(at)) => observed.complete_up_to = Some(at),
+                FromFleet::Delivery(DeliveryEvent::ReadLogDirectly(reads)) => observed.reads_log = reads,
+                FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at)) => observed.complete_up_to = Some(at),
                 _ => {}
             }
         };
@@ -71,7 +71,7 @@
     /// Reports changes `from` to `to` as read from the log.
     fn report_log_read(&self, from: u64, to: u64) {
         let changes = (from..=to).map(|n| LogChange { number: ChangeNumber(n), record: record(n) }).collect();
-        let read = LogRead { changes, last: ChangeNumber(to), asked: Some(Instant::now()) };
+        let read = LogRead { changes, last_change: ChangeNumber(to), requested_at: Some(Instant::now()) };
         self.peers.send(ToFleet::LogRead(read));
     }
 }
@@ -88,19 +88,19 @@
     let room = Room { log: LogId::of("main"), fallback_delay: Span::millis(1_500), ..Room::default() };
     Delivery {
         carriers: carriers.iter().map(|name| (*name).to_owned()).collect(),
-        last: ChangeNumber(0),
-        room,
+        last_change: ChangeNumber(0),
+        protocol: room,
     }
 }
 
 /// Settings of two carriers, and of a follower by name.
-fn carriers() -> (Vec<Set>, impl Fn(&str) -> Set) {
+fn carriers() -> (Vec<Settings>, impl Fn(&str) -> Settings) {
     let at = [free_address(), free_address()];
     let names = ["c1", "c2"];
     let member = |i: usize| Member { name: names[i].into(), address: at[i], location: LocationId(0) };
     let members: Vec<Member> = (0..2).map(member).collect();
     let set = move |me: &str, listen: SocketAddr| {
-        let mut set = Set::of("shop", me, listen);
+        let mut set = Settings::new("shop", me, listen);
         (set.members, set.delivery) = (members.clone(), Some(delivery(&names)));
         set
     };
@@ -159,16 +159,17 @@
 }
 
 /// Settings of the first carrier at its listed address.
-fn first_carrier(follower: &impl Fn(&str) -> Set) -> Set {
+fn first_carrier(follower: &impl Fn(&str) -> Settings) -> Settings {
     let set = follower("c1");
     let listen = set.members[0].address;
-    Set { listen, ..set }
+    Settings { listen, ..set }
 }
 
 #[test]
 fn members_without_delivery_ignore_delivery_requests() {
     let (sets, follower) = carriers();
-    let without: Vec<Node> = sets.into_iter().map(|set| Node::start(Set { delivery: None, ..set })).collect();
+    let without: Vec<Node> =
+        sets.into_iter().map(|set| Node::start(Settings { delivery: None, ..set })).collect();
     let one = Node::start(follower("f1"));
     wait_until("the follower reads the log", 6, || one.reads_log());
     let lines: Vec<String> =
@@ -179,9 +180,9 @@
 #[test]
 fn carriers_must_be_members() {
     let (_, follower) = carriers();
-    let set = Set { delivery: Some(delivery(&["c1", "c9"])), ..follower("f1") };
+    let set = Settings { delivery: Some(delivery(&["c1", "c9"])), ..follower("f1") };
     let found = set.check().unwrap_err();
     assert!(matches!(&found, Error::NotListed { name } if name == "c9"), "{found}");
-    let set = Set { delivery: None, ..follower("f1") };
+    let set = Settings { delivery: None, ..follower("f1") };
     assert!(set.check().is_err(), "without the delivery a process needs a place in a list");
 }
--- a/crates/peers/tests/link.rs
+++ b/crates/peers/tests/link.rs
@@ -2,7 +2,7 @@
 use cherrypass::ids::LocationId;
 use cherrypass_fleet::common::{Incarnation, MemberId};
 use cherrypass_peers::link::{
-    decode, encode, form_for, Envelope, LinkError, LocationByte, DATAGRAM_MOST, PAYLOAD_MOST,
+    decode, encode, form_for, Envelope, LinkError, LocationByte, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES,
 };
 use proptest::prelude::*;
 
@@ -10,7 +10,15 @@
 
 fn envelope(payload: &[u8], from: u64, kind: u8) -> Envelope<'_> {
     let (from, incarnation) = (MemberId(from), Incarnation(from ^ 77));
-    Envelope { reads: 2, fleet: FLEET, from, incarnation, location: Some(LocationByte(kind)), kind, payload }
+    Envelope {
+        newest_form: 2,
+        fleet: FLEET,
+        sender: from,
+        incarnation,
+        location: Some(LocationByte(kind)),
+        kind,
+        payload,
+    }
 }
 
 proptest! {
@@ -63,11 +71,11 @@
 
 #[test]
 fn size_limits_are_enforced() {
-    let long = vec![0; PAYLOAD_MOST + 1];
+    let long = vec![0; MAX_PAYLOAD_BYTES + 1];
     assert_eq!(encode(2, &envelope(&long, 1, 1)), None);
     let most = encode(2, &envelope(&long[1..], u64::MAX, 255)).unwrap();
-    assert!(most.len() <= DATAGRAM_MOST && decode(&most, FLEET).is_ok());
-    assert_eq!(decode(&vec![1; DATAGRAM_MOST + 1], FLEET), Err(LinkError::TooLong));
+    assert!(most.len() <= MAX_DATAGRAM_BYTES && decode(&most, FLEET).is_ok());
+    assert_eq!(decode(&vec![1; MAX_DATAGRAM_BYTES + 1], FLEET), Err(LinkError::TooLong));
     assert_eq!(decode(&[9, 9], FLEET), Err(LinkError::UnsupportedForm(9)));
     // A declared length of 16 GB without content.
     assert_eq!(decode(&[1, 2, 0xff, 0xff, 0xff, 0xff, 0x3f], FLEET), Err(LinkError::Malformed));
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -6,7 +6,7 @@
 use cherrypass_fleet::{limits, node, rollout, verdicts};
 use cherrypass_peers::link::{encode, Envelope, LocationByte};
 use cherrypass_peers::{
-    Finding, FindingKind, Follower, FromFleet, LimitKey, Member, Peers, Set, ToFleet, UsedBy,
+    Finding, FindingKind, Follower, FromFleet, LimitKey, Member, Peers, Settings, ToFleet, UsedBy,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -59,7 +59,7 @@
 }
 
 impl Node {
-    fn start(mut set: Set) -> Node {
+    fn start(mut set: Settings) -> Node {
         let control = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         set.control = Some(control);
         let observed = Arc::new(Mutex::new(Observed::default()));
@@ -67,10 +67,12 @@
         let tell = move |what| {
             let mut observed = messages.lock().unwrap();
             match what {
-                FromFleet::Part { key: LimitKey::Origin, number, amount, until, after } => {
+                FromFleet::Allowance { key: LimitKey::Origin, number, amount, until, after } => {
                     observed.parts.push((Instant::now(), number, amount, until, after));
                 }
-                FromFleet::Hearsay { host, since, until, .. } => observed.hearsay.push((host, since, until)),
+                FromFleet::Verdict { host, started_at: since, until, .. } => {
+                    observed.hearsay.push((host, since, until))
+                }
                 _ => {}
             }
         };
@@ -144,14 +146,14 @@
 }
 
 /// Settings of three members, and the relays between the third and the others.
-fn three_members() -> (Vec<Set>, Vec<Relay>) {
+fn three_members() -> (Vec<Settings>, Vec<Relay>) {
     let free = || UdpSocket::bind("127.0.0.1:0").unwrap();
     let at: Vec<SocketAddr> = [free(), free(), free()].map(|socket| socket.local_addr().unwrap()).to_vec();
     let follows = free().local_addr().unwrap();
     let relays: Vec<Relay> = at.iter().map(|at| relay(*at)).collect();
     let set = |i: usize| {
-        let mut set = Set::of("shop", NAMES[i], at[i]);
-        set.rooms = protocol_settings();
+        let mut set = Settings::new("shop", NAMES[i], at[i]);
+        set.protocols = protocol_settings();
         set.seed = 7 + i as u64;
         let address = |j: usize| if i == 2 || j == 2 { relays[j].at } else { at[j] };
         let member =
@@ -165,23 +167,23 @@
 
 fn finding(host: HostId) -> ToFleet {
     let (since, kind) = (Some(UnixTime(5)), FindingKind::Failing);
-    ToFleet::Found(Finding { host, since, kind, evidence: 20, age: Span::ZERO })
+    ToFleet::Finding(Finding { host, started_at: since, kind, evidence: 20, age: Span::ZERO })
 }
 
 #[test]
 fn members_share_limits_and_findings_and_detect_a_cut_off_member() {
     let (mut sets, relays) = three_members();
     // One of them uses the older message form.
-    sets[1].form = Some(1);
+    sets[1].newest_form = Some(1);
     let events = tempfile::NamedTempFile::new().unwrap();
-    let follower = Set {
-        me: "f1".into(),
+    let follower = Settings {
+        own_name: "f1".into(),
         listen: sets[0].followers[0].address,
         events: Some(events.path().to_owned()),
         ..sets[0].clone()
     };
     let _follower = Node::start(follower);
-    let second_run = Set { listen: "127.0.0.1:0".parse().unwrap(), ..sets[0].clone() };
+    let second_run = Settings { listen: "127.0.0.1:0".parse().unwrap(), ..sets[0].clone() };
     let nodes: Vec<Node> = sets.into_iter().map(Node::start).collect();
     let alive = ["d1:alive", "d2:alive", "d3:alive"];
     wait_until("all members see each other alive", 10, || {
@@ -193,10 +195,10 @@
     let mut answered = [0; 3];
     wait_until("the first has the share the others do not need", 10, || {
         for (i, node) in nodes.iter().enumerate() {
-            node.send(ToFleet::Wants { key: LimitKey::Origin, amount: if i == 0 { ORIGIN } else { 0.0 } });
+            node.send(ToFleet::Demand { key: LimitKey::Origin, amount: if i == 0 { ORIGIN } else { 0.0 } });
             let last = node.observed.lock().unwrap().parts.last().map_or(0, |part| part.1);
             if last != std::mem::replace(&mut answered[i], last) {
-                node.send(ToFleet::Taken { key: LimitKey::Origin, number: last });
+                node.send(ToFleet::AllowanceApplied { key: LimitKey::Origin, number: last });
             }
         }
         nodes[0].allowance_at(Instant::now()) > 0.9 * ORIGIN
@@ -213,7 +215,7 @@
     for node in &nodes {
         for i in 0..8 {
             let (host, used_by) = (HostId(host.0 + i), UsedBy::Location(LocationId(0)));
-            node.send(ToFleet::Listed { host, since: Some(UnixTime(5)), used_by });
+            node.send(ToFleet::HostListed { host, started_at: Some(UnixTime(5)), used_by });
         }
     }
     nodes[..2].iter().for_each(|node| node.send(finding(host)));
@@ -307,7 +309,15 @@
         let location = Some(LocationByte(rng.gen_range(0..2)));
         let reads = 2;
         let incarnation = Incarnation(incarnation);
-        let envelope = Envelope { reads, fleet, from, incarnation, location, kind, payload: &payload };
+        let envelope = Envelope {
+            newest_form: reads,
+            fleet,
+            sender: from,
+            incarnation,
+            location,
+            kind,
+            payload: &payload,
+        };
         let mut bytes = encode(rng.gen_range(1..=2), &envelope).unwrap();
         if rng.gen_bool(0.5) {
             let index = rng.gen_range(0..bytes.len().min(60));
--- a/crates/peers/tests/rollout_store.rs
+++ b/crates/peers/tests/rollout_store.rs
@@ -2,7 +2,7 @@
 use cherrypass::ids::LocationId;
 use cherrypass::time::{Span, UnixTime};
 use cherrypass_fleet::{node, rollout};
-use cherrypass_peers::{FromFleet, Member, Order, Peers, Set, ToFleet};
+use cherrypass_peers::{FromFleet, Member, Order, Peers, Settings, ToFleet};
 use cherrypass_store::disk::{Disk, Folder};
 use cherrypass_store::engine::Options;
 use cherrypass_store::store::Store;
@@ -24,10 +24,10 @@
 /// Starts a fleet of one member; the receiver yields the rules put into force.
 fn start(store: Arc<Store>) -> (Peers, Receiver<(u64, String)>) {
     let listen = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut set = Set::of("shop", "d1", listen);
+    let mut set = Settings::new("shop", "d1", listen);
     set.members = vec![Member { name: "d1".into(), address: listen, location: LocationId(0) }];
     let rollout = rollout::Settings { store_rest: Span::millis(200), ..rollout::Settings::default() };
-    set.rooms = node::Settings { rollout: Some(rollout), ..node::Settings::default() };
+    set.protocols = node::Settings { rollout: Some(rollout), ..node::Settings::default() };
     let (to, rules) = channel();
     let tell = move |what| {
         if let FromFleet::Rules { number, text } = what {
--- a/crates/shim/src/control.rs
+++ b/crates/shim/src/control.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    pub fn named(name: &str) -> Option<Call> {
+    pub fn from_name(name: &str) -> Option<Call> {
         ALL_CALLS.into_iter().find(|call| call.name() == name)
     }
 }
--- a/crates/shim/src/errors.rs
+++ b/crates/shim/src/errors.rs
@@ -1,7 +1,7 @@
 //! Names of the errors that can be injected.
 
 /// The error number of a name, or a plain number (of bytes, for short reads and writes).
-pub fn errno(name: &str) -> Option<i32> {
+pub fn errno_from_name(name: &str) -> Option<i32> {
     Some(match name {
         "ECONNABORTED" => libc::ECONNABORTED,
         "ENFILE" => libc::ENFILE,
--- a/crates/shim/src/lib.rs
+++ b/crates/shim/src/lib.rs
@@ -20,7 +20,7 @@
     /// Failures per million calls.
     pub per_million: u64,
     /// The error number; for [`Call::ShortRead`] and [`Call::ShortWrite`] the maximum number of bytes.
-    pub how: i32,
+    pub outcome: i32,
 }
 
 /// The test side of the shim of one process.
@@ -57,20 +57,20 @@
     }
 
     /// Sets the fault of a call; a rate of 0 disables it.
-    pub fn set(&self, call: Call, fault: Fault) -> io::Result<()> {
+    pub fn set_fault(&self, call: Call, fault: Fault) -> io::Result<()> {
         let first = call.first_word();
-        self.write(first + control::OUTCOME_WORD, fault.how as u64)?;
+        self.write(first + control::OUTCOME_WORD, fault.outcome as u64)?;
         self.write(first + control::RATE_WORD, fault.per_million)
     }
 
     /// Removes all faults and the clock offset.
     pub fn clear(&self) -> io::Result<()> {
-        ALL_CALLS.iter().try_for_each(|call| self.set(*call, Fault { per_million: 0, how: 0 }))?;
+        ALL_CALLS.iter().try_for_each(|call| self.set_fault(*call, Fault { per_million: 0, outcome: 0 }))?;
         self.write(control::CLOCK_OFFSET_WORD, 0)
     }
 
     /// Number of calls, and of injected failures among them.
-    pub fn delivered(&self, call: Call) -> io::Result<[u64; 2]> {
+    pub fn counts(&self, call: Call) -> io::Result<[u64; 2]> {
         let first = call.first_word();
         Ok([self.read(first + control::CALL_COUNT_WORD)?, self.read(first + control::FAILURE_COUNT_WORD)?])
     }
--- a/crates/shim/tests/shim.rs
+++ b/crates/shim/tests/shim.rs
@@ -93,34 +93,34 @@
     let monotonic = numbers(&said, "monotonic")[0];
     assert!((wall[1] - wall[0] - monotonic + 3_600_000).abs() < 100, "{said}");
     assert!(monotonic < 60_000, "{said}");
-    let [made, delivered] = shim.delivered(Call::WallClock).unwrap();
+    let [made, delivered] = shim.counts(Call::WallClock).unwrap();
     assert!(made > delivered && delivered > 0, "{made} {delivered}");
 }
 
 #[test]
 fn calls_fail_at_the_rate_and_are_counted() {
     let shim = Shim::new(7).unwrap();
-    shim.set(Call::Connect, Fault { per_million: 300_000, how: libc::ENETUNREACH }).unwrap();
+    shim.set_fault(Call::Connect, Fault { per_million: 300_000, outcome: libc::ENETUNREACH }).unwrap();
     let failed = numbers(&run(&shim, "connect", |_| {}), "failed")[0] as usize;
     assert!(failed > TRIES / 5 && failed < TRIES * 2 / 5, "{failed}");
-    assert_eq!(shim.delivered(Call::Connect).unwrap(), [TRIES as u64, failed as u64]);
+    assert_eq!(shim.counts(Call::Connect).unwrap(), [TRIES as u64, failed as u64]);
 }
 
 #[test]
 fn short_reads_and_writes_lose_nothing() {
     let shim = Shim::new(7).unwrap();
-    shim.set(Call::ShortRead, Fault { per_million: 1_000_000, how: 3 }).unwrap();
-    shim.set(Call::ShortWrite, Fault { per_million: 1_000_000, how: 7 }).unwrap();
+    shim.set_fault(Call::ShortRead, Fault { per_million: 1_000_000, outcome: 3 }).unwrap();
+    shim.set_fault(Call::ShortWrite, Fault { per_million: 1_000_000, outcome: 7 }).unwrap();
     assert!(run(&shim, "short", |_| {}).contains("same"));
-    assert!(shim.delivered(Call::ShortRead).unwrap()[1] >= TRIES as u64 / 3);
-    assert!(shim.delivered(Call::ShortWrite).unwrap()[1] >= TRIES as u64 / 7);
+    assert!(shim.counts(Call::ShortRead).unwrap()[1] >= TRIES as u64 / 3);
+    assert!(shim.counts(Call::ShortWrite).unwrap()[1] >= TRIES as u64 / 7);
 }
 
 #[test]
 fn files_fail() {
     let shim = Shim::new(7).unwrap();
-    shim.set(Call::FileSync, Fault { per_million: 1_000_000, how: libc::EIO }).unwrap();
-    shim.set(Call::FileWrite, Fault { per_million: 1_000_000, how: libc::ENOSPC }).unwrap();
+    shim.set_fault(Call::FileSync, Fault { per_million: 1_000_000, outcome: libc::EIO }).unwrap();
+    shim.set_fault(Call::FileWrite, Fault { per_million: 1_000_000, outcome: libc::ENOSPC }).unwrap();
     assert!(run(&shim, "sync", |_| {}).contains("failed"));
-    assert_eq!(shim.delivered(Call::FileSync).unwrap()[1], 1);
+    assert_eq!(shim.counts(Call::FileSync).unwrap()[1], 1);
 }
