--- a/crates/dispatcher/src/carried_changes.rs
+++ b/crates/dispatcher/src/carried_changes.rs
@@ -147,7 +147,7 @@
     pub(crate) fn answer_ended(&mut self, last: u64, requested_at: Option<Instant>) {
         let changes = std::mem::take(&mut self.unsent);
         if let Some(delivery) = &self.delivery {
-            let read = LogRead { changes, last_change: ChangeNumber(last), requested_at: requested_at };
+            let read = LogRead { changes, last_change: ChangeNumber(last), requested_at };
             (delivery.to_fleet)(ToFleet::LogRead(read));
         }
     }
--- a/crates/dispatcher/src/durable_state.rs
+++ b/crates/dispatcher/src/durable_state.rs
@@ -40,7 +40,7 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn open(dir: &Path, options: Options, budget: Whole) -> Result<Store, Error> {
+fn open(dir: &Path, options: Options, budget: WorkBudget) -> Result<Store, Error> {
     Store::open(dir, options, Arc::new(clock::unix_now), Some(budget))
 }
 
--- a/crates/dispatcher/tests/following.rs
+++ b/crates/dispatcher/tests/following.rs
@@ -4,7 +4,7 @@
 use cherrypass_dispatcher::change_log::{follow, FollowOptions};
 use cherrypass_dispatcher::config::WireNames;
 use cherrypass_dispatcher::inbox::{Change, Input};
-use cherrypass_peers::delivery::Delivered;
+use cherrypass_peers::delivery::DeliveryEvent;
 use crossbeam_channel::{never, unbounded, Receiver};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -78,7 +78,7 @@
 fn the_log_is_polled_as_often_as_expected(is_carrier: Option<bool>, min: usize, max: usize) {
     let (at, requests) = start_log();
     let (to_thread, from_fleet) = unbounded();
-    to_thread.send(Delivered::ReadLog(true)).unwrap();
+    to_thread.send(DeliveryEvent::ReadLogDirectly(true)).unwrap();
     let to_fleet = || Box::new(|_| {});
     let delivery = is_carrier.map(|is_carrier| Delivery { from_fleet, to_fleet: to_fleet(), is_carrier });
     let inputs = start_following(at, delivery);
--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -71,7 +71,7 @@
 //! - `largest N PART`: of N requests of each client, those for the largest tenth and the next fifth of
 //!   objects are served at least at PART of the overall rate
 use cherrypass_shim::control::Call;
-use cherrypass_shim::errors::errno;
+use cherrypass_shim::errors::errno_from_name;
 use cherrypass_shim::{Fault, Shim};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -1367,14 +1367,14 @@
             ["fault", call, how, per_million] => {
                 let fault = Fault {
                     per_million: per_million.parse().unwrap(),
-                    how: errno(how).expect("no such error"),
+                    outcome: errno_from_name(how).expect("no such error"),
                 };
-                let call = Call::named(call).expect("no such call");
-                self.shim.as_ref().unwrap().set(call, fault).unwrap();
+                let call = Call::from_name(call).expect("no such call");
+                self.shim.as_ref().unwrap().set_fault(call, fault).unwrap();
             }
             ["delivered", call, least] => {
-                let call = Call::named(call).expect("no such call");
-                let [made, delivered] = self.shim.as_ref().unwrap().delivered(call).unwrap();
+                let call = Call::from_name(call).expect("no such call");
+                let [made, delivered] = self.shim.as_ref().unwrap().counts(call).unwrap();
                 assert!(delivered >= least.parse().unwrap(), "{delivered} of {made} calls");
             }
             ["pause"] => self.dispatchers[0].pause(),
--- a/crates/scale/src/delivery.rs
+++ b/crates/scale/src/delivery.rs
@@ -82,15 +82,15 @@
     fn datagram(&self, message: DeliveryMessage) -> Datagram {
         let payload = postcard::to_stdvec(&message).unwrap_or_default();
         let envelope = Envelope {
-            reads: link::NEWEST,
+            newest_form: link::NEWEST_FORM,
             fleet: subsystems::FLEET_NAME,
-            from: self.own,
+            sender: self.own,
             incarnation: self.incarnation,
             location: Some(link::LocationByte::of(LocationId::default())),
             kind: DELIVERY_KIND,
             payload: &payload,
         };
-        let bytes = link::encode(link::NEWEST, &envelope).map_or(0, |bytes| bytes.len());
+        let bytes = link::encode(link::NEWEST_FORM, &envelope).map_or(0, |bytes| bytes.len());
         Datagram { incarnation: self.incarnation, message, bytes }
     }
 
@@ -117,7 +117,7 @@
 
     fn handle_effect(&mut self, effect: Effect) -> Option<(MemberId, Datagram)> {
         match effect {
-            Effect::Send { to, message: message } => {
+            Effect::Send { to, message } => {
                 let datagram = self.datagram(message);
                 self.sent = self.sent + Amount { messages: 1.0, bytes: datagram.bytes as f64 };
                 return Some((to, datagram));
--- a/crates/scale/src/delivery_sockets.rs
+++ b/crates/scale/src/delivery_sockets.rs
@@ -1,5 +1,5 @@
 //! Runs the delivery of changes on loopback to validate the results of virtual time: simulated carriers and
-//! followers by the product's own code (`Driven`), one socket each, on a few threads, with a change log in
+//! followers by the product's own code (`DrivenMember`), one socket each, on a few threads, with a change log in
 //! memory.
 use crate::error::{io_error, Error};
 use crate::settings::DeliveryRun;
@@ -7,9 +7,9 @@
 use cherrypass::ids::LocationId;
 use cherrypass_dispatcher::carried_changes;
 use cherrypass_fleet::delivery::Settings as DeliveryParameters;
-use cherrypass_peers::delivery::{Delivered, LogChange, LogRead, Set as Delivery};
-use cherrypass_peers::driven::Driven;
-use cherrypass_peers::{ChangeNumber, FromFleet, Member, Set, ToFleet};
+use cherrypass_peers::delivery::{DeliveryEvent, LogChange, LogRead, Settings as Delivery};
+use cherrypass_peers::driven::DrivenMember;
+use cherrypass_peers::{ChangeNumber, FromFleet, Member, Settings, ToFleet};
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
 
 /// A carrier or follower driven by a shared thread.
 struct SimulatedProcess {
-    driven: Driven,
+    driven: DrivenMember,
     socket: Arc<UdpSocket>,
     is_follower: bool,
     /// Changes read from the log, for a carrier.
@@ -95,13 +95,13 @@
     fn poll(&mut self, shared: &Shared, bytes: &mut [u8]) {
         while let Ok((length, from)) = self.socket.recv_from(bytes) {
             shared.count(self.is_follower, length);
-            self.driven.datagram(&bytes[..length], from);
+            self.driven.handle_datagram(&bytes[..length], from);
         }
         while let Ok(read) = self.log.try_recv() {
-            self.driven.told(ToFleet::LogRead(read));
+            self.driven.handle_dispatcher_message(ToFleet::LogRead(read));
         }
-        if Instant::now() >= self.driven.due() {
-            self.driven.woken();
+        if Instant::now() >= self.driven.next_tick() {
+            self.driven.tick();
         }
     }
 }
@@ -147,7 +147,7 @@
             ..DeliveryParameters::default()
         };
         let carriers = members.iter().map(|process| process.name.clone()).collect();
-        let delivery = Delivery { carriers, last: ChangeNumber(0), room };
+        let delivery = Delivery { carriers, last_change: ChangeNumber(0), protocol: room };
         let mut run = SocketRun {
             shared: Arc::default(),
             log_senders: Vec::new(),
@@ -159,9 +159,9 @@
             let is_follower = index >= settings.carriers;
             let name = if is_follower { format!("d{index}") } else { format!("c{index}") };
             let (socket, address) = if is_follower { bind()? } else { bound[index].clone() };
-            let mut set = Set::of(subsystems::FLEET_NAME, &name, address);
+            let mut set = Settings::new(subsystems::FLEET_NAME, &name, address);
             (set.members, set.delivery) = (members.clone(), Some(delivery.clone()));
-            (set.every, set.seed) = (subsystems::TIMER_INTERVAL, seed ^ index as u64);
+            (set.timer_interval, set.seed) = (subsystems::TIMER_INTERVAL, seed ^ index as u64);
             let simulated = run.start_process(set, socket, is_follower)?;
             groups[if is_follower { 1 + index % FOLLOWER_THREADS } else { 0 }].push(simulated);
         }
@@ -173,7 +173,7 @@
 
     fn start_process(
         &mut self,
-        set: Set,
+        set: Settings,
         socket: Arc<UdpSocket>,
         is_follower: bool,
     ) -> Result<SimulatedProcess, Error> {
@@ -188,11 +188,11 @@
             self.last_changes.push(last_change.clone());
         }
         let on_event = move |event| match event {
-            FromFleet::Delivered(Delivered::Changes { first, records }) => {
+            FromFleet::Delivery(DeliveryEvent::Changes { first, records }) => {
                 last_change.store(first.0 + records.len() as u64 - 1, Relaxed);
                 event_shared.record_received(first.0, records.len());
             }
-            FromFleet::Delivered(Delivered::ReadLog(true)) => {
+            FromFleet::Delivery(DeliveryEvent::ReadLogDirectly(true)) => {
                 event_shared.log_read_starts.fetch_add(1, Relaxed);
             }
             _ => {}
@@ -201,7 +201,12 @@
         if !is_follower {
             self.log_senders.push(log_sender);
         }
-        Ok(SimulatedProcess { driven: Driven::start(set, out, on_event, |_| {})?, socket, is_follower, log })
+        Ok(SimulatedProcess {
+            driven: DrivenMember::start(set, out, on_event, |_| {})?,
+            socket,
+            is_follower,
+            log,
+        })
     }
 
     fn spawn(&mut self, number: usize, mut group: Vec<SimulatedProcess>) -> Result<(), Error> {
@@ -235,7 +240,11 @@
             let last = ChangeNumber(published.len() as u64);
             drop(published);
             for log in &self.log_senders {
-                let _ = log.send(LogRead { changes: changes.clone(), last, asked: Some(requested_at) });
+                let _ = log.send(LogRead {
+                    changes: changes.clone(),
+                    last_change: last,
+                    requested_at: Some(requested_at),
+                });
             }
         }
     }
--- a/crates/scale/src/pool.rs
+++ b/crates/scale/src/pool.rs
@@ -69,7 +69,7 @@
 
 impl WorkerState {
     fn run(mut self) {
-        let mut bytes = vec![0; link::DATAGRAM_MOST + 1];
+        let mut bytes = vec![0; link::MAX_DATAGRAM_BYTES + 1];
         let mut events = vec![EpollEvent::empty(); MAX_EVENTS];
         for index in 0..self.members.len() {
             self.timers.push(Reverse((self.members[index].due(), index as u64)));
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -1,4 +1,4 @@
-//! A process of followers: each takes changes as a dispatcher does, with the product's fleet code (`Driven`)
+//! A process of followers: each takes changes as a dispatcher does, with the product's fleet code (`DrivenMember`)
 //! and log client (`changes::follow`), over its own socket. It has no clients, host connections or decision
 //! module.
 use super::clock::{Clock, Micros};
@@ -12,9 +12,9 @@
 use cherrypass_dispatcher::change_log::{self, FollowOptions};
 use cherrypass_dispatcher::inbox::{Change, Input};
 use cherrypass_fleet::delivery::{LogId, Settings as DeliveryParameters};
-use cherrypass_peers::delivery::{Delivered, Set as Delivery};
-use cherrypass_peers::driven::Driven;
-use cherrypass_peers::{ChangeNumber, FromFleet, Member, Set, ToFleet};
+use cherrypass_peers::delivery::{DeliveryEvent, Settings as Delivery};
+use cherrypass_peers::driven::DrivenMember;
+use cherrypass_peers::{ChangeNumber, FromFleet, Member, Settings, ToFleet};
 use crossbeam_channel::{never, unbounded, Receiver, Sender};
 use serde::{Deserialize, Serialize};
 use std::io::Read;
@@ -68,14 +68,14 @@
 
 struct Follower {
     number: usize,
-    driven: Driven,
+    driven: DrivenMember,
     link: Arc<Mutex<Link>>,
     /// From its log client thread, to the fleet code and to the router.
     to_fleet: Receiver<ToFleet>,
     router: Receiver<Input>,
     /// From the fleet code, to its log client thread.
-    from_fleet: Receiver<Delivered>,
-    to_thread: Sender<Delivered>,
+    from_fleet: Receiver<DeliveryEvent>,
+    to_thread: Sender<DeliveryEvent>,
 }
 
 impl Follower {
@@ -99,11 +99,11 @@
         let out = move |bytes: &[u8], to| lock(&send_link).send(clock.now(), to, bytes);
         let (to_follower, from_fleet) = unbounded();
         let on_event = move |event| {
-            if let FromFleet::Delivered(delivered) = event {
+            if let FromFleet::Delivery(delivered) = event {
                 let _ = to_follower.send(delivered);
             }
         };
-        let driven = Driven::start(fleet_settings(config, number, address), out, on_event, |_| {})?;
+        let driven = DrivenMember::start(fleet_settings(config, number, address), out, on_event, |_| {})?;
         let (to_thread, delivered) = unbounded();
         let (fleet_sender, to_fleet) = unbounded();
         let (router_sender, router) = unbounded();
@@ -133,17 +133,17 @@
         loop {
             let received = lock(&self.link).next_received(clock.now());
             let Some((bytes, from)) = received else { break };
-            self.driven.datagram(&bytes, from);
+            self.driven.handle_datagram(&bytes, from);
         }
         while let Ok(message) = self.to_fleet.try_recv() {
-            self.driven.told(message);
+            self.driven.handle_dispatcher_message(message);
         }
-        if Instant::now() >= self.driven.due() {
-            self.driven.woken();
+        if Instant::now() >= self.driven.next_tick() {
+            self.driven.tick();
         }
         let at = clock.now();
         while let Ok(delivered) = self.from_fleet.try_recv() {
-            if let Delivered::ReadLog(reads) = delivered {
+            if let DeliveryEvent::ReadLogDirectly(reads) = delivered {
                 notes.add(&self.note(at, Event::ReadsLog(reads)))?;
             }
             let _ = self.to_thread.send(delivered);
@@ -167,15 +167,15 @@
     }
 }
 
-fn fleet_settings(config: &FollowersConfig, number: usize, address: SocketAddr) -> Set {
+fn fleet_settings(config: &FollowersConfig, number: usize, address: SocketAddr) -> Settings {
     let member = |carrier: &Carrier| Member {
         name: carrier.name.clone(),
         address: carrier.address,
         location: LocationId(0),
     };
-    let mut set = Set::of(subsystems::FLEET_NAME, &format!("f{number}"), address);
+    let mut set = Settings::new(subsystems::FLEET_NAME, &format!("f{number}"), address);
     set.members = config.carriers.iter().map(member).collect();
-    (set.every, set.seed) = (subsystems::TIMER_INTERVAL, config.seed ^ number as u64);
+    (set.timer_interval, set.seed) = (subsystems::TIMER_INTERVAL, config.seed ^ number as u64);
     let room = DeliveryParameters {
         log: LogId::of(&config.log_name),
         max_followers: config.max_followers_per_carrier,
@@ -183,7 +183,8 @@
         ..DeliveryParameters::default()
     };
     let carriers = config.carriers.iter().map(|carrier| carrier.name.clone()).collect();
-    set.delivery = Some(Delivery { carriers, last: ChangeNumber(config.known_change), room });
+    set.delivery =
+        Some(Delivery { carriers, last_change: ChangeNumber(config.known_change), protocol: room });
     set
 }
 
@@ -191,7 +192,7 @@
 fn event_of(input: &Input, clock: Clock) -> Option<Event> {
     match input {
         Input::Change(Change::Purge(purge)) => Some(Event::Took(purge.change_number)),
-        Input::Fleet(FromFleet::Delivered(Delivered::KnownUpTo(at))) => {
+        Input::Fleet(FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at))) => {
             Some(Event::KnownUpTo(clock.micros(*at)))
         }
         _ => None,
--- a/crates/scale/src/processes/mod.rs
+++ b/crates/scale/src/processes/mod.rs
@@ -135,7 +135,7 @@
 
     /// Fails if the process has exited.
     fn check_running(&mut self) -> Result<(), Error> {
-        let Some(status) = self.process.as_mut().and_then(Process::ended) else { return Ok(()) };
+        let Some(status) = self.process.as_mut().and_then(Process::exit_status) else { return Ok(()) };
         let log = self.config.notes_file.with_extension("log");
         let log_text = std::fs::read_to_string(log).unwrap_or_default();
         let name = format!("followers from {}", self.config.first);
@@ -148,7 +148,7 @@
 
     /// Closes its standard input and waits for a clean exit.
     fn stop(&mut self) -> Result<(), Error> {
-        if self.process.take().is_none_or(|process| process.end_input(STOP_TIMEOUT)) {
+        if self.process.take().is_none_or(|process| process.close_input(STOP_TIMEOUT)) {
             return Ok(());
         }
         let status = "it did not exit cleanly when asked to".to_owned();
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -2,7 +2,7 @@
 use crate::error::{io_error, Error};
 use crate::process::{self, ResourceUsage};
 use cherrypass_dispatcher::config::WireNames;
-use cherrypass_faultbed::processes::{Files, Process};
+use cherrypass_faultbed::processes::{Process, ProcessFiles};
 use cherrypass_peers::Member;
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
@@ -134,7 +134,7 @@
     pub name: String,
     pub fleet_address: SocketAddr,
     process: Process,
-    files: Files,
+    files: ProcessFiles,
     last_sample: (Instant, BTreeMap<String, f64>),
 }
 
@@ -143,7 +143,7 @@
     pub fn start(program: &Path, folder: &Path, spec: &DispatcherSpec) -> Result<RealDispatcher, Error> {
         let at = |suffix: &str| folder.join(format!("{}{suffix}", spec.name));
         let operator_path = at(".jsonnet");
-        let files = Files {
+        let files = ProcessFiles {
             config: at(".json"),
             operator: Some(operator_path.clone()),
             log: at(".log"),
@@ -181,7 +181,7 @@
 
     /// Fails if the process has exited.
     pub fn check_running(&mut self) -> Result<(), Error> {
-        match self.process.ended() {
+        match self.process.exit_status() {
             Some(status) => Err(self.exit_error(status)),
             None => Ok(()),
         }
@@ -209,6 +209,6 @@
 
     /// Sends SIGTERM, then SIGKILL after a timeout; returns whether it exited cleanly.
     pub fn stop(self) -> bool {
-        self.process.end(STOP_TIMEOUT)
+        self.process.terminate(STOP_TIMEOUT)
     }
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -15,7 +15,7 @@
 use crate::traffic::{
     scaled, zip_with, Amount, PeerKind, TrafficByKind, TrafficCounters, CHANGE_LOG_KIND, KIND_NAMES,
 };
-use cherrypass_peers::{Member, Set};
+use cherrypass_peers::{Member, Settings as FleetSettings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -293,10 +293,12 @@
         members: &[Member],
         (member, placement, socket): (usize, Placement, UdpSocket),
     ) -> Result<SimulatedDispatcher, Error> {
-        let mut set = Set::of(subsystems::FLEET_NAME, &members[member].name, members[member].address);
+        let mut set =
+            FleetSettings::new(subsystems::FLEET_NAME, &members[member].name, members[member].address);
         set.members = members.to_vec();
-        (set.every, set.seed) = (subsystems::TIMER_INTERVAL, self.context.settings.seed ^ member as u64);
-        set.rooms = subsystems::all_enabled(members.len());
+        (set.timer_interval, set.seed) =
+            (subsystems::TIMER_INTERVAL, self.context.settings.seed ^ member as u64);
+        set.protocols = subsystems::all_enabled(members.len());
         let simulated =
             SimulatedDispatcher::start(set, socket, placement.region, member, self.shared.clone())?;
         self.counters.push(simulated.counters.clone());
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// Most dispatchers of a run on sockets; the limit of the link's member list.
-pub const MAX_SOCKET_DISPATCHERS: usize = cherrypass_peers::MEMBERS;
+pub const MAX_SOCKET_DISPATCHERS: usize = cherrypass_peers::MAX_MEMBERS;
 /// Most dispatchers of a run in virtual time.
 pub const MAX_VIRTUAL_DISPATCHERS: usize = 4_096;
 /// Most followers of a delivery run in virtual time.
--- a/crates/scale/src/simulated.rs
+++ b/crates/scale/src/simulated.rs
@@ -6,8 +6,8 @@
 use crate::traffic::{self, Direction, PeerKind, TrafficCounters};
 use cherrypass::ids::HostId;
 use cherrypass::time::Span;
-use cherrypass_peers::driven::Driven;
-use cherrypass_peers::{Figures, Finding, FindingKind, FromFleet, LimitKey, Set, ToFleet, UsedBy};
+use cherrypass_peers::driven::DrivenMember;
+use cherrypass_peers::{Figures, Finding, FindingKind, FromFleet, LimitKey, Settings, ToFleet, UsedBy};
 use crossbeam_channel::{Receiver, Sender};
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -37,7 +37,7 @@
 
 /// See the module's description.
 pub struct SimulatedDispatcher {
-    driven: Driven,
+    driven: DrivenMember,
     socket: Arc<UdpSocket>,
     shared: Arc<Shared>,
     pub counters: Arc<TrafficCounters>,
@@ -70,7 +70,7 @@
 impl SimulatedDispatcher {
     /// `socket` must be bound to the set's `listen` address.
     pub fn start(
-        set: Set,
+        set: Settings,
         socket: UdpSocket,
         region: usize,
         index: usize,
@@ -85,7 +85,7 @@
             shared_state.count(&send_counters, endpoint.real_index, Direction::Out, bytes);
             let _ = send_socket.send_to(bytes, to);
         };
-        let driven = Driven::start(set, out, move |event| drop(to_dispatcher.send(event)), |_| {})?;
+        let driven = DrivenMember::start(set, out, move |event| drop(to_dispatcher.send(event)), |_| {})?;
         let per_mille_index = (index as u64).wrapping_mul(617) % 1000;
         // Spread the reports of different dispatchers over the interval.
         let next_report = Instant::now() + REPORT_INTERVAL.mul_f64(per_mille_index as f64 / 1000.0);
@@ -102,7 +102,11 @@
         };
         for host in 0..simulated.shared.host_count {
             let host = HostId(host as u64);
-            simulated.driven.told(ToFleet::Listed { host, since: None, used_by: UsedBy::All });
+            simulated.driven.handle_dispatcher_message(ToFleet::HostListed {
+                host,
+                started_at: None,
+                used_by: UsedBy::All,
+            });
         }
         Ok(simulated)
     }
@@ -113,7 +117,7 @@
 
     /// When `run_timers` is due next.
     pub fn due(&self) -> Instant {
-        self.driven.due().min(self.next_report)
+        self.driven.next_tick().min(self.next_report)
     }
 
     /// Reads up to `MAX_DATAGRAMS_PER_TURN` datagrams; `epoll` reports the socket again if more are left.
@@ -122,14 +126,14 @@
             let Ok((length, from)) = self.socket.recv_from(bytes) else { return };
             let Some(endpoint) = self.shared.network.reachable_endpoint(self.region, from) else { continue };
             self.shared.count(&self.counters, endpoint.real_index, Direction::In, &bytes[..length]);
-            self.driven.datagram(&bytes[..length], from);
+            self.driven.handle_datagram(&bytes[..length], from);
             self.confirm_shares();
         }
     }
 
     /// Runs the fleet timers and the periodic report that are due.
     pub fn run_timers(&mut self) {
-        self.driven.woken();
+        self.driven.tick();
         let now = Instant::now();
         if now >= self.next_report {
             self.next_report = now.max(self.next_report + REPORT_INTERVAL);
@@ -141,8 +145,8 @@
     /// Confirms new shares of limits immediately.
     fn confirm_shares(&mut self) {
         while let Ok(event) = self.from_fleet.try_recv() {
-            if let FromFleet::Part { key, number, .. } = event {
-                self.driven.told(ToFleet::Taken { key, number });
+            if let FromFleet::Allowance { key, number, .. } = event {
+                self.driven.handle_dispatcher_message(ToFleet::AllowanceApplied { key, number });
             }
         }
     }
@@ -155,10 +159,10 @@
             [(LimitKey::Origin, ORIGIN_PER_DISPATCHER), (LimitKey::Retries, FURTHER_PER_DISPATCHER)]
         {
             let amount = if is_demanding { 2.0 * share } else { 0.0 };
-            self.driven.told(ToFleet::Wants { key, amount });
+            self.driven.handle_dispatcher_message(ToFleet::Demand { key, amount });
         }
         if self.reports.is_multiple_of(REPORTS_PER_S) {
-            self.driven.told(ToFleet::Counted(Figures::default()));
+            self.driven.handle_dispatcher_message(ToFleet::Figures(Figures::default()));
         }
     }
 
@@ -166,11 +170,11 @@
     pub fn report_finding(&mut self, host: u64) {
         let finding = Finding {
             host: HostId(host),
-            since: None,
+            started_at: None,
             kind: FindingKind::Failing,
             evidence: FINDING_EVIDENCE,
             age: Span::ZERO,
         };
-        self.driven.told(ToFleet::Found(finding));
+        self.driven.handle_dispatcher_message(ToFleet::Finding(finding));
     }
 }
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -88,15 +88,15 @@
             Message::Rollout(content) => (3, postcard::to_stdvec(content)),
         };
         let envelope = Envelope {
-            reads: link::NEWEST,
+            newest_form: link::NEWEST_FORM,
             fleet: subsystems::FLEET_NAME,
-            from: self.own,
+            sender: self.own,
             incarnation: self.incarnation,
             location: Some(link::LocationByte::of(self.location)),
             kind: kind as u8 + 1,
             payload: &payload.unwrap_or_default(),
         };
-        let bytes = link::encode(link::NEWEST, &envelope).map_or(0, |bytes| bytes.len());
+        let bytes = link::encode(link::NEWEST_FORM, &envelope).map_or(0, |bytes| bytes.len());
         SentMessage { incarnation: self.incarnation, message: Arc::new(message), kind, bytes }
     }
 
