--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -37,10 +37,10 @@
     let mut lines = played.logs.values().flat_map(|log| log.lines());
     let listed = lines.find(|line| line.contains("list: host ") && line.contains(&is));
     let id = listed.and_then(|line| line.split("list: host ").nth(1)?.split(' ').next());
-    let Some(shut) = id.map(|id| format!("host {id} shut out: ")) else { return Vec::new() };
+    let Some(ejected) = id.map(|id| format!("host {id} ejected: ")) else { return Vec::new() };
     let mut first: BTreeMap<&str, f64> = BTreeMap::new();
     for (at, who, _) in
-        host_log_lines(played).into_iter().filter(|(at, _, text)| *at >= 0.0 && text.starts_with(&shut))
+        host_log_lines(played).into_iter().filter(|(at, _, text)| *at >= 0.0 && text.starts_with(&ejected))
     {
         first.entry(who).or_insert(at);
     }
--- a/crates/faultbed/src/judge.rs
+++ b/crates/faultbed/src/judge.rs
@@ -571,7 +571,7 @@
 pub fn last_ejections(played: &PlayResult) -> Vec<String> {
     let mut first: BTreeMap<&str, BTreeMap<&str, f64>> = BTreeMap::new();
     for (at, who, text) in host_log_lines(played) {
-        let host = text.strip_prefix("host ").and_then(|text| text.split_once(" shut out: "));
+        let host = text.strip_prefix("host ").and_then(|text| text.split_once(" ejected: "));
         if let Some((host, _)) = host {
             first.entry(host).or_default().entry(who).or_insert(at);
         }
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -382,13 +382,13 @@
             let since = self.now - START;
             if what.starts_with("readmitted") && since >= end {
                 self.measured.back.insert(of, Span(since.0 - end.0));
-            } else if what == "shut" && since < end {
+            } else if what == "ejected:" && since < end {
                 self.measured.back.insert(of, Span(END.0 - end.0));
             } else if what.starts_with("readmitted") {
                 self.measured.back.remove(&of);
             }
         }
-        let ["host", id, "shut", ..] = words[..] else { return };
+        let ["host", id, "ejected:", ..] = words[..] else { return };
         let host = HostId(u64::from_str_radix(id, 16).unwrap_or(0));
         if host == FAULTY && !matches!(self.case.fault, Fault::Links(_)) {
             let since = self.now - (START + FAULT_START);
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -890,7 +890,7 @@
         let Some(host) = self.hosts.get_mut(&id).filter(|h| h.breaker.is_none()) else { return };
         if is_parent || total == 1 || ejected * 2 <= total {
             host.open_breaker(now, TRIAL_INTERVALS[0], cause);
-            self.log(format!("host {:x} shut out: {reason}", id.0));
+            self.log(format!("host {:x} ejected: {reason}", id.0));
             self.cancel_in_flight(id);
         }
     }
