--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -9,12 +9,12 @@
 
 /// The columns of the table and their number of decimals.
 pub const COLUMNS: [(&str, usize); 8] = [
-    ("settled", 0),
-    ("turned back", 0),
-    ("written off", 0),
+    ("served", 0),
+    ("refused", 0),
+    ("failed", 0),
     ("broken", 0),
     ("bad at the faulty host", 0),
-    ("shut out by", 0),
+    ("ejected by", 0),
     ("first s", 2),
     ("last s", 2),
 ];
