--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -571,6 +571,7 @@
     fixture.dispatcher.signal("-HUP");
     fixture.dispatcher.wait_for_log_line("reload: the configuration is nested more than 16 levels deep");
     fixture.log.next_since(1).answer(&[list(2, false, &[("a", fixture.a, DRAINING)])]);
+    fixture.dispatcher.wait_for_log_line("is s-a, Draining");
     fixture.check_unused(&["a"]);
 }
 
--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -1168,7 +1168,8 @@
                 let odd = more.contains(&"odd").then_some((*name, "odd"));
                 self.starts_now |= more.contains(&"anew");
                 self.list(&[Some((*name, *state)), odd].into_iter().flatten().collect::<Vec<_>>(), false);
-                if more.is_empty() {
+                // A process that has just started is a change like any other: the next request follows it.
+                if more.is_empty() || *more == ["anew"] {
                     let phase = match *state {
                         "in_service" => "Ready",
                         "terminating" => "Draining",
