--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -94,7 +94,7 @@
     pub parts: Parts,
     /// When the host's answer was read, if this passes one on.
     pub answered_at: Option<Time>,
-    /// The room taken by the host's answer until it is written.
+    /// The memory taken by the host's answer until it is written.
     pub answer_room: Option<Reservation>,
     /// The unread bytes counted for the client and in total until the answer is written.
     pub unread_bytes: Option<[Reservation; 2]>,
@@ -659,7 +659,7 @@
     /// The id of the last message.
     last_id: u32,
     visit_count: u64,
-    /// Whether the router was told to finish the open visits.
+    /// Whether the router was asked to finish the open visits.
     is_closing: bool,
 }
 
--- a/crates/dispatcher/src/fleet_connection.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -60,20 +60,21 @@
     let zones = &config.names.locations;
     let location_id =
         |name: &String| zones.iter().position(|zone| zone == name).map(|index| LocationId(index as u16));
-    let mut set = peers::Settings::new(&fleet.name, &fleet.own_name, fleet.listen);
+    let mut settings = peers::Settings::new(&fleet.name, &fleet.own_name, fleet.listen);
     for (index, operator::Member { name, address, location }) in fleet.members.iter().enumerate() {
         let id = location_id(location);
         let location = id.ok_or_else(|| Error::Location(index, location.clone(), zones.clone()))?;
-        set.members.push(peers::Member { name: name.clone(), address: *address, location });
+        settings.members.push(peers::Member { name: name.clone(), address: *address, location });
     }
     let follower =
         |one: &operator::Follower| peers::Follower { name: one.name.clone(), address: one.address };
-    set.followers = fleet.followers.iter().map(follower).collect();
-    set.locations = zones.iter().filter_map(|zone| Some((zone.clone(), location_id(zone)?))).collect();
-    (set.events, set.control, set.newest_form) = (fleet.events.clone(), fleet.control, fleet.message_version);
-    (set.timer_interval, set.seed) = (fleet.timer_period, config.seed);
+    settings.followers = fleet.followers.iter().map(follower).collect();
+    settings.locations = zones.iter().filter_map(|zone| Some((zone.clone(), location_id(zone)?))).collect();
+    (settings.events, settings.control, settings.newest_form) =
+        (fleet.events.clone(), fleet.control, fleet.message_version);
+    (settings.timer_interval, settings.seed) = (fleet.timer_period, config.seed);
     let drain = config.longest_deadline().min(MAX_DRAIN);
-    set.protocols = node::Settings {
+    settings.protocols = node::Settings {
         members: members::Settings { interval: fleet.probe_interval, ..members::Settings::default() },
         limits: fleet.limits.as_ref().map(|limits| limits::Settings {
             origin: limits.origin,
@@ -95,7 +96,7 @@
         }),
         ..node::Settings::default()
     };
-    set.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Settings {
+    settings.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Settings {
         carriers: delivery.carriers.clone(),
         last_change: ChangeNumber::default(),
         protocol: cherrypass_fleet::delivery::Settings {
@@ -105,8 +106,8 @@
             ..cherrypass_fleet::delivery::Settings::default()
         },
     });
-    set.check()?;
-    Ok(set)
+    settings.check()?;
+    Ok(settings)
 }
 
 /// This member's share of a limit: the amount until the lease ends, and the one after that.
@@ -121,7 +122,7 @@
 struct ReportedHost {
     started: Option<UnixTime>,
     until: Instant,
-    /// Whether the fleet was told that own hand-offs to it succeed.
+    /// Whether the fleet was notified that own hand-offs to it succeed.
     is_refuted: bool,
 }
 
@@ -145,7 +146,7 @@
     reported_hosts: BTreeMap<HostId, ReportedHost>,
     /// Hosts that others report as restarted, with the listed start that the report refers to.
     restarted_hosts: BTreeMap<HostId, Option<UnixTime>>,
-    /// Own findings that the fleet was told, by host and whether the finding is a restart.
+    /// Own findings reported to the fleet, by host and whether the finding is a restart.
     sent_findings: BTreeMap<(HostId, bool), (FindingKind, u32, Option<UnixTime>)>,
     /// The listed start of each host, which identifies its process among members, and the start in the
     /// module's time.
@@ -175,7 +176,7 @@
     /// Joins the fleet, whose messages go to the router's mailbox.
     pub fn start(
         fleet: &Fleet,
-        set: peers::Settings,
+        peers_settings: peers::Settings,
         settings: &Settings,
         store: Option<Arc<Store>>,
         router: Sender<Input>,
@@ -188,7 +189,7 @@
                 from => router.send(Input::Fleet(from)).is_ok(),
             };
         };
-        let peers = Peers::start(set, store, receive, |line| tracing::info!("{line}"))?;
+        let peers = Peers::start(peers_settings, store, receive, |line| tracing::info!("{line}"))?;
         let sender = peers.sender();
         let delivery = fleet.delivery.as_ref().map(|delivery| Delivery {
             from_fleet,
@@ -282,9 +283,9 @@
             .for_each(|key| self.apply_share(engine, key));
         if let Some(file) = &self.fleet.verdicts {
             let rules = &self.rules.fleet.verdicts;
-            let tellers = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
+            let reporters = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
             (self.send)(ToFleet::VerdictThresholds {
-                reporters: tellers,
+                reporters,
                 location_fraction: rules.min_reporting_fraction.unwrap_or(file.min_reporting_fraction),
             });
         }
@@ -735,11 +736,11 @@
         // Host 2 is ejected only because of others' reports, and returns when they are withdrawn. Own
         // successes take precedence for 2 s.
         let (host, until) = (HostId(2), Instant::now() + Duration::from_secs(9));
-        let (kind, weight, age, tellers) = (FindingKind::Failing, 0.5, Span::ZERO, 2);
+        let (kind, weight, age, reporters) = (FindingKind::Failing, 0.5, Span::ZERO, 2);
         std::thread::sleep(Duration::from_millis(2_050));
         connection.handle(
             &mut engine,
-            FromFleet::Verdict { host, started_at: None, kind, weight, until, age, reporters: tellers },
+            FromFleet::Verdict { host, started_at: None, kind, weight, until, age, reporters },
         );
         connection.exchange(&mut engine);
         let all: Vec<ToFleet> = sent.try_iter().collect();
--- a/crates/dispatcher/src/host_connections.rs
+++ b/crates/dispatcher/src/host_connections.rs
@@ -17,7 +17,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 const READ_BYTES: usize = 16 * 1024;
-/// How often the room for answers is checked while it is exhausted.
+/// How often the memory for answers is checked while it is exhausted.
 const CAPACITY_WAIT: std::time::Duration = std::time::Duration::from_millis(1);
 /// How many events one wait returns at most.
 const EVENTS_PER_WAIT: usize = 64;
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -340,7 +340,7 @@
     }
 
     /// Handles the loss of a connection. If the host's process may have ended and no connection that was up
-    /// at the time is left, the router is told, and hand-offs that wait for a connection are decided again,
+    /// at the time is left, the router is notified, and hand-offs that wait for a connection are decided again,
     /// as they were decided for the old process.
     fn connection_lost(&mut self, lost: &PooledConnection, reason: CloseReason) {
         let last_read_at = lost.connection.as_ref().map(|connection| connection.last_read_at());
@@ -582,10 +582,10 @@
         }
         // An answer may confirm the client's copy only by naming the tag that the client sent, and a copy
         // must name its tag. Other answers reach no client, nor does anything after them on this connection.
-        let is_settled = answer.outcome == Outcome::Served;
+        let is_served = answer.outcome == Outcome::Served;
         let is_other_copy =
             answer.client_copy_current && (out.client_tag.is_none() || out.client_tag != answer.tag);
-        if is_other_copy || is_settled && out.expects_copy && answer.tag.is_none() {
+        if is_other_copy || is_served && out.expects_copy && answer.tag.is_none() {
             pooled.close(CloseReason::UnusableAnswer);
             self.report_end(out.id, Outcome::Error, None, at);
         } else {
--- a/crates/dispatcher/src/inbox.rs
+++ b/crates/dispatcher/src/inbox.rs
@@ -84,7 +84,7 @@
     pub address: Option<SocketAddr>,
 }
 
-/// A change told by the change log.
+/// A change read from the change log.
 #[derive(Clone, Debug)]
 pub enum Change {
     HostList { is_complete: bool, hosts: Vec<ListedHost> },
--- a/crates/dispatcher/src/router.rs
+++ b/crates/dispatcher/src/router.rs
@@ -988,7 +988,7 @@
                 "changelog silent for {ms} ms: only copies are accepted that no missed purge can concern"
             );
         } else {
-            tracing::info!("changelog heard again: the age of copies is limited by known purges only");
+            tracing::info!("changelog answers again: the age of copies is limited by known purges only");
         }
     }
 
--- a/crates/faultbed/src/judge.rs
+++ b/crates/faultbed/src/judge.rs
@@ -370,18 +370,18 @@
                     && event.text("who") == Some(who)
                     && event.time <= end
             };
-            let standing = played.events.iter().rfind(concerns).and_then(|event| event.text("standing"));
+            let state = played.events.iter().rfind(concerns).and_then(|event| event.text("standing"));
             let expected = if is_down(who) { "dead" } else { "alive" };
             if without_fleet(who) {
-                if standing == Some("alive") {
+                if state == Some("alive") {
                     violations.push(format!("{me} reports {who} as alive, which has no fleet support"));
                 }
                 continue;
             }
-            if standing != Some(expected) {
+            if state != Some(expected) {
                 violations.push(format!(
                     "{me} reports {who} as {}, expected {expected}",
-                    standing.unwrap_or("unheard")
+                    state.unwrap_or("unheard")
                 ));
             }
         }
@@ -438,7 +438,7 @@
     let runs = |name: &str| !unavailable.iter().any(|(who, _, to)| who == name && *to >= end);
     let names = scenario.dispatchers.iter().map(|(name, _)| name).filter(|name| runs(name));
     let bad = names.filter_map(|name| {
-        let found = statuses.get(name).and_then(|standing| standing["in_force"].as_u64());
+        let found = statuses.get(name).and_then(|status| status["in_force"].as_u64());
         (found != Some(number)).then(|| format!("{name} ends with rules {found:?} in force, not {number}"))
     });
     bad.collect()
@@ -464,17 +464,17 @@
             .filter(outside)
             .map(|me| format!("{me} is not in {location} and had rules {number} in force")),
     );
-    let is_halted = |standing: &Value| {
-        standing["number"] == number && matches!(standing["phase"].as_str(), Some("halted" | "back"))
+    let is_halted = |status: &Value| {
+        status["number"] == number && matches!(status["phase"].as_str(), Some("halted" | "back"))
     };
     if statuses.is_empty() {
         violations.push("no process reported its rollout status".to_owned());
     }
-    let others = statuses.iter().filter(|(_, standing)| !is_halted(standing));
-    violations.extend(others.map(|(name, standing)| {
+    let others = statuses.iter().filter(|(_, status)| !is_halted(status));
+    violations.extend(others.map(|(name, status)| {
         format!(
             "{name} reports rules {} as {}, expected {number} as halted",
-            standing["number"], standing["phase"]
+            status["number"], status["phase"]
         )
     }));
     violations
--- a/crates/faultbed/src/play.rs
+++ b/crates/faultbed/src/play.rs
@@ -396,10 +396,10 @@
                     "order" => json!({"effect": "deduplicated", "group": "all", "memory_span": 5_000_000}),
                     _ => json!({"effect": "at_most_once"}),
                 };
-                let mut band = json!({"name": name, "aim": 400_000, "deadline": limit * 1000});
+                let mut class = json!({"name": name, "aim": 400_000, "deadline": limit * 1000});
                 let effect = effect.as_object().cloned().unwrap_or_default();
-                band.as_object_mut().into_iter().for_each(|band| band.extend(effect.clone()));
-                band
+                class.as_object_mut().into_iter().for_each(|fields| fields.extend(effect.clone()));
+                class
             })
             .collect();
         let micros = |seconds: f64| (seconds * 1e6) as u64;
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -66,7 +66,7 @@
 }
 
 struct Dispatcher {
-    brain: DecisionEngine,
+    engine: DecisionEngine,
     verdicts: Verdicts,
     arrivals: Pcg64Mcg,
     bad_link: bool,
@@ -176,7 +176,7 @@
             let seed = case.seed << 16 | of as u64;
             let (own, run) = (MemberId(of as u64), Incarnation(1));
             let mut one = Dispatcher {
-                brain: DecisionEngine::new(settings(case.dispatchers), seed, START),
+                engine: DecisionEngine::new(settings(case.dispatchers), seed, START),
                 verdicts: Verdicts::new(verdict_settings.clone(), own, LocationId(0), run, seed, START),
                 arrivals: Pcg64Mcg::seed_from_u64(seed ^ 0x1111 << 40),
                 bad_link: matches!(case.fault, Fault::Links(n) if of < n as usize),
@@ -189,7 +189,7 @@
             let parents = (11..11 + PARENTS).map(HostId);
             let hosts: Vec<_> = caches().chain(parents).chain([ORIGIN]).collect();
             let list: Vec<_> = hosts.iter().map(|host| simulation.listing(*host, Time(1))).collect();
-            one.brain.update_hosts(START, &list, true);
+            one.engine.update_hosts(START, &list, true);
             for host in hosts {
                 let used_by = if host.0 <= CACHES { UsedBy::Location(LocationId(0)) } else { UsedBy::All };
                 one.verdicts.update_host(START, host, Some(Incarnation(1)), used_by);
@@ -244,7 +244,7 @@
             match event {
                 Event::Round(of) => {
                     self.put(at + Span(10_000), Event::Round(of));
-                    self.all[of].brain.tick(at);
+                    self.all[of].engine.tick(at);
                     self.carry_out_decisions(of);
                 }
                 Event::Tick(of) => {
@@ -266,7 +266,7 @@
                     let entry = self.listing(FAULTY, since);
                     for of in 0..self.all.len() {
                         let one = &mut self.all[of];
-                        one.brain.update_hosts(at, &[entry], false);
+                        one.engine.update_hosts(at, &[entry], false);
                         let back = self.measured.back.get_mut(&of);
                         back.into_iter().for_each(|back| *back = (*back).min(LIST_DELAY));
                         let by = UsedBy::Location(LocationId(0));
@@ -290,8 +290,8 @@
         let id = VisitId(one.next);
         one.visits.insert(id, (now, 0, false));
         let kilobytes = Some(SENDING_SECONDS * 5000.0);
-        let (band, group, deadline) = (ClassId(0), GroupId(0), now + Span::millis(4_000));
-        one.brain.visit_arrived(now, Visit { id, class: band, object, group, part: 0, kilobytes, deadline });
+        let (class, group, deadline) = (ClassId(0), GroupId(0), now + Span::millis(4_000));
+        one.engine.visit_arrived(now, Visit { id, class, object, group, part: 0, kilobytes, deadline });
         self.measured.visits += 1;
         self.put(now + Span::seconds(gap), Event::Arrives(of));
         self.carry_out_decisions(of);
@@ -303,7 +303,7 @@
         let Some(sent) = one.out.remove(&(visit, number)) else { return };
         let last = outcome == Outcome::Served;
         let (took, report, number) = (now - sent, Report::default(), HandOffNumber(number));
-        one.brain.hand_off_ended(
+        one.engine.hand_off_ended(
             now,
             HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last },
         );
@@ -322,7 +322,7 @@
 
     fn carry_out_decisions(&mut self, of: usize) {
         let now = self.now;
-        while let Some(decision) = self.all[of].brain.next_decision(now) {
+        while let Some(decision) = self.all[of].engine.next_decision(now) {
             match decision {
                 Decision::HandOff { visit, host, fill, .. } => self.hand_off(of, visit, host, fill),
                 Decision::Cancel { visit, number } => {
@@ -405,7 +405,7 @@
         let now = self.now;
         let one = &mut self.all[of];
         let mut unhealthy = BTreeSet::new();
-        for found in one.brain.findings(now) {
+        for found in one.engine.findings(now) {
             let kind = match found.condition {
                 HostCondition::Restarted => FindingKind::Restarted,
                 HostCondition::Ejected { cause: EjectionCause::Failing, is_unreachable: false } => {
@@ -420,10 +420,10 @@
         }
         one.unhealthy.difference(&unhealthy).for_each(|host| one.verdicts.report_recovery(now, *host));
         one.unhealthy = unhealthy;
-        let refuted: Vec<HostId> = one.brain.refuted_reports(now).collect();
+        let refuted: Vec<HostId> = one.engine.refuted_reports(now).collect();
         refuted.into_iter().for_each(|host| one.verdicts.refute(now, host));
         for (host, (since, until)) in one.verdicts_in_use.clone() {
-            one.brain.apply_peer_report(now, host, since, ReportedCondition::Bad, until);
+            one.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, until);
         }
         self.carry_out_decisions(of);
     }
@@ -453,12 +453,12 @@
                     if word == ReportedCondition::Bad {
                         one.verdicts_in_use.insert(host, (since, until));
                     }
-                    one.brain.apply_peer_report(now, host, since, word, until);
+                    one.engine.apply_peer_report(now, host, since, word, until);
                 }
                 Effect::Withdraw { host } => {
                     let one = &mut self.all[of];
                     let since = one.verdicts_in_use.remove(&host).and_then(|verdict| verdict.0);
-                    one.brain.apply_peer_report(now, host, since, ReportedCondition::Bad, now);
+                    one.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, now);
                 }
                 Effect::Log(line) => println!("  {line}"),
             }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -62,7 +62,7 @@
     /// Whole tables are compared with one other member once in this many rounds.
     pub sync_rounds: u64,
     /// A longer gap between two ticks counts as a pause of this process, after which silence is measured
-    /// anew.
+    /// from the start.
     pub max_pause: Span,
     /// How far another member's incarnation may be ahead of this one's clock.
     pub max_incarnation_lead: Span,
@@ -875,7 +875,7 @@
     fn handle_pause(&mut self, now: Time) {
         let span = (now - self.last_tick).as_seconds();
         self.log(format!(
-            "members: this process was paused for {span:.1} s; silence of other members is measured anew"
+            "members: this process was paused for {span:.1} s; silence of other members is measured from now on"
         ));
         self.probes.clear();
         self.late_probes.clear();
--- a/crates/fleet/src/rollout/figures.rs
+++ b/crates/fleet/src/rollout/figures.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
     pub visits: u64,
-    /// Served within their quoted time.
+    /// Served within their target latency.
     pub in_time: u64,
     pub refused: u64,
     pub failed: u64,
@@ -75,7 +75,7 @@
     /// The name as it appears in the reason of a halt.
     pub fn name(self) -> &'static str {
         match self {
-            Measure::Late => "visits past their quoted time",
+            Measure::Late => "visits past their target latency",
             Measure::Refused => "visits refused",
             Measure::Failed => "visits failed",
             Measure::HandOffs => "hand-offs per visit",
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -316,7 +316,7 @@
     let faults: [(&str, Fault); 4] = [
         ("could not be put in force", |_, _| {}),
         ("is unreachable", |p, id| p.kill(id)),
-        ("quoted time", |p, id| {
+        ("target latency", |p, id| {
             let bad = Figures { visits: 50, in_time: 38, refused: 11, hand_offs: 60, ..Figures::default() };
             p.net.call(id, |member, _| member.figures = bad).unwrap();
         }),
--- a/crates/peers/src/delivery.rs
+++ b/crates/peers/src/delivery.rs
@@ -75,13 +75,20 @@
 }
 
 impl Delivery {
-    pub fn start(set: Settings, own: MemberId, seed: u64, now: Time) -> Delivery {
-        let carriers: Vec<MemberId> = set.carriers.iter().map(|name| MemberId::of(name)).collect();
-        let max_guests = set.protocol.max_followers.saturating_mul(GUESTS_PER_FOLLOWER);
+    pub fn start(settings: Settings, own: MemberId, seed: u64, now: Time) -> Delivery {
+        let carriers: Vec<MemberId> = settings.carriers.iter().map(|name| MemberId::of(name)).collect();
+        let max_guests = settings.protocol.max_followers.saturating_mul(GUESTS_PER_FOLLOWER);
         let role = if carriers.contains(&own) {
-            Role::Carrier(Box::new(Carrier::new(set.protocol, set.last_change)))
+            Role::Carrier(Box::new(Carrier::new(settings.protocol, settings.last_change)))
         } else {
-            Role::Follower(Box::new(Follower::new(set.protocol, own, &carriers, set.last_change, seed, now)))
+            Role::Follower(Box::new(Follower::new(
+                settings.protocol,
+                own,
+                &carriers,
+                settings.last_change,
+                seed,
+                now,
+            )))
         };
         Delivery { role, guests: BTreeMap::new(), max_guests }
     }
--- a/crates/peers/src/driven.rs
+++ b/crates/peers/src/driven.rs
@@ -23,14 +23,14 @@
     /// `listen` and
     /// `control` of the settings are not used.
     pub fn start(
-        set: Settings,
+        settings: Settings,
         out: impl Fn(&[u8], SocketAddr) + Send + 'static,
         tell: impl Fn(FromFleet) + Send + 'static,
         log: impl Fn(&str) + Send + Sync + 'static,
     ) -> Result<DrivenMember, Error> {
-        set.check()?;
+        settings.check()?;
         let (own, inputs) = crossbeam_channel::unbounded();
-        let every = set.timer_interval;
+        let every = settings.timer_interval;
         let environment = Environment {
             rollout_store: RolloutStore::in_memory(),
             stored_records: Vec::new(),
@@ -40,7 +40,7 @@
             own_inputs: own,
             backlog: Arc::new(Backlog::default()),
         };
-        let mut run = assemble(set, environment)?;
+        let mut run = assemble(settings, environment)?;
         let next = run.start() + every;
         Ok(DrivenMember { run, own: inputs, every, next })
     }
--- a/crates/peers/src/event_loop.rs
+++ b/crates/peers/src/event_loop.rs
@@ -185,8 +185,8 @@
     format!("{:x}", host.0)
 }
 
-fn unreachable_text(standing: MemberState) -> &'static str {
-    if standing == MemberState::Left {
+fn unreachable_text(state: MemberState) -> &'static str {
+    if state == MemberState::Left {
         "has left"
     } else {
         "does not answer any member; check its process and its network"
@@ -208,8 +208,8 @@
 }
 
 /// The text of a member's state in the event log and the status.
-fn standing_text(standing: MemberState) -> &'static str {
-    match standing {
+fn member_state_text(state: MemberState) -> &'static str {
+    match state {
         MemberState::Unknown => "unheard",
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
@@ -420,8 +420,8 @@
                 );
             }
             ToFleet::Recovery(host) => fleet.report_recovery(now, host),
-            ToFleet::VerdictThresholds { reporters: tellers, location_fraction: part } => {
-                fleet.set_verdict_thresholds(now, tellers, part)
+            ToFleet::VerdictThresholds { reporters, location_fraction } => {
+                fleet.set_verdict_thresholds(now, reporters, location_fraction)
             }
             ToFleet::VerdictRefuted(host) => fleet.refute_verdict(now, host),
             ToFleet::HostListed { host, started_at: since, used_by } => {
@@ -438,8 +438,8 @@
             ToFleet::PeakUse { key, amount } => {
                 self.events.write_event(now, "use", |_| json!({ "key": key_name(key), "amount": amount }));
             }
-            ToFleet::HostEjected { host, by_reports: told } => {
-                let why = if told { "told" } else { "own" };
+            ToFleet::HostEjected { host, by_reports } => {
+                let why = if by_reports { "told" } else { "own" };
                 self.events.write_event(now, "shut", |_| json!({ "host": host_name(host), "why": why }));
             }
             ToFleet::HostReadmitted { host } => {
@@ -476,8 +476,8 @@
 
     fn apply_delivery_effect(&mut self, now: Time, effect: delivery::Effect) {
         let message = match effect {
-            delivery::Effect::Send { to, message: said } => {
-                let Ok(payload) = postcard::to_stdvec(&said) else { return };
+            delivery::Effect::Send { to, message } => {
+                let Ok(payload) = postcard::to_stdvec(&message) else { return };
                 return self.send_payload(now, to, kind::DELIVERY, &payload);
             }
             delivery::Effect::Log(line) => return (self.log)(&format!("delivery: {line}")),
@@ -502,10 +502,10 @@
             Effect::Allowance { key, amount, until, after } => {
                 self.announce_allowance(now, key, Allowance { amount, until, after })
             }
-            Effect::Verdict { host, since, kind, weight, until, age, reporters: tellers } => {
+            Effect::Verdict { host, since, kind, weight, until, age, reporters } => {
                 self.events.write_event(now, "hearsay", |_| {
                     let (since, kind) = (since.map(|since| since.0), kind_text(kind));
-                    json!({ "host": host_name(host), "since": since, "kind": kind, "tellers": tellers,
+                    json!({ "host": host_name(host), "since": since, "kind": kind, "tellers": reporters,
                             "age_ms": age.0 / 1000, "hold_ms": (until - now).0 / 1000 })
                 });
                 let (since, until) = (since.map(|since| UnixTime(since.0)), self.clock.instant(until));
@@ -516,7 +516,7 @@
                     weight,
                     until,
                     age,
-                    reporters: tellers,
+                    reporters,
                 });
             }
             Effect::Withdraw { host } => {
@@ -541,21 +541,21 @@
                 });
                 (self.notify_dispatcher)(FromFleet::Rules { number, text: text.into() });
             }
-            Effect::MemberChanged { who, state: standing, incarnation } => {
+            Effect::MemberChanged { who, state, incarnation } => {
                 let name = self.member_name(who);
                 // Suspicions are not logged: most are refuted, and with many members there is always one.
-                let is_reachable = matches!(standing, MemberState::Alive | MemberState::Suspect);
+                let is_reachable = matches!(state, MemberState::Alive | MemberState::Suspect);
                 let peer = self.peers.get_mut(&who);
                 if peer.is_some_and(|peer| {
                     std::mem::replace(&mut peer.is_reachable, is_reachable) != is_reachable
                 }) {
                     (self.log)(&format!(
                         "fleet: {name} {}",
-                        if is_reachable { "is reachable" } else { unreachable_text(standing) }
+                        if is_reachable { "is reachable" } else { unreachable_text(state) }
                     ));
                 }
-                let standing = standing_text(standing);
-                let values = json!({ "who": name, "standing": standing, "sinc": incarnation.0 });
+                let state = member_state_text(state);
+                let values = json!({ "who": name, "standing": state, "sinc": incarnation.0 });
                 self.events.write_event(now, "member", |_| values);
             }
             Effect::LinksDegraded(is_degraded) => {
@@ -573,8 +573,8 @@
                 );
                 self.events.write_event(now, "stepped-down", |_| json!({}));
             }
-            Effect::FeedDelivered { source, incarnation, number, is_state: state } => {
-                self.log_feed_delivery(now, source, incarnation, number, state);
+            Effect::FeedDelivered { source, incarnation, number, is_state } => {
+                self.log_feed_delivery(now, source, incarnation, number, is_state);
             }
             Effect::Log(line) => (self.log)(&line),
         }
@@ -582,7 +582,7 @@
 
     fn apply_follower_effect(&mut self, now: Time, effect: feed::Effect) {
         match effect {
-            feed::Effect::Send { to, message: said } => self.send(now, to, &Message::Feed(said)),
+            feed::Effect::Send { to, message } => self.send(now, to, &Message::Feed(message)),
             feed::Effect::Deliver { source, incarnation, number, .. } => {
                 self.log_feed_delivery(now, source, incarnation, number, false);
             }
@@ -681,9 +681,9 @@
             .members()
             .listed()
             .map(|(id, location)| {
-                let standing = fleet.members().state(id).map(standing_text);
+                let state = fleet.members().state(id).map(member_state_text);
                 let inc = fleet.members().incarnation(id).map(|incarnation| incarnation.0);
-                json!({ "name": self.member_name(id), "location": location.0, "standing": standing, "inc": inc })
+                json!({ "name": self.member_name(id), "location": location.0, "standing": state, "inc": inc })
             })
             .collect();
         let parts = self.allowances.iter().map(|(key, (_, part))| {
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -100,7 +100,7 @@
     VerdictThresholds { reporters: u8, location_fraction: f64 },
     /// `FromFleet::Rules` of this number can't be applied; the previous rules stay in force.
     RulesRejected { number: u64, reason: String },
-    /// A host was ejected, because of reports (`told`) or own evidence. Only written to the event log.
+    /// A host was ejected, because of reports (`told` in the event log) or own evidence. Only logged.
     HostEjected { host: HostId, by_reports: bool },
     /// A host was readmitted. Only written to the event log.
     HostReadmitted { host: HostId },
@@ -259,25 +259,26 @@
     backlog: Arc<Backlog>,
 }
 
-/// Builds the event loop without threads and sockets; `set` has been checked.
-fn assemble(set: Settings, environment: Environment) -> Result<EventLoop, Error> {
+/// Builds the event loop without threads and sockets; `settings` has been checked.
+fn assemble(settings: Settings, environment: Environment) -> Result<EventLoop, Error> {
     let clock = Clock::start();
-    let (me, incarnation) = (MemberId::of(&set.own_name), Incarnation(clock.start_unix));
-    let own = set.members.iter().find(|member| member.name == set.own_name);
+    let (me, incarnation) = (MemberId::of(&settings.own_name), Incarnation(clock.start_unix));
+    let own = settings.members.iter().find(|member| member.name == settings.own_name);
     let location = own.map(|own| own.location).unwrap_or_default();
     let listed: Vec<(MemberId, LocationId)> =
-        set.members.iter().map(|member| (MemberId::of(&member.name), member.location)).collect();
-    let followers: Vec<MemberId> = set.followers.iter().map(|one| MemberId::of(&one.name)).collect();
-    let events = Events::open(set.events.as_deref(), &set.own_name, clock, environment.log.clone())?;
-    let peers = peers_of(&set, me);
-    let seed = set.seed ^ incarnation.0;
-    let max_incarnation_lead = set.protocols.members.max_incarnation_lead;
+        settings.members.iter().map(|member| (MemberId::of(&member.name), member.location)).collect();
+    let followers: Vec<MemberId> = settings.followers.iter().map(|one| MemberId::of(&one.name)).collect();
+    let events =
+        Events::open(settings.events.as_deref(), &settings.own_name, clock, environment.log.clone())?;
+    let peers = peers_of(&settings, me);
+    let seed = settings.seed ^ incarnation.0;
+    let max_incarnation_lead = settings.protocols.members.max_incarnation_lead;
     let now = clock.now();
     let role = match own {
         Some(_) => {
-            let (records, every) = (environment.stored_records, set.timer_interval);
+            let (records, every) = (environment.stored_records, settings.timer_interval);
             Role::Member(Box::new(FleetNode::new(
-                set.protocols,
+                settings.protocols,
                 me,
                 incarnation,
                 &listed,
@@ -291,19 +292,19 @@
         None if !followers.contains(&me) => Role::Unlisted,
         None => {
             let ids: Vec<MemberId> = listed.iter().map(|(id, _)| *id).collect();
-            let feed = feed::Settings { interval: set.timer_interval, ..set.protocols.feed };
+            let feed = feed::Settings { interval: settings.timer_interval, ..settings.protocols.feed };
             Role::Follower(Box::new(feed::Follower::new(feed, me, incarnation, &ids, now)))
         }
     };
-    let delivery = set.delivery.map(|set| Delivery::start(set, me, seed ^ 5, now));
+    let delivery = settings.delivery.map(|delivery| Delivery::start(delivery, me, seed ^ 5, now));
     Ok(EventLoop {
         role,
         delivery,
-        fleet: set.fleet,
+        fleet: settings.fleet,
         me,
         incarnation,
         location,
-        form: set.newest_form.unwrap_or(link::NEWEST_FORM),
+        form: settings.newest_form.unwrap_or(link::NEWEST_FORM),
         max_incarnation_lead,
         peers,
         send_datagram: environment.send_datagram,
@@ -321,9 +322,9 @@
 }
 
 /// All other members and followers by id.
-fn peers_of(set: &Settings, me: MemberId) -> BTreeMap<MemberId, Peer> {
-    let members = set.members.iter().map(|one| (&one.name, one.address, one.location));
-    let followers = set.followers.iter().map(|one| (&one.name, one.address, LocationId::default()));
+fn peers_of(settings: &Settings, me: MemberId) -> BTreeMap<MemberId, Peer> {
+    let members = settings.members.iter().map(|one| (&one.name, one.address, one.location));
+    let followers = settings.followers.iter().map(|one| (&one.name, one.address, LocationId::default()));
     let all = members.chain(followers);
     let mut peers: BTreeMap<MemberId, Peer> =
         all.map(|(name, at, location)| (MemberId::of(name), Peer::new(name, at, location))).collect();
@@ -363,28 +364,28 @@
 impl Peers {
     /// `tell` is called on the event loop's thread and must not block; `log` receives lines for the operator.
     pub fn start(
-        set: Settings,
+        settings: Settings,
         store: Option<Arc<Store>>,
         tell: impl Fn(FromFleet) + Send + 'static,
         log: impl Fn(&str) + Send + Sync + 'static,
     ) -> Result<Peers, Error> {
-        set.check()?;
+        settings.check()?;
         let log: Log = Arc::new(log);
-        let listen = |error| Error::Listen { at: set.listen, error };
-        let socket = UdpSocket::bind(set.listen).map_err(listen)?;
+        let listen = |error| Error::Listen { at: settings.listen, error };
+        let socket = UdpSocket::bind(settings.listen).map_err(listen)?;
         // A full send buffer must not delay decisions: a datagram that can't be sent at once is dropped.
         socket.set_write_timeout(Some(Duration::from_millis(1))).map_err(listen)?;
         let (reading, waking) = (socket.try_clone().map_err(listen)?, socket.try_clone().map_err(listen)?);
-        let server = set.control.map(|at| {
+        let server = settings.control.map(|at| {
             let server = tiny_http::Server::http(at);
             server.map(Arc::new).map_err(|error| Error::Control { at, error: error.to_string() })
         });
         let server = server.transpose()?;
         let (to, inputs) = crossbeam_channel::unbounded();
         let backlog = Arc::new(Backlog::default());
-        let (every, locations) = (set.timer_interval, set.locations.clone());
-        let has_rollout =
-            set.protocols.rollout.is_some() && set.members.iter().any(|member| member.name == set.own_name);
+        let (every, locations) = (settings.timer_interval, settings.locations.clone());
+        let has_rollout = settings.protocols.rollout.is_some()
+            && settings.members.iter().any(|member| member.name == settings.own_name);
         let (rollout_store, stored_records) = RolloutStore::open(store.filter(|_| has_rollout), &log);
         let environment = Environment {
             rollout_store,
@@ -395,7 +396,7 @@
             own_inputs: to.clone(),
             backlog: backlog.clone(),
         };
-        let run = assemble(set, environment)?;
+        let run = assemble(settings, environment)?;
         // From here on, dropping `own` stops the threads already started if a later one fails to start.
         let mut own = Peers {
             sender: PeersSender { inputs: to, backlog },
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -1,7 +1,7 @@
 //! Delivery of change log records on loopback: carriers, unlisted followers, and members without delivery.
 use cherrypass::ids::LocationId;
 use cherrypass::time::Span;
-use cherrypass_fleet::delivery::{Record, Settings as Room};
+use cherrypass_fleet::delivery::{Record, Settings as DeliveryParameters};
 use cherrypass_peers::delivery::{DeliveryEvent, LogChange, LogRead, Settings as Delivery};
 use cherrypass_peers::{ChangeNumber, Error, FromFleet, LogId, Member, Peers, Settings, ToFleet};
 use std::net::{SocketAddr, UdpSocket};
@@ -85,11 +85,15 @@
 }
 
 fn delivery(carriers: &[&str]) -> Delivery {
-    let room = Room { log: LogId::of("main"), fallback_delay: Span::millis(1_500), ..Room::default() };
+    let protocol = DeliveryParameters {
+        log: LogId::of("main"),
+        fallback_delay: Span::millis(1_500),
+        ..DeliveryParameters::default()
+    };
     Delivery {
         carriers: carriers.iter().map(|name| (*name).to_owned()).collect(),
         last_change: ChangeNumber(0),
-        protocol: room,
+        protocol,
     }
 }
 
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -36,7 +36,7 @@
 }
 
 fn settings() -> Settings {
-    let band = ClassSettings {
+    let class = ClassSettings {
         effect: Effect::Idempotent,
         target_latency: Span::millis(500),
         target_stretch: 2.0,
@@ -47,7 +47,7 @@
     Settings {
         dispatchers: 1,
         location_dispatchers: 1,
-        classes: vec![band],
+        classes: vec![class],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         has_weights: true,
@@ -84,7 +84,7 @@
 }
 
 struct Benchmark {
-    brain: DecisionEngine,
+    engine: DecisionEngine,
     now: Time,
     hand_offs: u32,
     random_state: u64,
@@ -97,21 +97,19 @@
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let object = ObjectId((self.random_state >> 33) % OBJECT_COUNT);
-        let (band, group, deadline) = (ClassId(0), GroupId(0), self.now + VISIT_DEADLINE);
+        let (class, group, deadline) = (ClassId(0), GroupId(0), self.now + VISIT_DEADLINE);
         let id = VisitId(id);
-        self.brain.visit_arrived(
-            self.now,
-            Visit { id, class: band, object, group, part: 0, kilobytes: None, deadline },
-        );
+        self.engine
+            .visit_arrived(self.now, Visit { id, class, object, group, part: 0, kilobytes: None, deadline });
         let mut handed_off = false;
-        while let Some(decision) = self.brain.next_decision(self.now) {
+        while let Some(decision) = self.engine.next_decision(self.now) {
             handed_off |= matches!(decision, Decision::HandOff { visit, .. } if visit == id);
         }
         if handed_off {
             self.hand_offs += 1;
             let (outcome, note, report) = (Outcome::Served, Note::Hit, Report::default());
             let number = HandOffNumber(0);
-            self.brain.hand_off_ended(
+            self.engine.hand_off_ended(
                 self.now,
                 HandOffEnd {
                     visit: id,
@@ -123,7 +121,7 @@
                     is_final: true,
                 },
             );
-            while self.brain.next_decision(self.now).is_some() {}
+            while self.engine.next_decision(self.now).is_some() {}
         }
     }
 }
@@ -131,9 +129,9 @@
 /// Measures the cost per visit with `hosts` hosts spread over `locations` locations.
 pub fn measure(hosts: usize, locations: usize, visits: u32, seed: u64) -> DecisionCost {
     let now = Time(1_000_000_000);
-    let mut brain = DecisionEngine::new(settings(), seed, now);
-    brain.update_hosts(now, &host_list(hosts, locations), true);
-    let mut benchmark = Benchmark { brain, now, hand_offs: 0, random_state: seed | 1 };
+    let mut engine = DecisionEngine::new(settings(), seed, now);
+    engine.update_hosts(now, &host_list(hosts, locations), true);
+    let mut benchmark = Benchmark { engine, now, hand_offs: 0, random_state: seed | 1 };
     let warm_up = visits / WARM_UP_DIVISOR;
     (0..warm_up).for_each(|id| benchmark.run_visit(id));
     benchmark.hand_offs = 0;
--- a/crates/scale/src/delivery.rs
+++ b/crates/scale/src/delivery.rs
@@ -276,12 +276,13 @@
         let (log, carriers) = (self.log.clone(), &self.carriers);
         let last = log.records.borrow().len() as u64;
         let (rate, seed) = (self.network.rng.gen_range(0.995..1.005), self.network.rng.gen());
-        let set = Settings { max_followers: self.settings.max_followers_per_carrier, ..Settings::default() };
+        let settings =
+            Settings { max_followers: self.settings.max_followers_per_carrier, ..Settings::default() };
         self.network.start(own, rate, |now| {
             let known = ChangeNumber(last);
             let role = match carriers.contains(&own) {
-                true => Role::Carrier(Box::new(Carrier::new(set, known))),
-                false => Role::Follower(Box::new(Follower::new(set, own, carriers, known, seed, now))),
+                true => Role::Carrier(Box::new(Carrier::new(settings, known))),
+                false => Role::Follower(Box::new(Follower::new(settings, own, carriers, known, seed, now))),
             };
             let (sent, received) = (Amount::default(), Amount::default());
             let (known_up_to, reads_log, pending) = (None, false, None);
--- a/crates/scale/src/delivery_sockets.rs
+++ b/crates/scale/src/delivery_sockets.rs
@@ -142,12 +142,12 @@
             location: LocationId(0),
         };
         let members: Vec<Member> = bound.iter().enumerate().map(member).collect();
-        let room = DeliveryParameters {
+        let protocol = DeliveryParameters {
             max_followers: settings.max_followers_per_carrier,
             ..DeliveryParameters::default()
         };
         let carriers = members.iter().map(|process| process.name.clone()).collect();
-        let delivery = Delivery { carriers, last_change: ChangeNumber(0), protocol: room };
+        let delivery = Delivery { carriers, last_change: ChangeNumber(0), protocol };
         let mut run = SocketRun {
             shared: Arc::default(),
             log_senders: Vec::new(),
@@ -159,10 +159,10 @@
             let is_follower = index >= settings.carriers;
             let name = if is_follower { format!("d{index}") } else { format!("c{index}") };
             let (socket, address) = if is_follower { bind()? } else { bound[index].clone() };
-            let mut set = Settings::new(subsystems::FLEET_NAME, &name, address);
-            (set.members, set.delivery) = (members.clone(), Some(delivery.clone()));
-            (set.timer_interval, set.seed) = (subsystems::TIMER_INTERVAL, seed ^ index as u64);
-            let simulated = run.start_process(set, socket, is_follower)?;
+            let mut settings = Settings::new(subsystems::FLEET_NAME, &name, address);
+            (settings.members, settings.delivery) = (members.clone(), Some(delivery.clone()));
+            (settings.timer_interval, settings.seed) = (subsystems::TIMER_INTERVAL, seed ^ index as u64);
+            let simulated = run.start_process(settings, socket, is_follower)?;
             groups[if is_follower { 1 + index % FOLLOWER_THREADS } else { 0 }].push(simulated);
         }
         for (number, group) in groups.into_iter().enumerate() {
@@ -173,7 +173,7 @@
 
     fn start_process(
         &mut self,
-        set: Settings,
+        settings: Settings,
         socket: Arc<UdpSocket>,
         is_follower: bool,
     ) -> Result<SimulatedProcess, Error> {
@@ -202,7 +202,7 @@
             self.log_senders.push(log_sender);
         }
         Ok(SimulatedProcess {
-            driven: DrivenMember::start(set, out, on_event, |_| {})?,
+            driven: DrivenMember::start(settings, out, on_event, |_| {})?,
             socket,
             is_follower,
             log,
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -176,15 +176,14 @@
     let mut set = Settings::new(subsystems::FLEET_NAME, &format!("f{number}"), address);
     set.members = config.carriers.iter().map(member).collect();
     (set.timer_interval, set.seed) = (subsystems::TIMER_INTERVAL, config.seed ^ number as u64);
-    let room = DeliveryParameters {
+    let protocol = DeliveryParameters {
         log: LogId::of(&config.log_name),
         max_followers: config.max_followers_per_carrier,
         fallback_delay: cherrypass::time::Span::millis(config.fallback_ms),
         ..DeliveryParameters::default()
     };
     let carriers = config.carriers.iter().map(|carrier| carrier.name.clone()).collect();
-    set.delivery =
-        Some(Delivery { carriers, last_change: ChangeNumber(config.known_change), protocol: room });
+    set.delivery = Some(Delivery { carriers, last_change: ChangeNumber(config.known_change), protocol });
     set
 }
 
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -293,14 +293,14 @@
         members: &[Member],
         (member, placement, socket): (usize, Placement, UdpSocket),
     ) -> Result<SimulatedDispatcher, Error> {
-        let mut set =
+        let mut settings =
             FleetSettings::new(subsystems::FLEET_NAME, &members[member].name, members[member].address);
-        set.members = members.to_vec();
-        (set.timer_interval, set.seed) =
+        settings.members = members.to_vec();
+        (settings.timer_interval, settings.seed) =
             (subsystems::TIMER_INTERVAL, self.context.settings.seed ^ member as u64);
-        set.protocols = subsystems::all_enabled(members.len());
+        settings.protocols = subsystems::all_enabled(members.len());
         let simulated =
-            SimulatedDispatcher::start(set, socket, placement.region, member, self.shared.clone())?;
+            SimulatedDispatcher::start(settings, socket, placement.region, member, self.shared.clone())?;
         self.counters.push(simulated.counters.clone());
         Ok(simulated)
     }
--- a/crates/scale/src/simulated.rs
+++ b/crates/scale/src/simulated.rs
@@ -68,9 +68,9 @@
 }
 
 impl SimulatedDispatcher {
-    /// `socket` must be bound to the set's `listen` address.
+    /// `socket` must be bound to the settings' `listen` address.
     pub fn start(
-        set: Settings,
+        settings: Settings,
         socket: UdpSocket,
         region: usize,
         index: usize,
@@ -85,7 +85,8 @@
             shared_state.count(&send_counters, endpoint.real_index, Direction::Out, bytes);
             let _ = send_socket.send_to(bytes, to);
         };
-        let driven = DrivenMember::start(set, out, move |event| drop(to_dispatcher.send(event)), |_| {})?;
+        let driven =
+            DrivenMember::start(settings, out, move |event| drop(to_dispatcher.send(event)), |_| {})?;
         let per_mille_index = (index as u64).wrapping_mul(617) % 1000;
         // Spread the reports of different dispatchers over the interval.
         let next_report = Instant::now() + REPORT_INTERVAL.mul_f64(per_mille_index as f64 / 1000.0);
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -72,7 +72,7 @@
 /// What the host says about how it handled a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// It said nothing.
+    /// The answer has no note.
     Unspecified,
     Hit,
     /// Filled from the source named in the hand-off.
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -117,8 +117,8 @@
 
 impl DecisionEngine {
     /// A decision module with an empty list of hosts.
-    pub fn new(set: Settings, seed: u64, now: Time) -> DecisionEngine {
-        let mut engine = DecisionEngine::with_settings(set, seed);
+    pub fn new(settings: Settings, seed: u64, now: Time) -> DecisionEngine {
+        let mut engine = DecisionEngine::with_settings(settings, seed);
         engine.retry_budget.level = RETRY_BURST;
         let link = engine.settings.location_link_transfers();
         let fills = link.map_or(FILL_LIMIT_START, |transfers| FILLS_PER_TRANSFER * transfers);
--- a/src/state.rs
+++ b/src/state.rs
@@ -410,10 +410,10 @@
 }
 
 impl DecisionEngine {
-    pub(crate) fn with_settings(set: Settings, seed: u64) -> DecisionEngine {
+    pub(crate) fn with_settings(settings: Settings, seed: u64) -> DecisionEngine {
         DecisionEngine {
-            class_stats: set.classes.iter().map(|_| ClassStats::default()).collect(),
-            settings: set,
+            class_stats: settings.classes.iter().map(|_| ClassStats::default()).collect(),
+            settings,
             mean_cache_work: Default::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             hosts: Default::default(),
@@ -523,10 +523,10 @@
         self.unverified_max_age = is_unverified.then_some(self.settings.purge_obey_time.max(Span(1)));
     }
 
-    /// The change log has been silent for so long that its purges count as known within `told_within` whether
-    /// or not they arrived; `None` once it is heard again.
-    pub fn set_log_silent(&mut self, told_within: Option<Span>) {
-        self.log_silence_max_age = told_within.map(|span| span + self.settings.purge_obey_time);
+    /// The change log has been silent for so long that its purges count as known within `known_within` whether
+    /// or not they arrived; `None` once it answers again.
+    pub fn set_log_silent(&mut self, known_within: Option<Span>) {
+        self.log_silence_max_age = known_within.map(|span| span + self.settings.purge_obey_time);
     }
 
     /// Adds (1) or removes (-1) a hand-off in the counts of its host, and its expected fill in those of its
