--- a/crates/dispatcher/src/startup.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -52,10 +52,15 @@
             router.set_recorder(StateRecorder::restore(kept, &config.settings, router_sender.clone()));
         }
         let mut delivery = None;
-        if let Some((fleet, mut set)) = fleet {
-            set.delivery.iter_mut().for_each(|set| set.last_change = ChangeNumber(last_change));
-            let fleet_connection =
-                FleetConnection::start(&fleet, set, &config.settings, store, router_sender.clone());
+        if let Some((fleet, mut peers_settings)) = fleet {
+            peers_settings.delivery.iter_mut().for_each(|one| one.last_change = ChangeNumber(last_change));
+            let fleet_connection = FleetConnection::start(
+                &fleet,
+                peers_settings,
+                &config.settings,
+                store,
+                router_sender.clone(),
+            );
             let mut fleet_connection = fleet_connection.map_err(io::Error::other)?;
             delivery = fleet_connection.take_delivery();
             router.set_fleet_connection(fleet_connection);
