--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -9,12 +9,12 @@
 
 /// The columns of the table and their number of decimals.
 pub const COLUMNS: [(&str, usize); 8] = [
-    ("settled", 0),
-    ("turned back", 0),
-    ("written off", 0),
+    ("served", 0),
+    ("refused", 0),
+    ("failed", 0),
     ("broken", 0),
     ("bad at the faulty host", 0),
-    ("shut out by", 0),
+    ("ejected by", 0),
     ("first s", 2),
     ("last s", 2),
 ];
@@ -37,10 +37,10 @@
     let mut lines = played.logs.values().flat_map(|log| log.lines());
     let listed = lines.find(|line| line.contains("list: host ") && line.contains(&is));
     let id = listed.and_then(|line| line.split("list: host ").nth(1)?.split(' ').next());
-    let Some(shut) = id.map(|id| format!("host {id} shut out: ")) else { return Vec::new() };
+    let Some(ejected) = id.map(|id| format!("host {id} ejected: ")) else { return Vec::new() };
     let mut first: BTreeMap<&str, f64> = BTreeMap::new();
     for (at, who, _) in
-        host_log_lines(played).into_iter().filter(|(at, _, text)| *at >= 0.0 && text.starts_with(&shut))
+        host_log_lines(played).into_iter().filter(|(at, _, text)| *at >= 0.0 && text.starts_with(&ejected))
     {
         first.entry(who).or_insert(at);
     }
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -117,8 +117,8 @@
 
 impl DecisionEngine {
     /// A decision module with an empty list of hosts.
-    pub fn new(set: Settings, seed: u64, now: Time) -> DecisionEngine {
-        let mut engine = DecisionEngine::with_settings(set, seed);
+    pub fn new(settings: Settings, seed: u64, now: Time) -> DecisionEngine {
+        let mut engine = DecisionEngine::with_settings(settings, seed);
         engine.retry_budget.level = RETRY_BURST;
         let link = engine.settings.location_link_transfers();
         let fills = link.map_or(FILL_LIMIT_START, |transfers| FILLS_PER_TRANSFER * transfers);
@@ -890,7 +890,7 @@
         let Some(host) = self.hosts.get_mut(&id).filter(|h| h.breaker.is_none()) else { return };
         if is_parent || total == 1 || ejected * 2 <= total {
             host.open_breaker(now, TRIAL_INTERVALS[0], cause);
-            self.log(format!("host {:x} shut out: {reason}", id.0));
+            self.log(format!("host {:x} ejected: {reason}", id.0));
             self.cancel_in_flight(id);
         }
     }
