--- a/crates/faultbed/src/clients.rs
+++ b/crates/faultbed/src/clients.rs
@@ -1,4 +1,5 @@
 //! Client load: an open-loop load on one dispatcher over MessagePack-RPC, with seeded Poisson arrivals.
+use crate::arrival::{enable_timestamps, last_arrival, TimestampedStream};
 use crate::notes::{Note, Notes, Outcome};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -142,10 +143,11 @@
     fn open(address: SocketAddr, notes: &Notes) -> Option<Connection> {
         let stream = TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok()?;
         stream.set_nodelay(true).ok()?;
+        enable_timestamps(&stream).ok()?;
         let open = OpenRequests::default();
         let is_closed: Arc<AtomicBool> = Arc::default();
         let (own, end, notes) = (open.clone(), is_closed.clone(), notes.clone());
-        let mut reader = BufReader::new(stream.try_clone().ok()?);
+        let mut reader = BufReader::new(TimestampedStream::new(stream.try_clone().ok()?));
         std::thread::spawn(move || {
             let mut in_order = false;
             loop {
@@ -159,10 +161,12 @@
                 }
                 let Ok(message) = rmpv::decode::read_value(&mut reader) else { break };
                 let Some((id, outcome, created_at)) = parse_answer(&message) else { break };
+                let arrived_at = last_arrival(&reader).latest;
                 let open = own.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
                 let visit = open.map(|(visit, _)| visit);
                 // An answer without an open request is a duplicate; it is recorded without a valid visit.
-                notes.record(Note::Answered { visit: visit.unwrap_or(u64::MAX), outcome, created_at });
+                let visit = visit.unwrap_or(u64::MAX);
+                notes.record_at(arrived_at, Note::Answered { visit, outcome, created_at });
             }
             end.store(true, SeqCst);
             let left = std::mem::take(&mut *own.lock().unwrap_or_else(PoisonError::into_inner));
@@ -205,8 +209,9 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner).insert(id, (visit, Instant::now()));
         let (dispatcher, class) = (dispatcher.to_owned(), class.to_owned());
         notes.record(Note::RequestSent { visit, dispatcher, class, object, limit: limit * 1000 });
-        if self.stream.write_all(&bytes).is_err() {
-            self.is_closed.store(true, SeqCst);
+        match self.stream.write_all(&bytes) {
+            Ok(()) => drop(notes.record(Note::RequestWritten { visit })),
+            Err(_) => self.is_closed.store(true, SeqCst),
         }
     }
 }
--- a/crates/faultbed/src/hosts.rs
+++ b/crates/faultbed/src/hosts.rs
@@ -1,5 +1,6 @@
 //! Simulated caches, parents and origins that speak RESP. They model limited transfers, reduced capacity
 //! after a cold start, copies with creation times, effects of writes, and injected faults.
+use crate::arrival::{enable_timestamps, last_arrival, Arrival, TimestampedStream};
 use crate::notation::HostKind;
 use crate::notes::{unix_micros, Note, Notes};
 use rand::{Rng, SeedableRng};
@@ -74,6 +75,7 @@
 
 struct HandOff {
     id: String,
+    arrival: Arrival,
     fields: BTreeMap<String, String>,
 }
 
@@ -126,6 +128,7 @@
 
     fn listen(self: &Arc<Host>, listener: TcpListener) {
         self.state().listener = listener.try_clone().ok();
+        let _ = enable_timestamps(&listener);
         let own = self.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -200,7 +203,7 @@
     fn serve_connection(self: Arc<Host>, stream: TcpStream) {
         let Ok(writer) = stream.try_clone() else { return };
         let (writer, given_up) = (Arc::new(Mutex::new(writer)), Arc::new(Mutex::new(BTreeSet::new())));
-        let mut reader = BufReader::new(stream);
+        let mut reader = BufReader::new(TimestampedStream::new(stream));
         while let Some(words) = read_message(&mut reader) {
             match &words[..] {
                 [word, id, ..] if word == "never_mind" => {
@@ -209,7 +212,7 @@
                 [word, id, fields, _] if word == "want" => {
                     let fields = fields.split(',').filter_map(|field| field.split_once('='));
                     let fields = fields.map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
-                    let hand_off = HandOff { id: id.clone(), fields };
+                    let hand_off = HandOff { id: id.clone(), arrival: last_arrival(&reader), fields };
                     let (host, writer, given_up) = (self.clone(), writer.clone(), given_up.clone());
                     let run = move || {
                         let Some(answer) = host.handle_request(&hand_off) else { return };
@@ -276,7 +279,9 @@
         let visit = u64::from_str_radix(&hand_off.id, 16).unwrap_or(0);
         let (host, is_fill) = (self.name.clone(), !hand_off.field("from").is_empty());
         let wait = hand_off.field("w").parse().ok();
-        self.notes.record(Note::HandOffArrived { host: host.clone(), visit, is_fill, wait });
+        let Arrival { earliest, latest } = hand_off.arrival;
+        let arrived = Note::HandOffArrived { host: host.clone(), visit, is_fill, wait, earliest };
+        self.notes.record_at(latest, arrived);
         self.wait_while_frozen();
         let mode = self.state().mode;
         let answer = match mode {
@@ -352,7 +357,11 @@
             _ => {}
         }
         let (host, visit, is_fill) = (self.name.clone(), 0, true);
-        self.notes.record(Note::HandOffArrived { host: host.clone(), visit, is_fill, wait: None });
+        let earliest = unix_micros();
+        self.notes.record_at(
+            earliest,
+            Note::HandOffArrived { host: host.clone(), visit, is_fill, wait: None, earliest },
+        );
         let takes = self.start_transfer()?;
         std::thread::sleep(takes);
         let given = self.fill_copy(block, oldest, only_cached);
--- a/crates/faultbed/src/lib.rs
+++ b/crates/faultbed/src/lib.rs
@@ -3,6 +3,7 @@
 //! See docs/faultbed.md.
 #![forbid(unsafe_code)]
 
+pub mod arrival;
 pub mod changelog;
 pub mod clients;
 pub mod compare;
--- a/crates/faultbed/src/notes.rs
+++ b/crates/faultbed/src/notes.rs
@@ -46,6 +46,10 @@
         outcome: Outcome,
         created_at: Option<u64>,
     },
+    /// The request was written completely.
+    RequestWritten {
+        visit: u64,
+    },
     /// The request was sent while the dispatcher closed the connection in order; it counts as never sent.
     CrossedClose {
         visit: u64,
@@ -54,13 +58,15 @@
     ConnectionLost {
         visit: u64,
     },
-    /// A host received a complete hand-off.
+    /// A host received a complete hand-off, at the time of the note at the latest.
     HandOffArrived {
         host: String,
         visit: u64,
         is_fill: bool,
         /// How long the dispatcher announced that it will wait, in milliseconds.
         wait: Option<u64>,
+        /// When it can have arrived at the earliest.
+        earliest: u64,
     },
     /// A write took effect at the origin.
     Executed {
@@ -110,14 +116,16 @@
                 .field("word", outcome)
                 .field("born", created_at)
                 .finish(),
+            Note::RequestWritten { visit } => f.debug_struct("Written").field("visit", visit).finish(),
             Note::CrossedClose { visit } => f.debug_struct("Crossed").field("visit", visit).finish(),
             Note::ConnectionLost { visit } => f.debug_struct("Broken").field("visit", visit).finish(),
-            Note::HandOffArrived { host, visit, is_fill, wait } => f
+            Note::HandOffArrived { host, visit, is_fill, wait, earliest } => f
                 .debug_struct("Came")
                 .field("host", host)
                 .field("visit", visit)
                 .field("filled", is_fill)
                 .field("wait", wait)
+                .field("earliest", earliest)
                 .finish(),
             Note::Executed { host, visit, class } => {
                 f.debug_struct("Ran").field("host", host).field("visit", visit).field("band", class).finish()
@@ -164,6 +172,11 @@
         at
     }
 
+    /// Adds a note with a time of its own.
+    pub fn record_at(&self, at: u64, note: Note) {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((at, note));
+    }
+
     /// Removes and returns all notes in order of time.
     pub fn take_sorted(&self) -> TimedNotes {
         let mut noted = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
