--- a/crates/faultbed/src/hosts.rs
+++ b/crates/faultbed/src/hosts.rs
@@ -3,12 +3,14 @@
 use crate::arrival::{enable_timestamps, last_arrival, Arrival, TimestampedStream};
 use crate::notation::HostKind;
 use crate::notes::{unix_micros, Note, Notes};
+use crate::reserved_port::ReservedPort;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
+use std::thread::JoinHandle;
 use std::time::Duration;
 
 /// Parameters of rule 4, also used in the settings of the processes.
@@ -52,7 +54,7 @@
     active_transfers: usize,
     arrivals: VecDeque<u64>,
     overloaded_until: u64,
-    listener: Option<TcpListener>,
+    accept_thread: Option<JoinHandle<()>>,
     streams: Vec<TcpStream>,
     executed: BTreeSet<String>,
     rng: Pcg64Mcg,
@@ -63,6 +65,7 @@
     pub name: String,
     pub kind: HostKind,
     pub address: SocketAddr,
+    _reserved_port: ReservedPort,
     pub transfers: f64,
     work_time: Duration,
     state: Mutex<State>,
@@ -100,8 +103,9 @@
         notes: Notes,
         hosts: Hosts,
     ) -> io::Result<Arc<Host>> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        let address = listener.local_addr()?;
+        let reserved_port = ReservedPort::new()?;
+        let address = reserved_port.address;
+        let listener = TcpListener::bind(address)?;
         let state = State {
             mode: Mode::Healthy,
             started: None,
@@ -109,14 +113,23 @@
             active_transfers: 0,
             arrivals: VecDeque::new(),
             overloaded_until: 0,
-            listener: None,
+            accept_thread: None,
             streams: Vec::new(),
             executed: BTreeSet::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
         let (name, state) = (name.to_owned(), Mutex::new(state));
-        let host =
-            Arc::new(Host { name, kind, address, transfers, work_time, state, notes, hosts: hosts.clone() });
+        let host = Arc::new(Host {
+            name,
+            kind,
+            address,
+            _reserved_port: reserved_port,
+            transfers,
+            work_time,
+            state,
+            notes,
+            hosts: hosts.clone(),
+        });
         hosts.write().unwrap_or_else(PoisonError::into_inner).insert(host.name.clone(), host.clone());
         host.listen(listener);
         Ok(host)
@@ -127,19 +140,21 @@
     }
 
     fn listen(self: &Arc<Host>, listener: TcpListener) {
-        self.state().listener = listener.try_clone().ok();
         let _ = enable_timestamps(&listener);
         let own = self.clone();
-        std::thread::spawn(move || {
+        let accept_connections = move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if own.state().mode == Mode::Down {
+                let mut state = own.state();
+                if state.mode == Mode::Down {
                     return;
                 }
-                let (host, other) = (own.clone(), stream.try_clone());
-                own.state().streams.extend(other.ok());
+                state.streams.extend(stream.try_clone());
+                drop(state);
+                let host = own.clone();
                 std::thread::spawn(move || host.serve_connection(stream));
             }
-        });
+        };
+        self.state().accept_thread = Some(std::thread::spawn(accept_connections));
     }
 
     pub fn set_mode(&self, mode: Mode) {
@@ -150,18 +165,20 @@
     pub fn shut_down(&self) {
         let mut state = self.state();
         state.mode = Mode::Down;
-        state.listener = None;
+        let accept_thread = state.accept_thread.take();
         state.streams.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
         state.active_transfers = 0;
         drop(state);
-        // Wakes the listening thread, so that the port is closed.
+        // Wakes the accepting thread, which closes the port when it ends.
         drop(TcpStream::connect(self.address));
+        if let Some(accept_thread) = accept_thread {
+            let _ = accept_thread.join();
+        }
     }
 
     /// Replaces the host by a new, cold process at the same address.
     pub fn restart(self: &Arc<Host>) -> io::Result<()> {
         self.shut_down();
-        std::thread::sleep(Duration::from_millis(20));
         let listener = TcpListener::bind(self.address)?;
         let mut state = self.state();
         (state.mode, state.started) = (Mode::Healthy, Some(unix_micros()));
--- a/crates/faultbed/src/lib.rs
+++ b/crates/faultbed/src/lib.rs
@@ -14,5 +14,6 @@
 pub mod notes;
 pub mod play;
 pub mod processes;
+pub mod reserved_port;
 pub mod soak;
 pub mod soak_report;
