--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -60,7 +60,8 @@
 //!   240, 120 or 4 kB, at this rate in kB/s, PLACES at a time
 //! - `drain HOST`: drops what has arrived; `came HOST`: something has arrived; `count OBJECT N`: attempts at
 //!   all hosts so far
-//! - `cut HOST`: closes its connections; `down HOST`: also refuses new ones; `deaf HOST`: new connections
+//! - `cut HOST`: closes its connections; `closed HOST`: the log has a line on the end of each connection that
+//!   the host has accepted; `down HOST`: also refuses new ones; `deaf HOST`: new connections
 //!   never come up; `up HOST`: a connection has come up since `hear`; `still HOST` and `reads HOST`: stops
 //!   and resumes reading
 //!
@@ -73,8 +74,9 @@
 use cherrypass_shim::control::Call;
 use cherrypass_shim::errors::errno_from_name;
 use cherrypass_shim::{Fault, Shim};
+use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -85,6 +87,7 @@
 use test_case::test_case;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
 /// How long nothing must arrive to count as nothing.
 const QUIET: Duration = Duration::from_millis(150);
 /// Size of the small buffers of narrow sockets.
@@ -151,6 +154,9 @@
 struct Host {
     sort: &'static str,
     addresses: Vec<SocketAddr>,
+    /// Sockets that are bound to the addresses and never listen, so that no other socket takes a port while
+    /// the host doesn't listen on it.
+    _reserved_ports: [socket2::Socket; 2],
     messages: Receiver<HostMessage>,
     server: HostServer,
     last_message: Option<HostMessage>,
@@ -164,14 +170,31 @@
     unsent_bytes: Vec<u8>,
 }
 
-/// Creates a listener, with a small receive buffer if narrow.
-fn listener(address: &str, narrow: bool, backlog: i32) -> TcpListener {
+/// Connects until the port is closed: its accepting thread ends at the next connection, and a process that is
+/// being spawned may hold the listener until it executes its program.
+fn wait_until_refused(address: &SocketAddr) {
+    let until = Instant::now() + TIMEOUT;
+    let is_refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
+    while !TcpStream::connect_timeout(address, CONNECT_TIMEOUT).is_err_and(|error| is_refused(&error)) {
+        assert!(Instant::now() < until, "{address} is still open");
+        sleep(Duration::from_millis(1));
+    }
+}
+
+/// Creates a socket bound to an address that other sockets of this kind may be bound to.
+fn bound_socket(address: &str) -> socket2::Socket {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
+    socket.bind(&address.parse::<SocketAddr>().unwrap().into()).unwrap();
+    socket
+}
+
+/// Creates a listener, with a small receive buffer if narrow.
+fn listener(address: &str, narrow: bool, backlog: i32) -> TcpListener {
+    let socket = bound_socket(address);
     if narrow {
         socket.set_recv_buffer_size(NARROW_BUFFER).unwrap();
     }
-    socket.bind(&address.parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(backlog).unwrap();
     socket.into()
 }
@@ -225,13 +248,17 @@
             accepted,
             objects,
         };
-        let listeners = [0; 2].map(|_| listener("127.0.0.1:0", narrow, BACKLOG));
-        let addresses = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
+        let reserved_ports = [0; 2].map(|_| bound_socket("127.0.0.1:0"));
+        let address = |port: &socket2::Socket| port.local_addr().unwrap().as_socket().unwrap();
+        let addresses: Vec<SocketAddr> = reserved_ports.iter().map(address).collect();
+        let listen = |address: &SocketAddr| listener(&address.to_string(), narrow, BACKLOG);
+        let listeners: Vec<TcpListener> = addresses.iter().map(listen).collect();
         let (last_message, backlog_streams, deaf_listeners) = Default::default();
         let (old_connections, last_answer, unsent_bytes) = Default::default();
         let host = Host {
             sort,
             addresses,
+            _reserved_ports: reserved_ports,
             messages,
             server,
             last_message,
@@ -250,11 +277,10 @@
         spawn(move || server.accept(listener));
     }
 
-    /// Stops accepting; pending connections stay pending.
+    /// Closes the ports of the addresses.
     fn stop(&self) {
         self.server.is_stopped.store(true, Ordering::SeqCst);
-        self.addresses.iter().for_each(|address| drop(TcpStream::connect(address)));
-        sleep(Duration::from_millis(20));
+        self.addresses.iter().for_each(wait_until_refused);
     }
 
     fn cut(&self) {
@@ -276,7 +302,7 @@
         self.stop();
         for address in self.addresses.clone() {
             let listener = listener(&address.to_string(), false, 1);
-            while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(40)) {
+            while let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
                 self.backlog_streams.push(stream);
             }
             self.deaf_listeners.push(listener);
@@ -464,6 +490,8 @@
     config: ConfigFile,
     listen: String,
     log_lines: Receiver<String>,
+    /// The log lines that were received since the start.
+    received_log_lines: RefCell<Vec<String>>,
     /// Log lines from before it listened.
     early_log_lines: Vec<String>,
 }
@@ -516,8 +544,9 @@
         let (sender, log_lines) = channel();
         let errors = BufReader::new(child.stderr.take().unwrap());
         spawn(move || errors.lines().map_while(Result::ok).for_each(|line| drop(sender.send(line))));
-        let (listen, early_log_lines) = Default::default();
-        let mut dispatcher = Dispatcher { child, config, listen, log_lines, early_log_lines };
+        let (listen, early_log_lines, received_log_lines) = Default::default();
+        let mut dispatcher =
+            Dispatcher { child, config, listen, log_lines, received_log_lines, early_log_lines };
         let line = loop {
             let line = dispatcher.log_lines.recv_timeout(TIMEOUT).expect("no start");
             if line.contains("start: n0 on ") {
@@ -574,11 +603,21 @@
         loop {
             let line = self.log_lines.recv_timeout(end.saturating_duration_since(Instant::now()));
             let line = line.unwrap_or_else(|_| panic!("no log line with '{words}'"));
+            self.received_log_lines.borrow_mut().push(line.clone());
             if line.contains(words) {
                 return line;
             }
         }
     }
+
+    /// Waits until the log has this many lines on closed connections to this host.
+    fn log_closed(&self, host: &str, connections: usize) {
+        let prefix = format!("host s-{host} connection ");
+        let is_closed = |line: &&String| line.contains(&prefix) && line.contains(" closed: ");
+        while self.received_log_lines.borrow().iter().filter(is_closed).count() < connections {
+            self.log(&prefix);
+        }
+    }
 }
 
 /// A client's answer.
@@ -1285,6 +1324,10 @@
                 }
             }
             ["shape"] => self.has_other_shape = true,
+            ["closed", name] => {
+                let connections = host(name).server.accepted.load(Ordering::SeqCst);
+                self.dispatchers[0].log_closed(name, connections);
+            }
             ["came", name] => assert!(host(name).messages.try_recv().is_ok(), "nothing arrived at {name}"),
             ["drain", name] => while host(name).messages.try_recv().is_ok() {},
             ["cut", name] => host(name).cut(),
