--- a/crates/faultbed/src/hosts.rs
+++ b/crates/faultbed/src/hosts.rs
@@ -11,7 +11,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::thread::JoinHandle;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// Parameters of rule 4, also used in the settings of the processes.
 pub const COLD_SHARE: f64 = 0.2;
@@ -23,6 +23,9 @@
 /// Delay of purges at a cache after it was frozen.
 const FROZEN_PURGE_DELAY: Duration = Duration::from_millis(1_000);
 const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// How long closing a port may take, and how often it is checked.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 const BODY_BYTES: usize = 2_000;
 const MAX_TRANSFER_FACTOR: f64 = 6.0;
 
@@ -169,8 +172,12 @@
         state.streams.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
         state.active_transfers = 0;
         drop(state);
-        // Wakes the accepting thread, which closes the port when it ends.
-        drop(TcpStream::connect(self.address));
+        // The accepting thread ends at the next connection. A process that is being spawned may hold the listener
+        // until it executes its program.
+        let until = Instant::now() + CLOSE_TIMEOUT;
+        while TcpStream::connect(self.address).is_ok() && Instant::now() < until {
+            std::thread::sleep(CLOSE_POLL_INTERVAL);
+        }
         if let Some(accept_thread) = accept_thread {
             let _ = accept_thread.join();
         }
