--- a/crates/faultbed/src/clients.rs
+++ b/crates/faultbed/src/clients.rs
@@ -93,9 +93,11 @@
                 };
                 // Skewed popularity: few objects get most requests.
                 let object = (mix.objects as f64 * rng.gen::<f64>().powi(3)) as u64;
+                let is_full = connections.len() == MAX_CONNECTIONS;
                 let free = connections.iter_mut().min_by_key(|connection| connection.open_requests());
                 match free.filter(|connection| connection.open_requests() < MAX_OPEN_REQUESTS) {
                     Some(connection) => connection.send_request(&name, visit, class, object, &notes),
+                    None if is_full => drop(notes.record(Note::NotSent { visit })),
                     None if !opens => {}
                     None => {
                         let (class, limit) = CLASSES[class];
--- a/crates/faultbed/src/judge.rs
+++ b/crates/faultbed/src/judge.rs
@@ -143,7 +143,7 @@
                 violations.push(format!("rule 4: {host} was overloaded while cold"))
             }
             Note::Purged { object } => purged.entry(*object).or_default().push(*at),
-            Note::HandOffEnded { .. } | Note::Fault { .. } => {}
+            Note::NotSent { .. } | Note::HandOffEnded { .. } | Note::Fault { .. } => {}
         }
     }
     let is_excused = |visit: &Visit| {
@@ -541,11 +541,12 @@
 /// Figures of a play, one line each.
 pub fn figures(played: &PlayResult) -> Vec<String> {
     let mut counts: BTreeMap<Option<Outcome>, usize> = BTreeMap::new();
-    let mut asked = 0;
+    let (mut asked, mut not_sent) = (0, 0);
     let (mut arrived, mut failed): (BTreeMap<&str, usize>, BTreeMap<&str, usize>) = Default::default();
     for (_, note) in &played.notes {
         match note {
             Note::RequestSent { .. } => asked += 1,
+            Note::NotSent { .. } => not_sent += 1,
             Note::Answered { outcome, .. } => *counts.entry(Some(*outcome)).or_default() += 1,
             Note::ConnectionLost { .. } => *counts.entry(None).or_default() += 1,
             Note::HandOffArrived { host, .. } => *arrived.entry(host).or_default() += 1,
@@ -555,7 +556,7 @@
     }
     let count = |outcome| counts.get(&outcome).copied().unwrap_or(0);
     let mut lines = vec![format!(
-        "visits {asked}: served {}, refused {}, failed {}, connection lost {}; datagrams {}",
+        "visits {asked}: served {}, refused {}, failed {}, connection lost {}; not sent {not_sent}; datagrams {}",
         count(Some(Outcome::Served)),
         count(Some(Outcome::Refused)),
         count(Some(Outcome::Failed)),
--- a/crates/faultbed/src/notes.rs
+++ b/crates/faultbed/src/notes.rs
@@ -54,6 +54,10 @@
     CrossedClose {
         visit: u64,
     },
+    /// The request was not sent, as all connections of the client had the most open requests that it allows.
+    NotSent {
+        visit: u64,
+    },
     /// The connection ended before an answer.
     ConnectionLost {
         visit: u64,
@@ -118,6 +122,7 @@
                 .finish(),
             Note::RequestWritten { visit } => f.debug_struct("Written").field("visit", visit).finish(),
             Note::CrossedClose { visit } => f.debug_struct("Crossed").field("visit", visit).finish(),
+            Note::NotSent { visit } => f.debug_struct("NotSent").field("visit", visit).finish(),
             Note::ConnectionLost { visit } => f.debug_struct("Broken").field("visit", visit).finish(),
             Note::HandOffArrived { host, visit, is_fill, wait, earliest } => f
                 .debug_struct("Came")
--- a/crates/faultbed/tests/bed.rs
+++ b/crates/faultbed/tests/bed.rs
@@ -94,6 +94,7 @@
 #[test_case(vec![request(S, 1, "read"), waits_since(S + S / 2, S + S / 2 + 1, 651), answered(S + S / 2 + 1, 1, Outcome::Served, None)], Some("deadline"); "the deadline told, too long at the earliest arrival")]
 #[test_case(vec![request(S, 1, "read"), written(S + S / 2, 1), waits(S + S / 2, 1_150), answered(S + S / 2, 1, Outcome::Served, None)], None; "the deadline told, the request written late")]
 #[test_case(vec![request(S, 1, "read"), written(S + S / 2, 1), waits(S + S / 2, 1_151), answered(S + S / 2, 1, Outcome::Served, None)], Some("deadline"); "the deadline told, too long for a request written late")]
+#[test_case(vec![(S, Note::NotSent { visit: 1 })], None; "a request that its client did not send")]
 #[test_case(vec![request(S, 1, "read"), (S + 9, Note::CrossedClose { visit: 1 })], None; "what crossed an orderly end")]
 #[test_case(vec![(S, Note::Purged { object: 7 }), request(9 * S, 1, "read"), answered(9 * S, 1, Outcome::Served, Some(S - 9))], Some("older than its purge"); "rule 5")]
 fn checks_the_five_rules(notes: TimedNotes, words: Option<&str>) {
