--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -23,7 +23,7 @@
 //!   pending connections within this time
 //! - `step MS`: the dispatchers' wall clock is ahead by this from now on, or behind if negative; `fault CALL
 //!   ERRNO PER_MILLION`: this share of their calls fails (for `short-read` and `short-write` ERRNO is a
-//!   number of bytes); `delivered CALL N`: at least N faults were injected
+//!   number of bytes); `delivered CALL N`: at least N faults are injected before long
 //!
 //! Change log:
 //! - `list NAME STATE [unheard|odd|anew]`: one host's state; without waiting for the log line, with an
@@ -1418,8 +1418,16 @@
             }
             ["delivered", call, least] => {
                 let call = Call::from_name(call).expect("no such call");
-                let [made, delivered] = self.shim.as_ref().unwrap().counts(call).unwrap();
-                assert!(delivered >= least.parse().unwrap(), "{delivered} of {made} calls");
+                let least: u64 = least.parse().unwrap();
+                let end = Instant::now() + TIMEOUT;
+                loop {
+                    let [made, delivered] = self.shim.as_ref().unwrap().counts(call).unwrap();
+                    if delivered >= least {
+                        break;
+                    }
+                    assert!(Instant::now() < end, "{delivered} of {made} calls");
+                    sleep(Duration::from_millis(1));
+                }
             }
             ["pause"] => self.dispatchers[0].pause(),
             ["resume"] => self.dispatchers[0].signal("-CONT"),
