--- a/crates/fleet/src/members/links.rs
+++ b/crates/fleet/src/members/links.rs
@@ -1,5 +1,5 @@
 //! Quality of this member's own links: response times, and the fraction of probes without an answer.
-use super::Settings;
+use super::settings::Settings;
 use cherrypass::containers::MovingAverage;
 use cherrypass::time::Span;
 use std::collections::VecDeque;
--- a/crates/fleet/src/members/table.rs
+++ b/crates/fleet/src/members/table.rs
@@ -135,8 +135,8 @@
 
     /// Checksum of all claims, independent of the order in which they came.
     pub fn digest(&self) -> u64 {
-        let known = self.entries.iter().filter(|entry| entry.claim != Claim::NONE);
-        known.fold(0, |sum, entry| {
+        let claimed = self.entries.iter().filter(|entry| entry.claim != Claim::NONE);
+        claimed.fold(0, |sum, entry| {
             let Claim { incarnation, refutations, state } = entry.claim;
             let values = [entry.id.0, incarnation.0, u64::from(refutations), state as u64];
             let mix =
