--- a/crates/fleet/src/limits/limit.rs
+++ b/crates/fleet/src/limits/limit.rs
@@ -1,5 +1,5 @@
 //! State of one limit at one member: what it retains and has lent, and the members it borrows from.
-use super::Allowance;
+use super::messages::Allowance;
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
@@ -7,20 +7,32 @@
 /// Demand that is not reported again within this time counts as zero.
 const DEMAND_TTL: Span = Span::millis(10_000);
 
+/// Smallest loan, as a fraction of a share.
+pub(super) const MIN_LOAN_FRACTION: f64 = 1.0 / 64.0;
+/// Factor over its present demand that a lender retains.
+pub(super) const DEMAND_HEADROOM: f64 = 1.1;
+
+/// An amount lent until a time.
+#[derive(Clone, Debug)]
+pub(super) struct LoanEntry {
+    pub until: Time,
+    pub amount: f64,
+}
+
 /// Amounts lent to one run of a member. The borrower may hold any one of them until that entry expires.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Loan {
-    pub entries: Vec<(Time, f64)>,
+    pub entries: Vec<LoanEntry>,
 }
 
 impl Loan {
     pub fn max_amount(&self) -> f64 {
-        self.entries.iter().fold(0.0, |most, entry| entry.1.max(most))
+        self.entries.iter().fold(0.0, |most, entry| entry.amount.max(most))
     }
 
     pub fn add(&mut self, until: Time, amount: f64) {
-        self.entries.retain(|entry| entry.0 > until || entry.1 > amount);
-        self.entries.push((until, amount));
+        self.entries.retain(|entry| entry.until > until || entry.amount > amount);
+        self.entries.push(LoanEntry { until, amount });
     }
 }
 
@@ -62,6 +74,22 @@
     pub lease: Option<Lease>,
 }
 
+/// A reduction of the part that may still be in use.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Reduction {
+    pub level: f64,
+    /// When it takes effect.
+    pub at: Time,
+}
+
+/// The result of a draw: whether this member collects a whole hand-off or goes without, and until when.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Draw {
+    pub collects: bool,
+    pub until: Time,
+}
+
+/// One limit at one member.
 #[derive(Clone, Debug)]
 pub(super) struct Limit {
     /// The fleet-wide limit.
@@ -73,8 +101,8 @@
     /// The part of the own share granted to the dispatcher, and the most of it that may still be in use.
     pub retained: f64,
     pub in_use_max: f64,
-    /// The value that `in_use_max` drops to, and when.
-    pub reduction: Option<(f64, Time)>,
+    /// The pending reduction of `in_use_max`.
+    pub reduction: Option<Reduction>,
     pub allowance: Option<Allowance>,
     pub has_new_allowance: bool,
     /// Whether the dispatcher has put the latest allowance into force.
@@ -82,9 +110,8 @@
     pub loans: BTreeMap<(MemberId, Incarnation), Loan>,
     pub borrowers: BTreeMap<MemberId, Borrower>,
     pub lenders: BTreeMap<MemberId, Lender>,
-    /// Where a share is less than one hand-off: whether this member won the draw and collects a whole one, or
-    /// goes without, and until when.
-    pub draw: Option<(bool, Time)>,
+    /// The last draw, where a share is less than one hand-off.
+    pub draw: Option<Draw>,
     /// Estimated fraction of the other members that have unmet demand, from their answers.
     pub contention: f64,
     /// When it last held a whole hand-off, had no demand, or drew.
@@ -109,15 +136,15 @@
     pub fn effective_demand(&self, unit: f64) -> f64 {
         match self.draw {
             None => self.demand,
-            Some((true, _)) => unit * 1.001,
-            Some((false, _)) => 0.0,
+            Some(Draw { collects: true, .. }) => unit * 1.001,
+            Some(Draw { collects: false, .. }) => 0.0,
         }
     }
 
     /// Drops expired loans, leases, requests and demand.
     pub fn expire(&mut self, now: Time, lease_span: Span) {
         self.loans.retain(|_, loan| {
-            loan.entries.retain(|entry| now < entry.0);
+            loan.entries.retain(|entry| now < entry.until);
             !loan.entries.is_empty()
         });
         self.borrowers.retain(|_, borrower| now < borrower.received + lease_span + lease_span);
