--- a/crates/fleet/src/rollout/figures.rs
+++ b/crates/fleet/src/rollout/figures.rs
@@ -191,7 +191,7 @@
 /// with less than half the weight are omitted.
 fn deviations(group: &[&Windows], since: u64, measure: Measure) -> (f64, BTreeMap<u64, f64>) {
     let mut sums: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
-    let (mut all, mut means) = (0.0, 0.0);
+    let (mut total_weight, mut means) = (0.0, 0.0);
     for windows in group {
         let before: Vec<&WindowFigures> =
             windows.range(..since).map(|(_, w)| w).filter(|w| w.figures.visits > 0).collect();
@@ -205,7 +205,7 @@
             let sum: f64 = before.iter().map(|w| w.figures.value(measure) * w.figures.visits as f64).sum();
             (visits / before.len() as f64, sum / visits)
         };
-        all += weight;
+        total_weight += weight;
         means += weight * mean;
         for (index, window) in windows.iter().filter(|(_, w)| w.figures.visits > 0) {
             let entry = sums.entry(*index).or_default();
@@ -213,9 +213,9 @@
             entry.1 += weight;
         }
     }
-    sums.retain(|_, (_, weight)| *weight >= 0.5 * all);
+    sums.retain(|_, (_, weight)| *weight >= 0.5 * total_weight);
     let series = sums.into_iter().map(|(index, (sum, weight))| (index, sum / weight)).collect();
-    (if all > 0.0 { means / all } else { 0.0 }, series)
+    (if total_weight > 0.0 { means / total_weight } else { 0.0 }, series)
 }
 
 /// Least windows before the version and since.
--- a/crates/fleet/src/rollout/runner.rs
+++ b/crates/fleet/src/rollout/runner.rs
@@ -1,6 +1,13 @@
 //! The runner of a rollout: which member it is, what members report to it, and when it promotes or halts.
-use super::figures::prune;
-use super::*;
+use super::figures::{self, compare, prune, Comparison, Figures, WindowFigures, Windows};
+use super::messages::{Hello, RolloutMessage};
+use super::state::{Change, OpenWindow, Peer, PendingChange, Rollout};
+use super::step::{Halt, Phase, Step};
+use super::version::Version;
+use crate::common::{Incarnation, MemberId};
+use cherrypass::time::{Span, Time};
+use rand::Rng;
+use std::collections::BTreeSet;
 
 /// Least number of members that a status is sent to each time.
 const MIN_HELLO_TARGETS: usize = 2;
@@ -8,21 +15,61 @@
 /// the rest allows for losses.
 const HELLO_ROUND_FRACTION: f64 = 0.8;
 
-/// What is known of another member.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Peer {
-    last_heard: Option<Time>,
-    incarnation: Incarnation,
-    in_force: u64,
-    starts: u8,
-    /// Restarts seen since this member runs the rollout, in its present run.
-    restarts: u8,
-    pub(super) is_dead: bool,
-    /// The number of its last window that was received.
-    windows_seen: u64,
-    windows: Windows,
-    /// The number of this member's last window that the other has received.
-    own_windows_seen: u64,
+/// The windows of dispatchers that get the version in this stage, that got it before, and of the others.
+#[derive(Default)]
+struct Groups<'a> {
+    new: Vec<&'a Windows>,
+    old: Vec<&'a Windows>,
+    without_version: Vec<&'a Windows>,
+}
+
+impl<'a> Groups<'a> {
+    /// The first window in which all dispatchers that are new in this stage have the version; windows in
+    /// between count for neither side.
+    fn first_common_window(&self, since: u64, number: u64) -> Option<u64> {
+        let first_with_version = |windows: &&Windows| {
+            let first = windows.range(since..).find(|(_, w)| w.number == Some(number));
+            first.map(|(index, _)| *index)
+        };
+        let first: Option<Vec<u64>> = self.new.iter().map(first_with_version).collect();
+        first?.into_iter().max()
+    }
+
+    /// Dispatchers without the version, or if all have it, those that had it before this stage.
+    fn reference(&self) -> &[&'a Windows] {
+        if self.without_version.is_empty() {
+            &self.old
+        } else {
+            &self.without_version
+        }
+    }
+}
+
+fn select_windows(group: &[&Windows], is_compared: impl Fn(u64, &WindowFigures) -> bool) -> Vec<Windows> {
+    let select = |windows: &&Windows| {
+        windows.iter().filter(|(p, c)| is_compared(**p, c)).map(|(p, c)| (*p, *c)).collect()
+    };
+    group.iter().map(select).collect()
+}
+
+impl Peer {
+    /// Notes a status: `number` is the version being rolled out, `own` the receiver's run.
+    fn note_status(&mut self, now: Time, hello: &Hello, number: u64, own: Incarnation) {
+        if hello.incarnation > self.incarnation {
+            let is_first = self.incarnation == Incarnation::default();
+            if !is_first && (self.in_force == number || hello.in_force == number) {
+                self.restarts = self.restarts.saturating_add(1);
+            }
+            (self.incarnation, self.windows_seen, self.own_windows_seen) = (hello.incarnation, 0, 0);
+        }
+        self.last_heard = Some(now);
+        self.in_force = hello.in_force;
+        self.starts = hello.starts;
+        if hello.is_runner {
+            let (run, number) = hello.windows_seen;
+            self.own_windows_seen = if run == own { number } else { 0 };
+        }
+    }
 }
 
 impl Rollout {
@@ -85,60 +132,56 @@
     }
 
     /// Handles another member's status.
-    pub(super) fn handle_hello(&mut self, now: Time, from: MemberId, hello: Hello) {
+    pub(super) fn handle_hello(&mut self, now: Time, from: MemberId, mut hello: Hello) {
         self.learn_step(now, from, hello.step);
-        if let Some(halt) = hello.halt {
+        if let Some(halt) = hello.halt.take() {
             self.handle_halt(halt);
         }
-        let since = self.window_index(self.step_learned);
-        let (window_span, max_windows) = (self.settings.window, self.settings.max_windows);
-        let (is_running, number, own) =
-            (self.running_since.is_some(), self.state.chosen.version.number, self.incarnation);
+        let (number, own) = (self.state.chosen.version.number, self.incarnation);
         let Some(peer) = self.peers.get_mut(&from) else { return };
         if hello.incarnation < peer.incarnation {
             return;
         }
-        if hello.incarnation > peer.incarnation {
-            if peer.incarnation != Incarnation::default()
-                && (peer.in_force == number || hello.in_force == number)
-            {
-                peer.restarts = peer.restarts.saturating_add(1);
-            }
-            (peer.incarnation, peer.windows_seen, peer.own_windows_seen) = (hello.incarnation, 0, 0);
-        }
-        peer.last_heard = Some(now);
-        peer.in_force = hello.in_force;
-        peer.starts = hello.starts;
-        if hello.windows_seen.0 == own && hello.is_runner {
-            peer.own_windows_seen = hello.windows_seen.1;
-        } else if hello.is_runner {
-            peer.own_windows_seen = 0;
-        }
-        if is_running {
-            let mut visits = 0;
-            for (n, age, window) in hello.windows.into_iter().take(max_windows[0] + max_windows[1]) {
-                if n <= peer.windows_seen || age.0 >= now.0 {
-                    continue;
-                }
-                peer.windows_seen = n;
-                let index = (now - age).0 / window_span.0;
-                let figures = window.figures.clamped();
-                if index >= since && window.number == Some(number) {
-                    visits += figures.visits;
-                }
-                peer.windows.insert(index, WindowFigures { figures, ..window });
-            }
-            prune(&mut peer.windows, since, max_windows[0], max_windows[1]);
-            self.stage_visits = self.stage_visits.saturating_add(visits);
+        peer.note_status(now, &hello, number, own);
+        if self.running_since.is_some() {
+            self.record_windows(now, from, hello.windows);
         }
         if hello.is_runner && hello.is_able {
-            let current = self.runner.filter(|(_, at)| now - *at < self.settings.runner_timeout);
-            if current.is_none_or(|(id, _)| from <= id) {
-                self.runner = Some((from, now));
+            self.note_runner(now, from);
+        }
+    }
+
+    /// Keeps the windows that another member reports, and counts the visits of the stage.
+    fn record_windows(&mut self, now: Time, from: MemberId, windows: Vec<(u64, Span, WindowFigures)>) {
+        let since = self.window_index(self.step_learned);
+        let (window_span, [before, after]) = (self.settings.window, self.settings.max_windows);
+        let number = self.state.chosen.version.number;
+        let Some(peer) = self.peers.get_mut(&from) else { return };
+        let mut visits = 0;
+        for (n, age, window) in windows.into_iter().take(before + after) {
+            if n <= peer.windows_seen || age.0 >= now.0 {
+                continue;
             }
-            if self.running_since.is_some() && from < self.own {
-                self.step_down(now);
+            peer.windows_seen = n;
+            let index = (now - age).0 / window_span.0;
+            let figures = window.figures.clamped();
+            if index >= since && window.number == Some(number) {
+                visits += figures.visits;
             }
+            peer.windows.insert(index, WindowFigures { figures, ..window });
+        }
+        prune(&mut peer.windows, since, before, after);
+        self.stage_visits = self.stage_visits.saturating_add(visits);
+    }
+
+    /// Another member runs the rollout. Of several the one with the least id goes on.
+    fn note_runner(&mut self, now: Time, from: MemberId) {
+        let current = self.runner.filter(|(_, at)| now - *at < self.settings.runner_timeout);
+        if current.is_none_or(|(id, _)| from <= id) {
+            self.runner = Some((from, now));
+        }
+        if self.running_since.is_some() && from < self.own {
+            self.step_down(now);
         }
     }
 
@@ -149,7 +192,7 @@
 
     /// Closes the open window once its time is over.
     pub(super) fn close_window(&mut self, now: Time) {
-        let (window, started) = self.open_window;
+        let OpenWindow { window, started } = self.open_window;
         if now - started < self.settings.window {
             return;
         }
@@ -164,8 +207,8 @@
             let [before, after] = self.settings.max_windows;
             prune(&mut self.closed_windows, self.stage_first_window, before, after);
         }
-        self.open_window =
-            (WindowFigures { number: Some(self.active.number), figures: Figures::default() }, now);
+        let window = WindowFigures { number: Some(self.active.number), figures: Figures::default() };
+        self.open_window = OpenWindow { window, started: now };
     }
 
     /// Resets what was counted for the stage, after a new step.
@@ -177,7 +220,7 @@
     fn step_down(&mut self, now: Time) {
         self.running_since = None;
         self.take_over_at = now + self.settings.runner_timeout;
-        if !self.is_order_pending {
+        if !self.is_order_pending() {
             (self.pending_change, self.attempt) = (None, None);
         }
     }
@@ -188,41 +231,18 @@
         self.peers.values().filter(|peer| is_reachable(peer)).count() + 1 >= self.majority()
     }
 
+    /// Runs the rollout, if this member is the runner or becomes it.
     pub(super) fn drive_rollout(&mut self, now: Time) {
-        let has_runner = self.runner.is_some_and(|(_, at)| now - at < self.settings.runner_timeout);
         // Guards against halts by a runner that hears nobody because of its own link.
         if self.running_since.is_some() && !(self.is_able() && self.is_majority_reachable(now)) {
             return self.step_down(now);
         }
-        if self.running_since.is_none() {
-            if has_runner || !self.is_able() || !self.is_majority_reachable(now) {
-                self.take_over_at = self
-                    .take_over_at
-                    .max(now + self.settings.runner_timeout.times(self.rng.gen_range(0.1..0.5)));
-                return;
-            }
-            if now < self.take_over_at {
-                return;
-            }
-            self.running_since = Some(now);
-            self.runner = None;
-            for peer in self.peers.values_mut() {
-                (peer.windows_seen, peer.restarts) = (0, 0);
-                peer.windows.clear();
-            }
-            self.reset_stage();
-            self.next_hello = now;
+        if self.running_since.is_none() && !self.try_take_over(now) {
+            return;
         }
         let (step, latest) = (self.state.chosen, self.latest());
         if let Some(halt) = self.state.halt.clone().filter(|_| latest.promotes() && self.is_halted(&latest)) {
-            // Also where the version is in force everywhere: the member that halted had not heard of that.
-            let is_settling = self.attempt.as_ref().is_some_and(|attempt| !attempt.is_promoting());
-            let has_pending_halt = matches!(self.pending_change, Some((Change::Halt(_), _)));
-            if !is_settling && !has_pending_halt && !self.is_order_pending {
-                self.attempt = None;
-                self.pending_change = Some((Change::Halt(halt), now));
-            }
-            return;
+            return self.settle_halt(now, halt);
         }
         if latest.at > step.at {
             // Finishes a change that another member began.
@@ -236,22 +256,83 @@
         }
     }
 
+    /// Becomes the runner if there has been none for long enough.
+    fn try_take_over(&mut self, now: Time) -> bool {
+        let has_runner = self.runner.is_some_and(|(_, at)| now - at < self.settings.runner_timeout);
+        if has_runner || !self.is_able() || !self.is_majority_reachable(now) {
+            self.take_over_at =
+                self.take_over_at.max(now + self.settings.runner_timeout.times(self.rng.gen_range(0.1..0.5)));
+            return false;
+        }
+        if now < self.take_over_at {
+            return false;
+        }
+        self.running_since = Some(now);
+        self.runner = None;
+        for peer in self.peers.values_mut() {
+            (peer.windows_seen, peer.restarts) = (0, 0);
+            peer.windows.clear();
+        }
+        self.reset_stage();
+        self.next_hello = now;
+        true
+    }
+
+    /// Changes the step because of a known halt, also where the version is in force everywhere: the member
+    /// that halted had not heard of that.
+    fn settle_halt(&mut self, now: Time, halt: Halt) {
+        let is_settling = self.attempt.as_ref().is_some_and(|attempt| !attempt.is_promoting());
+        let has_pending_halt =
+            matches!(self.pending_change, Some(PendingChange { change: Change::Halt(_), .. }));
+        if !is_settling && !has_pending_halt && !self.is_order_pending() {
+            self.attempt = None;
+            self.set_pending_change(now, Change::Halt(halt));
+        }
+    }
+
     /// Halts the rollout, waits, or promotes it to the next stage.
     fn evaluate_stage(&mut self, now: Time, step: Step) {
         let Some(version) = self.documents.get(&step.version).cloned() else { return };
-        let with: Vec<MemberId> =
-            version.included_dispatchers(&self.listed, step.stage).into_iter().collect();
+        let lacks_version = match self.check_dispatchers(now, &step, &version) {
+            Ok(lacks_version) => lacks_version,
+            Err(reason) => return self.halt(now, reason),
+        };
+        if self.halt_if_worse(now, step, &version, false) {
+            return;
+        }
+        if now < self.step_learned + version.plan.hold {
+            return;
+        }
+        let has_enough_visits = self.stage_visits >= version.plan.visits;
+        let has_passed = self.has_passed || step.resumed == Some(step.stage);
+        if lacks_version.is_none() && has_enough_visits && has_passed {
+            if !self.halt_if_worse(now, step, &version, true) {
+                self.set_pending_change(now, Change::Promote(step));
+            }
+            return;
+        }
+        self.halt_if_overdue(now, &step, &version, lacks_version);
+    }
+
+    /// Checks the dispatchers that should have the version. Returns one that lacks it, if any; the error is
+    /// the reason of a halt.
+    fn check_dispatchers(
+        &self,
+        now: Time,
+        step: &Step,
+        version: &Version,
+    ) -> Result<Option<MemberId>, String> {
         let since = self.running_since.unwrap_or(now);
         let mut lacks_version = None;
-        for id in &with {
-            let Some(peer) = self.peers.get(id) else {
+        for id in version.included_dispatchers(&self.listed, step.stage) {
+            let Some(peer) = self.peers.get(&id) else {
                 if self.active != step.version {
-                    lacks_version = Some(*id);
+                    lacks_version = Some(id);
                 }
                 continue;
             };
             let silent = now - peer.last_heard.unwrap_or(since).max(since);
-            let why = if peer.is_dead {
+            let fault = if peer.is_dead {
                 Some("died")
             } else if silent > self.settings.silence_limit {
                 Some("is unreachable")
@@ -260,43 +341,38 @@
             } else {
                 None
             };
-            if let Some(why) = why {
-                return self.halt(now, format!("dispatcher {:016x}, which has the version, {why}", id.0));
+            if let Some(fault) = fault {
+                return Err(format!("dispatcher {:016x}, which has the version, {fault}", id.0));
             }
             if peer.in_force != version.number {
-                lacks_version = Some(*id);
+                lacks_version = Some(id);
             }
         }
         if self.state.starts >= 2 {
-            return self.halt(
-                now,
-                format!("dispatcher {:016x}, which has the version, was restarted twice", self.own.0),
-            );
-        }
-        if self.halt_if_worse(now, step, &version, false) {
-            return;
-        }
-        let hold = self.step_learned + version.plan.hold;
-        if now < hold {
-            return;
-        }
-        let visits = self.stage_visits;
-        let has_passed = self.has_passed || step.resumed == Some(step.stage);
-        if lacks_version.is_none() && visits >= version.plan.visits && has_passed {
-            if self.halt_if_worse(now, step, &version, true) {
-                return;
-            }
-            self.pending_change = Some((Change::Promote(step), now));
-            return;
+            let own = self.own.0;
+            return Err(format!("dispatcher {own:016x}, which has the version, was restarted twice"));
         }
+        Ok(lacks_version)
+    }
+
+    /// Halts a stage that is not complete long after its hold.
+    fn halt_if_overdue(
+        &mut self,
+        now: Time,
+        step: &Step,
+        version: &Version,
+        lacks_version: Option<MemberId>,
+    ) {
         // A new runner first has to receive the members' windows again.
-        if now - self.step_learned.max(since) > version.plan.hold + self.settings.stage_overtime {
-            let why = match lacks_version {
-                Some(id) => format!("dispatcher {:016x} has not put the version in force", id.0),
-                None => format!("too few figures: {visits} of {} visits", version.plan.visits),
-            };
-            self.halt(now, format!("stage {}: {why}", step.stage));
+        let since = self.step_learned.max(self.running_since.unwrap_or(now));
+        if now - since <= version.plan.hold + self.settings.stage_overtime {
+            return;
         }
+        let why = match lacks_version {
+            Some(id) => format!("dispatcher {:016x} has not put the version in force", id.0),
+            None => format!("too few figures: {} of {} visits", self.stage_visits, version.plan.visits),
+        };
+        self.halt(now, format!("stage {}: {why}", step.stage));
     }
 
     /// Halts if the figures are worse; returns whether it did.
@@ -313,54 +389,19 @@
     /// last comparison. The k-th comparison of a stage gets 1/k(k+1) of the stage's share of the false alarm
     /// rate, so that all comparisons together get that share.
     fn compare_figures(&mut self, step: Step, version: &Version, is_last: bool) -> Comparison {
+        let own = self.own_windows();
+        let groups = self.group_windows(&own, &step, version);
         let since = self.window_index(self.step_learned);
-        let before = step.stage.checked_sub(1);
-        let have_before =
-            before.map(|stage| version.included_dispatchers(&self.listed, stage)).unwrap_or_default();
-        let have_now = version.included_dispatchers(&self.listed, step.stage);
-        let mut own: Windows = BTreeMap::new();
-        for (at, window) in self.closed_windows.values() {
-            own.insert(self.window_index(*at), *window);
-        }
-        let (mut new, mut old, mut without_version) = (Vec::new(), Vec::new(), Vec::new());
-        for id in self.listed.keys() {
-            let windows =
-                if *id == self.own { Some(&own) } else { self.peers.get(id).map(|peer| &peer.windows) };
-            let Some(windows) = windows else { continue };
-            let group = if have_before.contains(id) {
-                &mut old
-            } else if have_now.contains(id) {
-                &mut new
-            } else {
-                &mut without_version
-            };
-            group.push((*id, windows));
-        }
-        // The first window in which all dispatchers that are new in this stage have the version; windows in
-        // between count for neither side.
-        let first_with_version = |windows: &Windows| {
-            let first = windows.range(since..).find(|(_, w)| w.number == Some(version.number));
-            first.map(|(index, _)| *index)
-        };
-        let Some(first) = new.iter().map(|(_, w)| first_with_version(w)).collect::<Option<Vec<u64>>>() else {
+        let Some(first) = groups.first_common_window(since, version.number) else {
             return Comparison::TooFewWindows;
         };
-        let Some(first) = first.into_iter().max() else { return Comparison::TooFewWindows };
-        let select = |group: &[(MemberId, &Windows)], is_new: bool| -> Vec<Windows> {
-            let is_compared = |index: u64, window: &WindowFigures| match (is_new, index >= first) {
-                (true, true) => window.number == Some(version.number),
-                (true, false) => index < since && window.number != Some(version.number),
-                (false, late) => (late || index < since) && window.number.is_some(),
-            };
-            group
-                .iter()
-                .map(|(_, w)| w.iter().filter(|(p, c)| is_compared(**p, c)).map(|(p, c)| (*p, *c)).collect())
-                .collect()
-        };
-        // Compares with dispatchers without the version, or if all have it, with those that had it before
-        // this stage.
-        let reference = if without_version.is_empty() { &old } else { &without_version };
-        let (with, without) = (select(&new, true), select(reference, false));
+        let with = select_windows(&groups.new, |index, window| match index >= first {
+            true => window.number == Some(version.number),
+            false => index < since && window.number != Some(version.number),
+        });
+        let without = select_windows(groups.reference(), |index, window| {
+            (index >= first || index < since) && window.number.is_some()
+        });
         let windows = with.iter().map(|w| w.range(first..).count()).max().unwrap_or(0);
         let last = with.iter().filter_map(|w| w.last_key_value()).map(|(index, _)| *index).max().unwrap_or(0);
         if windows < figures::MIN_WINDOWS_SINCE || (last < self.next_comparison && !is_last) {
@@ -372,14 +413,44 @@
         let without: Vec<&Windows> = without.iter().collect();
         let comparison = compare(&with, &without, first, alpha);
         if comparison != Comparison::TooFewWindows {
-            self.comparisons += 1;
-            self.next_comparison = last + (windows as u64).div_ceil(2);
-            // Guards against a short hold time, after which a comparison of few windows would promote a
-            // harmful version.
-            let is_enough = |windows: usize| windows >= figures::MIN_WINDOWS_TO_PASS;
-            self.has_passed =
-                matches!(comparison, Comparison::NotWorse { windows, .. } if is_enough(windows));
+            self.note_comparison(&comparison, last + (windows as u64).div_ceil(2));
         }
         comparison
     }
+
+    /// This member's closed windows, by index.
+    fn own_windows(&self) -> Windows {
+        self.closed_windows.values().map(|(at, window)| (self.window_index(*at), *window)).collect()
+    }
+
+    /// The windows of all members, grouped by when they get the version.
+    fn group_windows<'a>(&'a self, own: &'a Windows, step: &Step, version: &Version) -> Groups<'a> {
+        let before = step.stage.checked_sub(1);
+        let have_before =
+            before.map(|stage| version.included_dispatchers(&self.listed, stage)).unwrap_or_default();
+        let have_now = version.included_dispatchers(&self.listed, step.stage);
+        let mut groups = Groups::default();
+        for id in self.listed.keys() {
+            let windows =
+                if *id == self.own { Some(own) } else { self.peers.get(id).map(|peer| &peer.windows) };
+            let Some(windows) = windows else { continue };
+            if have_before.contains(id) {
+                groups.old.push(windows);
+            } else if have_now.contains(id) {
+                groups.new.push(windows);
+            } else {
+                groups.without_version.push(windows);
+            }
+        }
+        groups
+    }
+
+    fn note_comparison(&mut self, comparison: &Comparison, next: u64) {
+        self.comparisons += 1;
+        self.next_comparison = next;
+        // Guards against a short hold time, after which a comparison of few windows would promote a harmful
+        // version.
+        let is_enough = |windows: usize| windows >= figures::MIN_WINDOWS_TO_PASS;
+        self.has_passed = matches!(comparison, Comparison::NotWorse { windows, .. } if is_enough(*windows));
+    }
 }
