--- a/crates/fleet/src/feed/follower.rs
+++ b/crates/fleet/src/feed/follower.rs
@@ -1,7 +1,10 @@
 //! A process that follows the feed without being a member: it subscribes to a carrier and acknowledges
 //! frames.
-use super::log::SegmentCheck;
-use super::{Effect, FeedMessage, Fence, FollowerClass, Position, Segment, Settings, Stamp};
+use super::effects::Effect;
+use super::log::{Echo, Segment, SegmentCheck, Stamp};
+use super::messages::{FeedMessage, Fence, FollowerClass};
+use super::position::Position;
+use super::settings::Settings;
 use crate::common::{rendezvous_order, Incarnation, MemberId};
 use cherrypass::containers::MovingAverage;
 use cherrypass::time::{Span, Time};
@@ -32,7 +35,7 @@
     /// Sources whose positions go into the next acknowledgement, and whether that is due.
     sources_to_ack: BTreeSet<MemberId>,
     is_ack_due: bool,
-    out: VecDeque<Effect>,
+    effects: VecDeque<Effect>,
 }
 
 impl Follower {
@@ -62,13 +65,13 @@
             last_tick: now,
             sources_to_ack: BTreeSet::new(),
             is_ack_due: false,
-            out: VecDeque::new(),
+            effects: VecDeque::new(),
         }
     }
 
     /// The next effect. Call until there is none after each call.
     pub fn next_effect(&mut self) -> Option<Effect> {
-        self.out.pop_front()
+        self.effects.pop_front()
     }
 
     /// The fence of the present carrier, as far as known here.
@@ -104,7 +107,7 @@
                 stamp: self.stamp(now),
                 positions,
             };
-            self.out.push_back(Effect::Send { to: self.fence.carrier, message });
+            self.effects.push_back(Effect::Send { to: self.fence.carrier, message });
         }
     }
 
@@ -123,7 +126,7 @@
         self.adopt_fence(Fence { number: self.fence.number + 1, carrier, ..self.fence });
         self.last_asked = now;
         let positions = self.positions.values().copied().collect();
-        self.out.push_back(Effect::Send {
+        self.effects.push_back(Effect::Send {
             to: carrier,
             message: FeedMessage::Subscribe {
                 fence: self.fence,
@@ -153,31 +156,11 @@
             FeedMessage::Frame { fence, frame, echo, class, segments } => {
                 if fence.carrier != from || !self.accepts_fence(fence) {
                     let message = FeedMessage::CarriedElsewhere { fence: self.fence };
-                    self.out.push_back(Effect::Send { to: from, message });
+                    self.effects.push_back(Effect::Send { to: from, message });
                     return;
                 }
-                if fence != self.fence {
-                    self.adopt_fence(fence);
-                }
-                self.is_carried = true;
-                self.next_candidate = 0;
-                self.mean_gap.push(
-                    (now - self.last_heard).as_seconds().min(self.settings.max_orphan_time.as_seconds()),
-                    0.1,
-                );
-                self.last_heard = now;
-                self.class = class;
-                self.last_frame = self.last_frame.max(frame);
-                self.is_ack_due |= !segments.is_empty();
-                let Some(transit) = echo.and_then(|echo| echo.transit(now, self.fence.incarnation)) else {
-                    // Without an echo the age of the items has no bound; the acknowledgement delivers a stamp
-                    // for one.
-                    self.is_ack_due = true;
-                    return;
-                };
-                for segment in segments.into_iter().take(self.settings.max_segments) {
-                    self.apply_segment(segment, transit);
-                }
+                self.note_frame(now, fence, frame, class);
+                self.apply_segments(now, echo, segments);
             }
             FeedMessage::Moved { fence } if self.accepts_fence(fence) && fence != self.fence => {
                 self.adopt_fence(fence);
@@ -197,6 +180,33 @@
         }
     }
 
+    /// Notes a frame of the carrier.
+    fn note_frame(&mut self, now: Time, fence: Fence, frame: u64, class: FollowerClass) {
+        if fence != self.fence {
+            self.adopt_fence(fence);
+        }
+        self.is_carried = true;
+        self.next_candidate = 0;
+        let max_gap = self.settings.max_orphan_time.as_seconds();
+        self.mean_gap.push((now - self.last_heard).as_seconds().min(max_gap), 0.1);
+        self.last_heard = now;
+        self.class = class;
+        self.last_frame = self.last_frame.max(frame);
+    }
+
+    fn apply_segments(&mut self, now: Time, echo: Option<Echo>, segments: Vec<Segment>) {
+        self.is_ack_due |= !segments.is_empty();
+        let Some(transit) = echo.and_then(|echo| echo.transit(now, self.fence.incarnation)) else {
+            // Without an echo the age of the items has no bound; the acknowledgement delivers a stamp for
+            // one.
+            self.is_ack_due = true;
+            return;
+        };
+        for segment in segments.into_iter().take(self.settings.max_segments) {
+            self.apply_segment(segment, transit);
+        }
+    }
+
     fn accepts_fence(&self, fence: Fence) -> bool {
         fence.incarnation == self.fence.incarnation
             && fence >= self.fence
@@ -215,7 +225,7 @@
             SegmentCheck::Known | SegmentCheck::Gap => {}
             SegmentCheck::New { items, is_complete } => {
                 self.positions.insert(source, Position { source, incarnation, number: up_to });
-                Effect::push_items(&mut self.out, source, incarnation, up_to, items, is_complete);
+                Effect::push_items(&mut self.effects, source, incarnation, up_to, items, is_complete);
             }
         }
         self.sources_to_ack.insert(source);
--- a/crates/fleet/src/feed/log.rs
+++ b/crates/fleet/src/feed/log.rs
@@ -1,6 +1,7 @@
 //! The items held of one source: its newest items without a gap, and of the older ones the latest item of
 //! each key.
-use super::{Position, Settings};
+use super::position::Position;
+use super::settings::Settings;
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use serde::{Deserialize, Serialize};
@@ -21,6 +22,9 @@
 /// Limit of ages and hold times.
 pub(super) const MAX_HOLD: Span = Span(7 * 24 * 3600 * 1_000_000);
 
+/// The items held of each source.
+pub(super) type Logs = BTreeMap<MemberId, SourceLog>;
+
 /// One item as it is sent. `age` is an upper bound at the time of sending.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
