--- a/crates/fleet/src/delivery/follower.rs
+++ b/crates/fleet/src/delivery/follower.rs
@@ -150,11 +150,11 @@
 
     /// Delivers the new ones of these records. Returns whether no change before them is missing.
     fn deliver_new(&mut self, after: ChangeNumber, records: Vec<Record>) -> bool {
-        let Some(known) = self.last.0.checked_sub(after.0) else { return false };
-        let known = usize::try_from(known).unwrap_or(usize::MAX);
-        if known < records.len() {
+        let Some(delivered) = self.last.0.checked_sub(after.0) else { return false };
+        let delivered = usize::try_from(delivered).unwrap_or(usize::MAX);
+        if delivered < records.len() {
             let first = self.last.next();
-            let records: Vec<Record> = records.into_iter().skip(known).collect();
+            let records: Vec<Record> = records.into_iter().skip(delivered).collect();
             self.last = self.last.plus(records.len());
             self.effects.push_back(Effect::Deliver { first, records });
         }
