--- a/crates/fleet/examples/feed.rs
+++ b/crates/fleet/examples/feed.rs
@@ -91,8 +91,11 @@
     let mut delays: Vec<u32> = healthy.iter().flat_map(|bed| bed.delays.iter().copied()).collect();
     delays.sort_unstable();
     let feeds = || fleet.members.iter().filter_map(|id| fleet.net.node(*id)).filter_map(|bed| bed.feed());
-    let slow: Vec<MemberId> =
-        feeds().flat_map(|feed| feed.carried_followers()).filter(|one| one.1).map(|one| one.0).collect();
+    let slow: Vec<MemberId> = feeds()
+        .flat_map(|feed| feed.carried_followers())
+        .filter(|(_, slow)| *slow)
+        .map(|(id, _)| id)
+        .collect();
     Run {
         delays,
         moves: feeds().map(|feed| feed.completed_moves()).sum(),
@@ -180,7 +183,8 @@
             }
             fleet.net.run(Span::millis(200), |_| {});
             let feeds = fleet.members.iter().filter_map(|member| fleet.net.node(*member)?.feed());
-            let carried = feeds.flat_map(|feed| feed.carried_followers().map(|one| (one, feed.load())));
+            let carried =
+                feeds.flat_map(|feed| feed.carried_followers().map(|follower| (follower, feed.load())));
             let slow = carried.filter(|((carried, slow), _)| *carried == id && *slow).count();
             slow_for += usize::from(slow > 0);
             ticks += 1;
--- a/crates/fleet/examples/members.rs
+++ b/crates/fleet/examples/members.rs
@@ -69,7 +69,7 @@
         loss_rate * 100.0
     );
     for n in SIZES.into_iter().filter(|n| is_selected_size(*n)) {
-        let (mut first, mut all, mut unknown) = (Vec::new(), Vec::new(), 0);
+        let (mut first, mut last, mut unknown) = (Vec::new(), Vec::new(), 0);
         for seed in 0..seeds(n, 6000) {
             let mut fleet = Fleet::new(seed, n);
             fleet.network.link.loss_rate = loss_rate;
@@ -77,12 +77,15 @@
             for _ in 0..if n < 9 { 1 } else { 3 } {
                 let who = random_member(&mut fleet);
                 fleet.network.kill(who);
-                let one = fleet.until(LONG, |fleet| fleet.count_holding(who, MemberState::Dead) > 0);
-                let rest = fleet.until(LONG, |fleet| {
+                let until_first = fleet.until(LONG, |fleet| fleet.count_holding(who, MemberState::Dead) > 0);
+                let until_last = fleet.until(LONG, |fleet| {
                     fleet.count_holding(who, MemberState::Dead) == fleet.network.ids().len()
                 });
-                match (one, rest) {
-                    (Some(one), Some(rest)) => (first.push(one), all.push(one + rest)).1,
+                match (until_first, until_last) {
+                    (Some(until_first), Some(until_last)) => {
+                        first.push(until_first);
+                        last.push(until_first + until_last);
+                    }
                     _ => unknown += 1,
                 }
             }
@@ -90,7 +93,7 @@
         println!(
             "{n:5}  first {}  all {}  not within 60 s: {unknown}",
             percentiles(&mut first),
-            percentiles(&mut all)
+            percentiles(&mut last)
         );
     }
 }
@@ -118,7 +121,7 @@
 fn cuts() {
     println!("\nOne member cut off for 20 s, and one paused for 3 s, 10 s after the start");
     for n in [3, 9, 30, 100, 300].into_iter().filter(|n| is_selected_size(*n)) {
-        for (name, out, back) in
+        for (name, cuts_outgoing, cuts_incoming) in
             [("both directions", true, true), ("outgoing", true, false), ("incoming", false, true)]
         {
             let (mut noticed, mut declared_dead, mut healed) = (Vec::new(), Vec::new(), Vec::new());
@@ -128,8 +131,8 @@
                 fleet.run(Span::millis(10_000));
                 let who = random_member(&mut fleet);
                 for id in fleet.ids().into_iter().filter(|id| *id != who) {
-                    fleet.network.cut.extend(out.then_some((who, id)));
-                    fleet.network.cut.extend(back.then_some((id, who)));
+                    fleet.network.cut.extend(cuts_outgoing.then_some((who, id)));
+                    fleet.network.cut.extend(cuts_incoming.then_some((id, who)));
                 }
                 let start = fleet.network.now;
                 let is_degraded = |fleet: &Fleet| {
@@ -139,8 +142,8 @@
                 while fleet.network.now - start < SETTLE {
                     fleet.run(Span::millis(25));
                     own = own.or_else(|| is_degraded(&fleet).then_some(fleet.network.now - start));
-                    let all = fleet.count_holding(who, MemberState::Dead) == n - 1;
-                    dead = dead.or_else(|| all.then_some(fleet.network.now - start));
+                    let is_agreed = fleet.count_holding(who, MemberState::Dead) == n - 1;
+                    dead = dead.or_else(|| is_agreed.then_some(fleet.network.now - start));
                     let node = fleet.network.node(who).expect("runs");
                     before += usize::from(own.is_none() && node.changes_to(MemberState::Suspect) > 0);
                 }
@@ -264,12 +267,14 @@
             let mut fleet = Fleet::new(seed, n);
             fleet.run(Span::millis(10_000));
             let ids = fleet.ids();
-            let (one, other) = ids.split_at(n / 2);
-            let pairs = one.iter().flat_map(|a| other.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
+            let (first_half, second_half) = ids.split_at(n / 2);
+            let pairs =
+                first_half.iter().flat_map(|a| second_half.iter().flat_map(move |b| [(*a, *b), (*b, *a)]));
             fleet.network.cut.extend(pairs);
             let dead = |fleet: &Fleet| {
-                one.iter().all(|id| fleet.count_holding(*id, MemberState::Dead) == other.len())
-                    && other.iter().all(|id| fleet.count_holding(*id, MemberState::Dead) == one.len())
+                let is_dead_for = |id: &MemberId, count| fleet.count_holding(*id, MemberState::Dead) == count;
+                first_half.iter().all(|id| is_dead_for(id, second_half.len()))
+                    && second_half.iter().all(|id| is_dead_for(id, first_half.len()))
             };
             split.extend(fleet.until(LONG, dead));
             fleet.network.cut.clear();
--- a/crates/fleet/examples/rollout.rs
+++ b/crates/fleet/examples/rollout.rs
@@ -110,7 +110,7 @@
                 *failed = 20.0;
             }
         }
-        let mut out = Vec::new();
+        let mut figures = Vec::new();
         for (id, location) in listed {
             let (slow, quick, outage) = self.locations[location];
             let Some((rate, worse, own)) = self.members.get_mut(id) else { continue };
@@ -129,12 +129,12 @@
             let again = share(0.08, 1.0, harm.hand_offs + 0.1 * fails);
             let bad = (refused + failed + late).min(visits);
             // Each dispatcher ejects a failed host within the first seconds.
-            let found = if outage > 15.0 { 0.2 } else { 0.0 };
-            let ejected = draw(rng, 0.004 + found + harm.ejected);
+            let ejections = if outage > 15.0 { 0.2 } else { 0.0 };
+            let ejected = draw(rng, 0.004 + ejections + harm.ejected);
             let (in_time, hand_offs) = (visits - bad, visits - refused + again);
-            out.push((*id, Figures { visits, in_time, refused, failed, hand_offs, ejected }));
+            figures.push((*id, Figures { visits, in_time, refused, failed, hand_offs, ejected }));
         }
-        out
+        figures
     }
 }
 
@@ -190,7 +190,7 @@
         });
     }
     let mut world = World::new(seed ^ 0x5eed, &listed, fails);
-    let (mut saw, mut all, mut out) = (0, 0, Outcome::default());
+    let (mut visits_with_version, mut visits, mut outcome) = (0, 0, Outcome::default());
     for second in 0..7200_u64 {
         if second == 240 {
             let order = (0..locations).map(|l| LocationId(l as u16)).collect();
@@ -207,25 +207,25 @@
         let figures = world.second(&listed, |id| if has(id) { harm } else { Harm::default() });
         for (id, figures) in figures {
             if second >= 240 {
-                all += figures.visits;
-                saw += if has(id) { figures.visits } else { 0 };
+                visits += figures.visits;
+                visits_with_version += if has(id) { figures.visits } else { 0 };
             }
             net.call(id, |member, now| member.rollout.add_figures(now, figures));
         }
         let status = net.node(MemberId(1)).map(|m| m.rollout.status());
         let Some(status) = status.filter(|status| status.step.at > 0) else { continue };
-        out.stage = status.step.stage;
-        out.seconds = second - 240;
+        outcome.stage = status.step.stage;
+        outcome.seconds = second - 240;
         if status.step.phase != Phase::Rolling {
-            out.full = status.step.phase == Phase::Full;
+            outcome.full = status.step.phase == Phase::Full;
             break;
         }
     }
-    out.share = saw as f64 / all as f64;
-    out.messages = net.sent_messages.values().sum::<u64>();
+    outcome.share = visits_with_version as f64 / visits as f64;
+    outcome.messages = net.sent_messages.values().sum::<u64>();
     let halts = |id: &MemberId| net.node(*id)?.logs.iter().find(|line| line.contains("halted:")).cloned();
-    out.why = net.ids().iter().find_map(halts).unwrap_or_default();
-    out
+    outcome.why = net.ids().iter().find_map(halts).unwrap_or_default();
+    outcome
 }
 
 fn main() {
--- a/crates/fleet/examples/verdicts.rs
+++ b/crates/fleet/examples/verdicts.rs
@@ -105,7 +105,7 @@
     now: Time,
     events: BTreeMap<(Time, u64), Event>,
     number: u64,
-    all: Vec<Dispatcher>,
+    dispatchers: Vec<Dispatcher>,
     held: BTreeSet<(HostId, ObjectId)>,
     link: Pcg64Mcg,
     weight: f64,
@@ -161,7 +161,7 @@
             now: START,
             events: BTreeMap::new(),
             number: 0,
-            all: Vec::new(),
+            dispatchers: Vec::new(),
             held: BTreeSet::new(),
             link: Pcg64Mcg::seed_from_u64(case.seed ^ 0x77),
             weight: load / 0.6,
@@ -175,7 +175,7 @@
         for of in 0..case.dispatchers as usize {
             let seed = case.seed << 16 | of as u64;
             let (own, run) = (MemberId(of as u64), Incarnation(1));
-            let mut one = Dispatcher {
+            let mut dispatcher = Dispatcher {
                 engine: DecisionEngine::new(settings(case.dispatchers), seed, START),
                 verdicts: Verdicts::new(verdict_settings.clone(), own, LocationId(0), run, seed, START),
                 arrivals: Pcg64Mcg::seed_from_u64(seed ^ 0x1111 << 40),
@@ -189,19 +189,19 @@
             let parents = (11..11 + PARENTS).map(HostId);
             let hosts: Vec<_> = caches().chain(parents).chain([ORIGIN]).collect();
             let list: Vec<_> = hosts.iter().map(|host| simulation.listing(*host, Time(1))).collect();
-            one.engine.update_hosts(START, &list, true);
+            dispatcher.engine.update_hosts(START, &list, true);
             for host in hosts {
                 let used_by = if host.0 <= CACHES { UsedBy::Location(LocationId(0)) } else { UsedBy::All };
-                one.verdicts.update_host(START, host, Some(Incarnation(1)), used_by);
+                dispatcher.verdicts.update_host(START, host, Some(Incarnation(1)), used_by);
             }
             for other in (0..case.dispatchers as usize).filter(|other| *other != of) {
-                one.verdicts.set_alive(START, MemberId(other as u64), LocationId(0), true);
+                dispatcher.verdicts.set_alive(START, MemberId(other as u64), LocationId(0), true);
             }
-            let first = Span::seconds(one.arrivals.gen_range(0.0..1.0 / case.visits_a_second));
+            let first = Span::seconds(dispatcher.arrivals.gen_range(0.0..1.0 / case.visits_a_second));
             simulation.put(START + first, Event::Arrives(of));
             simulation.put(START + Span(10_000 * of as u64 / 31), Event::Round(of));
             simulation.put(START + Span(50_000 * of as u64 / 31), Event::Tick(of));
-            simulation.all.push(one);
+            simulation.dispatchers.push(dispatcher);
         }
         if case.fault == Fault::Restarts {
             simulation.put(START + RESTARTED + LIST_DELAY, Event::Listed);
@@ -244,12 +244,12 @@
             match event {
                 Event::Round(of) => {
                     self.put(at + Span(10_000), Event::Round(of));
-                    self.all[of].engine.tick(at);
+                    self.dispatchers[of].engine.tick(at);
                     self.carry_out_decisions(of);
                 }
                 Event::Tick(of) => {
                     self.put(at + Span(50_000), Event::Tick(of));
-                    self.all[of].verdicts.tick(at);
+                    self.dispatchers[of].verdicts.tick(at);
                     self.exchange_findings(of);
                 }
                 Event::Arrives(of) => self.arrives(of),
@@ -257,20 +257,20 @@
                     self.ends(of, visit, number, outcome, note)
                 }
                 Event::Delivered { to, from, message, at: sent } => {
-                    let verdicts = &mut self.all[to].verdicts;
+                    let verdicts = &mut self.dispatchers[to].verdicts;
                     verdicts.receive(at, MemberId(from as u64), LocationId(0), at - sent, message);
                     self.carry_out_effects(to);
                 }
                 Event::Listed => {
                     let since = START + RESTARTED;
                     let entry = self.listing(FAULTY, since);
-                    for of in 0..self.all.len() {
-                        let one = &mut self.all[of];
-                        one.engine.update_hosts(at, &[entry], false);
+                    for of in 0..self.dispatchers.len() {
+                        let dispatcher = &mut self.dispatchers[of];
+                        dispatcher.engine.update_hosts(at, &[entry], false);
                         let back = self.measured.back.get_mut(&of);
                         back.into_iter().for_each(|back| *back = (*back).min(LIST_DELAY));
                         let by = UsedBy::Location(LocationId(0));
-                        one.verdicts.update_host(at, FAULTY, Some(Incarnation(since.0)), by);
+                        dispatcher.verdicts.update_host(at, FAULTY, Some(Incarnation(since.0)), by);
                         self.carry_out_decisions(of);
                         self.carry_out_effects(of);
                     }
@@ -282,16 +282,18 @@
 
     fn arrives(&mut self, of: usize) {
         let (now, rate) = (self.now, self.case.visits_a_second);
-        let one = &mut self.all[of];
-        let gap = -(1.0 - one.arrivals.gen::<f64>()).ln() / rate;
+        let dispatcher = &mut self.dispatchers[of];
+        let gap = -(1.0 - dispatcher.arrivals.gen::<f64>()).ln() / rate;
         // Popularity is skewed: a few objects get most visits.
-        let object = ObjectId((1.0 / (1.0 - one.arrivals.gen::<f64>() * 0.998)).powf(1.2) as u64);
-        one.next += 1;
-        let id = VisitId(one.next);
-        one.visits.insert(id, (now, 0, false));
+        let object = ObjectId((1.0 / (1.0 - dispatcher.arrivals.gen::<f64>() * 0.998)).powf(1.2) as u64);
+        dispatcher.next += 1;
+        let id = VisitId(dispatcher.next);
+        dispatcher.visits.insert(id, (now, 0, false));
         let kilobytes = Some(SENDING_SECONDS * 5000.0);
         let (class, group, deadline) = (ClassId(0), GroupId(0), now + Span::millis(4_000));
-        one.engine.visit_arrived(now, Visit { id, class, object, group, part: 0, kilobytes, deadline });
+        dispatcher
+            .engine
+            .visit_arrived(now, Visit { id, class, object, group, part: 0, kilobytes, deadline });
         self.measured.visits += 1;
         self.put(now + Span::seconds(gap), Event::Arrives(of));
         self.carry_out_decisions(of);
@@ -299,11 +301,11 @@
 
     fn ends(&mut self, of: usize, visit: VisitId, number: u8, outcome: Outcome, note: Note) {
         let now = self.now;
-        let one = &mut self.all[of];
-        let Some(sent) = one.out.remove(&(visit, number)) else { return };
+        let dispatcher = &mut self.dispatchers[of];
+        let Some(sent) = dispatcher.out.remove(&(visit, number)) else { return };
         let last = outcome == Outcome::Served;
         let (took, report, number) = (now - sent, Report::default(), HandOffNumber(number));
-        one.engine.hand_off_ended(
+        dispatcher.engine.hand_off_ended(
             now,
             HandOffEnd { visit, number, outcome, note, duration: took, report, is_final: last },
         );
@@ -315,14 +317,14 @@
 
     /// Ends a visit. It counts as lost if it had a hand-off to the faulty host and no answer in time.
     fn end_visit(&mut self, of: usize, visit: VisitId, served: bool) {
-        let Some((arrived, _, met)) = self.all[of].visits.remove(&visit) else { return };
+        let Some((arrived, _, met)) = self.dispatchers[of].visits.remove(&visit) else { return };
         let in_time = served && self.now - arrived <= QUOTED_TIME;
         self.measured.lost += u64::from(met && !in_time);
     }
 
     fn carry_out_decisions(&mut self, of: usize) {
         let now = self.now;
-        while let Some(decision) = self.all[of].engine.next_decision(now) {
+        while let Some(decision) = self.dispatchers[of].engine.next_decision(now) {
             match decision {
                 Decision::HandOff { visit, host, fill, .. } => self.hand_off(of, visit, host, fill),
                 Decision::Cancel { visit, number } => {
@@ -341,14 +343,14 @@
         let (now, faulty) = (self.now, self.is_faulty() && host == FAULTY);
         let cold = self.case.fault == Fault::Restarts && host == FAULTY && now >= START + RESTARTED;
         let fault = self.case.fault;
-        let one = &mut self.all[of];
-        let Some(known) = one.visits.get_mut(&visit) else { return };
-        let number = known.1;
-        known.1 += 1;
-        known.2 |= faulty;
+        let dispatcher = &mut self.dispatchers[of];
+        let Some(visit_state) = dispatcher.visits.get_mut(&visit) else { return };
+        let number = visit_state.1;
+        visit_state.1 += 1;
+        visit_state.2 |= faulty;
         self.measured.wasted += u64::from(faulty);
         self.measured.to_cold.extend(cold.then_some(now));
-        one.out.insert((visit, number), now);
+        dispatcher.out.insert((visit, number), now);
         // Seeded by the visit, for the same outcomes with and without sharing.
         let mut rng = Pcg64Mcg::seed_from_u64(
             self.case.seed ^ (of as u64) << 40 ^ u64::from(visit.0) << 4 ^ u64::from(number),
@@ -358,7 +360,7 @@
         let quick = Span::seconds(rng.gen_range(0.5..1.5) * SENDING_SECONDS);
         let at_once = Span::seconds(rng.gen_range(0.004..0.02));
         let fails = match fault {
-            _ if one.bad_link && now >= START + FAULT_START && rng.gen_bool(0.9) => {
+            _ if dispatcher.bad_link && now >= START + FAULT_START && rng.gen_bool(0.9) => {
                 Some((Outcome::TimedOut, Span::millis(3_900)))
             }
             Fault::HalfErrors if faulty => rng.gen_bool(0.5).then_some((Outcome::Error, at_once)),
@@ -393,7 +395,7 @@
         if host == FAULTY && !matches!(self.case.fault, Fault::Links(_)) {
             let since = self.now - (START + FAULT_START);
             self.measured.out.entry(of).or_insert(since);
-        } else if !self.all[of].bad_link {
+        } else if !self.dispatchers[of].bad_link {
             let is_reported = line.contains("reported");
             self.measured.wrong_by_verdict += u64::from(is_reported);
             self.measured.wrong_own += u64::from(!is_reported);
@@ -403,62 +405,66 @@
     /// Passes findings of the module to the verdicts, and verdicts to the module, on every tick.
     fn exchange_findings(&mut self, of: usize) {
         let now = self.now;
-        let one = &mut self.all[of];
+        let dispatcher = &mut self.dispatchers[of];
         let mut unhealthy = BTreeSet::new();
-        for found in one.engine.findings(now) {
-            let kind = match found.condition {
+        for finding in dispatcher.engine.findings(now) {
+            let kind = match finding.condition {
                 HostCondition::Restarted => FindingKind::Restarted,
                 HostCondition::Ejected { cause: EjectionCause::Failing, is_unreachable: false } => {
                     FindingKind::Failing
                 }
                 HostCondition::Ejected { .. } => FindingKind::Unreachable,
             };
-            unhealthy.extend((kind != FindingKind::Restarted).then_some(found.host));
-            let (host, evidence, age) = (found.host, found.evidence_count, now - found.last_evidence_at);
-            let since = found.since.map(|at| Incarnation(at.0));
-            one.verdicts.report_finding(now, Finding { host, since, kind, evidence, age });
+            unhealthy.extend((kind != FindingKind::Restarted).then_some(finding.host));
+            let (host, evidence, age) =
+                (finding.host, finding.evidence_count, now - finding.last_evidence_at);
+            let since = finding.since.map(|at| Incarnation(at.0));
+            dispatcher.verdicts.report_finding(now, Finding { host, since, kind, evidence, age });
         }
-        one.unhealthy.difference(&unhealthy).for_each(|host| one.verdicts.report_recovery(now, *host));
-        one.unhealthy = unhealthy;
-        let refuted: Vec<HostId> = one.engine.refuted_reports(now).collect();
-        refuted.into_iter().for_each(|host| one.verdicts.refute(now, host));
-        for (host, (since, until)) in one.verdicts_in_use.clone() {
-            one.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, until);
+        dispatcher
+            .unhealthy
+            .difference(&unhealthy)
+            .for_each(|host| dispatcher.verdicts.report_recovery(now, *host));
+        dispatcher.unhealthy = unhealthy;
+        let refuted: Vec<HostId> = dispatcher.engine.refuted_reports(now).collect();
+        refuted.into_iter().for_each(|host| dispatcher.verdicts.refute(now, host));
+        for (host, (since, until)) in dispatcher.verdicts_in_use.clone() {
+            dispatcher.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, until);
         }
         self.carry_out_decisions(of);
     }
 
     fn carry_out_effects(&mut self, of: usize) {
         let now = self.now;
-        while let Some(effect) = self.all[of].verdicts.next_effect() {
+        while let Some(effect) = self.dispatchers[of].verdicts.next_effect() {
             if !self.case.shared {
                 continue;
             }
             match effect {
                 Effect::Publish { message, .. } => {
                     self.measured.messages += 1;
-                    for to in (0..self.all.len()).filter(|to| *to != of) {
+                    for to in (0..self.dispatchers.len()).filter(|to| *to != of) {
                         let delay = Span(self.link.gen_range(1_000..5_000));
                         self.put(now + delay, Event::Delivered { to, from: of, message, at: now });
                     }
                 }
                 Effect::Verdict { host, since, kind, age, until, .. } => {
                     self.measured.oldest = self.measured.oldest.max(age);
-                    let (one, since) = (&mut self.all[of], since.map(|run| Time(run.0)));
+                    let (dispatcher, since) = (&mut self.dispatchers[of], since.map(|run| Time(run.0)));
                     let word = if kind == FindingKind::Restarted {
                         ReportedCondition::Restarted
                     } else {
                         ReportedCondition::Bad
                     };
                     if word == ReportedCondition::Bad {
-                        one.verdicts_in_use.insert(host, (since, until));
+                        dispatcher.verdicts_in_use.insert(host, (since, until));
                     }
-                    one.engine.apply_peer_report(now, host, since, word, until);
+                    dispatcher.engine.apply_peer_report(now, host, since, word, until);
                 }
                 Effect::Withdraw { host } => {
-                    let one = &mut self.all[of];
-                    let since = one.verdicts_in_use.remove(&host).and_then(|verdict| verdict.0);
-                    one.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, now);
+                    let dispatcher = &mut self.dispatchers[of];
+                    let since = dispatcher.verdicts_in_use.remove(&host).and_then(|verdict| verdict.0);
+                    dispatcher.engine.apply_peer_report(now, host, since, ReportedCondition::Bad, now);
                 }
                 Effect::Log(line) => println!("  {line}"),
             }
--- a/crates/fleet/tests/delivery.rs
+++ b/crates/fleet/tests/delivery.rs
@@ -113,15 +113,15 @@
     bed.run(settings.fallback_delay);
     assert_eq!(reading(&bed), 40);
     assert!(max_delay(&bed) < PURGE_BOUND);
-    let known = bed.log.newest();
-    carriers.iter().for_each(|id| bed.start(*id, known));
+    let newest = bed.log.newest();
+    carriers.iter().for_each(|id| bed.start(*id, newest));
     bed.run(seconds(15.0));
     assert_settled(&bed);
 }
 
 /// Messages to a follower that catches up are bounded, and others are not delayed.
 #[test]
-fn a_cut_follower_catches_up_at_a_bounded_rate() {
+fn a_partitioned_follower_catches_up_at_a_bounded_rate() {
     let mut bed = Bed::new(6, Settings::default(), 2, 20);
     bed.run(seconds(5.0));
     let (cut, others) = (bed.followers[0], bed.ids());
@@ -260,8 +260,8 @@
     bed.network.link = Link::default();
     for id in bed.ids() {
         if bed.network.node(id).is_none() {
-            let known = bed.log.newest();
-            bed.start(id, known);
+            let newest = bed.log.newest();
+            bed.start(id, newest);
         }
     }
     bed.run(seconds(40.0));
@@ -276,8 +276,8 @@
     match bed.network.rng.gen_range(0..8) {
         0 => bed.network.kill(process),
         1 => {
-            let known = bed.network.rng.gen_range(0..=bed.log.newest());
-            bed.start(process, known);
+            let last = bed.network.rng.gen_range(0..=bed.log.newest());
+            bed.start(process, last);
         }
         2 => bed.network.pause(process, Span::millis(1_500)),
         3 => drop(bed.network.cut.insert((process, other))),
@@ -288,11 +288,11 @@
     }
 }
 
-#[test_case(0..500; "first")]
-#[test_case(500..1000; "second")]
-#[test_case(1000..1500; "third")]
-#[test_case(1500..2000; "fourth")]
-fn no_gap_no_repeat_and_no_false_proof_under_faults(seeds: std::ops::Range<u64>) {
+#[test_case(0..500; "seeds 0 to 499")]
+#[test_case(500..1000; "seeds 500 to 999")]
+#[test_case(1000..1500; "seeds 1000 to 1499")]
+#[test_case(1500..2000; "seeds 1500 to 1999")]
+fn each_change_arrives_once_and_no_false_proof_is_given_under_faults(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         // A failure's output names the seed.
         println!("seed {seed}");
--- a/crates/fleet/tests/delivery_messages.rs
+++ b/crates/fleet/tests/delivery_messages.rs
@@ -134,7 +134,7 @@
     let mut carrier = Carrier::new(settings, ChangeNumber(0));
     carrier.note_log_answer(NOW);
     let followers: Vec<MemberId> = (1..=5).map(MemberId).collect();
-    followers.iter().for_each(|one| carrier.receive(NOW, *one, Incarnation(1), follow(0, 1)));
+    followers.iter().for_each(|follower| carrier.receive(NOW, *follower, Incarnation(1), follow(0, 1)));
     let _ = sent(&mut carrier);
     (1..=9).for_each(|number| carrier.add_change(ChangeNumber(number), record(number)));
     let mut round = |after_ms: u64| -> Vec<MemberId> {
@@ -218,7 +218,7 @@
     let both = [MemberId(1), MemberId(2)];
     let mut follower = Follower::new(Settings::default(), FOLLOWER, &both, ChangeNumber(0), 1, NOW);
     let (first, asked) = sent_by_follower(&mut follower).remove(0);
-    let second = both.into_iter().find(|one| *one != first).unwrap();
+    let second = both.into_iter().find(|carrier| *carrier != first).unwrap();
     follower.receive(NOW, first, changes(0, 2, 1, stamp_of(&asked)));
     assert_eq!(follower.carrier(), Some(first));
     let _ = sent_by_follower(&mut follower);
@@ -234,7 +234,7 @@
     let both = [MemberId(1), MemberId(2)];
     let mut follower = Follower::new(settings.clone(), FOLLOWER, &both, ChangeNumber(0), 1, NOW);
     let (first, asked) = sent_by_follower(&mut follower).remove(0);
-    let second = both.into_iter().find(|one| *one != first).unwrap();
+    let second = both.into_iter().find(|carrier| *carrier != first).unwrap();
     follower.receive(NOW, first, changes(0, 2, 1, stamp_of(&asked)));
     let _ = sent_by_follower(&mut follower);
     // It goes on sending, but proves nothing newer.
@@ -256,8 +256,8 @@
 /// No time in the future is reported as known, even if an echo implies it.
 #[test]
 fn the_known_time_is_never_ahead_of_the_clock() {
-    let one = MemberId(1);
-    let mut follower = Follower::new(Settings::default(), FOLLOWER, &[one], ChangeNumber(0), 1, NOW);
+    let carrier = MemberId(1);
+    let mut follower = Follower::new(Settings::default(), FOLLOWER, &[carrier], ChangeNumber(0), 1, NOW);
     let asked = std::iter::from_fn(|| follower.next_effect()).find_map(|effect| match effect {
         Effect::Send { message: DeliveryMessage::Follow { stamp, .. }, .. } => Some(stamp),
         _ => None,
@@ -266,10 +266,14 @@
     let (log, stamp, age) = (LogId::default(), Stamp(1), Span::ZERO);
     let (after, newest, records) = (ChangeNumber(0), ChangeNumber(0), Vec::new());
     let now = NOW + Span::millis(5);
-    follower.receive(now, one, DeliveryMessage::Changes { log, after, records, newest, age, stamp, echo });
-    let known = std::iter::from_fn(|| follower.next_effect()).find_map(|effect| match effect {
+    follower.receive(
+        now,
+        carrier,
+        DeliveryMessage::Changes { log, after, records, newest, age, stamp, echo },
+    );
+    let known_up_to = std::iter::from_fn(|| follower.next_effect()).find_map(|effect| match effect {
         Effect::KnownUpTo(at) => Some(at),
         _ => None,
     });
-    assert!(known.unwrap() <= now, "{known:?}");
+    assert!(known_up_to.unwrap() <= now, "{known_up_to:?}");
 }
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -111,10 +111,10 @@
 }
 
 /// `FEED_SEEDS` sets the number of seeds.
-#[test_case(0; "first quarter")]
-#[test_case(1; "second quarter")]
-#[test_case(2; "third quarter")]
-#[test_case(3; "last quarter")]
+#[test_case(0; "first quarter of the seeds")]
+#[test_case(1; "second quarter of the seeds")]
+#[test_case(2; "third quarter of the seeds")]
+#[test_case(3; "last quarter of the seeds")]
 fn followers_get_all_items_in_order_under_faults(quarter: u64) {
     let seeds = from_env("FEED_SEEDS").unwrap_or(1200) / 4;
     each_seed(quarter * seeds..(quarter + 1) * seeds, schedule);
@@ -293,12 +293,12 @@
 #[test]
 fn a_move_with_a_loss_and_a_crash_delivers_each_item_once() {
     let mut worlds = vec![World::new()];
-    let mut known = HashSet::new();
+    let mut seen = HashSet::new();
     let mut count = 0;
     for _ in 0..from_env("FEED_DEPTH").unwrap_or(4) {
         let mut next = Vec::new();
         for world in worlds.iter().flat_map(World::steps) {
-            if known.insert(world.fingerprint()) {
+            if seen.insert(world.fingerprint()) {
                 next.push(world);
             }
         }
@@ -333,9 +333,9 @@
 fn slow_down(fleet: &mut Fleet, pairs: impl IntoIterator<Item = (MemberId, MemberId)>) {
     let link =
         Link { loss_rate: 0.3, duplication_rate: 0.0, delay: [Span::millis(1200), Span::millis(1500)] };
-    for (one, other) in pairs {
-        fleet.net.links.insert((one, other), link);
-        fleet.net.links.insert((other, one), link);
+    for (from, to) in pairs {
+        fleet.net.links.insert((from, to), link);
+        fleet.net.links.insert((to, from), link);
     }
 }
 
@@ -358,8 +358,8 @@
             fleet.net.pause(id, Span::seconds(3.0));
             run_busy(&mut fleet, 6);
         }
-        let (found, moves) = slow_followers(&fleet);
-        assert!(found == [id] && moves <= 4, "{found:?} {moves} moves");
+        let (slow, moves) = slow_followers(&fleet);
+        assert!(slow == [id] && moves <= 4, "{slow:?} {moves} moves");
         fleet.net.run(Span::seconds(5.0), |_| {});
         fleet.assert_complete();
         fleet.assert_carried_once();
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -53,24 +53,26 @@
     }
 
     fn end_run(&mut self, who: MemberId, at: Time) {
-        let of_it = self.0.iter_mut().filter(|(key, _)| key.0 == who).filter_map(|(_, all)| all.last_mut());
-        of_it.filter(|last| last.end.is_none()).for_each(|last| last.end = Some(at));
+        let runs = self.0.iter_mut().filter(|(key, _)| key.0 == who);
+        let last_allowed = runs.filter_map(|(_, allowed)| allowed.last_mut());
+        last_allowed.filter(|last| last.end.is_none()).for_each(|last| last.end = Some(at));
     }
 
     /// The most that may be in use now: for each run, its greatest allowance within the drain.
     fn sum(&mut self, now: Time, drain: Span, key: LimitKey) -> f64 {
         let since = now - drain;
-        self.0.retain(|_, all| {
-            all.retain(|one| one.end.is_none_or(|end| end > since));
-            !all.is_empty()
+        self.0.retain(|_, runs_allowed| {
+            runs_allowed.retain(|allowed| allowed.end.is_none_or(|end| end > since));
+            !runs_allowed.is_empty()
         });
-        let most = |one: &Allowed| {
-            let (first, last) = (one.from.max(since), one.end.unwrap_or(now));
-            let early = if first < one.allowance.until { one.allowance.amount } else { 0.0 };
-            early.max(if last >= one.allowance.until { one.allowance.after } else { 0.0 })
+        let greatest = |allowed: &Allowed| {
+            let (first, last) = (allowed.from.max(since), allowed.end.unwrap_or(now));
+            let Allowance { amount, until, after } = allowed.allowance;
+            let before_end = if first < until { amount } else { 0.0 };
+            before_end.max(if last >= until { after } else { 0.0 })
         };
-        let of_key = self.0.iter().filter(|(who, _)| who.2 == key);
-        of_key.map(|(_, all)| all.iter().map(most).fold(0.0, f64::max)).sum()
+        let runs_of_key = self.0.iter().filter(|(who, _)| who.2 == key);
+        runs_of_key.map(|(_, allowed)| allowed.iter().map(greatest).fold(0.0, f64::max)).sum()
     }
 }
 
@@ -265,25 +267,25 @@
 }
 
 #[test]
-fn the_sum_holds_on_seeded_schedules() {
+fn seeded_schedules_keep_the_sum_within_the_limit() {
     let most = (0..2000).map(|seed| (schedule(seed, None), seed)).max_by(|a, b| a.0.total_cmp(&b.0)).unwrap();
     assert!(most.0 <= 1.0 + 1e-9, "seed {}: {} in sum", most.1, most.0);
     assert!(most.0 > 0.95, "the limit is hardly used");
 }
 
 #[test]
-fn each_guard_is_needed() {
+fn schedules_exceed_the_limit_without_any_one_guard() {
     for guard in GUARDS {
-        let found = (0..2000).find(|seed| schedule(*seed, Some(guard)) > 1.0 + 1e-6);
-        println!("without {guard:?}: seed {found:?}");
-        assert!(found.is_some(), "{guard:?}");
+        let violating_seed = (0..2000).find(|seed| schedule(*seed, Some(guard)) > 1.0 + 1e-6);
+        println!("without {guard:?}: seed {violating_seed:?}");
+        assert!(violating_seed.is_some(), "{guard:?}");
     }
 }
 
 /// The stated bounds in the cases where the limit can be exceeded: a second process under one name adds one
 /// share, and with different lists or limits the sum stays within the formula of docs/fleet-limits.md.
 #[test]
-fn stated_bounds_above_the_limit_hold() {
+fn an_excess_stays_within_the_documented_bounds() {
     let mut highest = [0.0f64; 3];
     for seed in 0..600 {
         let n = 2 + seed as usize % 4;
@@ -321,7 +323,7 @@
 /// One of eight members with all the demand gets 95% of the limit within 1 s, keeps it, and returns it when
 /// the others have demand.
 #[test]
-fn one_of_eight_gets_the_limit_and_all_return_to_their_shares() {
+fn one_member_borrows_unused_shares_and_returns_them() {
     for seed in (0..20).map(|i| i * 4 + i % 2) {
         let mut simulation = Simulation::new(seed, 8, &[LimitKey::Origin], None);
         let members = simulation.members.clone();
@@ -640,7 +642,7 @@
 ];
 
 #[test]
-fn every_order_of_small_cases_keeps_the_sum() {
+fn every_order_of_small_cases_keeps_the_sum_within_the_limit() {
     for parameters in CASES {
         let start = std::time::Instant::now();
         let states =
@@ -650,10 +652,11 @@
 }
 
 #[test]
-fn small_cases_fail_without_each_guard() {
+fn small_cases_exceed_the_limit_without_any_one_guard() {
     for guard in GUARDS {
-        let found = CASES.iter().find_map(|parameters| explore(Case::new(*parameters, Some(guard))).err());
-        println!("without {guard:?}: {found:?}");
-        assert!(found.is_some(), "{guard:?}");
+        let violation =
+            CASES.iter().find_map(|parameters| explore(Case::new(*parameters, Some(guard))).err());
+        println!("without {guard:?}: {violation:?}");
+        assert!(violation.is_some(), "{guard:?}");
     }
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -20,17 +20,17 @@
 /// A third of the members are killed, restarted, paused or cut off; the others only see loss, delays,
 /// duplicates and one-way cuts. Guards against healthy members being declared dead, and views that never
 /// agree again.
-#[test_case(6, 0..60)]
-#[test_case(30, 100..115)]
-#[test_case(300, 200..202)]
-fn agree_after_faults(n: usize, seeds: std::ops::Range<u64>) {
+#[test_case(6, 0..60; "6 members")]
+#[test_case(30, 100..115; "30 members")]
+#[test_case(300, 200..202; "300 members")]
+fn members_agree_after_faults(n: usize, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let mut fleet = Fleet::new(seed, n);
         fleet.run(Span::millis(5_000));
         let ids = fleet.ids();
         let (faulty, healthy) = ids.split_at(n / 3);
         let mut left = BTreeSet::new();
-        let mut single = (ids[0], ids[0]);
+        let mut single_cut = (ids[0], ids[0]);
         fleet.network.link.loss_rate = *[0.0, 0.1, 0.2].choose(&mut fleet.network.rng).unwrap();
         fleet.network.link.duplication_rate = 0.05;
         fleet.network.link.delay[1] = Span::millis(fleet.network.rng.gen_range(2..100));
@@ -41,7 +41,7 @@
                 0 => fleet.network.kill(who),
                 1 if runs => {
                     fleet.network.cut.clear();
-                    fleet.network.call(who, |one, now| one.members.leave(now));
+                    fleet.network.call(who, |node, now| node.members.leave(now));
                     fleet.run(Span::millis(400));
                     fleet.network.kill(who);
                     left.insert(who);
@@ -63,10 +63,10 @@
                 }
                 6 => fleet.network.cut.clear(),
                 _ => {
-                    fleet.network.cut.remove(&single);
-                    let mut one = || *ids.choose(&mut fleet.network.rng).unwrap();
-                    single = (one(), one());
-                    fleet.network.cut.insert(single);
+                    fleet.network.cut.remove(&single_cut);
+                    let mut random_member = || *ids.choose(&mut fleet.network.rng).unwrap();
+                    single_cut = (random_member(), random_member());
+                    fleet.network.cut.insert(single_cut);
                 }
             }
             let span = Span::millis(fleet.network.rng.gen_range(50..1_500));
@@ -84,10 +84,16 @@
         fleet.run(Span::millis(10_000));
         assert!(fleet.disagreements(&left).is_empty(), "seed {seed}: agreed, and then no longer");
         for by in fleet.network.ids() {
-            let one = fleet.network.node(by).unwrap();
-            let of = one.changes.iter().find(|(_, of, is)| *is == MemberState::Dead && healthy.contains(of));
-            assert!(of.is_none(), "seed {seed}: {by:?} declared a healthy member dead, {of:?}");
-            assert!(!one.stepped_down && !one.members.are_links_degraded(), "seed {seed}: {by:?}");
+            let node = fleet.network.node(by).unwrap();
+            let is_false = |(_, of, state): &&(Time, MemberId, MemberState)| {
+                *state == MemberState::Dead && healthy.contains(of)
+            };
+            let false_death = node.changes.iter().find(is_false);
+            assert!(
+                false_death.is_none(),
+                "seed {seed}: {by:?} declared a healthy member dead, {false_death:?}"
+            );
+            assert!(!node.stepped_down && !node.members.are_links_degraded(), "seed {seed}: {by:?}");
         }
     }
 }
@@ -106,9 +112,9 @@
             fleet.until(Span::millis(2_500), |f| f.network.node(who).unwrap().members.are_links_degraded());
         assert!(noticed.is_some(), "seed {seed}: it did not find its own links degraded");
         fleet.run(Span::millis(30_000));
-        let bad = |change: &&(Time, MemberId, MemberState)| change.2 > MemberState::Alive;
-        let one = fleet.network.node(who).unwrap();
-        assert_eq!(one.changes.iter().find(bad), None, "seed {seed}");
+        let is_suspicion = |change: &&(Time, MemberId, MemberState)| change.2 > MemberState::Alive;
+        let node = fleet.network.node(who).unwrap();
+        assert_eq!(node.changes.iter().find(is_suspicion), None, "seed {seed}");
         fleet.network.cut.clear();
         let agreed = fleet.until(AGREEMENT_TIME, |fleet| fleet.disagreements(&BTreeSet::new()).is_empty());
         assert!(agreed.is_some(), "seed {seed}: {:?}", fleet.disagreements(&BTreeSet::new()));
@@ -122,9 +128,10 @@
     for seed in 0..10 {
         let mut fleet = Fleet::new(seed, 12);
         let ids = fleet.ids();
-        let (one, other) = ids.split_at(6);
+        let (first_half, second_half) = ids.split_at(6);
         fleet.run(Span::millis(5_000));
-        fleet.network.cut.extend(one.iter().flat_map(|a| other.iter().flat_map(|b| [(*a, *b), (*b, *a)])));
+        let pairs = first_half.iter().flat_map(|a| second_half.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
+        fleet.network.cut.extend(pairs);
         fleet.run(Span::millis(15_000));
         assert_eq!(
             fleet.disagreements(&BTreeSet::new()).len(),
@@ -140,7 +147,7 @@
 /// Two members that consider each other dead and their own links degraded withhold the claims to refute, and
 /// must not answer each other forever.
 #[test]
-fn two_with_degraded_links_do_not_answer_each_other_forever() {
+fn two_members_with_degraded_links_do_not_answer_each_other_forever() {
     let mut fleet = Fleet::new(1, 4);
     let ids = fleet.ids();
     fleet.run(Span::millis(5_000));
@@ -199,21 +206,24 @@
 
 /// Whether the refutation arrives before or after the suspicion.
 #[test]
-fn a_refuted_suspicion_never_turns_to_dead() {
+fn a_member_that_refutes_a_suspicion_is_not_declared_dead() {
     let [own, by, of, _] = LISTED;
-    let bad = |state| Claim { state, ..alive(100, 3) };
+    let claim_of_others = |state| Claim { state, ..alive(100, 3) };
     for early in [false, true] {
         let mut members = member(own, 50, &LISTED);
         let mut now = Time(5_000_000);
-        let mut claims = vec![bad(MemberState::Suspect), alive(100, 4)];
+        let mut claims = vec![claim_of_others(MemberState::Suspect), alive(100, 4)];
         claims[usize::from(early)..].reverse();
         claims.rotate_left(usize::from(early));
-        for claim in claims.into_iter().chain([bad(MemberState::Suspect), bad(MemberState::Dead)]) {
+        for claim in claims
+            .into_iter()
+            .chain([claim_of_others(MemberState::Suspect), claim_of_others(MemberState::Dead)])
+        {
             members.receive(now, by, gossip(alive(60, 0), vec![(of, claim)]));
         }
         for _ in 0..600 {
             now = now + Span::millis(50);
-            members.receive(now, by, gossip(alive(60, 0), vec![(of, bad(MemberState::Suspect))]));
+            members.receive(now, by, gossip(alive(60, 0), vec![(of, claim_of_others(MemberState::Suspect))]));
             members.tick(now);
             let dead = |e: &Effect| matches!(e, Effect::Changed { state: MemberState::Dead, .. });
             assert!(!effects(&mut members).iter().any(dead));
@@ -245,7 +255,7 @@
 }
 
 #[test]
-fn of_two_under_one_name_the_older_steps_down() {
+fn the_older_of_two_processes_under_one_name_steps_down() {
     let [own, by, ..] = LISTED;
     let now = Time(6_000_000);
     let (mut older, mut newer) = (member(own, 100, &LISTED), member(own, 200, &LISTED));
--- a/crates/fleet/tests/members/node.rs
+++ b/crates/fleet/tests/members/node.rs
@@ -104,16 +104,16 @@
             let gone = if left.contains(&id) { MemberState::Left } else { MemberState::Dead };
             truth.insert(id, if running.contains(&id) { MemberState::Alive } else { gone });
         }
-        let mut found = Vec::new();
+        let mut disagreements = Vec::new();
         for &by in &running {
             let Some(node) = self.network.node(by) else { continue };
             for (&of, &is) in &truth {
                 let held = node.members.state(of).unwrap_or(MemberState::Unknown);
                 if held != is && by != of {
-                    found.push((by, of, held));
+                    disagreements.push((by, of, held));
                 }
             }
         }
-        found
+        disagreements
     }
 }
--- a/crates/fleet/tests/node.rs
+++ b/crates/fleet/tests/node.rs
@@ -90,11 +90,11 @@
 
 fn start(
     network: &mut Network<SimulatedNode>,
-    all: &[(MemberId, LocationId)],
+    members: &[(MemberId, LocationId)],
     i: usize,
     records: Vec<Record>,
 ) {
-    let (own, incarnation) = (all[i].0, Incarnation(1_700_000_000_000_000 + network.now.0));
+    let (own, incarnation) = (members[i].0, Incarnation(1_700_000_000_000_000 + network.now.0));
     let settings = Settings {
         limits: Some(limits::Settings { origin: Some(ORIGIN_LIMIT), ..limits::Settings::default() }),
         verdicts: Some(verdicts::Settings::default()),
@@ -104,8 +104,17 @@
     let (rate, seed) = (network.rng.gen_range(0.995..1.005), network.rng.gen());
     let demand = if i == 0 { ORIGIN_LIMIT } else { 0.1 };
     network.start(own, rate, |now| {
-        let mut fleet_node =
-            FleetNode::new(settings, own, incarnation, all, &[], records.clone(), TICK_INTERVAL, seed, now);
+        let mut fleet_node = FleetNode::new(
+            settings,
+            own,
+            incarnation,
+            members,
+            &[],
+            records.clone(),
+            TICK_INTERVAL,
+            seed,
+            now,
+        );
         for host in 0..8 {
             fleet_node.update_host(now, HostId(host), Some(Incarnation(5)), UsedBy::All);
         }
@@ -149,10 +158,10 @@
         let mut network = Network::new(seed, TICK_INTERVAL);
         (network.link.loss_rate, network.link.duplication_rate) = (0.1, 0.02);
         network.link.delay = [Span::millis(1), Span::millis(30)];
-        let all = listed(9);
-        (0..9).for_each(|i| start(&mut network, &all, i, Vec::new()));
+        let members = listed(9);
+        (0..9).for_each(|i| start(&mut network, &members, i, Vec::new()));
         run(&mut network, seed, 12.0);
-        let most = network.node(all[0].0).unwrap().max_allowance;
+        let most = network.node(members[0].0).unwrap().max_allowance;
         assert!(most > 0.85 * ORIGIN_LIMIT, "seed {seed}: the member with the demand has {most}");
         let plan = Plan {
             order: vec![LocationId(0), LocationId(1), LocationId(2)],
@@ -162,52 +171,56 @@
             after_halt: AfterHalt::Stay,
         };
         let order = Order::Start(Version { number: 3, text: "{}".to_owned(), plan });
-        network.call(all[1].0, |node, now| node.fleet_node.order(now, order)).unwrap().unwrap().unwrap();
-        [3, 4, 5].iter().for_each(|i| report_finding(&mut network, all[*i].0, HostId(1)));
+        network.call(members[1].0, |node, now| node.fleet_node.order(now, order)).unwrap().unwrap().unwrap();
+        [3, 4, 5].iter().for_each(|i| report_finding(&mut network, members[*i].0, HostId(1)));
         run(&mut network, seed, 6.0);
-        for (id, location) in &all {
+        for (id, location) in &members {
             let node = network.node(*id).unwrap();
             assert_eq!(node.rules, if location.0 == 0 { 3 } else { 0 }, "seed {seed}: rules");
             assert!(
-                node.verdicts.contains(&HostId(1)) || all[3..6].iter().any(|one| one.0 == *id),
+                node.verdicts.contains(&HostId(1)) || members[3..6].iter().any(|reporter| reporter.0 == *id),
                 "seed {seed}: no verdict"
             );
         }
         // At the same time the member with the largest allowance is killed, another is cut off and a third is
         // paused.
-        let records = network.node(all[0].0).unwrap().records.clone();
-        network.kill(all[0].0);
-        network.pause(all[7].0, Span::seconds(5.0));
-        for (id, _) in &all {
-            network.cut.insert((all[8].0, *id));
-            network.cut.insert((*id, all[8].0));
+        let records = network.node(members[0].0).unwrap().records.clone();
+        network.kill(members[0].0);
+        network.pause(members[7].0, Span::seconds(5.0));
+        for (id, _) in &members {
+            network.cut.insert((members[8].0, *id));
+            network.cut.insert((*id, members[8].0));
         }
         run(&mut network, seed, 8.0);
         network.cut.clear();
-        start(&mut network, &all, 0, records);
+        start(&mut network, &members, 0, records);
         run(&mut network, seed, 12.0);
-        for (id, _) in &all {
+        for (id, _) in &members {
             let node = network.node(*id).unwrap();
             let alive = |who: &MemberId| node.fleet_node.members().state(*who) == Some(MemberState::Alive);
-            assert!(all.iter().all(|(who, _)| alive(who)), "seed {seed}: not all are considered alive");
+            assert!(members.iter().all(|(who, _)| alive(who)), "seed {seed}: not all are considered alive");
         }
-        assert_eq!(network.node(all[0].0).unwrap().rules, 3, "seed {seed}: rules of the restarted member");
+        assert_eq!(
+            network.node(members[0].0).unwrap().rules,
+            3,
+            "seed {seed}: rules of the restarted member"
+        );
         // A claim that a newer process runs under its name: it sends and uses nothing more.
-        let (newer, sender) = (Incarnation(1_700_000_000_000_000 + network.now.0), all[4].0);
+        let (newer, sender) = (Incarnation(1_700_000_000_000_000 + network.now.0), members[4].0);
         let claim = Claim {
             incarnation: network.node(sender).unwrap().incarnation,
             refutations: 0,
             state: MemberState::Alive,
         };
-        let claims = vec![(all[2].0, Claim { incarnation: newer, ..claim })];
+        let claims = vec![(members[2].0, Claim { incarnation: newer, ..claim })];
         let message = Message::Members(members::Message { claim, body: Body::Gossip, claims });
-        network.call(all[2].0, |node, now| node.receive(now, sender, (claim.incarnation, message)));
-        let sent = network.sent_messages[&all[2].0];
+        network.call(members[2].0, |node, now| node.receive(now, sender, (claim.incarnation, message)));
+        let sent = network.sent_messages[&members[2].0];
         run(&mut network, seed, 3.0);
-        let (node, clock) = (network.node(all[2].0).unwrap(), network.clock(all[2].0).unwrap());
+        let (node, clock) = (network.node(members[2].0).unwrap(), network.clock(members[2].0).unwrap());
         let allowance = node.allowances[&LimitKey::Origin].at(clock);
         assert!(
-            node.stepped_down && allowance == 0.0 && network.sent_messages[&all[2].0] == sent,
+            node.stepped_down && allowance == 0.0 && network.sent_messages[&members[2].0] == sent,
             "seed {seed}: {allowance}"
         );
     }
@@ -217,10 +230,10 @@
 #[test]
 fn messages_fit_into_a_datagram() {
     let mut network = Network::new(5, TICK_INTERVAL);
-    let all = listed(60);
-    (0..60).for_each(|i| start(&mut network, &all, i, Vec::new()));
+    let members = listed(60);
+    (0..60).for_each(|i| start(&mut network, &members, i, Vec::new()));
     network.run(Span::seconds(2.0), |_| {});
-    (0..60).for_each(|i| (0..3).for_each(|host| report_finding(&mut network, all[i].0, HostId(host))));
+    (0..60).for_each(|i| (0..3).for_each(|host| report_finding(&mut network, members[i].0, HostId(host))));
     network.run(Span::seconds(2.0), |_| {});
     let longest = network.ids().iter().map(|id| network.node(*id).unwrap().longest_message).max();
     println!("longest message with 60 members: {longest:?} bytes");
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -55,7 +55,7 @@
     rollout: Rollout,
     disk: Rc<RefCell<Disk>>,
     /// The record being written, until the next tick.
-    out: Option<(u64, Record)>,
+    record_in_flight: Option<(u64, Record)>,
     before: u64,
     in_force: Vec<u64>,
     logs: Vec<String>,
@@ -78,7 +78,9 @@
                     }
                     self.messages.push_back((to, message));
                 }
-                Effect::Store { ticket, record } => assert!(self.out.replace((ticket, record)).is_none()),
+                Effect::Store { ticket, record } => {
+                    assert!(self.record_in_flight.replace((ticket, record)).is_none())
+                }
                 Effect::ApplyRules { number, .. } => {
                     let status = self.rollout.status();
                     let halted = status.halt.is_some() && status.step.phase != Phase::Back;
@@ -101,7 +103,7 @@
     }
     fn tick(&mut self, now: Time) {
         self.ticks += 1;
-        if let Some((ticket, record)) = self.out.take() {
+        if let Some((ticket, record)) = self.record_in_flight.take() {
             let is_written = self.disk.borrow_mut().keep(record);
             self.rollout.record_written(now, ticket, is_written);
             self.drain();
@@ -164,7 +166,7 @@
             Member {
                 rollout,
                 disk,
-                out: None,
+                record_in_flight: None,
                 before,
                 in_force,
                 logs,
@@ -180,10 +182,10 @@
     /// Kills a process; the record being written may or may not be on disk.
     fn kill(&mut self, id: MemberId) {
         let written = self.net.rng.gen_bool(0.5);
-        let out = self.net.call(id, |member, _| member.out.take()).flatten();
+        let in_flight = self.net.call(id, |member, _| member.record_in_flight.take()).flatten();
         let mut disk = self.disks[&id].borrow_mut();
         disk.unsynced.clear();
-        if let Some((_, record)) = out.filter(|_| written && !disk.full && !disk.loses_synced) {
+        if let Some((_, record)) = in_flight.filter(|_| written && !disk.full && !disk.loses_synced) {
             disk.records.push(record);
         }
         let last = disk.records.iter().rev().find_map(|record| match record {
@@ -202,7 +204,7 @@
 
     fn run(&mut self, seconds: f64) {
         let (seed, invariants) = (self.seed, &mut self.invariants);
-        self.net.run(Span::seconds(seconds), |net| invariants.all(net, seed));
+        self.net.run(Span::seconds(seconds), |net| invariants.check_all(net, seed));
     }
 
     fn member(&self, id: u64) -> &Member {
@@ -222,7 +224,7 @@
 }
 
 impl Invariants {
-    fn at(&mut self, id: MemberId, state: &State) -> Result<(), String> {
+    fn check_member(&mut self, id: MemberId, state: &State) -> Result<(), String> {
         let step = state.chosen;
         if let Some(halt) = &state.halt {
             let accepted = self.acked.get(&id).copied().unwrap_or(0).max(step.at);
@@ -251,12 +253,13 @@
         Ok(())
     }
 
-    fn all(&mut self, net: &Network<Member>, seed: u64) {
+    fn check_all(&mut self, net: &Network<Member>, seed: u64) {
         for id in net.ids() {
             let member = net.node(id).unwrap();
             let acked = self.acked.entry(id).or_default();
             *acked = (*acked).max(member.acked);
-            self.at(id, member.rollout.state()).unwrap_or_else(|why| panic!("seed {seed}, {id:?}: {why}"));
+            self.check_member(id, member.rollout.state())
+                .unwrap_or_else(|why| panic!("seed {seed}, {id:?}: {why}"));
             let at = member.rollout.state().chosen.at;
             if at > 0 && !self.when.contains_key(&at) {
                 self.when.insert(at, net.now);
@@ -361,78 +364,78 @@
 /// A schedule of faults and orders; after all faults are repaired the rollout must end.
 fn schedule(seed: u64) -> Simulation {
     let (members, locations) = (3 + seed % 5, 1 + (seed / 5 % 3) as u8);
-    let mut p = Simulation::new(seed, fleet(members, locations));
-    p.run(14.0);
-    let any = |p: &mut Simulation| MemberId(p.net.rng.gen_range(1..=members));
-    let faulty = any(&mut p);
+    let mut simulation = Simulation::new(seed, fleet(members, locations));
+    simulation.run(14.0);
+    let any = |simulation: &mut Simulation| MemberId(simulation.net.rng.gen_range(1..=members));
+    let faulty = any(&mut simulation);
     if seed.is_multiple_of(2) {
-        p.disks[&faulty].borrow_mut().loses_synced = true;
+        simulation.disks[&faulty].borrow_mut().loses_synced = true;
     }
     let slowest = Span::millis([5, 50, 800][(seed % 3) as usize]);
-    p.net.link = Link {
+    simulation.net.link = Link {
         loss_rate: 0.25 * (seed % 4) as f64 / 3.0,
         duplication_rate: 0.1,
         delay: [Span::millis(1), slowest],
     };
     let mut number = 1;
-    let starter = any(&mut p);
-    let _ = p.order(starter, Order::Start(version(number, &p.listed, AfterHalt::Stay)));
+    let starter = any(&mut simulation);
+    let _ = simulation.order(starter, Order::Start(version(number, &simulation.listed, AfterHalt::Stay)));
     let mut dead: Vec<MemberId> = Vec::new();
     for _ in 0..30 {
-        let pause = p.net.rng.gen_range(0.05..2.5);
-        p.run(pause);
-        let (one, other) = (any(&mut p), any(&mut p));
-        match p.net.rng.gen_range(0..22) {
-            0..=2 if !dead.contains(&one) => {
-                p.kill(one);
-                dead.push(one);
+        let pause = simulation.net.rng.gen_range(0.05..2.5);
+        simulation.run(pause);
+        let (id, other) = (any(&mut simulation), any(&mut simulation));
+        match simulation.net.rng.gen_range(0..22) {
+            0..=2 if !dead.contains(&id) => {
+                simulation.kill(id);
+                dead.push(id);
             }
-            3..=6 => dead.drain(..).for_each(|id| p.start(id)),
+            3..=6 => dead.drain(..).for_each(|id| simulation.start(id)),
             7..=8 => {
-                p.net.cut.insert((one, other));
+                simulation.net.cut.insert((id, other));
             }
             9 => {
-                let all: Vec<MemberId> = p.net.ids();
-                p.net.cut.extend(all.iter().flat_map(|id| [(*id, one), (one, *id)]));
+                let members: Vec<MemberId> = simulation.net.ids();
+                simulation.net.cut.extend(members.iter().flat_map(|member| [(*member, id), (id, *member)]));
             }
-            10..=12 => p.net.cut.clear(),
+            10..=12 => simulation.net.cut.clear(),
             13 => {
-                let span = Span::seconds(p.net.rng.gen_range(0.1..12.0));
-                p.net.pause(one, span);
+                let span = Span::seconds(simulation.net.rng.gen_range(0.1..12.0));
+                simulation.net.pause(id, span);
             }
             14 => {
-                let mut disk = p.disks[&one].borrow_mut();
+                let mut disk = simulation.disks[&id].borrow_mut();
                 disk.full = !disk.full;
             }
             15 => {
-                let _ = p.order(one, Order::Halt);
+                let _ = simulation.order(id, Order::Halt);
             }
             16..=18 => {
-                let _ = p.order(one, Order::Resume);
+                let _ = simulation.order(id, Order::Resume);
             }
             19 => {
                 number += 1;
                 let after_halt = if number % 2 == 0 { AfterHalt::Back } else { AfterHalt::Stay };
-                let _ = p.order(one, Order::Start(version(number, &p.listed, after_halt)));
+                let _ = simulation.order(id, Order::Start(version(number, &simulation.listed, after_halt)));
             }
             20 if seed.is_multiple_of(3) => {
-                let _ = p.order(one, Order::Back);
+                let _ = simulation.order(id, Order::Back);
             }
             _ => {}
         }
     }
-    p.net.link = Link::default();
-    p.net.cut.clear();
-    for disk in p.disks.values() {
+    simulation.net.link = Link::default();
+    simulation.net.cut.clear();
+    for disk in simulation.disks.values() {
         disk.borrow_mut().full = false;
     }
-    dead.drain(..).for_each(|id| p.start(id));
-    p.run(150.0);
-    p
+    dead.drain(..).for_each(|id| simulation.start(id));
+    simulation.run(150.0);
+    simulation
 }
 
 #[test]
-fn schedules_with_faults() {
+fn schedules_with_faults_keep_the_invariants_and_end() {
     let seeds = std::env::var("ROLLOUT_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(300);
     let first: u64 = std::env::var("ROLLOUT_FIRST").ok().and_then(|first| first.parse().ok()).unwrap_or(0);
     let mut ends = BTreeMap::new();
@@ -473,7 +476,7 @@
 struct World {
     nodes: Vec<Rc<(Rollout, u64)>>,
     disks: Vec<Vec<Record>>,
-    out: Vec<Option<(u64, Record)>>,
+    records_in_flight: Vec<Option<(u64, Record)>>,
     messages: Vec<(usize, usize, RolloutMessage, u64)>,
     invariants: Invariants,
     halts: u8,
@@ -516,11 +519,11 @@
                         self.messages.push((i, to.0 as usize - 1, message, hash));
                     }
                 }
-                Effect::Store { ticket, record } => self.out[i] = Some((ticket, record)),
+                Effect::Store { ticket, record } => self.records_in_flight[i] = Some((ticket, record)),
                 _ => {}
             }
         }
-        self.invariants.at(MemberId(i as u64 + 1), rollout.state())?;
+        self.invariants.check_member(MemberId(i as u64 + 1), rollout.state())?;
         let hash = hash_debug(&rollout);
         self.nodes[i] = Rc::new((rollout, hash));
         Ok(())
@@ -538,14 +541,14 @@
         hash_debug(&(
             nodes,
             hashes,
-            self.out.iter().map(|out| out.is_some()).collect::<Vec<_>>(),
+            self.records_in_flight.iter().map(|record| record.is_some()).collect::<Vec<_>>(),
             self.halts,
             self.kills,
         ))
     }
 
     fn disk(&mut self, now: Time, i: usize) -> Result<(), String> {
-        let Some((ticket, record)) = self.out[i].take() else { return Ok(()) };
+        let Some((ticket, record)) = self.records_in_flight[i].take() else { return Ok(()) };
         self.disks[i].push(record);
         self.call(i, |rollout| rollout.record_written(now, ticket, true))
     }
@@ -553,12 +556,12 @@
     /// All possible next events.
     fn moves(&self) -> Vec<Move> {
         let mut moves: Vec<Move> = (0..self.messages.len()).map(Move::Hear).collect();
-        let all = 0..self.nodes.len();
-        moves.extend(all.clone().filter(|i| self.out[*i].is_some()).map(Move::Disk));
-        moves.extend(all.clone().filter(|_| self.halts > 0).map(Move::Halt));
+        let nodes = 0..self.nodes.len();
+        moves.extend(nodes.clone().filter(|i| self.records_in_flight[*i].is_some()).map(Move::Disk));
+        moves.extend(nodes.clone().filter(|_| self.halts > 0).map(Move::Halt));
         let kill = |i| [Move::Kill(i, true), Move::Kill(i, false)];
-        moves.extend(all.clone().filter(|_| self.kills > 0).flat_map(kill));
-        moves.extend(all.filter(|_| self.ticks > 0).map(Move::Tick));
+        moves.extend(nodes.clone().filter(|_| self.kills > 0).flat_map(kill));
+        moves.extend(nodes.filter(|_| self.ticks > 0).map(Move::Tick));
         moves
     }
 
@@ -581,7 +584,7 @@
             }
             Move::Kill(i, keeps) => {
                 self.kills -= 1;
-                if let Some((_, record)) = self.out[i].take() {
+                if let Some((_, record)) = self.records_in_flight[i].take() {
                     if keeps {
                         self.disks[i].push(record);
                     }
@@ -625,11 +628,11 @@
         Rc::new((rollout, 0))
     });
     let n = listed.len();
-    let (disks, out, invariants) = (vec![vec![]; n], vec![None; n], Invariants::default());
+    let (disks, records_in_flight, invariants) = (vec![vec![]; n], vec![None; n], Invariants::default());
     let mut world = World {
         nodes: nodes.collect(),
         disks,
-        out,
+        records_in_flight,
         messages: vec![],
         invariants,
         halts: 1,
@@ -680,13 +683,13 @@
                 world.call(to, |rollout| rollout.receive(now, MemberId(from as u64 + 1), message)).unwrap();
             }
             for i in 0..world.nodes.len() {
-                while world.out[i].is_some() && !frozen.contains(&i) {
+                while world.records_in_flight[i].is_some() && !frozen.contains(&i) {
                     world.disk(now, i).unwrap();
                 }
             }
         }
         for i in (0..n).filter(|i| !frozen.contains(i)).collect::<Vec<_>>() {
-            while world.out[i].is_some() {
+            while world.records_in_flight[i].is_some() {
                 world.disk(now, i).unwrap();
             }
         }
@@ -695,7 +698,7 @@
 }
 
 #[test]
-fn every_order_of_a_promotion_and_a_halt() {
+fn every_order_of_a_promotion_and_a_halt_keeps_the_invariants() {
     let listed = fleet(3, 3);
     let mut first = before_promoting(&listed, 1);
     first.explore();
@@ -718,7 +721,7 @@
 /// Random orders of cases that are too large to explore fully: two promotions, or a promotion against a
 /// rollback, each with a kill.
 #[test]
-fn random_orders_with_two_concurrent_changes() {
+fn random_orders_of_concurrent_changes_keep_the_invariants() {
     let walks: u64 = std::env::var("ROLLOUT_WALKS").ok().and_then(|walks| walks.parse().ok()).unwrap_or(300);
     // One member promotes, or two do, or one promotes and another rolls back, or one halts and another rolls
     // back.
--- a/crates/fleet/tests/verdicts.rs
+++ b/crates/fleet/tests/verdicts.rs
@@ -182,15 +182,15 @@
         self.network.call(id, |node, now| node.verdicts.report_recovery(now, host));
     }
 
-    fn choose<T: Copy>(&mut self, all: &[T]) -> T {
-        all[self.rng.gen_range(0..all.len())]
+    fn choose<T: Copy>(&mut self, choices: &[T]) -> T {
+        choices[self.rng.gen_range(0..choices.len())]
     }
 
     /// Plays half a second with a random change; `faulty_member` reports arbitrary findings.
     fn step(&mut self, faulty_member: MemberId, seed: u64) {
-        let all: Vec<HostId> = hosts().collect();
+        let every_host: Vec<HostId> = hosts().collect();
         let members = self.members.clone();
-        let (who, host) = (self.choose(&members), self.choose(&all));
+        let (who, host) = (self.choose(&members), self.choose(&every_host));
         match self.rng.gen_range(0..12) {
             0 | 1 => {
                 let kind = self.choose(&[FindingKind::Failing, FindingKind::Unreachable, FindingKind::Slow]);
@@ -214,13 +214,13 @@
             _ => {}
         }
         for id in members.iter().copied() {
-            for host in all.iter().copied() {
+            for host in every_host.iter().copied() {
                 // Lists arrive late.
                 if self.listed[&(id, host)] < self.since[&host] && self.rng.gen_bool(0.3) {
                     self.update_list(id, host);
                 }
             }
-            let used = all.iter().copied().filter(|host| {
+            let used = every_host.iter().copied().filter(|host| {
                 used_by(*host) == UsedBy::All || used_by(*host) == UsedBy::Location(location(id))
             });
             for host in used {
@@ -265,8 +265,11 @@
             let in_force: Vec<_> = node.view.unhealthy.iter().filter(|(_, view)| clock < view.2).collect();
             for group in [UsedBy::Location(HERE), UsedBy::Location(THERE), UsedBy::All] {
                 let bad = in_force.iter().filter(|(host, _)| used_by(**host) == group).count();
-                let all = hosts().filter(|host| used_by(*host) == group).count();
-                assert!(2 * bad <= all, "seed {seed}: {id:?} has verdicts on {bad} of {all} hosts");
+                let group_size = hosts().filter(|host| used_by(*host) == group).count();
+                assert!(
+                    2 * bad <= group_size,
+                    "seed {seed}: {id:?} has verdicts on {bad} of {group_size} hosts"
+                );
             }
             for (host, (since, kind, _)) in in_force {
                 let listed = self.listed[&(id, *host)];
@@ -511,10 +514,10 @@
 #[test]
 fn a_reported_recovery_ends_a_verdict_until_new_findings() {
     let mut dispatcher = SingleDispatcher::new();
-    let all = |dispatcher: &mut SingleDispatcher| {
+    let receive_from_all = |dispatcher: &mut SingleDispatcher| {
         [2, 4, 6, 8].map(|from| dispatcher.receive(from, 3, (1, 1), Some(FindingKind::Unreachable)))
     };
-    all(&mut dispatcher);
+    receive_from_all(&mut dispatcher);
     dispatcher.receive(8, 3, (1, 1), None);
     assert_eq!(dispatcher.unhealthy_hosts(), [3], "three still report it");
     dispatcher.now = dispatcher.now + Span::millis(500);
@@ -528,7 +531,7 @@
     assert_eq!(dispatcher.unhealthy_hosts(), [0; 0]);
     dispatcher.now = dispatcher.now + Span::millis(500);
     dispatcher.sequence = 99;
-    all(&mut dispatcher);
+    receive_from_all(&mut dispatcher);
     assert_eq!(dispatcher.unhealthy_hosts(), [3]);
 }
 
