--- a/crates/fleet/src/feed/carried_follower.rs
+++ b/crates/fleet/src/feed/carried_follower.rs
@@ -1,5 +1,5 @@
 //! One carried follower: what it has acknowledged, and the next frame for it.
-use super::log::{Echo, Logs, Segment, SourceLog, Stamp};
+use super::log::{Logs, ReceivedStamp, Segment, SourceLog, Stamp};
 use super::messages::{FeedMessage, Fence, FollowerClass};
 use super::position::Position;
 use super::settings::Settings;
@@ -33,8 +33,8 @@
     /// The highest fence number that was sent to any member.
     pub highest_fence_number: u64,
     pub positions: BTreeMap<MemberId, SourcePosition>,
-    /// Its latest stamp, and when it was received.
-    pub stamp: Option<(Stamp, Time)>,
+    /// Its latest stamp.
+    pub stamp: Option<ReceivedStamp>,
     pub last_frame: u64,
     pub frames_in_flight: VecDeque<FrameInFlight>,
     pub round_trip: Option<Span>,
@@ -109,10 +109,7 @@
     pub fn acknowledge(&mut self, now: Time, frame: u64, stamp: Stamp, positions: &[Position]) {
         self.last_heard = now;
         self.consecutive_timeouts = 0;
-        // A delayed stamp must not replace a newer one: the echo of an older stamp gives a looser bound.
-        if self.stamp.is_none_or(|(latest, _)| latest < stamp) {
-            self.stamp = Some((stamp, now));
-        }
+        ReceivedStamp::update(&mut self.stamp, now, stamp);
         let frame = frame.min(self.last_frame);
         self.acknowledge_frames(now, frame);
         for reported in positions {
@@ -231,7 +228,7 @@
     pub fn build_frame(&mut self, now: Time, segments: Vec<Segment>) -> FeedMessage {
         self.last_frame += 1;
         self.last_sent = now;
-        let echo = self.stamp.map(|(stamp, at)| Echo { stamp, held: now - at });
+        let echo = self.stamp.map(|stamp| stamp.echo(now));
         FeedMessage::Frame { fence: self.fence, frame: self.last_frame, echo, class: self.class, segments }
     }
 }
--- a/crates/fleet/src/feed/carrier_messages.rs
+++ b/crates/fleet/src/feed/carrier_messages.rs
@@ -1,7 +1,7 @@
 //! Messages to a carrier: subscriptions and acknowledgements of followers, and moves offered by members.
 use super::carried_follower::CarriedFollower;
 use super::carrier::{Carrier, Context};
-use super::log::Stamp;
+use super::log::{ReceivedStamp, Stamp};
 use super::messages::{FeedMessage, Fence, FollowerClass};
 use super::position::Position;
 use crate::common::MemberId;
@@ -49,7 +49,7 @@
             return context.send(from, FeedMessage::SubscribeRejected { fence });
         }
         let mut carried = CarriedFollower::new(context.now, fence, positions, class);
-        carried.stamp = Some((stamp, context.now));
+        carried.stamp = Some(ReceivedStamp { stamp, received: context.now });
         carried.arrived = class.is_slow.then_some(context.now);
         self.carried.insert(from, carried);
     }
@@ -110,7 +110,7 @@
         }
         let mut carried = CarriedFollower::new(context.now, fence, positions, class);
         // The time for which the other member held the stamp is left out; this only loosens the bound.
-        carried.stamp = stamp.map(|stamp| (stamp, context.now));
+        carried.stamp = stamp.map(|stamp| ReceivedStamp { stamp, received: context.now });
         carried.arrived = Some(context.now);
         self.carried.insert(follower, carried);
         true
--- a/crates/fleet/src/feed/driver.rs
+++ b/crates/fleet/src/feed/driver.rs
@@ -1,6 +1,6 @@
 //! Entry points: messages and the periodic timer.
 use super::carrier::{Context, LoadReport, OtherCarriers};
-use super::log::Stamp;
+use super::log::ReceivedStamp;
 use super::messages::FeedMessage;
 use super::state::Feed;
 use crate::common::MemberId;
@@ -19,7 +19,8 @@
 
     fn handle_member(&mut self, now: Time, from: MemberId, message: FeedMessage) {
         if let FeedMessage::Positions { stamp, .. } | FeedMessage::Request { stamp, .. } = &message {
-            self.note_stamp(now, from, *stamp);
+            let Some(peer) = self.peers.get_mut(&from) else { return };
+            ReceivedStamp::update(&mut peer.stamp, now, *stamp);
         }
         let max_sources = self.settings.max_sources;
         match message {
@@ -47,15 +48,6 @@
         }
     }
 
-    /// Keeps a member's latest stamp. A delayed one must not replace a newer one: the echo of an older stamp
-    /// gives a looser bound.
-    fn note_stamp(&mut self, now: Time, from: MemberId, stamp: Stamp) {
-        let Some(peer) = self.peers.get_mut(&from) else { return };
-        if peer.stamp.is_none_or(|(latest, _)| latest < stamp) {
-            peer.stamp = Some((stamp, now));
-        }
-    }
-
     /// The periodic timer, called every `Settings::interval`.
     pub fn tick(&mut self, now: Time) {
         self.repair_bytes_left = self.settings.repair_bytes;
--- a/crates/fleet/src/feed/log.rs
+++ b/crates/fleet/src/feed/log.rs
@@ -127,6 +127,27 @@
     pub held: Span,
 }
 
+/// The latest stamp of another process, and when it was received.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReceivedStamp {
+    pub stamp: Stamp,
+    pub received: Time,
+}
+
+impl ReceivedStamp {
+    /// Keeps a stamp that was received now. A delayed one must not replace a newer one: the echo of an older
+    /// stamp gives a looser bound.
+    pub fn update(latest: &mut Option<ReceivedStamp>, now: Time, stamp: Stamp) {
+        if latest.is_none_or(|latest| latest.stamp < stamp) {
+            *latest = Some(ReceivedStamp { stamp, received: now });
+        }
+    }
+
+    pub fn echo(self, now: Time) -> Echo {
+        Echo { stamp: self.stamp, held: now - self.received }
+    }
+}
+
 impl Echo {
     /// Upper bound on the time that the message with this echo was on the way; none if the stamp is not of
     /// this run.
--- a/crates/fleet/src/feed/moves.rs
+++ b/crates/fleet/src/feed/moves.rs
@@ -164,7 +164,7 @@
     let message = FeedMessage::OfferMove {
         follower,
         fence,
-        stamp: carried.stamp.map(|stamp| stamp.0),
+        stamp: carried.stamp.map(|latest| latest.stamp),
         positions: carried.positions.iter().map(reached).collect(),
         class: carried.class,
     };
--- a/crates/fleet/src/feed/state.rs
+++ b/crates/fleet/src/feed/state.rs
@@ -1,7 +1,7 @@
 //! A member's side of the feed: its data, and what the caller reads of it.
 use super::carrier::Carrier;
 use super::effects::Effect;
-use super::log::{Echo, Logs, SourceLog, Stamp};
+use super::log::{Echo, Logs, ReceivedStamp, SourceLog, Stamp};
 use super::messages::CarrierLoad;
 use super::position::Position;
 use super::settings::Settings;
@@ -16,15 +16,15 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
     pub is_dead: bool,
-    /// Its latest stamp, and when it was received.
-    pub stamp: Option<(Stamp, Time)>,
+    /// Its latest stamp.
+    pub stamp: Option<ReceivedStamp>,
     /// Its latest load report, and when it was received.
     pub load: Option<(CarrierLoad, Time)>,
 }
 
 impl Peer {
     pub fn echo(&self, now: Time) -> Option<Echo> {
-        self.stamp.map(|(stamp, at)| Echo { stamp, held: now - at })
+        self.stamp.map(|stamp| stamp.echo(now))
     }
 }
 
