--- a/crates/fleet/src/rollout/runner.rs
+++ b/crates/fleet/src/rollout/runner.rs
@@ -1,7 +1,7 @@
 //! The runner of a rollout: which member it is, what members report to it, and when it promotes or halts.
 use super::figures::{self, compare, prune, Comparison, Figures, WindowFigures, Windows};
 use super::messages::{Hello, RolloutMessage};
-use super::state::{Change, OpenWindow, Peer, PendingChange, Rollout};
+use super::state::{Change, ClosedWindow, KnownRunner, OpenWindow, Peer, PendingChange, Rollout};
 use super::step::{Halt, Phase, Step};
 use super::version::Version;
 use crate::common::{Incarnation, MemberId};
@@ -87,17 +87,17 @@
         if self.running_since.is_some() || is_halter || std::mem::take(&mut self.hello_to_all) {
             to.extend(self.peers.keys());
         } else {
-            to.extend(self.runner.map(|(id, _)| id));
+            to.extend(self.runner.map(|runner| runner.id));
             to.extend(self.further_hello_targets());
         }
         for id in to {
             let Some(peer) = self.peers.get(&id) else { continue };
-            let is_runner = self.runner.is_some_and(|(runner, _)| runner == id);
+            let is_runner = self.runner.is_some_and(|runner| runner.id == id);
             let last = if is_runner { peer.own_windows_seen } else { u64::MAX - 1 };
             let windows = self
                 .closed_windows
                 .range(last + 1..)
-                .map(|(n, (at, window))| (*n, now - *at, *window))
+                .map(|(n, closed)| (*n, now - closed.middle, closed.window))
                 .collect();
             let hello = Hello {
                 incarnation: self.incarnation,
@@ -176,15 +176,19 @@
 
     /// Another member runs the rollout. Of several the one with the least id goes on.
     fn note_runner(&mut self, now: Time, from: MemberId) {
-        let current = self.runner.filter(|(_, at)| now - *at < self.settings.runner_timeout);
-        if current.is_none_or(|(id, _)| from <= id) {
-            self.runner = Some((from, now));
+        if self.present_runner(now).is_none_or(|runner| from <= runner.id) {
+            self.runner = Some(KnownRunner { id: from, last_heard: now });
         }
         if self.running_since.is_some() && from < self.own {
             self.step_down(now);
         }
     }
 
+    /// The runner, unless it has not been heard for too long.
+    fn present_runner(&self, now: Time) -> Option<KnownRunner> {
+        self.runner.filter(|runner| now - runner.last_heard < self.settings.runner_timeout)
+    }
+
     /// The index of the window that contains a time.
     fn window_index(&self, at: Time) -> u64 {
         at.0 / self.settings.window.0
@@ -198,7 +202,7 @@
         }
         let middle = started + (now - started).times(0.5);
         if now - started < self.settings.window.times(1.5) {
-            self.closed_windows.insert(self.next_window, (middle, window));
+            self.closed_windows.insert(self.next_window, ClosedWindow { window, middle });
             let is_current_version = window.number == Some(self.state.chosen.version.number);
             if self.running_since.is_some() && is_current_version && middle >= self.step_learned {
                 self.stage_visits = self.stage_visits.saturating_add(window.figures.visits);
@@ -258,8 +262,7 @@
 
     /// Becomes the runner if there has been none for long enough.
     fn try_take_over(&mut self, now: Time) -> bool {
-        let has_runner = self.runner.is_some_and(|(_, at)| now - at < self.settings.runner_timeout);
-        if has_runner || !self.is_able() || !self.is_majority_reachable(now) {
+        if self.present_runner(now).is_some() || !self.is_able() || !self.is_majority_reachable(now) {
             self.take_over_at =
                 self.take_over_at.max(now + self.settings.runner_timeout.times(self.rng.gen_range(0.1..0.5)));
             return false;
@@ -420,7 +423,7 @@
 
     /// This member's closed windows, by index.
     fn own_windows(&self) -> Windows {
-        self.closed_windows.values().map(|(at, window)| (self.window_index(*at), *window)).collect()
+        self.closed_windows.values().map(|closed| (self.window_index(closed.middle), closed.window)).collect()
     }
 
     /// The windows of all members, grouped by when they get the version.
--- a/crates/fleet/src/rollout/state.rs
+++ b/crates/fleet/src/rollout/state.rs
@@ -63,6 +63,21 @@
     pub started: Time,
 }
 
+/// A complete window of this member's own figures.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ClosedWindow {
+    pub window: WindowFigures,
+    /// The middle of its time.
+    pub middle: Time,
+}
+
+/// Another member that runs the rollout.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct KnownRunner {
+    pub id: MemberId,
+    pub last_heard: Time,
+}
+
 /// An attempt to have a step accepted under one ballot.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
@@ -150,7 +165,7 @@
     pub(super) requested_documents: BTreeSet<VersionId>,
     // The runner, and what members report to it.
     pub(super) peers: BTreeMap<MemberId, Peer>,
-    pub(super) runner: Option<(MemberId, Time)>,
+    pub(super) runner: Option<KnownRunner>,
     pub(super) running_since: Option<Time>,
     pub(super) take_over_at: Time,
     pub(super) next_hello: Time,
@@ -171,7 +186,7 @@
     pub(super) active: VersionId,
     // Own figures.
     pub(super) open_window: OpenWindow,
-    pub(super) closed_windows: BTreeMap<u64, (Time, WindowFigures)>,
+    pub(super) closed_windows: BTreeMap<u64, ClosedWindow>,
     pub(super) next_window: u64,
     pub(super) stage_first_window: u64,
     pub(super) inbox: VecDeque<RolloutMessage>,
@@ -266,7 +281,7 @@
             stages: self.documents.get(&step.version).map_or(0, Version::stages),
             halt: self.state.halt.clone().filter(|halt| (halt.number, halt.run) == step.key()),
             in_force: self.active.number,
-            runner: self.running_since.map(|_| self.own).or(self.runner.map(|(id, _)| id)),
+            runner: self.running_since.map(|_| self.own).or(self.runner.map(|runner| runner.id)),
             is_able: self.is_able(),
             waiting_for: self.waiting_for.clone(),
         }
