--- a/crates/fleet/src/delivery/carrier.rs
+++ b/crates/fleet/src/delivery/carrier.rs
@@ -1,8 +1,7 @@
 //! The carrier: reads the change log and passes its changes on to followers.
 use super::held::HeldChanges;
-use super::{
-    ChangeNumber, DeliveryMessage, Echo, Effect, LogId, Reason, Record, Settings, Stamp, MAX_CLOCK_RATIO,
-};
+use super::messages::{ChangeNumber, DeliveryMessage, Echo, Effect, LogId, Reason, Record, Stamp};
+use super::settings::{Settings, MAX_CLOCK_RATIO};
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
@@ -206,7 +205,7 @@
             return Err(Reason::Full);
         }
         match self.log_known_at {
-            Some(known) if now - known <= self.settings.max_log_age => Ok(()),
+            Some(asked) if now - asked <= self.settings.max_log_age => Ok(()),
             _ => Err(Reason::Stale),
         }
     }
@@ -276,7 +275,7 @@
             }
             return 0;
         };
-        let Some(known) = self.log_known_at else { return 0 };
+        let Some(known_at) = self.log_known_at else { return 0 };
         self.last_stamp = Stamp(self.last_stamp.0 + 1);
         let (after, bytes): (_, usize) = (state.sent, records.iter().map(|record| record.len()).sum());
         state.sent = after.plus(records.len());
@@ -295,7 +294,7 @@
             after,
             records,
             newest: self.changes.newest(),
-            age: (now - known).times(MAX_CLOCK_RATIO),
+            age: (now - known_at).times(MAX_CLOCK_RATIO),
             stamp: self.last_stamp,
             echo: Echo { stamp: state.stamp, held: now - state.stamp_received },
         };
--- a/crates/fleet/src/delivery/follower.rs
+++ b/crates/fleet/src/delivery/follower.rs
@@ -1,5 +1,6 @@
 //! The follower: receives the change log's changes from a carrier and reads the log itself if there is none.
-use super::{ChangeNumber, DeliveryMessage, Echo, Effect, Reason, Record, Settings, Stamp, MIN_CLOCK_RATIO};
+use super::messages::{ChangeNumber, DeliveryMessage, Echo, Effect, Reason, Record, Stamp};
+use super::settings::{Settings, MIN_CLOCK_RATIO};
 use crate::common::{rendezvous_order, MemberId};
 use cherrypass::time::{Span, Time};
 use rand::{Rng, SeedableRng};
--- a/crates/fleet/src/delivery/held.rs
+++ b/crates/fleet/src/delivery/held.rs
@@ -1,5 +1,5 @@
 //! The newest changes of the log, as a carrier holds them for its followers.
-use super::{ChangeNumber, Record, MAX_RECORD_BYTES};
+use super::messages::{ChangeNumber, Record, MAX_RECORD_BYTES};
 use std::collections::VecDeque;
 
 /// Bytes a record takes besides its own in memory, and at most in a message.
