--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -529,12 +529,12 @@
         Ok(())
     }
 
-    fn explore(&mut self) {
+    fn begin_exploration(&mut self) {
         self.exploring = true;
         self.messages.retain(|(.., message, _)| !matches!(message, RolloutMessage::Hello(_)));
     }
 
-    fn key(&self) -> u64 {
+    fn fingerprint(&self) -> u64 {
         let mut hashes: Vec<u64> = self.messages.iter().map(|(.., hash)| *hash).collect();
         hashes.sort_unstable();
         let nodes: Vec<u64> = self.nodes.iter().map(|node| node.1).collect();
@@ -547,42 +547,42 @@
         ))
     }
 
-    fn disk(&mut self, now: Time, i: usize) -> Result<(), String> {
+    fn write_record(&mut self, now: Time, i: usize) -> Result<(), String> {
         let Some((ticket, record)) = self.records_in_flight[i].take() else { return Ok(()) };
         self.disks[i].push(record);
         self.call(i, |rollout| rollout.record_written(now, ticket, true))
     }
 
-    /// All possible next events.
-    fn moves(&self) -> Vec<Move> {
-        let mut moves: Vec<Move> = (0..self.messages.len()).map(Move::Hear).collect();
+    /// All events that may come next.
+    fn next_events(&self) -> Vec<Event> {
+        let mut events: Vec<Event> = (0..self.messages.len()).map(Event::Deliver).collect();
         let nodes = 0..self.nodes.len();
-        moves.extend(nodes.clone().filter(|i| self.records_in_flight[*i].is_some()).map(Move::Disk));
-        moves.extend(nodes.clone().filter(|_| self.halts > 0).map(Move::Halt));
-        let kill = |i| [Move::Kill(i, true), Move::Kill(i, false)];
-        moves.extend(nodes.clone().filter(|_| self.kills > 0).flat_map(kill));
-        moves.extend(nodes.filter(|_| self.ticks > 0).map(Move::Tick));
-        moves
+        events.extend(nodes.clone().filter(|i| self.records_in_flight[*i].is_some()).map(Event::WriteRecord));
+        events.extend(nodes.clone().filter(|_| self.halts > 0).map(Event::Halt));
+        let kill = |i| [Event::Kill(i, true), Event::Kill(i, false)];
+        events.extend(nodes.clone().filter(|_| self.kills > 0).flat_map(kill));
+        events.extend(nodes.filter(|_| self.ticks > 0).map(Event::Tick));
+        events
     }
 
-    fn make(&mut self, listed: &Listed, next: Move) -> Result<(), String> {
+    fn apply(&mut self, listed: &Listed, event: Event) -> Result<(), String> {
         let now = self.now;
-        match next {
-            Move::Hear(n) => {
+        match event {
+            Event::Deliver(n) => {
                 let (from, to, message, _) = self.messages.swap_remove(n);
                 self.call(to, |rollout| rollout.receive(now, MemberId(from as u64 + 1), message))
             }
-            Move::Disk(i) => self.disk(now, i),
-            Move::Tick(i) => {
+            Event::WriteRecord(i) => self.write_record(now, i),
+            Event::Tick(i) => {
                 self.ticks -= 1;
                 self.now = now + Span::millis(500);
                 self.call(i, |rollout| rollout.tick(now + Span::millis(500)))
             }
-            Move::Halt(i) => {
+            Event::Halt(i) => {
                 self.halts -= 1;
                 self.call(i, |rollout| drop(rollout.order(now, Order::Halt)))
             }
-            Move::Kill(i, keeps) => {
+            Event::Kill(i, keeps) => {
                 self.kills -= 1;
                 if let Some((_, record)) = self.records_in_flight[i].take() {
                     if keeps {
@@ -611,9 +611,9 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Move {
-    Hear(usize),
-    Disk(usize),
+enum Event {
+    Deliver(usize),
+    WriteRecord(usize),
     Halt(usize),
     Kill(usize, bool),
     Tick(usize),
@@ -621,7 +621,7 @@
 
 /// Runs until the promotion begins; with two runners, the second one does not receive the first one's
 /// statuses.
-fn before_promoting(listed: &Listed, runners: usize) -> World {
+fn run_until_promotion(listed: &Listed, runners: usize) -> World {
     let mut now = Time(1_000_000);
     let nodes = listed.iter().enumerate().map(|(i, (id, location))| {
         let rollout = Rollout::new(settings(), *id, *location, Incarnation(1), listed, vec![], i as u64, now);
@@ -684,13 +684,13 @@
             }
             for i in 0..world.nodes.len() {
                 while world.records_in_flight[i].is_some() && !frozen.contains(&i) {
-                    world.disk(now, i).unwrap();
+                    world.write_record(now, i).unwrap();
                 }
             }
         }
         for i in (0..n).filter(|i| !frozen.contains(i)).collect::<Vec<_>>() {
             while world.records_in_flight[i].is_some() {
-                world.disk(now, i).unwrap();
+                world.write_record(now, i).unwrap();
             }
         }
     }
@@ -700,16 +700,16 @@
 #[test]
 fn every_order_of_a_promotion_and_a_halt_keeps_the_invariants() {
     let listed = fleet(3, 3);
-    let mut first = before_promoting(&listed, 1);
-    first.explore();
-    let mut seen = HashSet::from([first.key()]);
+    let mut first = run_until_promotion(&listed, 1);
+    first.begin_exploration();
+    let mut seen = HashSet::from([first.fingerprint()]);
     let (mut left, mut promoted) = (vec![first], false);
     while let Some(world) = left.pop() {
         promoted |= world.invariants.steps.values().any(|step| step.stage > 0 && step.promotes());
-        for next in world.moves() {
+        for event in world.next_events() {
             let mut after = world.clone();
-            after.make(&listed, next).unwrap();
-            if seen.insert(after.key()) {
+            after.apply(&listed, event).unwrap();
+            if seen.insert(after.fingerprint()) {
                 left.push(after);
             }
         }
@@ -733,7 +733,7 @@
         (5, 1, true, true, 1),
     ] {
         let listed = fleet(members, 3);
-        let mut first = before_promoting(&listed, runners);
+        let mut first = run_until_promotion(&listed, runners);
         let (now, runner) = (first.now, first.nodes[0].0.status().runner.unwrap().0 as usize - 1);
         if halt {
             first.call(runner, |rollout| rollout.order(now, Order::Halt).unwrap()).unwrap();
@@ -746,16 +746,16 @@
             first.call(other, |rollout| rollout.tick(now)).unwrap();
         }
         (first.kills, first.ticks, first.halts) = (kills, 8, u8::from(!halt));
-        first.explore();
+        first.begin_exploration();
         let mut ends: BTreeSet<Vec<(u16, Phase)>> = BTreeSet::new();
         for seed in 0..walks {
             let (mut world, mut rng) = (first.clone(), Pcg64Mcg::seed_from_u64(seed));
-            while let Some(next) = world.moves().choose(&mut rng).copied() {
-                let rare = matches!(next, Move::Halt(_) | Move::Kill(..) | Move::Tick(_));
+            while let Some(event) = world.next_events().choose(&mut rng).copied() {
+                let rare = matches!(event, Event::Halt(_) | Event::Kill(..) | Event::Tick(_));
                 if rare && !(world.messages.is_empty() || rng.gen_bool(0.03)) {
                     continue;
                 }
-                world.make(&listed, next).unwrap_or_else(|why| {
+                world.apply(&listed, event).unwrap_or_else(|why| {
                     panic!(
                         "{members} members, {runners} runners, back {back}, halt {halt}, seed {seed}: {why}"
                     )
@@ -777,8 +777,8 @@
 #[test]
 fn a_member_that_lost_its_record_abstains() {
     let listed = fleet(3, 3);
-    let mut world = before_promoting(&listed, 1);
-    world.explore();
+    let mut world = run_until_promotion(&listed, 1);
+    world.begin_exploration();
     (world.kills, world.ticks) = (1, 100);
     let now = world.now;
     let third = world.nodes[0].0.status().runner.unwrap().0 as usize - 1;
@@ -786,21 +786,21 @@
     let run_among = |world: &mut World, among: [usize; 2]| {
         for _ in 0..4 {
             for i in among {
-                world.make(&listed, Move::Tick(i)).unwrap();
+                world.apply(&listed, Event::Tick(i)).unwrap();
             }
             while let Some(n) =
                 world.messages.iter().position(|(from, to, ..)| among.contains(from) && among.contains(to))
             {
-                world.make(&listed, Move::Hear(n)).unwrap();
-                among.into_iter().for_each(|i| world.disk(now, i).unwrap());
+                world.apply(&listed, Event::Deliver(n)).unwrap();
+                among.into_iter().for_each(|i| world.write_record(now, i).unwrap());
             }
-            among.into_iter().for_each(|i| world.disk(now, i).unwrap());
+            among.into_iter().for_each(|i| world.write_record(now, i).unwrap());
         }
     };
     world.call(other, |rollout| rollout.order(now, Order::Back).unwrap()).unwrap();
     run_among(&mut world, [other, forgets]);
     assert_eq!(world.nodes[other].0.state().chosen.phase, Phase::Back);
-    world.make(&listed, Move::Kill(forgets, false)).unwrap();
+    world.apply(&listed, Event::Kill(forgets, false)).unwrap();
     world.call(third, |rollout| rollout.order(now, Order::Halt).unwrap()).unwrap();
     run_among(&mut world, [third, forgets]);
     assert_eq!(world.nodes[third].0.state().chosen.phase, Phase::Rolling);
