--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -436,8 +436,17 @@
     fingerprints: Vec<u64>,
     most: f64,
     guard: Option<Guard>,
-    /// How many ticks, restarts, pauses, changes of demand and duplicate messages are left.
-    left: [u8; 5],
+    steps_left: StepCounts,
+}
+
+/// How often each kind of step may still occur.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct StepCounts {
+    ticks: u8,
+    restarts: u8,
+    pauses: u8,
+    demand_changes: u8,
+    duplicates: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -456,7 +465,8 @@
 const RATES: [f64; 3] = [0.99, 1.01, 1.0];
 
 impl Case {
-    fn new((n, ready, left): CaseParameters, guard: Option<Guard>) -> Case {
+    fn new(parameters: CaseParameters, guard: Option<Guard>) -> Case {
+        let CaseParameters { members: n, others_can_lend, steps } = parameters;
         let now = Time(1_000_000);
         let members = (0..n).map(|i| CaseMember {
             limits: Case::limits(n, i, Incarnation(1), now, guard),
@@ -473,22 +483,21 @@
             fingerprints: vec![0; n],
             most: 0.0,
             guard,
-            left: [40, 0, 0, 0, 0],
+            steps_left: step_counts(40, 0, 0, 0, 0),
         };
-        // After the start delay, with one request received; `ready`: long enough ago that the others can
-        // lend.
+        // After the start delay, with one request received, if `others_can_lend` long enough ago for that.
         (0..7).for_each(|_| case.step(Step::Tick));
         case.members[0].demand = TOTAL;
         case.step(Step::Tick);
         while !case.in_flight.is_empty() {
             case.step(Step::Deliver(0));
         }
-        if ready {
+        if others_can_lend {
             case.members[0].demand = 0.0;
             (0..4).for_each(|_| case.step(Step::Tick));
             case.members[0].demand = TOTAL;
         }
-        case.left = left;
+        case.steps_left = steps;
         case
     }
 
@@ -505,22 +514,24 @@
         for i in 0..self.in_flight.len().max(n) {
             if self.in_flight.get(i).is_some_and(|(_, to, ..)| !self.members[*to].is_paused) {
                 steps.push(Step::Deliver(i));
-                steps.extend((self.left[4] > 0).then_some(Step::DeliverDuplicate(i)));
+                steps.extend((self.steps_left.duplicates > 0).then_some(Step::DeliverDuplicate(i)));
             }
             if i < n {
-                steps.extend((self.left[1] > 0).then_some(Step::Restart(i)));
-                steps.extend((self.left[2] > 0 || self.members[i].is_paused).then_some(Step::Pause(i)));
-                steps.extend((self.left[3] > 0 && i > 0).then_some(Step::ChangeDemand(i)));
+                steps.extend((self.steps_left.restarts > 0).then_some(Step::Restart(i)));
+                steps.extend(
+                    (self.steps_left.pauses > 0 || self.members[i].is_paused).then_some(Step::Pause(i)),
+                );
+                steps.extend((self.steps_left.demand_changes > 0 && i > 0).then_some(Step::ChangeDemand(i)));
             }
         }
-        steps.extend((self.left[0] > 0).then_some(Step::Tick));
+        steps.extend((self.steps_left.ticks > 0).then_some(Step::Tick));
         steps
     }
 
     fn step(&mut self, step: Step) {
         match step {
             Step::Tick => {
-                self.left[0] -= 1;
+                self.steps_left.ticks -= 1;
                 self.now = self.now + TICK;
                 for i in 0..self.members.len() {
                     let clock = self.clock(i);
@@ -537,14 +548,14 @@
                 if step == Step::Deliver(at) {
                     self.in_flight.remove(at);
                 } else {
-                    self.left[4] -= 1;
+                    self.steps_left.duplicates -= 1;
                 }
                 let clock = self.clock(to);
                 self.members[to].limits.receive(clock, MemberId(from as u64), message);
                 self.pull(to);
             }
             Step::Restart(i) => {
-                self.left[1] -= 1;
+                self.steps_left.restarts -= 1;
                 self.uses.end_run(MemberId(i as u64), self.now);
                 let incarnation = Incarnation(self.members[i].incarnation.0 + 1);
                 let limits = Case::limits(self.members.len(), i, incarnation, self.now, self.guard);
@@ -553,11 +564,11 @@
                 self.pull(i);
             }
             Step::Pause(i) => {
-                self.left[2] -= u8::from(!self.members[i].is_paused);
+                self.steps_left.pauses -= u8::from(!self.members[i].is_paused);
                 self.members[i].is_paused ^= true;
             }
             Step::ChangeDemand(i) => {
-                self.left[3] -= 1;
+                self.steps_left.demand_changes -= 1;
                 self.members[i].demand = 0.2 * TOTAL - self.members[i].demand;
             }
         }
@@ -594,7 +605,7 @@
 
     fn fingerprint(&self) -> u64 {
         let state: Vec<_> = self.members.iter().map(|member| (&member.is_paused, &member.demand)).collect();
-        fingerprint(&(&self.fingerprints, state, &self.in_flight, &self.uses, self.now, self.left))
+        fingerprint(&(&self.fingerprints, state, &self.in_flight, &self.uses, self.now, self.steps_left))
     }
 }
 
@@ -630,15 +641,24 @@
     Ok(seen.len())
 }
 
-/// Members; whether the others can lend; ticks, restarts, pauses, changes of demand and duplicates.
-type CaseParameters = (usize, bool, [u8; 5]);
+#[derive(Clone, Copy, Debug)]
+struct CaseParameters {
+    members: usize,
+    /// Whether the other members can lend from the start on.
+    others_can_lend: bool,
+    steps: StepCounts,
+}
+
+const fn step_counts(ticks: u8, restarts: u8, pauses: u8, demand_changes: u8, duplicates: u8) -> StepCounts {
+    StepCounts { ticks, restarts, pauses, demand_changes, duplicates }
+}
 
 const CASES: [CaseParameters; 5] = [
-    (2, true, [6, 0, 0, 1, 0]),
-    (2, true, [5, 1, 0, 0, 1]),
-    (2, true, [6, 0, 1, 0, 1]),
-    (2, false, [5, 1, 0, 0, 0]),
-    (3, true, [4, 0, 0, 0, 0]),
+    CaseParameters { members: 2, others_can_lend: true, steps: step_counts(6, 0, 0, 1, 0) },
+    CaseParameters { members: 2, others_can_lend: true, steps: step_counts(5, 1, 0, 0, 1) },
+    CaseParameters { members: 2, others_can_lend: true, steps: step_counts(6, 0, 1, 0, 1) },
+    CaseParameters { members: 2, others_can_lend: false, steps: step_counts(5, 1, 0, 0, 0) },
+    CaseParameters { members: 3, others_can_lend: true, steps: step_counts(4, 0, 0, 0, 0) },
 ];
 
 #[test]
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -782,7 +782,7 @@
     (world.kills, world.ticks) = (1, 100);
     let now = world.now;
     let third = world.nodes[0].0.status().runner.unwrap().0 as usize - 1;
-    let (other, forgets) = ((third + 1) % 3, (third + 2) % 3);
+    let (other, restarted) = ((third + 1) % 3, (third + 2) % 3);
     let run_among = |world: &mut World, among: [usize; 2]| {
         for _ in 0..4 {
             for i in among {
@@ -798,14 +798,14 @@
         }
     };
     world.call(other, |rollout| rollout.order(now, Order::Back).unwrap()).unwrap();
-    run_among(&mut world, [other, forgets]);
+    run_among(&mut world, [other, restarted]);
     assert_eq!(world.nodes[other].0.state().chosen.phase, Phase::Back);
-    world.apply(&listed, Event::Kill(forgets, false)).unwrap();
+    world.apply(&listed, Event::Kill(restarted, false)).unwrap();
     world.call(third, |rollout| rollout.order(now, Order::Halt).unwrap()).unwrap();
-    run_among(&mut world, [third, forgets]);
+    run_among(&mut world, [third, restarted]);
     assert_eq!(world.nodes[third].0.state().chosen.phase, Phase::Rolling);
-    run_among(&mut world, [other, forgets]);
-    let node = &world.nodes[forgets].0;
+    run_among(&mut world, [other, restarted]);
+    let node = &world.nodes[restarted].0;
     assert!(node.status().is_able && node.state().chosen.phase == Phase::Back);
 }
 
