--- a/crates/fleet/src/feed/log.rs
+++ b/crates/fleet/src/feed/log.rs
@@ -1,6 +1,7 @@
 //! The items held of one source: its newest items without a gap, and of the older ones the latest item of
 //! each key.
-use super::{Position, Settings};
+use super::position::Position;
+use super::settings::Settings;
 use crate::common::{Incarnation, MemberId};
 use cherrypass::time::{Span, Time};
 use serde::{Deserialize, Serialize};
@@ -21,6 +22,9 @@
 /// Limit of ages and hold times.
 pub(super) const MAX_HOLD: Span = Span(7 * 24 * 3600 * 1_000_000);
 
+/// The items held of each source.
+pub(super) type Logs = BTreeMap<MemberId, SourceLog>;
+
 /// One item as it is sent. `age` is an upper bound at the time of sending.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
@@ -123,6 +127,27 @@
     pub held: Span,
 }
 
+/// The latest stamp of another process, and when it was received.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReceivedStamp {
+    pub stamp: Stamp,
+    pub received: Time,
+}
+
+impl ReceivedStamp {
+    /// Keeps a stamp that was received now. A delayed one must not replace a newer one: the echo of an older
+    /// stamp gives a looser bound.
+    pub fn update(latest: &mut Option<ReceivedStamp>, now: Time, stamp: Stamp) {
+        if latest.is_none_or(|latest| latest.stamp < stamp) {
+            *latest = Some(ReceivedStamp { stamp, received: now });
+        }
+    }
+
+    pub fn echo(self, now: Time) -> Echo {
+        Echo { stamp: self.stamp, held: now - self.received }
+    }
+}
+
 impl Echo {
     /// Upper bound on the time that the message with this echo was on the way; none if the stamp is not of
     /// this run.
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -53,24 +53,26 @@
     }
 
     fn end_run(&mut self, who: MemberId, at: Time) {
-        let of_it = self.0.iter_mut().filter(|(key, _)| key.0 == who).filter_map(|(_, all)| all.last_mut());
-        of_it.filter(|last| last.end.is_none()).for_each(|last| last.end = Some(at));
+        let runs = self.0.iter_mut().filter(|(key, _)| key.0 == who);
+        let last_allowed = runs.filter_map(|(_, allowed)| allowed.last_mut());
+        last_allowed.filter(|last| last.end.is_none()).for_each(|last| last.end = Some(at));
     }
 
     /// The most that may be in use now: for each run, its greatest allowance within the drain.
     fn sum(&mut self, now: Time, drain: Span, key: LimitKey) -> f64 {
         let since = now - drain;
-        self.0.retain(|_, all| {
-            all.retain(|one| one.end.is_none_or(|end| end > since));
-            !all.is_empty()
+        self.0.retain(|_, runs_allowed| {
+            runs_allowed.retain(|allowed| allowed.end.is_none_or(|end| end > since));
+            !runs_allowed.is_empty()
         });
-        let most = |one: &Allowed| {
-            let (first, last) = (one.from.max(since), one.end.unwrap_or(now));
-            let early = if first < one.allowance.until { one.allowance.amount } else { 0.0 };
-            early.max(if last >= one.allowance.until { one.allowance.after } else { 0.0 })
+        let greatest = |allowed: &Allowed| {
+            let (first, last) = (allowed.from.max(since), allowed.end.unwrap_or(now));
+            let Allowance { amount, until, after } = allowed.allowance;
+            let before_end = if first < until { amount } else { 0.0 };
+            before_end.max(if last >= until { after } else { 0.0 })
         };
-        let of_key = self.0.iter().filter(|(who, _)| who.2 == key);
-        of_key.map(|(_, all)| all.iter().map(most).fold(0.0, f64::max)).sum()
+        let runs_of_key = self.0.iter().filter(|(who, _)| who.2 == key);
+        runs_of_key.map(|(_, allowed)| allowed.iter().map(greatest).fold(0.0, f64::max)).sum()
     }
 }
 
@@ -265,25 +267,25 @@
 }
 
 #[test]
-fn the_sum_holds_on_seeded_schedules() {
+fn seeded_schedules_keep_the_sum_within_the_limit() {
     let most = (0..2000).map(|seed| (schedule(seed, None), seed)).max_by(|a, b| a.0.total_cmp(&b.0)).unwrap();
     assert!(most.0 <= 1.0 + 1e-9, "seed {}: {} in sum", most.1, most.0);
     assert!(most.0 > 0.95, "the limit is hardly used");
 }
 
 #[test]
-fn each_guard_is_needed() {
+fn schedules_exceed_the_limit_without_any_one_guard() {
     for guard in GUARDS {
-        let found = (0..2000).find(|seed| schedule(*seed, Some(guard)) > 1.0 + 1e-6);
-        println!("without {guard:?}: seed {found:?}");
-        assert!(found.is_some(), "{guard:?}");
+        let violating_seed = (0..2000).find(|seed| schedule(*seed, Some(guard)) > 1.0 + 1e-6);
+        println!("without {guard:?}: seed {violating_seed:?}");
+        assert!(violating_seed.is_some(), "{guard:?}");
     }
 }
 
 /// The stated bounds in the cases where the limit can be exceeded: a second process under one name adds one
 /// share, and with different lists or limits the sum stays within the formula of docs/fleet-limits.md.
 #[test]
-fn stated_bounds_above_the_limit_hold() {
+fn an_excess_stays_within_the_documented_bounds() {
     let mut highest = [0.0f64; 3];
     for seed in 0..600 {
         let n = 2 + seed as usize % 4;
@@ -321,7 +323,7 @@
 /// One of eight members with all the demand gets 95% of the limit within 1 s, keeps it, and returns it when
 /// the others have demand.
 #[test]
-fn one_of_eight_gets_the_limit_and_all_return_to_their_shares() {
+fn one_member_borrows_unused_shares_and_returns_them() {
     for seed in (0..20).map(|i| i * 4 + i % 2) {
         let mut simulation = Simulation::new(seed, 8, &[LimitKey::Origin], None);
         let members = simulation.members.clone();
@@ -434,8 +436,17 @@
     fingerprints: Vec<u64>,
     most: f64,
     guard: Option<Guard>,
-    /// How many ticks, restarts, pauses, changes of demand and duplicate messages are left.
-    left: [u8; 5],
+    steps_left: StepCounts,
+}
+
+/// How often each kind of step may still occur.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct StepCounts {
+    ticks: u8,
+    restarts: u8,
+    pauses: u8,
+    demand_changes: u8,
+    duplicates: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -454,7 +465,8 @@
 const RATES: [f64; 3] = [0.99, 1.01, 1.0];
 
 impl Case {
-    fn new((n, ready, left): CaseParameters, guard: Option<Guard>) -> Case {
+    fn new(parameters: CaseParameters, guard: Option<Guard>) -> Case {
+        let CaseParameters { members: n, others_can_lend, steps } = parameters;
         let now = Time(1_000_000);
         let members = (0..n).map(|i| CaseMember {
             limits: Case::limits(n, i, Incarnation(1), now, guard),
@@ -471,22 +483,21 @@
             fingerprints: vec![0; n],
             most: 0.0,
             guard,
-            left: [40, 0, 0, 0, 0],
+            steps_left: step_counts(40, 0, 0, 0, 0),
         };
-        // After the start delay, with one request received; `ready`: long enough ago that the others can
-        // lend.
+        // After the start delay, with one request received, if `others_can_lend` long enough ago for that.
         (0..7).for_each(|_| case.step(Step::Tick));
         case.members[0].demand = TOTAL;
         case.step(Step::Tick);
         while !case.in_flight.is_empty() {
             case.step(Step::Deliver(0));
         }
-        if ready {
+        if others_can_lend {
             case.members[0].demand = 0.0;
             (0..4).for_each(|_| case.step(Step::Tick));
             case.members[0].demand = TOTAL;
         }
-        case.left = left;
+        case.steps_left = steps;
         case
     }
 
@@ -503,22 +514,24 @@
         for i in 0..self.in_flight.len().max(n) {
             if self.in_flight.get(i).is_some_and(|(_, to, ..)| !self.members[*to].is_paused) {
                 steps.push(Step::Deliver(i));
-                steps.extend((self.left[4] > 0).then_some(Step::DeliverDuplicate(i)));
+                steps.extend((self.steps_left.duplicates > 0).then_some(Step::DeliverDuplicate(i)));
             }
             if i < n {
-                steps.extend((self.left[1] > 0).then_some(Step::Restart(i)));
-                steps.extend((self.left[2] > 0 || self.members[i].is_paused).then_some(Step::Pause(i)));
-                steps.extend((self.left[3] > 0 && i > 0).then_some(Step::ChangeDemand(i)));
+                steps.extend((self.steps_left.restarts > 0).then_some(Step::Restart(i)));
+                steps.extend(
+                    (self.steps_left.pauses > 0 || self.members[i].is_paused).then_some(Step::Pause(i)),
+                );
+                steps.extend((self.steps_left.demand_changes > 0 && i > 0).then_some(Step::ChangeDemand(i)));
             }
         }
-        steps.extend((self.left[0] > 0).then_some(Step::Tick));
+        steps.extend((self.steps_left.ticks > 0).then_some(Step::Tick));
         steps
     }
 
     fn step(&mut self, step: Step) {
         match step {
             Step::Tick => {
-                self.left[0] -= 1;
+                self.steps_left.ticks -= 1;
                 self.now = self.now + TICK;
                 for i in 0..self.members.len() {
                     let clock = self.clock(i);
@@ -535,14 +548,14 @@
                 if step == Step::Deliver(at) {
                     self.in_flight.remove(at);
                 } else {
-                    self.left[4] -= 1;
+                    self.steps_left.duplicates -= 1;
                 }
                 let clock = self.clock(to);
                 self.members[to].limits.receive(clock, MemberId(from as u64), message);
                 self.pull(to);
             }
             Step::Restart(i) => {
-                self.left[1] -= 1;
+                self.steps_left.restarts -= 1;
                 self.uses.end_run(MemberId(i as u64), self.now);
                 let incarnation = Incarnation(self.members[i].incarnation.0 + 1);
                 let limits = Case::limits(self.members.len(), i, incarnation, self.now, self.guard);
@@ -551,11 +564,11 @@
                 self.pull(i);
             }
             Step::Pause(i) => {
-                self.left[2] -= u8::from(!self.members[i].is_paused);
+                self.steps_left.pauses -= u8::from(!self.members[i].is_paused);
                 self.members[i].is_paused ^= true;
             }
             Step::ChangeDemand(i) => {
-                self.left[3] -= 1;
+                self.steps_left.demand_changes -= 1;
                 self.members[i].demand = 0.2 * TOTAL - self.members[i].demand;
             }
         }
@@ -592,7 +605,7 @@
 
     fn fingerprint(&self) -> u64 {
         let state: Vec<_> = self.members.iter().map(|member| (&member.is_paused, &member.demand)).collect();
-        fingerprint(&(&self.fingerprints, state, &self.in_flight, &self.uses, self.now, self.left))
+        fingerprint(&(&self.fingerprints, state, &self.in_flight, &self.uses, self.now, self.steps_left))
     }
 }
 
@@ -628,19 +641,28 @@
     Ok(seen.len())
 }
 
-/// Members; whether the others can lend; ticks, restarts, pauses, changes of demand and duplicates.
-type CaseParameters = (usize, bool, [u8; 5]);
+#[derive(Clone, Copy, Debug)]
+struct CaseParameters {
+    members: usize,
+    /// Whether the other members can lend from the start on.
+    others_can_lend: bool,
+    steps: StepCounts,
+}
+
+const fn step_counts(ticks: u8, restarts: u8, pauses: u8, demand_changes: u8, duplicates: u8) -> StepCounts {
+    StepCounts { ticks, restarts, pauses, demand_changes, duplicates }
+}
 
 const CASES: [CaseParameters; 5] = [
-    (2, true, [6, 0, 0, 1, 0]),
-    (2, true, [5, 1, 0, 0, 1]),
-    (2, true, [6, 0, 1, 0, 1]),
-    (2, false, [5, 1, 0, 0, 0]),
-    (3, true, [4, 0, 0, 0, 0]),
+    CaseParameters { members: 2, others_can_lend: true, steps: step_counts(6, 0, 0, 1, 0) },
+    CaseParameters { members: 2, others_can_lend: true, steps: step_counts(5, 1, 0, 0, 1) },
+    CaseParameters { members: 2, others_can_lend: true, steps: step_counts(6, 0, 1, 0, 1) },
+    CaseParameters { members: 2, others_can_lend: false, steps: step_counts(5, 1, 0, 0, 0) },
+    CaseParameters { members: 3, others_can_lend: true, steps: step_counts(4, 0, 0, 0, 0) },
 ];
 
 #[test]
-fn every_order_of_small_cases_keeps_the_sum() {
+fn every_order_of_small_cases_keeps_the_sum_within_the_limit() {
     for parameters in CASES {
         let start = std::time::Instant::now();
         let states =
@@ -650,10 +672,11 @@
 }
 
 #[test]
-fn small_cases_fail_without_each_guard() {
+fn small_cases_exceed_the_limit_without_any_one_guard() {
     for guard in GUARDS {
-        let found = CASES.iter().find_map(|parameters| explore(Case::new(*parameters, Some(guard))).err());
-        println!("without {guard:?}: {found:?}");
-        assert!(found.is_some(), "{guard:?}");
+        let violation =
+            CASES.iter().find_map(|parameters| explore(Case::new(*parameters, Some(guard))).err());
+        println!("without {guard:?}: {violation:?}");
+        assert!(violation.is_some(), "{guard:?}");
     }
 }
