--- a/src/calls.rs
+++ b/src/calls.rs
@@ -2,6 +2,12 @@
 use crate::ids::*;
 use crate::time::{Span, Time};
 
+/// Failures within this time are the host's own or the visit's; later ones may be the source's.
+pub(crate) const FAST_FAILURE_MAX: Span = Span::millis(60);
+
+/// Copy priority where nothing is to be kept.
+pub(crate) const UNCACHED_FILL_RANK: u8 = 0;
+
 /// A client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Visit {
@@ -172,6 +178,22 @@
     pub is_final: bool,
 }
 
+impl HandOffEnd {
+    /// Whether it ended with a fast error, for which the visit itself may be at fault.
+    pub(crate) fn is_fast_error(&self) -> bool {
+        self.outcome == Outcome::Error && self.duration <= FAST_FAILURE_MAX && !self.is_source_at_fault()
+    }
+
+    /// Whether the source is at fault, not the host: by the note, or by the time that a refusal took.
+    pub(crate) fn is_source_at_fault(&self) -> bool {
+        let is_slow_refusal = self.outcome == Outcome::Full
+            && self.note == Note::Unspecified
+            && self.duration > FAST_FAILURE_MAX;
+        is_slow_refusal
+            || matches!(self.note, Note::SourceRefused | Note::SourceUnreachable | Note::OriginFailed)
+    }
+}
+
 /// How a cache may answer and where it fills from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fill {
@@ -189,6 +211,14 @@
     pub cached_only: bool,
 }
 
+impl Fill {
+    /// A fill whose copy is not to be kept.
+    pub(crate) fn uncached(source: HostId, max_age: Span, may_join: bool) -> Fill {
+        let (refresh_stale, cached_only) = (false, false);
+        Fill { source, rank: UNCACHED_FILL_RANK, max_age, may_join, refresh_stale, cached_only }
+    }
+}
+
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
--- a/src/popularity.rs
+++ b/src/popularity.rs
@@ -3,6 +3,11 @@
 use crate::time::{Span, Time};
 use std::collections::BTreeMap;
 
+/// α: an object is popular if its count is above α·r_ave.
+const POPULARITY_ALPHA: f64 = 1.0;
+/// Largest share of all known bytes that the admitted set may have.
+const ADMITTED_BYTES_SHARE: f64 = 0.05;
+
 /// What is known of the demand for one object.
 #[derive(Debug, Default)]
 pub struct ObjectStats {
@@ -46,11 +51,26 @@
     }
 
     /// r_ave: mean visit count over the admitted set.
-    pub fn mean_admitted_visits(&self) -> f64 {
+    fn mean_admitted_visits(&self) -> f64 {
         self.admitted_visits / f64::from(self.admitted_objects.max(1))
     }
 
-    pub fn admit(&mut self, object: ObjectId) {
+    /// Returns whether an object is popular, and admits it if so: r_i > α·r_ave over the admitted set, or the
+    /// set is empty. The set's bytes are limited to a share of all known bytes.
+    pub fn admit_if_popular(&mut self, object: ObjectId) -> bool {
+        let Some(stats) = self.objects.get(&object) else { return false };
+        if self.admitted_objects > 0 && stats.visits <= POPULARITY_ALPHA * self.mean_admitted_visits() {
+            return false;
+        }
+        let fits = self.admitted_bytes + stats.known_bytes <= ADMITTED_BYTES_SHARE * self.known_bytes;
+        let is_admitted = stats.is_admitted || self.admitted_objects == 0 || fits;
+        if is_admitted {
+            self.admit(object);
+        }
+        is_admitted
+    }
+
+    fn admit(&mut self, object: ObjectId) {
         if let Some(stats) = self.objects.get_mut(&object).filter(|stats| !stats.is_admitted) {
             stats.is_admitted = true;
             self.admitted_objects += 1;
@@ -60,12 +80,12 @@
     }
 
     /// Ratio of an answer time to the object's shortest one; `None` for the first answer.
-    pub fn slowdown(&mut self, object: ObjectId, took: Span) -> Option<f64> {
+    pub fn slowdown(&mut self, object: ObjectId, answer_time: Span) -> Option<f64> {
         let stats = self.objects.get_mut(&object)?;
         let before = stats.best_time;
-        let shortest = before.map_or(took, |s| s.min(took));
+        let shortest = before.map_or(answer_time, |s| s.min(answer_time));
         stats.best_time = Some(shortest);
-        before.map(|_| took.as_seconds() / shortest.as_seconds().max(0.001))
+        before.map(|_| answer_time.as_seconds() / shortest.as_seconds().max(0.001))
     }
 
     /// Halves all counts and drops objects that were not requested after `since`.
--- a/src/purges.rs
+++ b/src/purges.rs
@@ -46,11 +46,11 @@
     /// Records a purge made at `at`: of the object, or of the whole group if no object is given.
     pub fn record(&mut self, group: GroupId, object: Option<ObjectId>, at: Time) {
         let scope = object.map_or(Scope::Group(group), Scope::Object);
-        if let Some(known) = self.tracked.get(&scope).copied() {
-            if known >= at {
+        if let Some(previous) = self.tracked.get(&scope).copied() {
+            if previous >= at {
                 return;
             }
-            self.by_time.remove(&(known, scope));
+            self.by_time.remove(&(previous, scope));
         }
         self.tracked.insert(scope, at);
         self.by_time.insert((at, scope));
