--- a/src/circuit_breaker.rs
+++ b/src/circuit_breaker.rs
@@ -35,15 +35,15 @@
     }
 
     /// Records the end of a trial. A failure doubles the trial interval, within `intervals`.
-    pub fn record_trial(&mut self, now: Time, failed: bool, intervals: TrialIntervals) {
-        self.trials_passed = if failed { 0 } else { self.trials_passed + 1 };
-        self.trial_interval = if failed {
+    pub fn record_trial(&mut self, now: Time, has_failed: bool, intervals: TrialIntervals) {
+        self.trials_passed = if has_failed { 0 } else { self.trials_passed + 1 };
+        self.trial_interval = if has_failed {
             (self.trial_interval + self.trial_interval).min(intervals.longest)
         } else {
             intervals.first
         };
-        self.next_trial_at = if failed { now + self.trial_interval } else { now };
-        if failed {
+        self.next_trial_at = if has_failed { now + self.trial_interval } else { now };
+        if has_failed {
             (self.cause, self.evidence_count, self.last_evidence_at) =
                 (EjectionCause::Failing, self.evidence_count.saturating_add(1), now);
         }
--- a/src/copy_age.rs
+++ b/src/copy_age.rs
@@ -15,8 +15,8 @@
         self.unverified_max_age = is_unverified.then_some(self.settings.purge_obey_time.max(Span(1)));
     }
 
-    /// The change log has been silent for so long that its purges count as known within `known_within` whether
-    /// or not they arrived; `None` once it answers again.
+    /// The change log has been silent for so long that its purges count as known within `known_within`
+    /// whether or not they arrived; `None` once it answers again.
     pub fn set_log_silent(&mut self, known_within: Option<Span>) {
         self.log_silence_max_age = known_within.map(|span| span + self.settings.purge_obey_time);
     }
--- a/src/decision_engine.rs
+++ b/src/decision_engine.rs
@@ -2,9 +2,9 @@
 //!
 //! The caller calls `new` once, then `update_hosts`, `visit_arrived`, `hand_off_ended`, `close_visit`,
 //! `record_purge`, `probe_answered` and `tick` as events happen; these only update state. After each batch of
-//! events it pulls decisions with `next_decision` until there is none. The values are in `calls`, the settings
-//! in `settings`. The ordinary path is the semi-hashing rule of Ni et al.; docs/design.md lists every
-//! exception to it.
+//! events it pulls decisions with `next_decision` until there is none. The values are in `calls`, the
+//! settings in `settings`. The ordinary path is the semi-hashing rule of Ni et al.; docs/design.md lists
+//! every exception to it.
 use crate::calls::*;
 use crate::circuit_breaker::{OpenBreaker, TrialIntervals, TRIALS_TO_RECOVER};
 use crate::containers::MovingAverage;
@@ -124,7 +124,7 @@
 
     /// A visit has arrived.
     pub fn visit_arrived(&mut self, now: Time, visit: Visit) {
-        let is_popular = self.is_popular(now, &visit);
+        let is_popular = self.count_visit(now, &visit);
         self.retry_budget.level = (self.retry_budget.level + RETRIES_PER_VISIT).min(RETRY_BURST);
         self.probe_budget.level = (self.probe_budget.level + PROBES_PER_VISIT).min(PROBE_BURST);
         let stats_and_size = self.class_stats.get_mut(usize::from(visit.class.0)).zip(visit.kilobytes);
@@ -223,7 +223,7 @@
                 Timer::Deadline(id) => self.finish_unserved(id),
                 Timer::DecayCounts => self.decay_counts(now),
                 Timer::EverySecond => self.each_second(now),
-                Timer::PeerReport(id) => self.expire_report(now, id),
+                Timer::PeerReport(id) => self.readmit_after_report(now, id),
             }
         }
         // After a pause of this process the hosts' silence means nothing, so it is measured from now.
@@ -254,7 +254,7 @@
     }
 
     /// Counts a visit, and returns whether its object is popular.
-    fn is_popular(&mut self, now: Time, visit: &Visit) -> bool {
+    fn count_visit(&mut self, now: Time, visit: &Visit) -> bool {
         let bytes = visit
             .kilobytes
             .unwrap_or_else(|| self.transfer_seconds(visit.class) * self.settings.transfer_kb_per_s);
@@ -298,13 +298,13 @@
             return false;
         }
         let Some(first) = open.first_possible_run else { return true };
-        let both = self.hosts.get(&first.host).zip(self.hosts.get(&host));
-        let match_by = |same: fn(&Host, &Host) -> bool| both.is_some_and(|(a, b)| same(a, b));
+        let hosts = self.hosts.get(&first.host).zip(self.hosts.get(&host));
+        let are_alike = |same: fn(&Host, &Host) -> bool| hosts.is_some_and(|(a, b)| same(a, b));
         match self.class_settings(open.visit.class).map(|class| class.effect) {
             Some(Deduplicated { group: Group::Location, .. }) => {
-                match_by(|a, b| a.entry.location == b.entry.location)
+                are_alike(|a, b| a.entry.location == b.entry.location)
             }
-            Some(Deduplicated { group: Group::Cell, .. }) => match_by(|a, b| a.entry.cell == b.entry.cell),
+            Some(Deduplicated { group: Group::Cell, .. }) => are_alike(|a, b| a.entry.cell == b.entry.cell),
             _ => true,
         }
     }
@@ -584,7 +584,7 @@
             && failure_rate > FAILURE_RATIO_TO_PEERS * peers_failure_rate;
         if fails_often || host.is_reported_bad(now) {
             let reason = format!("failure rate {failure_rate:.2}, mean of its peers {peers_failure_rate:.2}");
-            self.open_breaker(now, id, EjectionCause::Failing, reason);
+            self.eject(now, id, EjectionCause::Failing, reason);
         }
     }
 
@@ -609,7 +609,7 @@
 
     /// Ejects a host. At most half of the caches are ejected; parents all may be, since the origin replaces
     /// them.
-    fn open_breaker(&mut self, now: Time, id: HostId, cause: EjectionCause, reason: String) {
+    fn eject(&mut self, now: Time, id: HostId, cause: EjectionCause, reason: String) {
         let ejected = self.peers(id).filter(|h| h.breaker.is_some()).count() + 1;
         let total = self.peers(id).count() + 1;
         let is_parent = self.hosts.get(&id).is_some_and(|h| self.is_parent(h));
@@ -660,7 +660,7 @@
         let has_own_success = host.last_success_at.is_some_and(|at| now < at + OWN_SUCCESS_VALIDITY);
         if !has_own_success && !host.peer_report.is_some_and(|report| report.is_refuted(now)) {
             let reason = "reported as bad by other dispatchers".into();
-            self.open_breaker(now, id, EjectionCause::Reported, reason);
+            self.eject(now, id, EjectionCause::Reported, reason);
         }
     }
 
@@ -695,10 +695,12 @@
 
     /// Readmits a host that was ejected by an expired report alone. Guards against acting on outdated
     /// reports.
-    fn expire_report(&mut self, now: Time, id: HostId) {
-        let is_expired = self.expire_peer_report(now, id);
+    fn readmit_after_report(&mut self, now: Time, id: HostId) {
+        let is_expired = self.remove_expired_report(now, id);
         let Some(host) = self.hosts.get_mut(&id).filter(|_| is_expired) else { return };
-        host.breaker.iter_mut().for_each(|breaker| breaker.cap_trial_interval(now, TRIAL_INTERVALS.longest));
+        if let Some(breaker) = &mut host.breaker {
+            breaker.cap_trial_interval(now, TRIAL_INTERVALS.longest);
+        }
         if host.breaker.take_if(|breaker| breaker.cause == EjectionCause::Reported).is_some() {
             self.log(format!("host {:x} readmitted: the report of other dispatchers has expired", id.0));
         }
@@ -720,7 +722,7 @@
             .filter(|h| phi(h) > SILENCE_PHI_THRESHOLD && !self.is_origin(h));
         let silent: Vec<(HostId, f64)> = silent.map(|h| (h.entry.host, phi(h))).collect();
         for (id, phi) in silent {
-            self.open_breaker(now, id, EjectionCause::Silent, format!("no answers, phi {phi:.1}"));
+            self.eject(now, id, EjectionCause::Silent, format!("no answers, phi {phi:.1}"));
         }
     }
 
--- a/src/hand_off_stats.rs
+++ b/src/hand_off_stats.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Without notes only hand-offs that ask for cached copies are counted: served ones are hits, and counting
-    /// misses alone would make all answers seem fills.
+    /// Without notes only hand-offs that ask for cached copies are counted: served ones are hits, and
+    /// counting misses alone would make all answers seem fills.
     fn update_miss_rate(&mut self, sent: &SentHandOff, end: &HandOffEnd) {
         let has_missed = end.outcome == Outcome::Miss;
         let is_known_answer =
--- a/src/host.rs
+++ b/src/host.rs
@@ -143,8 +143,8 @@
 
     /// Phi accrual failure detector: how unlikely the present silence is, if answer gaps are distributed
     /// exponentially.
-    pub fn phi(&self, now: Time, least_gap: f64) -> f64 {
-        let gap = self.answer_gap.value_or(1.0).max(least_gap);
+    pub fn phi(&self, now: Time, min_gap: f64) -> f64 {
+        let gap = self.answer_gap.value_or(1.0).max(min_gap);
         self.time_since_answer(now).as_seconds() / gap * std::f64::consts::LOG10_E
     }
 
@@ -154,12 +154,12 @@
     }
 
     /// Records the result of a hand-off that counts for or against the host.
-    pub fn record_result(&mut self, now: Time, failed: bool, weight: f64) {
-        self.failure_rate.push(f64::from(failed), weight);
-        self.last_success_at = Some(now).filter(|_| !failed).or(self.last_success_at);
-        self.peer_report.iter_mut().for_each(|report| {
-            report.own_successes = if failed { 0 } else { report.own_successes.saturating_add(1) }
-        });
+    pub fn record_result(&mut self, now: Time, has_failed: bool, weight: f64) {
+        self.failure_rate.push(f64::from(has_failed), weight);
+        self.last_success_at = Some(now).filter(|_| !has_failed).or(self.last_success_at);
+        if let Some(report) = &mut self.peer_report {
+            report.own_successes = if has_failed { 0 } else { report.own_successes.saturating_add(1) };
+        }
     }
 
     /// Opens the circuit breaker. Evidence for silence are the hand-offs in flight, for failures the recent
@@ -217,26 +217,26 @@
         self.entry.started_at.map(|since| now - since)
     }
 
-    /// Records an answer to an attempt sent at `sent`. The first answer after a lost connection may come from
-    /// a new process: its age counts from now until the list shows its start.
-    pub fn record_answer(&mut self, now: Time, sent: Time) {
+    /// Records an answer to an attempt sent at `sent_at`. The first answer after a lost connection may come
+    /// from a new process: its age counts from now until the list shows its start.
+    pub fn record_answer(&mut self, now: Time, sent_at: Time) {
         self.last_answer_at = now;
-        if self.connection_lost_at.take_if(|cut| *cut <= sent).is_some() {
+        if self.connection_lost_at.take_if(|lost_at| *lost_at <= sent_at).is_some() {
             self.entry.started_at = self.entry.started_at.max(Some(now));
         }
     }
 
     /// Treats the host as just started, and charges the hand-offs it has had since to its new cold budget.
-    pub fn restart_cold_budget(&mut self, now: Time, sent: u32, work: f64) {
+    pub fn restart_cold_budget(&mut self, now: Time, hand_offs: u32, work: f64) {
         (self.entry.started_at, self.cold_bucket) =
             (self.entry.started_at.max(Some(now)), TokenBucket::empty(now));
-        self.cold_bucket.level -= f64::from(sent) * work;
+        self.cold_bucket.level -= f64::from(hand_offs) * work;
     }
 
-    /// Returns work that was charged at `sent` but not needed. Guards against crediting a new process with
+    /// Returns work that was charged at `sent_at` but not needed. Guards against crediting a new process with
     /// work that was charged to the one before it.
-    pub fn refund_cold_budget(&mut self, sent: Time, work: f64) {
-        if sent >= self.cold_bucket.started_at {
+    pub fn refund_cold_budget(&mut self, sent_at: Time, work: f64) {
+        if sent_at >= self.cold_bucket.started_at {
             self.cold_bucket.level += work;
             self.cold_usage.used -= work;
         }
--- a/src/host_list.rs
+++ b/src/host_list.rs
@@ -6,7 +6,8 @@
 use crate::time::Time;
 
 impl DecisionEngine {
-    /// Applies a list of hosts. If it `is_complete`, hosts missing from it are gone; else it holds changes only.
+    /// Applies a list of hosts. If it `is_complete`, hosts missing from it are gone; else it holds changes
+    /// only.
     pub fn update_hosts(&mut self, now: Time, entries: &[Listing], is_complete: bool) {
         self.hosts.values_mut().filter(|_| is_complete).for_each(|host| host.entry.phase = Phase::Gone);
         for entry in entries {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! Request routing decisions of cherrypass, free of input and output.
 //!
-//! The caller feeds events and a clock to [`decision_engine::DecisionEngine`] and pulls decisions from it. This
-//! crate knows nothing of the transport.
+//! The caller feeds events and a clock to [`decision_engine::DecisionEngine`] and pulls decisions from it.
+//! This crate knows nothing of the transport.
 #![forbid(unsafe_code)]
 
 mod allowance;
--- a/src/peer_reports.rs
+++ b/src/peer_reports.rs
@@ -82,7 +82,7 @@
     }
 
     /// Removes the report on a host if it has expired, and returns whether it did.
-    pub(crate) fn expire_peer_report(&mut self, now: Time, id: HostId) -> bool {
+    pub(crate) fn remove_expired_report(&mut self, now: Time, id: HostId) -> bool {
         let Some(host) = self.hosts.get_mut(&id) else { return false };
         let Some(report) = host.peer_report.as_mut().filter(|report| report.timer_at <= now) else {
             return false;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -45,7 +45,8 @@
     pub initial_share: f64,
     /// Time from its start until it has its full capacity.
     pub ramp: Span,
-    /// The host fails when it is sent more than this multiple of its present capacity within `overload_window`.
+    /// The host fails when it is sent more than this multiple of its present capacity within
+    /// `overload_window`.
     pub overload_factor: f64,
     pub overload_window: Span,
 }
--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -1,5 +1,5 @@
-//! Limits shared by several dispatchers. Without allowances none of them is in force, and a dispatcher decides
-//! on its own.
+//! Limits shared by several dispatchers. Without allowances none of them is in force, and a dispatcher
+//! decides on its own.
 use crate::allowance::{Allowance, Usage};
 use crate::calls::{LimitUsage, SharedLimit};
 use crate::containers::TokenBucket;
