--- a/tests/cold_in_sum.rs
+++ b/tests/cold_in_sum.rs
@@ -34,7 +34,7 @@
 const MIN_USE_UNDER_DEMAND: f64 = 0.6;
 /// When hosts start in cases with a later start, and how long a returning one was unreachable.
 const HOST_START: u64 = 4_000_000;
-const AWAY_FOR: u64 = 2_000_000;
+const UNREACHABLE_FOR: u64 = 2_000_000;
 /// How long the old id of an address stays listed beside the new one.
 const OLD_NAME_LISTED_FOR: u64 = 2_000_000;
 
@@ -89,7 +89,7 @@
     kind: StartKind,
     /// Delay until the change log has the start, and the longest further delay until a dispatcher reads it.
     logged_after: u64,
-    heard_within: u64,
+    read_within: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -135,7 +135,7 @@
     starts_known_by_log: false,
 };
 
-/// Longest lag of the change log: by then a watch that went silent is detected and renewed.
+/// Longest lag of the change log: by then a silent watch is detected and renewed.
 const LOG_LAG: u64 = 500_000;
 const NO_LAG: u64 = 0;
 
@@ -143,7 +143,7 @@
 const RESTART_CASE: Case = Case {
     cold_hosts: ColdHosts::StartKnownLate,
     duration: HOST_START + 5_000_000,
-    start: Some(Start { kind: StartKind::Restarts, logged_after: 0, heard_within: LOG_LAG }),
+    start: Some(Start { kind: StartKind::Restarts, logged_after: 0, read_within: LOG_LAG }),
     max_connect_time: Some(0),
     starts_known_by_log: true,
     ..BASE_CASE
@@ -305,7 +305,7 @@
 fn apply_start(simulation: &mut Simulation, now: u64, ids: &[HostId], start: Start) {
     let since = now - START;
     let new_ids: Vec<HostId> = ids.iter().map(new_name).collect();
-    if start.kind == StartKind::Returns && since == HOST_START - AWAY_FOR {
+    if start.kind == StartKind::Returns && since == HOST_START - UNREACHABLE_FOR {
         ids.iter().for_each(|id| simulation.make_unreachable(*id));
     }
     if since == HOST_START {
@@ -321,11 +321,11 @@
         simulation.log_starts(
             now,
             if start.kind == StartKind::Renamed { &new_ids } else { ids },
-            start.heard_within,
+            start.read_within,
         );
     }
     if start.kind == StartKind::Renamed && since == HOST_START + start.logged_after + OLD_NAME_LISTED_FOR {
-        simulation.log_removals(now, ids, start.heard_within);
+        simulation.log_removals(now, ids, start.read_within);
     }
 }
 
@@ -335,12 +335,12 @@
     let alike = |other: &&Listing| other.kind == entry.kind && other.phase == Phase::Ready;
     let weight = |entry: &Listing| if simulation.settings.has_stable_weights { entry.weight } else { 1.0 };
     let misses = if entry.kind == KindId(1) { simulation.miss_rates[0] } else { 1.0 };
-    let home = |object: u64| {
+    let designated = |object: u64| {
         let value = |entry: &Listing| rendezvous(object, entry.host, weight(entry));
         let all = simulation.entries.iter().filter(alike);
         all.max_by(|a, b| value(a).total_cmp(&value(b))).unwrap().host
     };
-    let requests = simulation.requests.iter().filter(|request| home(request.object) == entry.host);
+    let requests = simulation.requests.iter().filter(|request| designated(request.object) == entry.host);
     requests
         .map(|request| {
             (request.arrived_at, misses * simulation.classes[request.class].mean_work * request.relative_size)
@@ -502,16 +502,16 @@
 
 fn check_cases(cases: impl IntoIterator<Item = (String, Case)>, needs_use: bool) {
     let mut failed = Vec::new();
-    for (what, case) in cases {
-        let plays = seeds(case.dispatchers).map(|seed| run_case(&Case { seed, ..case }));
-        let all = plays.fold(Measurement::default(), Measurement::merge);
+    for (name, case) in cases {
+        let runs = seeds(case.dispatchers).map(|seed| run_case(&Case { seed, ..case }));
+        let all = runs.fold(Measurement::default(), Measurement::merge);
         let verdict = match (all.is_within_bound(), all.uses_budget() || !needs_use) {
             (true, true) => "holds",
             (false, _) => "FAILS, over the bound",
             (true, false) => "FAILS, too little use under demand",
         };
         let line = format!(
-            "{what}, {} dispatchers: {:.2} of the bound by work, {:.2} by number; max {:.2} of N, mean {:.2} \
+            "{name}, {} dispatchers: {:.2} of the bound by work, {:.2} by number; max {:.2} of N, mean {:.2} \
              of N in {} windows under demand: {verdict}",
             case.dispatchers,
             all.work_over_bound,
@@ -531,8 +531,8 @@
     0..if dispatchers < 100 { 3 } else { 1 }
 }
 
-fn start_of(kind: StartKind, logged_after: u64, heard_within: u64) -> Option<Start> {
-    Some(Start { kind, logged_after, heard_within })
+fn start_of(kind: StartKind, logged_after: u64, read_within: u64) -> Option<Start> {
+    Some(Start { kind, logged_after, read_within })
 }
 
 /// More than N is requested of caches, or parents, that all dispatchers know to be cold.
@@ -616,8 +616,8 @@
         load: load_above_budget(dispatchers),
         ..BASE_CASE
     };
-    let restarted = |logged_after, heard_within| {
-        let start = start_of(StartKind::Restarts, logged_after, heard_within);
+    let restarted = |logged_after, read_within| {
+        let start = start_of(StartKind::Restarts, logged_after, read_within);
         Case { dispatchers, max_connect_time: Some(1_000_000), start, ..RESTART_CASE }
     };
     check_bound([
@@ -638,11 +638,11 @@
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
-fn watches_are_late(dispatchers: usize) {
+fn change_log_updates_are_late(dispatchers: usize) {
     let case = |within: u64, late: u64| {
-        let heard_within = within * 1_000_000;
+        let read_within = within * 1_000_000;
         let duration = HOST_START + (within + 3) * 1_000_000;
-        let (start, connects) = (start_of(StartKind::Restarts, 0, heard_within), Some(late * 1_000_000));
+        let (start, connects) = (start_of(StartKind::Restarts, 0, read_within), Some(late * 1_000_000));
         (
             format!("watches late or silent for up to {within} s, connects within {late} s"),
             Case { dispatchers, start, max_connect_time: connects, duration, ..RESTART_CASE },
@@ -652,10 +652,10 @@
 }
 
 /// A kind of start, logged immediately, or 1.1 s later with connections up to 1 s late.
-fn logged_at_once_and_late(what: &str, kind: StartKind, dispatchers: usize) -> [(String, Case); 2] {
+fn logged_at_once_and_late(start_name: &str, kind: StartKind, dispatchers: usize) -> [(String, Case); 2] {
     [(0, 0), (1_100, 1)].map(|(after, late)| {
         let (start, connects) = (start_of(kind, after * 1_000, LOG_LAG), Some(late * 1_000_000));
-        let name = format!("{what}, logged after {after} ms, connects within {late} s");
+        let name = format!("{start_name}, logged after {after} ms, connects within {late} s");
         (name, Case { dispatchers, start, max_connect_time: connects, ..RESTART_CASE })
     })
 }
@@ -676,7 +676,7 @@
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
-fn addresses_are_used_again(dispatchers: usize) {
+fn addresses_are_reused(dispatchers: usize) {
     check_bound(logged_at_once_and_late("renamed", StartKind::Renamed, dispatchers));
 }
 
@@ -687,7 +687,7 @@
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
-fn weights_are_not_told(dispatchers: usize) {
+fn weights_are_not_given(dispatchers: usize) {
     let case = Case {
         dispatchers,
         has_weights: false,
@@ -712,7 +712,7 @@
 #[test_case(30; "with_30")]
 #[test_case(300; "with_300")]
 #[test_case(350; "with_350")]
-fn all_at_once(dispatchers: usize) {
+fn all_faults_combined(dispatchers: usize) {
     let start = start_of(StartKind::Restarts, 1_100_000, LOG_LAG);
     let (connects, restarts) = (Some(1_000_000), Restarts::Steps);
     let case = Case { dispatchers, start, max_connect_time: connects, restarts, ..RESTART_CASE };
--- a/tests/largest_requests.rs
+++ b/tests/largest_requests.rs
@@ -1,7 +1,7 @@
 //! The largest requests of a class are served like the others, in virtual time.
 //!
 //! Of the tenth with the largest objects, and of the next fifth, at least two thirds of the class's served
-//! share are served on a quiet day, and half of it under trouble. Work grows with size, and the deadline is
+//! share are served without faults, and half of it with them. Work grows with size, and the deadline is
 //! the same for all; sizes are announced or not.
 // The parts for restarts and starts are used in cold_in_sum.rs only.
 #[allow(dead_code)]
@@ -13,8 +13,8 @@
 use test_case::test_case;
 
 const DURATION: u64 = 24_000_000;
-/// When the trouble begins, in microseconds.
-const TROUBLE_START: u64 = 4_000_000;
+/// When the fault begins, in microseconds.
+const FAULT_START: u64 = 4_000_000;
 const KB_PER_SECOND: f64 = 5_000.0;
 const WEIGHT: f64 = 12.0;
 const CACHES: u64 = 9;
@@ -80,7 +80,7 @@
     let requests = load * CACHES as f64 * WEIGHT / mean;
     let last_deadline = CLASSES.iter().map(|class| class.2).max().unwrap();
     for now in (START..START + DURATION + last_deadline).step_by(STEP as usize) {
-        if now == START + TROUBLE_START {
+        if now == START + FAULT_START {
             for id in 1..=CACHES / 3 {
                 let host = simulation.hosts.get_mut(&HostId(id)).unwrap();
                 host.slowdown = if scenario == Scenario::Slow { 5.0 } else { 1.0 };
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -9,44 +9,44 @@
 const GROUPS: u32 = 32;
 
 #[test]
-fn no_purge_is_ever_forgotten() {
-    let mut chance = Pcg64Mcg::seed_from_u64(8);
+fn recorded_purges_are_never_dropped() {
+    let mut rng = Pcg64Mcg::seed_from_u64(8);
     let mut purges = Purges::default();
-    let mut truth: BTreeMap<ObjectId, Time> = BTreeMap::new();
+    let mut objects: BTreeMap<ObjectId, Time> = BTreeMap::new();
     let mut groups: BTreeMap<GroupId, Time> = BTreeMap::new();
     for second in 1..=3 * MAX_TRACKED as u64 {
         // Some purges arrive late, after more recent ones.
-        let at = Time(second * 1_000_000 - chance.gen_range(0..9_000_000).min(second * 1_000_000));
-        if chance.gen_bool(0.01) {
-            let group = GroupId(chance.gen_range(0..GROUPS));
+        let at = Time(second * 1_000_000 - rng.gen_range(0..9_000_000).min(second * 1_000_000));
+        if rng.gen_bool(0.01) {
+            let group = GroupId(rng.gen_range(0..GROUPS));
             purges.record(group, None, at);
             let known = groups.entry(group).or_insert(at);
             *known = at.max(*known);
         } else {
-            let object = ObjectId(chance.gen_range(0..20_000));
+            let object = ObjectId(rng.gen_range(0..20_000));
             purges.record(GroupId(0), Some(object), at);
-            let known = truth.entry(object).or_insert(at);
+            let known = objects.entry(object).or_insert(at);
             *known = at.max(*known);
         }
         assert!(purges.tracked_count() <= MAX_TRACKED);
     }
-    for (object, at) in &truth {
+    for (object, at) in &objects {
         let group = GroupId(object.0 as u32 % GROUPS);
-        let must = groups.get(&group).max(Some(at)).copied();
-        assert!(purges.latest(group, *object) >= must, "{object:?} was purged at {must:?}");
+        let expected = groups.get(&group).max(Some(at)).copied();
+        assert!(purges.latest(group, *object) >= expected, "{object:?} was purged at {expected:?}");
     }
 }
 
 #[test]
 fn unpurged_objects_are_affected_by_old_purges_only() {
     let mut purges = Purges::default();
-    let never = (0..1000).map(|number| ObjectId((1 << 40) | (number * 7919)));
+    let unpurged = (0..1000).map(|number| ObjectId((1 << 40) | (number * 7919)));
     (0..MAX_TRACKED as u64)
         .for_each(|number| purges.record(GroupId(0), Some(ObjectId(number)), Time(number)));
-    assert_eq!(never.clone().filter_map(|object| purges.latest(GroupId(1), object)).count(), 0);
+    assert_eq!(unpurged.clone().filter_map(|object| purges.latest(GroupId(1), object)).count(), 0);
     let more = MAX_TRACKED as u64..(MAX_TRACKED + HASH_SLOTS) as u64;
     more.for_each(|number| purges.record(GroupId(0), Some(ObjectId(number)), Time(number)));
-    let bound: Vec<Time> = never.filter_map(|object| purges.latest(GroupId(1), object)).collect();
+    let bound: Vec<Time> = unpurged.filter_map(|object| purges.latest(GroupId(1), object)).collect();
     assert!(
         bound.iter().all(|at| at.0 < HASH_SLOTS as u64),
         "affected by a purge that is tracked individually"
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs the scenarios in `tests/scenarios/`. Commands stand on lines or between `;`; `#` starts a comment.
+//! Runs the scenarios in `tests/scenarios/`. Commands are separated by lines or `;`, and `#` starts a comment.
 //!
 //! Setup, before all other commands:
 //! - `band NAME EFFECT KEY=VALUE..`: a class of requests
@@ -6,7 +6,7 @@
 //! - `fleet`: six hosts, and the class video
 //! - `untold`: weights are not given
 //! - `probes`: hosts answer load probes
-//! - `hits-only`: notes do not tell fills by parents and by the origin apart
+//! - `hits-only`: notes do not distinguish fills by parents from fills by the origin
 //! - `dispatchers N`, and `sharers N` of them at this location
 //! - `elsewhere N`: caches at other locations
 //!
@@ -23,9 +23,9 @@
 //! - `flow N BAND EVERY OBJECTS`: a series of visits
 //! - `name NEW to|from ID`: another name for the host that a visit was sent to or filled from
 //! - `mark`: resets the counts
-//! - `allot origin|further|NAME AMOUNT MS AFTER`: a part of a shared limit, for MS and after that
-//! - `word|new NAME MS [SINCE]`: others report a host as bad, or as restarted, for MS; SINCE is the start
-//!   they know, by default the listed one
+//! - `allot origin|further|NAME AMOUNT MS AFTER`: the dispatcher's allotment of a shared limit, for MS and after that
+//! - `word|new NAME MS [SINCE]`: other dispatchers report a host as bad, or as restarted, for MS; SINCE is
+//!   the start of the process that they report on, by default the listed one
 //!
 //! Checks:
 //! - `expect ID to|from|rank|oldest|hand-offs|final WORD`
@@ -98,7 +98,7 @@
             overload_factor: 2.0,
             overload_window: Span::millis(2000),
         };
-        let set = Settings {
+        let settings = Settings {
             dispatchers: 2,
             location: LocationId(2),
             location_dispatchers: 1,
@@ -119,7 +119,7 @@
             purge_obey_time: Span::millis(500),
             ..Settings::default()
         };
-        ScenarioRunner { settings: set, now: START, next_wake: START, ..ScenarioRunner::default() }
+        ScenarioRunner { settings, now: START, next_wake: START, ..ScenarioRunner::default() }
     }
 
     fn call_module(&mut self, input: impl FnOnce(&mut DecisionEngine, Time)) {
@@ -319,13 +319,13 @@
         self.call_module(|engine, now| engine.update_hosts(now, &[listing], false));
     }
 
-    fn expect(&self, what: &str, key: &str, words: &[&str]) {
-        if let Ok(id) = what.parse::<u32>() {
+    fn expect(&self, subject: &str, key: &str, words: &[&str]) {
+        if let Ok(id) = subject.parse::<u32>() {
             let record = &self.visits[&id];
-            let is = |host: Option<HostId>| host.is_some() && host == self.names.get(words[0]).copied();
+            let is_named = |host: Option<HostId>| host.is_some() && host == self.names.get(words[0]).copied();
             let is_met = match key {
-                "to" => is(record.sent_to),
-                "from" => is(record.fill.map(|fill| fill.source)),
+                "to" => is_named(record.sent_to),
+                "from" => is_named(record.fill.map(|fill| fill.source)),
                 "rank" => record.fill.map(|fill| fill.rank.to_string()).as_deref() == Some(words[0]),
                 "oldest" => record.fill.map(|fill| fill.max_age.0 / 1000) == Some(micros(words[0]) / 1000),
                 "hand-offs" => {
@@ -342,7 +342,7 @@
             );
             return;
         }
-        let counts = match what {
+        let counts = match subject {
             "sent" => &self.hand_off_counts,
             "held" => &self.cached_only_counts,
             "asked" => &self.probe_counts,
@@ -351,7 +351,7 @@
         let count = counts.get(&self.names[key]).copied().unwrap_or(0.0);
         let number: f64 = words[1].parse().unwrap();
         let is_met = if words[0] == "<" { count < number } else { count > number };
-        assert!(is_met, "{what} {key}: {count}, expected {words:?}");
+        assert!(is_met, "{subject} {key}: {count}, expected {words:?}");
     }
 
     fn run_command(&mut self, words: &[&str]) {
@@ -408,31 +408,32 @@
                     (self.names.get(*host).copied().unwrap_or(HostId(99)), Span(micros(ago)));
                 self.add_visit(id.parse().unwrap(), class, object, None, Some(earlier_attempt))
             }
-            ["unproven", is] => {
-                let is = *is == "on";
-                self.call_module(|engine, _| engine.set_purges_unverified(is));
+            ["unproven", state] => {
+                let is_unverified = *state == "on";
+                self.call_module(|engine, _| engine.set_purges_unverified(is_unverified));
             }
             ["purge", object, ago] => {
                 let (object, ago) = (object.parse().ok().map(ObjectId), Span(micros(ago)));
                 self.call_module(|engine, now| engine.record_purge(now, GroupId(1), object, ago));
             }
-            ["allot", what, amount, time, after] => {
-                let shared = match *what {
+            ["allot", limit, amount, time, after] => {
+                let limit = match *limit {
                     "origin" => SharedLimit::Origin,
                     "further" => SharedLimit::Retries,
                     name => SharedLimit::ColdStart(self.names[name]),
                 };
                 let (amount, after) = (amount.parse().unwrap(), after.parse().unwrap());
                 let until = Time(self.now + micros(time));
-                self.call_module(|engine, _| engine.set_allotment(shared, amount, until, after));
+                self.call_module(|engine, _| engine.set_allotment(limit, amount, until, after));
             }
             [word @ ("word" | "new"), name, time, since @ ..] => {
-                let word = if *word == "new" { ReportedCondition::Restarted } else { ReportedCondition::Bad };
+                let condition =
+                    if *word == "new" { ReportedCondition::Restarted } else { ReportedCondition::Bad };
                 let host = self.names[*name];
                 let since = since.first().map(|word| Time(START + micros(word)));
                 let since = since.or(self.listings[&host].started_at);
                 let until = Time(self.now + micros(time));
-                self.call_module(|engine, now| engine.apply_peer_report(now, host, since, word, until));
+                self.call_module(|engine, now| engine.apply_peer_report(now, host, since, condition, until));
             }
             ["leave", id] => {
                 let id = id.parse().unwrap();
@@ -459,30 +460,30 @@
                     self.run_until(self.now + micros(every));
                 }
             }
-            ["name", new, which, id] => {
+            ["name", new, role, id] => {
                 let record = &self.visits[&id.parse().unwrap()];
-                let host = if *which == "to" { record.sent_to } else { record.fill.map(|fill| fill.source) };
+                let host = if *role == "to" { record.sent_to } else { record.fill.map(|fill| fill.source) };
                 self.names.insert(new.to_string(), host.expect("a hand-off"));
             }
             ["mark"] => {
                 (self.hand_off_counts, self.fill_counts, self.cached_only_counts) = Default::default()
             }
-            ["expect", what, key, rest @ ..] => self.expect(what, key, rest),
+            ["expect", subject, key, rest @ ..] => self.expect(subject, key, rest),
             other => panic!("unknown command {other:?}"),
         }
     }
 }
 
-#[test_case(include_str!("scenarios/all_look_bad.txt"); "all_look_bad")]
-#[test_case(include_str!("scenarios/busy_parent.txt"); "busy_parent")]
-#[test_case(include_str!("scenarios/given_up_at_once.txt"); "given_up_at_once")]
-#[test_case(include_str!("scenarios/told_room.txt"); "told_room")]
-#[test_case(include_str!("scenarios/told_rest.txt"); "told_rest")]
-#[test_case(include_str!("scenarios/fresh_limits.txt"); "fresh_limits")]
-#[test_case(include_str!("scenarios/cold_told_busy.txt"); "cold_told_busy")]
-#[test_case(include_str!("scenarios/hits_only.txt"); "hits_only")]
-#[test_case(include_str!("scenarios/probes_paid.txt"); "probes_paid")]
-#[test_case(include_str!("scenarios/second_by_part.txt"); "second_by_part")]
+#[test_case(include_str!("scenarios/all_caches_fail.txt"); "all_caches_fail")]
+#[test_case(include_str!("scenarios/overloaded_parent.txt"); "overloaded_parent")]
+#[test_case(include_str!("scenarios/refused_immediately.txt"); "refused_immediately")]
+#[test_case(include_str!("scenarios/reported_spare_capacity.txt"); "reported_spare_capacity")]
+#[test_case(include_str!("scenarios/reported_bad_trials.txt"); "reported_bad_trials")]
+#[test_case(include_str!("scenarios/limits_without_samples.txt"); "limits_without_samples")]
+#[test_case(include_str!("scenarios/cold_cache_reported_load.txt"); "cold_cache_reported_load")]
+#[test_case(include_str!("scenarios/fill_source_not_reported.txt"); "fill_source_not_reported")]
+#[test_case(include_str!("scenarios/probes_limited_by_traffic.txt"); "probes_limited_by_traffic")]
+#[test_case(include_str!("scenarios/second_cache_by_part.txt"); "second_cache_by_part")]
 #[test_case(include_str!("scenarios/cold_cache.txt"); "cold_cache")]
 #[test_case(include_str!("scenarios/cold_parent.txt"); "cold_parent")]
 #[test_case(include_str!("scenarios/drained.txt"); "drained")]
@@ -490,42 +491,42 @@
 #[test_case(include_str!("scenarios/failing_parent.txt"); "failing_parent")]
 #[test_case(include_str!("scenarios/fast_errors.txt"); "fast_errors")]
 #[test_case(include_str!("scenarios/slow_origin.txt"); "slow_origin")]
-#[test_case(include_str!("scenarios/follows_a_fill.txt"); "follows_a_fill")]
-#[test_case(include_str!("scenarios/jam.txt"); "jam")]
-#[test_case(include_str!("scenarios/lost_location.txt"); "lost_location")]
-#[test_case(include_str!("scenarios/nothing_listed.txt"); "nothing_listed")]
+#[test_case(include_str!("scenarios/concurrent_fill.txt"); "concurrent_fill")]
+#[test_case(include_str!("scenarios/slow_fills.txt"); "slow_fills")]
+#[test_case(include_str!("scenarios/no_cache_in_location.txt"); "no_cache_in_location")]
+#[test_case(include_str!("scenarios/no_hosts_listed.txt"); "no_hosts_listed")]
 #[test_case(include_str!("scenarios/one_final_answer.txt"); "one_final_answer")]
 #[test_case(include_str!("scenarios/popular.txt"); "popular")]
 #[test_case(include_str!("scenarios/purge.txt"); "purge")]
-#[test_case(include_str!("scenarios/unproven.txt"); "unproven")]
-#[test_case(include_str!("scenarios/ran_before.txt"); "ran_before")]
+#[test_case(include_str!("scenarios/purges_unverified.txt"); "purges_unverified")]
+#[test_case(include_str!("scenarios/attempt_before_restart.txt"); "attempt_before_restart")]
 #[test_case(include_str!("scenarios/repeat_window.txt"); "repeat_window")]
 #[test_case(include_str!("scenarios/restart.txt"); "restart")]
 #[test_case(include_str!("scenarios/silent_host.txt"); "silent_host")]
-#[test_case(include_str!("scenarios/half_look_bad.txt"); "half_look_bad")]
+#[test_case(include_str!("scenarios/half_of_caches_fail.txt"); "half_of_caches_fail")]
 #[test_case(include_str!("scenarios/slow_parent.txt"); "slow_parent")]
-#[test_case(include_str!("scenarios/one_home.txt"); "one_home")]
-#[test_case(include_str!("scenarios/parts_apart.txt"); "parts_apart")]
-#[test_case(include_str!("scenarios/cold_untold.txt"); "cold_untold")]
+#[test_case(include_str!("scenarios/one_parent_per_object.txt"); "one_parent_per_object")]
+#[test_case(include_str!("scenarios/one_parent_per_part.txt"); "one_parent_per_part")]
+#[test_case(include_str!("scenarios/cold_cache_without_weights.txt"); "cold_cache_without_weights")]
 #[test_case(include_str!("scenarios/cold_share.txt"); "cold_share")]
-#[test_case(include_str!("scenarios/came_back.txt"); "came_back")]
+#[test_case(include_str!("scenarios/recovered_cache.txt"); "recovered_cache")]
 #[test_case(include_str!("scenarios/cache_share.txt"); "cache_share")]
-#[test_case(include_str!("scenarios/own_pause.txt"); "own_pause")]
-#[test_case(include_str!("scenarios/bad_visits.txt"); "bad_visits")]
+#[test_case(include_str!("scenarios/dispatcher_pause.txt"); "dispatcher_pause")]
+#[test_case(include_str!("scenarios/unservable_visits.txt"); "unservable_visits")]
 #[test_case(include_str!("scenarios/last_cache.txt"); "last_cache")]
-#[test_case(include_str!("scenarios/broken_line.txt"); "broken_line")]
+#[test_case(include_str!("scenarios/broken_connection.txt"); "broken_connection")]
 #[test_case(include_str!("scenarios/shared_cold.txt"); "shared_cold")]
-#[test_case(include_str!("scenarios/shared_further.txt"); "shared_further")]
+#[test_case(include_str!("scenarios/shared_retries.txt"); "shared_retries")]
 #[test_case(include_str!("scenarios/shared_origin.txt"); "shared_origin")]
 #[test_case(include_str!("scenarios/shared_writes.txt"); "shared_writes")]
-#[test_case(include_str!("scenarios/told_bad.txt"); "told_bad")]
-#[test_case(include_str!("scenarios/told_good.txt"); "told_good")]
-#[test_case(include_str!("scenarios/told_half.txt"); "told_half")]
-#[test_case(include_str!("scenarios/told_old.txt"); "told_old")]
-#[test_case(include_str!("scenarios/told_new.txt"); "told_new")]
+#[test_case(include_str!("scenarios/reported_bad.txt"); "reported_bad")]
+#[test_case(include_str!("scenarios/reported_bad_own_success.txt"); "reported_bad_own_success")]
+#[test_case(include_str!("scenarios/reported_bad_half.txt"); "reported_bad_half")]
+#[test_case(include_str!("scenarios/reported_previous_process.txt"); "reported_previous_process")]
+#[test_case(include_str!("scenarios/reported_restart.txt"); "reported_restart")]
 #[test_case(include_str!("scenarios/start_earlier.txt"); "start_earlier")]
 #[test_case(include_str!("scenarios/start_future.txt"); "start_future")]
-#[test_case(include_str!("scenarios/start_found.txt"); "start_found")]
+#[test_case(include_str!("scenarios/start_detected.txt"); "start_detected")]
 fn scenario(text: &str) {
     let mut runner = ScenarioRunner::new();
     let lines = text.lines().map(|line| line.split('#').next().unwrap_or(""));
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -200,9 +200,9 @@
             sum
         };
         let shares = (0..settings.dispatchers).map(&mut share).collect();
-        let room = |entry: &Listing| (entry.weight * slots_per_weight).round().max(1.0) as usize;
+        let slots = |entry: &Listing| (entry.weight * slots_per_weight).round().max(1.0) as usize;
         let host = |entry: &Listing| SimulatedHost {
-            slots: room(entry),
+            slots: slots(entry),
             slowdown: 1.0,
             is_unreachable: false,
             error_rate: 0.0,
@@ -268,8 +268,8 @@
         self.dispatchers[dispatcher] = (engine, now);
         self.known_starts[dispatcher] = known_starts;
         self.dispatchers_started_at[dispatcher] = now;
-        let own: Vec<AttemptKey> = self.attempts.keys().filter(|key| key.0 == dispatcher).copied().collect();
-        own.into_iter().for_each(|key| drop(self.remove_attempt(now, key)));
+        let open: Vec<AttemptKey> = self.attempts.keys().filter(|key| key.0 == dispatcher).copied().collect();
+        open.into_iter().for_each(|key| drop(self.remove_attempt(now, key)));
         self.visits.retain(|key, _| key.0 != dispatcher);
         self.pending.retain(|key, _| key.0 != dispatcher);
         self.connections.retain(|key, _| key.0 != dispatcher);
@@ -295,10 +295,10 @@
     /// Closes a dispatcher's connection to a process that is gone: attempts that wait for it are not sent.
     fn close_connection(&mut self, now: u64, dispatcher: usize, target: HostId) {
         self.connections.remove(&(dispatcher, target));
-        let waits =
+        let waiting =
             self.pending.iter().filter(|(key, attempt)| key.0 == dispatcher && attempt.target == target);
-        let waits: Vec<AttemptKey> = waits.map(|(key, _)| *key).collect();
-        for key in waits {
+        let waiting: Vec<AttemptKey> = waiting.map(|(key, _)| *key).collect();
+        for key in waiting {
             self.end_attempt(now, key, (Outcome::Expired, Note::Unspecified));
         }
     }
@@ -320,9 +320,9 @@
         for dispatcher in affected {
             self.reset_connection(now, dispatcher, id);
         }
-        let out: Vec<AttemptKey> =
+        let affected: Vec<AttemptKey> =
             self.attempts.iter().filter(|(_, attempt)| attempt.host == id).map(|(key, _)| *key).collect();
-        for key in out {
+        for key in affected {
             self.end_attempt(now, key, (Outcome::Reset, Note::Unspecified));
         }
     }
@@ -346,10 +346,10 @@
 
     /// A host stops answering: its attempts stay in flight, and new connections never come up.
     pub fn make_unreachable(&mut self, id: HostId) {
-        let at_it = |attempt: &&mut Attempt| attempt.host == id || attempt.route.front() == Some(&id);
+        let is_affected = |attempt: &&mut Attempt| attempt.host == id || attempt.route.front() == Some(&id);
         self.attempts
             .values_mut()
-            .filter(at_it)
+            .filter(is_affected)
             .for_each(|attempt| (attempt.is_lost, attempt.is_in_service) = (true, false));
         let host = self.hosts.get_mut(&id).unwrap();
         (host.is_unreachable, host.busy_slots) = (true, 0);
@@ -443,8 +443,8 @@
     }
 
     /// Advances by one step: adds requests at the given rate, and runs all events that are due.
-    pub fn step(&mut self, now: u64, requests_a_second: f64) {
-        self.request_backlog += requests_a_second * STEP as f64 / 1e6;
+    pub fn step(&mut self, now: u64, requests_per_s: f64) {
+        self.request_backlog += requests_per_s * STEP as f64 / 1e6;
         while self.request_backlog >= 1.0 {
             self.request_backlog -= 1.0;
             self.add_request(now);
@@ -491,8 +491,8 @@
         // Few objects get most of the requests; the size depends on the object alone.
         let object = (self.object_count * self.rng.gen_range(0.0..1.0f64).powi(3)) as u64 * 8 + class as u64;
         let spread = self.classes[class].size_spread;
-        let mut own = Pcg64Mcg::seed_from_u64(object ^ 0x9e37_79b9);
-        let normal = (0..12).map(|_| own.gen_range(0.0..1.0f64)).sum::<f64>() - 6.0;
+        let mut object_rng = Pcg64Mcg::seed_from_u64(object ^ 0x9e37_79b9);
+        let normal = (0..12).map(|_| object_rng.gen_range(0.0..1.0f64)).sum::<f64>() - 6.0;
         let size = (spread * normal - spread * spread / 2.0).exp();
         self.requests.push(ClientRequest {
             class,
@@ -629,12 +629,12 @@
         if self.connections.get(&(key.0, target)).is_some_and(|connection| connection.is_stale) {
             self.reset_connection(now, key.0, target);
         }
-        let out = self
+        let affected = self
             .attempts
             .iter()
             .filter(|(other, attempt)| other.0 == key.0 && attempt.listed_as == target && attempt.is_lost);
-        let out: Vec<AttemptKey> = out.map(|(key, _)| *key).chain([key]).collect();
-        for key in out {
+        let affected: Vec<AttemptKey> = affected.map(|(key, _)| *key).chain([key]).collect();
+        for key in affected {
             self.end_attempt(now, key, (Outcome::Reset, Note::Unspecified));
         }
     }
@@ -671,11 +671,11 @@
                 (Outcome::Served, Note::Hit)
             }
         };
-        let dead = self.hosts[&host].is_unreachable;
+        let is_unreachable = self.hosts[&host].is_unreachable;
         let attempt = Attempt {
             host,
             listed_as: target,
-            is_lost: dead,
+            is_lost: is_unreachable,
             decided_at: decided,
             work,
             route,
@@ -683,7 +683,7 @@
             result: end,
         };
         self.attempts.insert(key, attempt);
-        if dead {
+        if is_unreachable {
             return;
         }
         self.enter_host(now, key);
@@ -713,8 +713,8 @@
         }
         host.busy_slots += 1;
         attempt.is_in_service = true;
-        let takes = attempt.work * host.slowdown * self.rng.gen_range(0.9..1.1) * 1e6;
-        self.schedule(now + takes as u64, Event::StageDone(key));
+        let service_time = attempt.work * host.slowdown * self.rng.gen_range(0.9..1.1) * 1e6;
+        self.schedule(now + service_time as u64, Event::StageDone(key));
     }
 
     fn finish_stage(&mut self, now: u64, key: AttemptKey) {
--- a/tests/starts.rs
+++ b/tests/starts.rs
@@ -26,8 +26,8 @@
 
 /// The trials count against the process's budget if the list then shows an earlier start; a later start is
 /// that of another process.
-#[test_case(39, 3.0 * WORK; "the detected one")]
-#[test_case(42, 0.0; "another one")]
+#[test_case(39, 3.0 * WORK; "earlier than the detected start")]
+#[test_case(42, 0.0; "later than the detected start")]
 fn hand_offs_since_a_detected_restart_stay_charged(listed: u64, charged: f64) {
     let mut host = restarted_host(at(5));
     host.update_listing(at(45).unwrap(), entry(at(listed)));
@@ -37,9 +37,9 @@
     assert_eq!((host.entry.started_at, host.cold_bucket.level), (at(59), 0.0));
 }
 
-#[test_case(at(5); "the same")]
-#[test_case(at(3); "an earlier one")]
-#[test_case(None; "none")]
+#[test_case(at(5); "same start")]
+#[test_case(at(3); "earlier start")]
+#[test_case(None; "no start")]
 fn a_start_that_is_not_later_changes_nothing(listed: Option<Time>) {
     let mut host = restarted_host(at(5));
     host.record_result(at(41).unwrap(), true, 1.0);
@@ -52,8 +52,8 @@
 }
 
 /// After a lost connection the budget began with that, whatever start the list then shows.
-#[test_case(39; "before the loss was seen")]
-#[test_case(42; "after it")]
+#[test_case(39; "before the connection loss")]
+#[test_case(42; "after the connection loss")]
 fn hand_offs_since_a_lost_connection_stay_charged(listed: u64) {
     let mut host = restarted_host(at(5));
     host.connection_lost_at = at(41);
