--- a/crates/dispatcher/tests/sockets.rs
+++ b/crates/dispatcher/tests/sockets.rs
@@ -19,7 +19,7 @@
 //! - `forget`: the change log knows the host list alone; `spoil`: one byte of the store's first segment
 //!   changes
 //! - `log WORDS`: a log line with these words is written
-//! - `holds N M`: at most N threads and M open files before long; `stands N MS`: at most N open files and
+//! - `holds N M`: at most N threads and M open files within the timeout; `stands N MS`: at most N open files and
 //!   pending connections within this time
 //! - `step MS`: the dispatchers' wall clock is ahead by this from now on, or behind if negative; `fault CALL
 //!   ERRNO PER_MILLION`: this share of their calls fails (for `short-read` and `short-write` ERRNO is a
@@ -27,7 +27,7 @@
 //!
 //! Change log:
 //! - `list NAME STATE [unheard|odd|anew]`: one host's state; without waiting for the log line, with an
-//!   unusable entry beside it, or with a process that has just started
+//!   additional invalid entry, or with a process that has just started
 //! - `tell NAME STATE [at=OTHER|KEY=JSON|KEY=now+MS|KEY=now-MS|!KEY] [and NAME STATE …]`: one event of these
 //!   entries, with another host's address, with changed values or without a key
 //! - `purge OBJECT|group`
@@ -54,8 +54,8 @@
 //!   checked
 //! - `answer HOST WORD [FIELDS|bare] [bytes=N] [id=ID] [short=N] [twice]`: answers the last message; bare
 //!   without fields, short without the last bytes, twice in one write
-//! - `rest HOST`: the bytes left by `short`; `again HOST`: the last answer once more; `drip HOST`: an answer
-//!   that never ends
+//! - `rest HOST`: the bytes left by `short`; `again HOST`: the last answer once more; `drip HOST`: starts
+//!   an answer that never ends
 //! - `auto HOST [BYTES]`: answers everything at once; `paced HOST PLACES KB`: answers objects by their size,
 //!   240, 120 or 4 kB, at this rate in kB/s, PLACES at a time
 //! - `drain HOST`: drops what has arrived; `came HOST`: something has arrived; `count OBJECT N`: attempts at
@@ -88,7 +88,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
-/// How long nothing must arrive to count as nothing.
+/// How long to wait before checking that nothing has arrived.
 const QUIET: Duration = Duration::from_millis(150);
 /// Size of the small buffers of narrow sockets.
 const NARROW_BUFFER: usize = 4096;
@@ -118,7 +118,7 @@
   "pace_kb_per_s": 5000, "parent_kind": 1, "source_kind": 2, "purge_done": 6000000, "count_by_zone": [0, 2]}}"#;
 
 /// Replacements in the settings above for the other shape of deployment.
-const OTHER_SHAPE: [(&str, &str); 4] = [
+const OTHER_DEPLOYMENT: [(&str, &str); 4] = [
     ("\"weight_source\": \"rough\"", "\"weight_source\": \"none\""),
     ("\"cancel\": true", "\"cancel\": true, \"probing\": true"),
     ("\"may_pass_by\": true", "\"may_pass_by\": false, \"peers_fill\": \"none\", \"detail\": \"hit\""),
@@ -162,8 +162,8 @@
     last_message: Option<HostMessage>,
     backlog_streams: Vec<TcpStream>,
     /// Listeners from which nothing is accepted.
-    deaf_listeners: Vec<TcpListener>,
-    /// The number of accepted connections that are the test's own, or older than the last `hear`.
+    unaccepting_listeners: Vec<TcpListener>,
+    /// The number of accepted connections that are the test's own, or older than the last command `hear`.
     old_connections: usize,
     /// The last answer, and its bytes that are not sent yet.
     last_answer: Option<(TcpStream, Vec<u8>)>,
@@ -228,7 +228,7 @@
 }
 
 /// The object of an attempt.
-fn object(words: &[String]) -> &str {
+fn attempted_object(words: &[String]) -> &str {
     words[2].split("k=").nth(1).unwrap().split(',').next().unwrap()
 }
 
@@ -253,7 +253,7 @@
         let addresses: Vec<SocketAddr> = reserved_ports.iter().map(address).collect();
         let listen = |address: &SocketAddr| listener(&address.to_string(), narrow, BACKLOG);
         let listeners: Vec<TcpListener> = addresses.iter().map(listen).collect();
-        let (last_message, backlog_streams, deaf_listeners) = Default::default();
+        let (last_message, backlog_streams, unaccepting_listeners) = Default::default();
         let (old_connections, last_answer, unsent_bytes) = Default::default();
         let host = Host {
             sort,
@@ -263,7 +263,7 @@
             server,
             last_message,
             backlog_streams,
-            deaf_listeners,
+            unaccepting_listeners,
             old_connections,
             last_answer,
             unsent_bytes,
@@ -305,16 +305,16 @@
             while let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
                 self.backlog_streams.push(stream);
             }
-            self.deaf_listeners.push(listener);
+            self.unaccepting_listeners.push(listener);
         }
     }
 
-    /// Accepts connections again after `deaf` or `down`.
-    fn hear(&mut self) {
+    /// Accepts connections again after the commands `deaf` or `down`.
+    fn accept_again(&mut self) {
         self.server.is_stopped = Arc::default();
         self.old_connections = self.server.accepted.load(Ordering::SeqCst) + self.backlog_streams.len();
         self.backlog_streams.clear();
-        let mut listeners = std::mem::take(&mut self.deaf_listeners);
+        let mut listeners = std::mem::take(&mut self.unaccepting_listeners);
         if listeners.is_empty() {
             let reopen = |address: &SocketAddr| listener(&address.to_string(), false, BACKLOG);
             listeners = self.addresses.iter().map(reopen).collect();
@@ -324,8 +324,8 @@
 }
 
 impl HostServer {
-    fn accept(self, on: TcpListener) {
-        for stream in on.incoming().map_while(Result::ok) {
+    fn accept(self, listener: TcpListener) {
+        for stream in listener.incoming().map_while(Result::ok) {
             if self.is_stopped.load(Ordering::SeqCst) {
                 return;
             }
@@ -345,7 +345,7 @@
             }
             let Some(words) = read_message(&mut reader) else { return };
             if words[0] == "want" {
-                self.objects.lock().unwrap().push(object(&words).to_owned());
+                self.objects.lock().unwrap().push(attempted_object(&words).to_owned());
             }
             let (auto, paced) =
                 (*self.auto_answer_bytes.lock().unwrap(), *self.paced_answers.lock().unwrap());
@@ -376,7 +376,7 @@
         if words[0] != "want" {
             return;
         }
-        let bytes = SIZES.iter().find(|(digit, _)| object(&words).ends_with(*digit)).unwrap().1;
+        let bytes = SIZES.iter().find(|(digit, _)| attempted_object(&words).ends_with(*digit)).unwrap().1;
         let (server, writer) = (self.clone(), writer.clone());
         let write_answer = move |word: &str, fields: &str, bytes: usize| {
             drop(writer.lock().unwrap().write_all(&encode_answer(&words[1], word, fields, bytes)));
@@ -409,11 +409,11 @@
             changes: Default::default(),
             mode: Arc::new(Mutex::new("well".into())),
         };
-        let own = change_log.clone();
+        let server = change_log.clone();
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let own = own.clone();
-                spawn(move || own.serve(stream));
+                let server = server.clone();
+                spawn(move || server.serve(stream));
             }
         });
         change_log
@@ -429,15 +429,16 @@
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         loop {
-            let mut first = String::new();
-            if reader.read_line(&mut first).unwrap_or(0) == 0 {
+            let mut request_line = String::new();
+            if reader.read_line(&mut request_line).unwrap_or(0) == 0 {
                 return;
             }
             let mut line = String::new();
             while reader.read_line(&mut line).unwrap_or(0) > 2 {
                 line.clear();
             }
-            let since = first.split("since=").nth(1).unwrap().split('&').next().unwrap().parse().unwrap();
+            let since =
+                request_line.split("since=").nth(1).unwrap().split('&').next().unwrap().parse().unwrap();
             let start = Instant::now();
             let body = loop {
                 match &self.mode.lock().unwrap()[..] {
@@ -513,7 +514,12 @@
 }
 
 /// Starts a dispatcher with a limit on descriptors.
-fn run(config: &str, descriptors: u32, more: &str, shim: Option<&Shim>) -> (Child, ConfigFile) {
+fn spawn_dispatcher(
+    config: &str,
+    descriptors: u32,
+    arguments: &str,
+    shim: Option<&Shim>,
+) -> (Child, ConfigFile) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("cherrypass-{}-{number}.json", std::process::id()));
@@ -523,7 +529,7 @@
     // The shim library must be loaded by the dispatcher, not by the shell that starts it.
     let environment = environment.join(" ");
     let serve =
-        format!("ulimit -n {descriptors}; exec env {environment} \"$0\" serve --config \"$1\" {more}");
+        format!("ulimit -n {descriptors}; exec env {environment} \"$0\" serve --config \"$1\" {arguments}");
     let mut command = Command::new("/bin/sh");
     let command = command.arg("-c").arg(serve).arg(env!("CARGO_BIN_EXE_cherrypass")).arg(&path);
     let child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
@@ -539,8 +545,8 @@
 }
 
 impl Dispatcher {
-    fn start(config: &str, descriptors: u32, more: &str, shim: Option<&Shim>) -> Dispatcher {
-        let (mut child, config) = run(config, descriptors, more, shim);
+    fn start(config: &str, descriptors: u32, arguments: &str, shim: Option<&Shim>) -> Dispatcher {
+        let (mut child, config) = spawn_dispatcher(config, descriptors, arguments, shim);
         let (sender, log_lines) = channel();
         let errors = BufReader::new(child.stderr.take().unwrap());
         spawn(move || errors.lines().map_while(Result::ok).for_each(|line| drop(sender.send(line))));
@@ -595,7 +601,8 @@
         self.signal("-HUP");
     }
 
-    fn log(&self, words: &str) -> String {
+    /// Waits for a log line that contains `words`.
+    fn wait_for_log_line(&self, words: &str) -> String {
         if let Some(line) = self.early_log_lines.iter().find(|line| line.contains(words)) {
             return line.clone();
         }
@@ -611,11 +618,11 @@
     }
 
     /// Waits until the log has this many lines on closed connections to this host.
-    fn log_closed(&self, host: &str, connections: usize) {
+    fn wait_for_closed_connections(&self, host: &str, connections: usize) {
         let prefix = format!("host s-{host} connection ");
         let is_closed = |line: &&String| line.contains(&prefix) && line.contains(" closed: ");
         while self.received_log_lines.borrow().iter().filter(is_closed).count() < connections {
-            self.log(&prefix);
+            self.wait_for_log_line(&prefix);
         }
     }
 }
@@ -646,15 +653,15 @@
     stream_end: Option<(Instant, bool)>,
 }
 
-fn string(from: &mut impl Read) -> String {
+fn read_string(from: &mut impl Read) -> String {
     let mut bytes = vec![0; rmp::decode::read_str_len(from).unwrap() as usize];
     from.read_exact(&mut bytes).unwrap();
     String::from_utf8(bytes).unwrap()
 }
 
-fn map(from: &mut impl Read) -> BTreeMap<String, String> {
+fn read_map(from: &mut impl Read) -> BTreeMap<String, String> {
     let count = rmp::decode::read_map_len(from).unwrap();
-    (0..count).map(|_| (string(from), string(from))).collect()
+    (0..count).map(|_| (read_string(from), read_string(from))).collect()
 }
 
 /// Reads one answer, or the end of the stream; an end within an answer fails the test.
@@ -671,7 +678,7 @@
     let id = read_int(from).unwrap();
     let marker = read_marker(from).unwrap();
     if marker == rmp::Marker::FixArray(2) {
-        let (word, fields) = (string(from), map(from));
+        let (word, fields) = (read_string(from), read_map(from));
         read_nil(from).unwrap();
         return Received::Answer(ClientAnswer { id, word, bytes: 0, fields, at });
     }
@@ -688,7 +695,13 @@
     let mut body = vec![0; bytes];
     from.read_exact(&mut body).unwrap();
     assert!(body.iter().all(|byte| *byte == b'x'), "the body came changed");
-    Received::Answer(ClientAnswer { id, word: word.into(), bytes, fields: map(from), at: Instant::now() })
+    Received::Answer(ClientAnswer {
+        id,
+        word: word.into(),
+        bytes,
+        fields: read_map(from),
+        at: Instant::now(),
+    })
 }
 
 fn encode_request(port: u16, id: u32, class: &str, object: &str, given: &[&str]) -> Vec<u8> {
@@ -722,8 +735,7 @@
     out
 }
 
-/// Status requests with these ids.
-fn statuses(ids: std::ops::RangeInclusive<u8>) -> Vec<u8> {
+fn encode_status_requests(ids: std::ops::RangeInclusive<u8>) -> Vec<u8> {
     ids.flat_map(|id| [&[0x94, 0, id, 0xa6][..], b"status", &[0xc0]].concat()).collect()
 }
 
@@ -746,24 +758,24 @@
             stream_end,
         };
         if !deaf {
-            client.hear();
+            client.start_reading();
         }
         client
     }
 
-    fn hear(&mut self) {
-        let (mut reader, tell) =
+    fn start_reading(&mut self) {
+        let (mut reader, sender) =
             (BufReader::new(self.stream.try_clone().unwrap()), self.sender.take().unwrap());
         self.reader = Some(spawn(move || loop {
-            let came = read_answer(&mut reader);
-            let ends = matches!(came, Received::End(..));
-            if tell.send(came).is_err() || ends {
+            let received = read_answer(&mut reader);
+            let is_end = matches!(received, Received::End(..));
+            if sender.send(received).is_err() || is_end {
                 return;
             }
         }));
     }
 
-    fn ask(&mut self, id: u32, class: &str, object: &str, given: &[&str]) {
+    fn send_request(&mut self, id: u32, class: &str, object: &str, given: &[&str]) {
         self.sent_at.insert(id, Instant::now());
         let port = self.stream.local_addr().unwrap().port();
         let _ = self.stream.write_all(&encode_request(port, id, class, object, given));
@@ -784,7 +796,8 @@
         true
     }
 
-    fn answered(&mut self, id: u32) -> Option<ClientAnswer> {
+    /// Waits for the answer to a request; `None` if the stream ends without it.
+    fn wait_for_answer(&mut self, id: u32) -> Option<ClientAnswer> {
         loop {
             if let Some(place) = self.received.iter().position(|answer| answer.id == id) {
                 return self.received.remove(place);
@@ -795,18 +808,18 @@
         }
     }
 
-    fn answer(&mut self, id: u32) -> ClientAnswer {
-        let answer = self.answered(id);
+    fn expect_answer(&mut self, id: u32) -> ClientAnswer {
+        let answer = self.wait_for_answer(id);
         answer.unwrap_or_else(|| panic!("no answer to {id}, end {:?}", self.stream_end))
     }
 
-    /// Expects a clean end of the stream, also after the last message sent has crossed it.
-    fn ended(&mut self) {
+    /// Expects a clean end of the stream, also after the last message that was sent.
+    fn expect_end(&mut self) {
         while self.next(TIMEOUT) {}
         let (at, clean) = self.stream_end.expect("no end");
         assert!(clean, "the connection did not end cleanly");
         assert!(self.received.is_empty(), "unexpected answers: {:?}", self.received);
-        let last = self.sent_at.values().copied().max().map_or(at, |asked| asked.max(at));
+        let last = self.sent_at.values().copied().max().map_or(at, |sent| sent.max(at));
         sleep(QUIET.saturating_sub(last.elapsed()));
         let error = self.stream.take_error().unwrap();
         assert!(error.is_none(), "{error:?} after the end");
@@ -822,26 +835,26 @@
 /// Runs clients that flood and leave, stop within a message, reset, repeat ids or never read; returns their
 /// number.
 fn run_misbehaving_clients(listen: &str, until: &AtomicBool) -> usize {
-    let mut standing = Vec::new();
+    let mut unread_clients = Vec::new();
     let mut count = 0;
     while !until.load(Ordering::SeqCst) {
         count += 1;
         let mut client = Client::start(listen, true, count % 5 == 4);
         let port = client.stream.local_addr().unwrap().port();
-        let asks = |ids: std::ops::RangeInclusive<u32>| -> Vec<u8> {
+        let requests = |ids: std::ops::RangeInclusive<u32>| -> Vec<u8> {
             ids.flat_map(|id| encode_request(port, id, "video", &format!("{port:x}{id:x}"), &[])).collect()
         };
-        let sent = match count % 5 {
-            0 => asks(1..=300),
-            1 => [asks(1..=3), vec![0x94, 0]].concat(),
-            2 => asks(1..=5),
-            3 => [asks(1..=3), asks(2..=4)].concat(),
-            _ => asks(1..=32),
+        let bytes = match count % 5 {
+            0 => requests(1..=300),
+            1 => [requests(1..=3), vec![0x94, 0]].concat(),
+            2 => requests(1..=5),
+            3 => [requests(1..=3), requests(2..=4)].concat(),
+            _ => requests(1..=32),
         };
-        let _ = client.stream.write_all(&sent);
+        let _ = client.stream.write_all(&bytes);
         match count % 5 {
             2 => client.reset(),
-            4 => standing.push(client),
+            4 => unread_clients.push(client),
             _ => {}
         }
         sleep(MISBEHAVING_INTERVAL);
@@ -864,7 +877,7 @@
     idle_streams: Vec<TcpStream>,
     store_folder: Option<tempfile::TempDir>,
     config: Option<String>,
-    has_other_shape: bool,
+    has_other_deployment: bool,
     overrides: Vec<(String, serde_json::Value)>,
     terminated_at: Option<Instant>,
     last_lap: Option<Instant>,
@@ -873,7 +886,7 @@
 }
 
 impl Scenario {
-    fn run_all(&mut self) {
+    fn start_dispatchers(&mut self) {
         let memory = if self.memory_mb == 0 { 192 } else { self.memory_mb };
         let known = |change_log: &ChangeLog| {
             if self.unknown_mode.is_some() {
@@ -883,33 +896,34 @@
             }
         };
         let descriptors = if self.descriptors == 0 { 256 } else { self.descriptors };
-        let operator = |folder: &tempfile::TempDir| {
+        let store_arguments = |folder: &tempfile::TempDir| {
             format!("--last-good --operator {}", folder.path().join("operator.jsonnet").display())
         };
-        let more = self.store_folder.as_ref().map(operator).unwrap_or_default();
+        let arguments = self.store_folder.as_ref().map(store_arguments).unwrap_or_default();
         let text = |change_log| {
-            let usual = || config("127.0.0.1:0", change_log, &known(change_log), memory);
-            let text = self.config.clone().unwrap_or_else(usual);
-            let changes = OTHER_SHAPE.iter().filter(|_| self.has_other_shape);
+            let default_config = || config("127.0.0.1:0", change_log, &known(change_log), memory);
+            let text = self.config.clone().unwrap_or_else(default_config);
+            let changes = OTHER_DEPLOYMENT.iter().filter(|_| self.has_other_deployment);
             let text = changes.fold(text, |text, (from, to)| text.replacen(from, to, 1));
             if self.overrides.is_empty() {
                 return text;
             }
-            let mut all: serde_json::Value = serde_json::from_str(&text).unwrap();
+            let mut settings: serde_json::Value = serde_json::from_str(&text).unwrap();
             for (pointer, value) in &self.overrides {
-                *all.pointer_mut(pointer).expect("no such setting") = value.clone();
+                *settings.pointer_mut(pointer).expect("no such setting") = value.clone();
             }
-            all.to_string()
+            settings.to_string()
         };
-        let start = |change_log| Dispatcher::start(&text(change_log), descriptors, &more, self.shim.as_ref());
+        let start =
+            |change_log| Dispatcher::start(&text(change_log), descriptors, &arguments, self.shim.as_ref());
         self.dispatchers = self.change_logs.iter().map(start).collect();
     }
 
-    fn change(&self, what: impl Fn(usize) -> String) {
+    fn add_change(&self, body: impl Fn(usize) -> String) {
         for (number, change_log) in self.change_logs.iter().enumerate() {
             let mut changes = change_log.changes.lock().unwrap();
             let seq = changes.len() + 1;
-            changes.push(format!(r#"{{"seq":{seq},{}}}"#, what(number)));
+            changes.push(format!(r#"{{"seq":{seq},{}}}"#, body(number)));
         }
     }
 
@@ -953,8 +967,8 @@
         entry.to_string()
     }
 
-    fn list(&self, entries: &[(&str, &str)], whole: bool) {
-        self.change(|number| {
+    fn add_list_change(&self, entries: &[(&str, &str)], whole: bool) {
+        self.add_change(|number| {
             let mut entries: Vec<String> =
                 entries.iter().map(|(name, state)| self.entry(name, state, number)).collect();
             for (place, name) in self.aliases.iter().filter(|_| whole) {
@@ -968,7 +982,7 @@
     }
 
     /// Takes the next message at a host and checks it against the words.
-    fn take(&mut self, name: &str, wanted: &[&str]) {
+    fn take_message(&mut self, name: &str, wanted: &[&str]) {
         let never_mind = wanted.contains(&"never_mind");
         let end = Instant::now() + TIMEOUT;
         let (name, message) = loop {
@@ -1018,7 +1032,7 @@
         host.last_message = Some(message);
     }
 
-    fn answer(&mut self, name: &str, word: &str, more: &[&str]) {
+    fn answer_last_message(&mut self, name: &str, word: &str, more: &[&str]) {
         let name = if name == "it" { self.last_host.clone() } else { name.to_owned() };
         let host = self.hosts.get_mut(&name).unwrap();
         let last = host.last_message.as_ref().expect("nothing was taken");
@@ -1049,8 +1063,8 @@
         host.last_answer = Some((last.stream.try_clone().unwrap(), whole));
     }
 
-    fn expect(&mut self, client: &str, id: u32, word: &str, more: &[&str]) {
-        let answer = self.clients.get_mut(client).unwrap().answer(id);
+    fn expect_answer(&mut self, client: &str, id: u32, word: &str, more: &[&str]) {
+        let answer = self.clients.get_mut(client).unwrap().expect_answer(id);
         let outcome = match &answer.word[..] {
             "Rejected" => "turned-back",
             "Failed" => "written-off",
@@ -1071,7 +1085,7 @@
     }
 
     /// The number of attempts for an object at all hosts so far.
-    fn count(&self, object: &str) -> usize {
+    fn count_attempts(&self, object: &str) -> usize {
         let named = format!("{object:0>16}");
         let count = |host: &Host| host.server.objects.lock().unwrap().iter().filter(|o| **o == named).count();
         self.hosts.values().map(count).sum()
@@ -1085,8 +1099,8 @@
             spawn(move || {
                 let port = client.stream.local_addr().unwrap().port();
                 let took = (1..=count as u32).map(|id| {
-                    client.ask(id, "video", &format!("{port:x}{id:x}"), &[]);
-                    let answer = client.answer(id);
+                    client.send_request(id, "video", &format!("{port:x}{id:x}"), &[]);
+                    let answer = client.expect_answer(id);
                     assert!(["settled", "Rejected"].contains(&&answer.word[..]), "{answer:?}");
                     (answer.at - client.sent_at[&id], answer.word == "settled")
                 });
@@ -1096,8 +1110,8 @@
         let threads: Vec<_> = threads.collect();
         let mut all: Vec<_> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
         all.sort();
-        let place = |part: usize| all[(all.len() - 1) * part / 100].0;
-        ([place(50), place(99)], all.iter().filter(|(_, served)| *served).count())
+        let percentile = |part: usize| all[(all.len() - 1) * part / 100].0;
+        ([percentile(50), percentile(99)], all.iter().filter(|(_, served)| *served).count())
     }
 
     /// Runs clients that request objects of all sizes. Returns the share served of all, of the largest tenth
@@ -1112,10 +1126,10 @@
                     let sort = |id: u32| [0, 1, 1, 2, 2, 2, 2, 2, 2, 2][id as usize % 10];
                     if id <= count {
                         let object = format!("{port:x}{id:x}{}", SIZES[sort(id)].0);
-                        client.ask(id, "video", &object, &[]);
+                        client.send_request(id, "video", &object, &[]);
                     }
                     if let Some(id) = id.checked_sub(SIZED_OPEN_REQUESTS).filter(|id| *id > 0) {
-                        let answer = client.answer(id);
+                        let answer = client.expect_answer(id);
                         assert!(["settled", "Rejected"].contains(&&answer.word[..]), "{answer:?}");
                         assert!(
                             answer.word != "settled" || answer.bytes == SIZES[sort(id)].1,
@@ -1130,15 +1144,15 @@
         });
         let threads: Vec<_> = threads.collect();
         let all: Vec<_> = threads.into_iter().map(|thread| thread.join().unwrap()).collect();
-        let of = |sorts: std::ops::Range<usize>| {
+        let share = |sorts: std::ops::Range<usize>| {
             let counts = all.iter().flat_map(|sizes| &sizes[sorts.clone()]);
             let [not, served] = counts.fold([0.0; 2], |sum, count| [sum[0] + count[0], sum[1] + count[1]]);
             served / (not + served)
         };
-        [of(0..SIZES.len()), of(0..1), of(1..2)]
+        [share(0..SIZES.len()), share(0..1), share(1..2)]
     }
 
-    fn command(&mut self, words: &[&str]) {
+    fn run_command(&mut self, words: &[&str]) {
         let host = |name: &str| self.hosts.get(name).unwrap();
         match words {
             ["host", name, "at", other] => {
@@ -1158,7 +1172,7 @@
                     self.aliases.push((place, (*name).into()));
                 }
             }
-            ["tell", words @ ..] => self.change(|number| {
+            ["tell", words @ ..] => self.add_change(|number| {
                 let entries = words.split(|word| *word == "and");
                 let entries: Vec<String> = entries.map(|words| self.changed_entry(words, number)).collect();
                 format!(r#""fleet":{{"version":1,"full":false,"servers":[{}]}}"#, entries.join(","))
@@ -1170,10 +1184,10 @@
             ["descriptors", count] => self.descriptors = count.parse().unwrap(),
             ["each", client, from, to] => {
                 for id in from.parse::<u32>().unwrap()..=to.parse().unwrap() {
-                    self.clients.get_mut(*client).unwrap().ask(id, "video", &id.to_string(), &[]);
-                    self.take("any", &[]);
-                    self.answer("it", "DONE", &[]);
-                    self.expect(client, id, "settled", &[]);
+                    self.clients.get_mut(*client).unwrap().send_request(id, "video", &id.to_string(), &[]);
+                    self.take_message("any", &[]);
+                    self.answer_last_message("it", "DONE", &[]);
+                    self.expect_answer(client, id, "settled", &[]);
                 }
             }
             ["crowd", count, more @ ..] => {
@@ -1181,8 +1195,9 @@
                 let count: usize = count.parse().unwrap();
                 self.idle_streams = (0..count).map(|_| TcpStream::connect(listen).unwrap()).collect();
                 if more == ["asked"] {
-                    let asks = |mut stream: &TcpStream| stream.write_all(&statuses(1..=1)).unwrap();
-                    self.idle_streams.iter().for_each(asks);
+                    let send_request =
+                        |mut stream: &TcpStream| stream.write_all(&encode_status_requests(1..=1)).unwrap();
+                    self.idle_streams.iter().for_each(send_request);
                 }
             }
             ["memory", mb] => self.memory_mb = mb.parse().unwrap(),
@@ -1191,22 +1206,25 @@
                 self.change_logs = (0..count).map(|_| ChangeLog::start()).collect();
                 let all: Vec<(&str, &str)> =
                     self.hosts.keys().map(|name| (&name[..], "in_service")).collect();
-                self.list(&all, true);
+                self.add_list_change(&all, true);
                 if let Some(mode) = &self.unknown_mode {
                     self.change_logs
                         .iter()
                         .for_each(|change_log| change_log.mode.lock().unwrap().clone_from(mode));
                 }
-                self.run_all();
+                self.start_dispatchers();
             }
             ["restart"] => {
                 self.dispatchers.clear();
-                self.run_all();
+                self.start_dispatchers();
             }
             ["list", name, state, more @ ..] => {
                 let odd = more.contains(&"odd").then_some((*name, "odd"));
                 self.starts_now |= more.contains(&"anew");
-                self.list(&[Some((*name, *state)), odd].into_iter().flatten().collect::<Vec<_>>(), false);
+                self.add_list_change(
+                    &[Some((*name, *state)), odd].into_iter().flatten().collect::<Vec<_>>(),
+                    false,
+                );
                 // A process that has just started is a change like any other: the next request follows it.
                 if more.is_empty() || *more == ["anew"] {
                     let phase = match *state {
@@ -1215,7 +1233,7 @@
                         _ => "Gone",
                     };
                     let line = format!("is s-{name}, {phase}");
-                    self.dispatchers.iter().for_each(|d| drop(d.log(&line)));
+                    self.dispatchers.iter().for_each(|d| drop(d.wait_for_log_line(&line)));
                 }
             }
             ["purge", what] => {
@@ -1225,7 +1243,7 @@
                 } else {
                     format!(r#""object":"{what:0>16}""#)
                 };
-                self.change(|_| format!(r#""invalidate":{{{named},"time":{now}}}"#));
+                self.add_change(|_| format!(r#""invalidate":{{{named},"time":{now}}}"#));
                 sleep(QUIET);
             }
             ["feed", mode] => self
@@ -1239,11 +1257,16 @@
                 self.clients.insert((*name).into(), client);
             }
             ["ask", client, id, class, object, given @ ..] => {
-                self.clients.get_mut(*client).unwrap().ask(id.parse().unwrap(), class, object, given);
+                self.clients.get_mut(*client).unwrap().send_request(
+                    id.parse().unwrap(),
+                    class,
+                    object,
+                    given,
+                );
             }
             ["flood", client, name] => {
                 for id in 1..=200 {
-                    self.clients.get_mut(*client).unwrap().ask(id, "video", "01", &[]);
+                    self.clients.get_mut(*client).unwrap().send_request(id, "video", "01", &[]);
                     let host = self.hosts.get_mut(*name).unwrap();
                     let message = host.messages.recv_timeout(10 * QUIET);
                     let Some(message) = message.ok().filter(|message| message.words[0] == "want") else {
@@ -1252,7 +1275,7 @@
                         return;
                     };
                     host.last_message = Some(message);
-                    self.answer(name, "DONE", &["bytes=239000"]);
+                    self.answer_last_message(name, "DONE", &["bytes=239000"]);
                 }
                 panic!("the client was not disconnected");
             }
@@ -1263,8 +1286,8 @@
                 self.clients.get_mut(*client).unwrap().stream.write_all(&out).unwrap();
             }
             ["statuses", client, count] => {
-                let asked = statuses(1..=count.parse().unwrap());
-                self.clients.get_mut(*client).unwrap().stream.write_all(&asked).unwrap();
+                let requests = encode_status_requests(1..=count.parse().unwrap());
+                self.clients.get_mut(*client).unwrap().stream.write_all(&requests).unwrap();
             }
             ["raw", name, hex] => {
                 let bytes: Vec<u8> = (0..hex.len() / 2)
@@ -1285,31 +1308,33 @@
                 Some(client) => client.reset(),
                 None => self.hosts.get_mut(*name).unwrap().reset(),
             },
-            ["ended", client] => self.clients.get_mut(*client).unwrap().ended(),
+            ["ended", client] => self.clients.get_mut(*client).unwrap().expect_end(),
             ["either", client, id, object] => {
-                let known = self.clients.get_mut(*client).unwrap();
-                if known.answered(id.parse().unwrap()).is_none() {
-                    known.ended();
-                    assert_eq!(self.count(object), 0, "handed off, but not answered");
+                let client = self.clients.get_mut(*client).unwrap();
+                if client.wait_for_answer(id.parse().unwrap()).is_none() {
+                    client.expect_end();
+                    assert_eq!(self.count_attempts(object), 0, "handed off, but not answered");
                 }
             }
             ["once", client, id, most @ ..] => {
                 let (id, client) = (id.parse().unwrap(), self.clients.get_mut(*client).unwrap());
-                let took = client.answer(id).at - client.sent_at[&id];
+                let took = client.expect_answer(id).at - client.sent_at[&id];
                 if let Some(most) = most.first() {
                     assert!(took < Duration::from_millis(most.parse().unwrap()), "{id} after {took:?}");
                 }
             }
             ["count", object, count] => {
                 sleep(QUIET);
-                assert_eq!(self.count(object).to_string(), *count, "attempts for {object}");
+                assert_eq!(self.count_attempts(object).to_string(), *count, "attempts for {object}");
             }
             ["take", name, wanted @ ..] => {
                 let name = if *name == "it" { self.last_host.clone() } else { (*name).into() };
-                self.take(&name, wanted);
+                self.take_message(&name, wanted);
+            }
+            ["answer", name, word, more @ ..] => self.answer_last_message(name, word, more),
+            ["expect", client, id, word, more @ ..] => {
+                self.expect_answer(client, id.parse().unwrap(), word, more)
             }
-            ["answer", name, word, more @ ..] => self.answer(name, word, more),
-            ["expect", client, id, word, more @ ..] => self.expect(client, id.parse().unwrap(), word, more),
             ["nothing", name] => {
                 sleep(QUIET);
                 match self.clients.get_mut(*name) {
@@ -1318,15 +1343,15 @@
                         assert!(client.received.is_empty(), "{:?}", client.received);
                     }
                     None => {
-                        let came = self.hosts[*name].messages.try_recv();
-                        assert!(came.is_err(), "{:?}", came.map(|message| message.words));
+                        let message = self.hosts[*name].messages.try_recv();
+                        assert!(message.is_err(), "{:?}", message.map(|message| message.words));
                     }
                 }
             }
-            ["shape"] => self.has_other_shape = true,
+            ["shape"] => self.has_other_deployment = true,
             ["closed", name] => {
                 let connections = host(name).server.accepted.load(Ordering::SeqCst);
-                self.dispatchers[0].log_closed(name, connections);
+                self.dispatchers[0].wait_for_closed_connections(name, connections);
             }
             ["came", name] => assert!(host(name).messages.try_recv().is_ok(), "nothing arrived at {name}"),
             ["drain", name] => while host(name).messages.try_recv().is_ok() {},
@@ -1337,8 +1362,8 @@
             }
             ["deaf", name] => self.hosts.get_mut(*name).unwrap().stop_accepting_silently(),
             ["hear", name] => match self.clients.get_mut(*name) {
-                Some(client) => client.hear(),
-                None => self.hosts.get_mut(*name).unwrap().hear(),
+                Some(client) => client.start_reading(),
+                None => self.hosts.get_mut(*name).unwrap().accept_again(),
             },
             ["up", name] => {
                 let (end, host) = (Instant::now() + TIMEOUT, host(name));
@@ -1368,9 +1393,9 @@
                 let port = client.stream.local_addr().unwrap().port();
                 let ids = from.parse::<u32>().unwrap()..=to.parse().unwrap();
                 client.sent_at.extend(ids.clone().map(|id| (id, Instant::now())));
-                let asks = ids.flat_map(|id| encode_request(port, id, "video", &format!("{id:x}"), &[]));
+                let requests = ids.flat_map(|id| encode_request(port, id, "video", &format!("{id:x}"), &[]));
                 client.stream.set_nodelay(true).unwrap();
-                for piece in asks.collect::<Vec<u8>>().chunks(bytes.parse().unwrap()) {
+                for piece in requests.collect::<Vec<u8>>().chunks(bytes.parse().unwrap()) {
                     client.stream.write_all(piece).unwrap();
                     sleep(Duration::from_millis(1));
                 }
@@ -1399,7 +1424,7 @@
             }
             ["babble", client] => {
                 let mut stream = self.clients[*client].stream.try_clone().unwrap();
-                spawn(move || while stream.write_all(&statuses(1..=127)).is_ok() {});
+                spawn(move || while stream.write_all(&encode_status_requests(1..=127)).is_ok() {});
             }
             ["shim"] => self.shim = Some(Shim::new(SHIM_SEED).unwrap()),
             ["step", ms] => {
@@ -1430,19 +1455,19 @@
                 println!("alone: {alone:?}, {served} served");
                 let ["beside", most] = beside else { return };
                 let (until, listen) = (Arc::new(AtomicBool::new(false)), self.dispatchers[0].listen.clone());
-                let own = until.clone();
-                let misbehaving = spawn(move || run_misbehaving_clients(&listen, &own));
-                let (with, served) = self.run_ordinary_clients(count);
+                let misbehave_until = until.clone();
+                let misbehaving = spawn(move || run_misbehaving_clients(&listen, &misbehave_until));
+                let (beside, served) = self.run_ordinary_clients(count);
                 until.store(true, Ordering::SeqCst);
                 println!(
-                    "beside {} misbehaving ones: {with:?}, {served} served",
+                    "beside {} misbehaving ones: {beside:?}, {served} served",
                     misbehaving.join().unwrap()
                 );
                 let most = Duration::from_millis(most.parse().unwrap());
                 assert!(
-                    with[1] < most,
+                    beside[1] < most,
                     "99th percentile {:?} beside misbehaving clients, {:?} alone",
-                    with[1],
+                    beside[1],
                     alone[1]
                 );
             }
@@ -1494,7 +1519,7 @@
                     assert!(took < Duration::from_millis(most.parse().unwrap()), "after {took:?}");
                 }
             }
-            ["log", words @ ..] => drop(self.dispatchers[0].log(&words.join(" "))),
+            ["log", words @ ..] => drop(self.dispatchers[0].wait_for_log_line(&words.join(" "))),
             ["holds", threads, files] => {
                 let folder = |name: &str| format!("/proc/{}/{name}", self.dispatchers[0].child.id());
                 let count = |name| std::fs::read_dir(folder(name)).unwrap().count();
@@ -1545,83 +1570,83 @@
 #[test_case(include_str!("sockets/client_leaves.txt"); "client_leaves")]
 #[test_case(include_str!("sockets/copies.txt"); "copies")]
 #[test_case(include_str!("sockets/list.txt"); "list")]
-#[test_case(include_str!("sockets/drained_late.txt"); "drained_late")]
-#[test_case(include_str!("sockets/other_shape.txt"); "other_shape")]
-#[test_case(include_str!("sockets/two.txt"); "two")]
-#[test_case(include_str!("sockets/wide.txt"); "wide")]
+#[test_case(include_str!("sockets/late_connect_host_drains.txt"); "late_connect_host_drains")]
+#[test_case(include_str!("sockets/other_deployment.txt"); "other_deployment")]
+#[test_case(include_str!("sockets/two_dispatchers.txt"); "two_dispatchers")]
+#[test_case(include_str!("sockets/many_hosts.txt"); "many_hosts")]
 #[test_case(include_str!("sockets/stop.txt"); "stop")]
 #[test_case(include_str!("sockets/start.txt"); "start")]
 #[test_case(include_str!("sockets/descriptors.txt"); "descriptors")]
-#[test_case(include_str!("sockets/mute_feed.txt"); "mute_feed")]
+#[test_case(include_str!("sockets/change_log_unanswered.txt"); "change_log_unanswered")]
 #[test_case(include_str!("sockets/slow_reader.txt"); "slow_reader")]
 #[test_case(include_str!("sockets/bad_client.txt"); "bad_client")]
 #[test_case(include_str!("sockets/bad_host.txt"); "bad_host")]
-#[test_case(include_str!("sockets/bad_feed.txt"); "bad_feed")]
+#[test_case(include_str!("sockets/bad_change_log_answers.txt"); "bad_change_log_answers")]
 #[test_case(include_str!("sockets/reload.txt"); "reload")]
 #[test_case(include_str!("sockets/churn.txt"); "churn")]
-#[test_case(include_str!("sockets/standing.txt"); "standing")]
-#[test_case(include_str!("sockets/kept_purges.txt"); "kept_purges")]
-#[test_case(include_str!("sockets/kept_visits.txt"); "kept_visits")]
-#[test_case(include_str!("sockets/kept_configurations.txt"); "kept_configurations")]
-#[test_case(include_str!("sockets/store_lost.txt"); "store_lost")]
-#[test_case(include_str!("sockets/bad_beside.txt"); "bad_beside")]
-#[test_case(include_str!("sockets/close_evicted.txt"); "close_evicted")]
-#[test_case(include_str!("sockets/close_half.txt"); "close_half")]
+#[test_case(include_str!("sockets/idle_connections.txt"); "idle_connections")]
+#[test_case(include_str!("sockets/stored_purges.txt"); "stored_purges")]
+#[test_case(include_str!("sockets/stored_visits.txt"); "stored_visits")]
+#[test_case(include_str!("sockets/stored_configurations.txt"); "stored_configurations")]
+#[test_case(include_str!("sockets/store_damaged.txt"); "store_damaged")]
+#[test_case(include_str!("sockets/misbehaving_clients.txt"); "misbehaving_clients")]
+#[test_case(include_str!("sockets/close_idle_with_request.txt"); "close_idle_with_request")]
+#[test_case(include_str!("sockets/close_incomplete_message.txt"); "close_incomplete_message")]
 #[test_case(include_str!("sockets/close_idle.txt"); "close_idle")]
-#[test_case(include_str!("sockets/close_newcomer.txt"); "close_newcomer")]
+#[test_case(include_str!("sockets/close_no_room.txt"); "close_no_room")]
 #[test_case(include_str!("sockets/close_unread.txt"); "close_unread")]
 #[test_case(include_str!("sockets/close_violation.txt"); "close_violation")]
-#[test_case(include_str!("sockets/descriptors_crowd.txt"); "descriptors_crowd")]
-#[test_case(include_str!("sockets/descriptors_dials.txt"); "descriptors_dials")]
-#[test_case(include_str!("sockets/descriptors_unknown.txt"); "descriptors_unknown")]
-#[test_case(include_str!("sockets/gone_cancelled.txt"); "gone_cancelled")]
-#[test_case(include_str!("sockets/gone_fill.txt"); "gone_fill")]
-#[test_case(include_str!("sockets/gone_late.txt"); "gone_late")]
-#[test_case(include_str!("sockets/gone_lost_host.txt"); "gone_lost_host")]
-#[test_case(include_str!("sockets/gone_record.txt"); "gone_record")]
-#[test_case(include_str!("sockets/gone_retry.txt"); "gone_retry")]
-#[test_case(include_str!("sockets/gone_slow_host.txt"); "gone_slow_host")]
-#[test_case(include_str!("sockets/gone_unsent.txt"); "gone_unsent")]
-#[test_case(include_str!("sockets/host_anew.txt"); "host_anew")]
-#[test_case(include_str!("sockets/host_copies.txt"); "host_copies")]
-#[test_case(include_str!("sockets/host_crossing.txt"); "host_crossing")]
-#[test_case(include_str!("sockets/host_short.txt"); "host_short")]
-#[test_case(include_str!("sockets/late_attempt.txt"); "late_attempt")]
+#[test_case(include_str!("sockets/descriptors_many_clients.txt"); "descriptors_many_clients")]
+#[test_case(include_str!("sockets/descriptors_connecting.txt"); "descriptors_connecting")]
+#[test_case(include_str!("sockets/descriptors_without_change_log.txt"); "descriptors_without_change_log")]
+#[test_case(include_str!("sockets/client_leaves_cancelled.txt"); "client_leaves_cancelled")]
+#[test_case(include_str!("sockets/client_leaves_during_fill.txt"); "client_leaves_during_fill")]
+#[test_case(include_str!("sockets/client_leaves_before_connect.txt"); "client_leaves_before_connect")]
+#[test_case(include_str!("sockets/client_leaves_host_lost.txt"); "client_leaves_host_lost")]
+#[test_case(include_str!("sockets/client_leaves_during_record.txt"); "client_leaves_during_record")]
+#[test_case(include_str!("sockets/client_leaves_before_retry.txt"); "client_leaves_before_retry")]
+#[test_case(include_str!("sockets/client_leaves_slow_host.txt"); "client_leaves_slow_host")]
+#[test_case(include_str!("sockets/client_leaves_before_hand_off.txt"); "client_leaves_before_hand_off")]
+#[test_case(include_str!("sockets/host_restarts.txt"); "host_restarts")]
+#[test_case(include_str!("sockets/host_duplicate_answer.txt"); "host_duplicate_answer")]
+#[test_case(include_str!("sockets/host_answers_when_removed.txt"); "host_answers_when_removed")]
+#[test_case(include_str!("sockets/host_incomplete_answer.txt"); "host_incomplete_answer")]
+#[test_case(include_str!("sockets/late_connect_time_left.txt"); "late_connect_time_left")]
 #[test_case(include_str!("sockets/late_connect_lost.txt"); "late_connect_lost")]
-#[test_case(include_str!("sockets/late_purge.txt"); "late_purge")]
-#[test_case(include_str!("sockets/late_source.txt"); "late_source")]
-#[test_case(include_str!("sockets/late_window.txt"); "late_window")]
-#[test_case(include_str!("sockets/stop_again.txt"); "stop_again")]
-#[test_case(include_str!("sockets/stop_answers.txt"); "stop_answers")]
-#[test_case(include_str!("sockets/stop_crossing.txt"); "stop_crossing")]
-#[test_case(include_str!("sockets/stop_resting.txt"); "stop_resting")]
-#[test_case(include_str!("sockets/gone_late_at_once.txt"); "gone_late_at_once")]
+#[test_case(include_str!("sockets/late_connect_purge.txt"); "late_connect_purge")]
+#[test_case(include_str!("sockets/late_connect_source_drains.txt"); "late_connect_source_drains")]
+#[test_case(include_str!("sockets/late_connect_repeat_window.txt"); "late_connect_repeat_window")]
+#[test_case(include_str!("sockets/stop_repeated_signals.txt"); "stop_repeated_signals")]
+#[test_case(include_str!("sockets/stop_open_requests.txt"); "stop_open_requests")]
+#[test_case(include_str!("sockets/stop_requests_at_last_read.txt"); "stop_requests_at_last_read")]
+#[test_case(include_str!("sockets/stop_idle_clients.txt"); "stop_idle_clients")]
+#[test_case(include_str!("sockets/client_leaves_during_connect.txt"); "client_leaves_during_connect")]
 #[test_case(include_str!("sockets/host_closes.txt"); "host_closes")]
-#[test_case(include_str!("sockets/host_copies_late.txt"); "host_copies_late")]
-#[test_case(include_str!("sockets/late_deadline.txt"); "late_deadline")]
-#[test_case(include_str!("sockets/late_other_host.txt"); "late_other_host")]
-#[test_case(include_str!("sockets/late_purge_group.txt"); "late_purge_group")]
+#[test_case(include_str!("sockets/host_duplicate_answer_late.txt"); "host_duplicate_answer_late")]
+#[test_case(include_str!("sockets/late_connect_deadline.txt"); "late_connect_deadline")]
+#[test_case(include_str!("sockets/late_connect_other_host.txt"); "late_connect_other_host")]
+#[test_case(include_str!("sockets/late_connect_group_purge.txt"); "late_connect_group_purge")]
 #[test_case(include_str!("sockets/stop_flood.txt"); "stop_flood")]
-#[test_case(include_str!("sockets/stop_start.txt"); "stop_start")]
-#[test_case(include_str!("sockets/stop_store.txt"); "stop_store")]
-#[test_case(include_str!("sockets/stop_unknown.txt"); "stop_unknown")]
+#[test_case(include_str!("sockets/stop_during_start.txt"); "stop_during_start")]
+#[test_case(include_str!("sockets/stop_pending_record.txt"); "stop_pending_record")]
+#[test_case(include_str!("sockets/stop_without_hosts.txt"); "stop_without_hosts")]
 #[test_case(include_str!("sockets/pipeline.txt"); "pipeline")]
-#[test_case(include_str!("sockets/copies_late.txt"); "copies_late")]
+#[test_case(include_str!("sockets/copies_earlier_answer.txt"); "copies_earlier_answer")]
 #[test_case(include_str!("sockets/host_resets_late.txt"); "host_resets_late")]
-#[test_case(include_str!("sockets/largest.txt"); "largest")]
-#[test_case(include_str!("sockets/largest_lost.txt"); "largest_lost")]
-#[test_case(include_str!("sockets/close_room.txt"); "close_room")]
-#[test_case(include_str!("sockets/late_source_gone.txt"); "late_source_gone")]
+#[test_case(include_str!("sockets/largest_objects.txt"); "largest_objects")]
+#[test_case(include_str!("sockets/largest_objects_host_lost.txt"); "largest_objects_host_lost")]
+#[test_case(include_str!("sockets/close_for_new_client.txt"); "close_for_new_client")]
+#[test_case(include_str!("sockets/late_connect_source_removed.txt"); "late_connect_source_removed")]
 #[test_case(include_str!("sockets/address_taken.txt"); "address_taken")]
-#[test_case(include_str!("sockets/address_taken_late.txt"); "address_taken_late")]
+#[test_case(include_str!("sockets/late_connect_address_taken.txt"); "late_connect_address_taken")]
 #[test_case(include_str!("sockets/bad_entries.txt"); "bad_entries")]
-#[test_case(include_str!("sockets/late_source_anew.txt"); "late_source_anew")]
-#[test_case(include_str!("sockets/known_twice.txt"); "known_twice")]
-#[test_case(include_str!("sockets/purge_host_stood_still.txt"); "purge_host_stood_still")]
+#[test_case(include_str!("sockets/late_connect_source_restarts.txt"); "late_connect_source_restarts")]
+#[test_case(include_str!("sockets/known_change_repeated.txt"); "known_change_repeated")]
+#[test_case(include_str!("sockets/purge_suspended_host.txt"); "purge_suspended_host")]
 #[test_case(include_str!("sockets/clock_forward.txt"); "clock_forward")]
 #[test_case(include_str!("sockets/clock_back.txt"); "clock_back")]
 #[test_case(include_str!("sockets/clock_start.txt"); "clock_start")]
-#[test_case(include_str!("sockets/log_silent.txt"); "log_silent")]
+#[test_case(include_str!("sockets/change_log_silent.txt"); "change_log_silent")]
 #[test_case(include_str!("sockets/accept_aborted.txt"); "accept_aborted")]
 fn plays(text: &str) {
     let mut scenario = Scenario::default();
@@ -1630,33 +1655,33 @@
         for command in line.split(';').map(str::trim).filter(|command| !command.is_empty()) {
             println!("line {}: {command}", number + 1);
             for command in expand(command) {
-                scenario.command(&command.split_whitespace().collect::<Vec<_>>());
+                scenario.run_command(&command.split_whitespace().collect::<Vec<_>>());
             }
         }
     }
 }
 
-#[test_case("\"limits\"", "\"limit\"", 2, "the configuration is missing limits/memory_mb"; "a key")]
-#[test_case("\"settings\"", "\"set\"", 2, "the configuration is missing settings"; "the settings")]
-#[test_case("\"zone\":", "\"zon\":", 2, "the settings are missing the number /zone"; "a key of the settings")]
-#[test_case("\"cold_from\"", "\"cold\"", 2, "the settings are missing the number /rules/cold_from"; "a number of the rules")]
-#[test_case("\"may_pass_by\": true", "\"may_pass_by\": 1", 2, "settings/domain/may_pass_by must be true"; "a wrong type")]
-#[test_case("\"cold_from\": 0.2", "\"cold_from\": 2", 2, "settings/rules/cold_from is out of range"; "out of range")]
-#[test_case("\"domain\": {", "\"domain\": {\"detail\": \"some\",", 2, "settings/domain/detail must be one of"; "an unknown word")]
-#[test_case("[0, 0, 0, 0]", "[0, 0]", 2, "settings/domain/class_fresh has 2 entries, settings/services has 4"; "another number of classes")]
-#[test_case("[0, 2]", "[0, 2, 1]", 2, "settings/domain/count_by_zone has 3 entries"; "another number of locations")]
-#[test_case("[0, 2]", "[0, 2], \"stale_for\": [0, 9, 0, 0]", 2, "settings/domain/stale_for/1 requires settings/domain/class_fresh"; "a grace without a fresh time")]
-#[test_case("\"pace_kb_per_s\": 5000", "\"zone_link_kb_per_s\": [0, 9]", 2, "settings/domain/pace_kb_per_s is required"; "links without a pace")]
-#[test_case("\"parent_kind\": 1", "\"parent_kind\": 2", 2, "settings/domain/parent_kind is the same as"; "one kind for parents and origin")]
-#[test_case("00f1", "seed", 2, "invalid seed"; "an invalid seed")]
+#[test_case("\"limits\"", "\"limit\"", 2, "the configuration is missing limits/memory_mb"; "missing key")]
+#[test_case("\"settings\"", "\"set\"", 2, "the configuration is missing settings"; "missing settings")]
+#[test_case("\"zone\":", "\"zon\":", 2, "the settings are missing the number /zone"; "missing key of the settings")]
+#[test_case("\"cold_from\"", "\"cold\"", 2, "the settings are missing the number /rules/cold_from"; "missing number of the rules")]
+#[test_case("\"may_pass_by\": true", "\"may_pass_by\": 1", 2, "settings/domain/may_pass_by must be true"; "wrong type")]
+#[test_case("\"cold_from\": 0.2", "\"cold_from\": 2", 2, "settings/rules/cold_from is out of range"; "share out of range")]
+#[test_case("\"domain\": {", "\"domain\": {\"detail\": \"some\",", 2, "settings/domain/detail must be one of"; "unknown value of an enumeration")]
+#[test_case("[0, 0, 0, 0]", "[0, 0]", 2, "settings/domain/class_fresh has 2 entries, settings/services has 4"; "list with the wrong number of classes")]
+#[test_case("[0, 2]", "[0, 2, 1]", 2, "settings/domain/count_by_zone has 3 entries"; "list with the wrong number of locations")]
+#[test_case("[0, 2]", "[0, 2], \"stale_for\": [0, 9, 0, 0]", 2, "settings/domain/stale_for/1 requires settings/domain/class_fresh"; "stale time without a fresh time")]
+#[test_case("\"pace_kb_per_s\": 5000", "\"zone_link_kb_per_s\": [0, 9]", 2, "settings/domain/pace_kb_per_s is required"; "zone links without a transfer rate")]
+#[test_case("\"parent_kind\": 1", "\"parent_kind\": 2", 2, "settings/domain/parent_kind is the same as"; "same kind for parents and origin")]
+#[test_case("00f1", "seed", 2, "invalid seed"; "invalid seed")]
 #[test_case("{\"name\"", "name", 2, "is not valid JSON"; "not JSON")]
-#[test_case("127.0.0.1:0", "TAKEN", 1, "can't serve on"; "an address in use")]
-fn an_unusable_configuration_ends_the_start(part: &str, by: &str, code: i32, words: &str) {
+#[test_case("127.0.0.1:0", "TAKEN", 1, "can't serve on"; "address in use")]
+fn an_unusable_configuration_ends_the_start(part: &str, replacement: &str, code: i32, words: &str) {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let by = by.replace("TAKEN", &taken.local_addr().unwrap().to_string());
-    let text = config("127.0.0.1:0", &ChangeLog::start(), "null", 192).replacen(part, &by, 1);
-    assert!(text.contains(&by), "nothing was replaced");
-    let (child, _file) = run(&text, 256, "", None);
+    let replacement = replacement.replace("TAKEN", &taken.local_addr().unwrap().to_string());
+    let text = config("127.0.0.1:0", &ChangeLog::start(), "null", 192).replacen(part, &replacement, 1);
+    assert!(text.contains(&replacement), "nothing was replaced");
+    let (child, _file) = spawn_dispatcher(&text, 256, "", None);
     let output = child.wait_with_output().unwrap();
     let stderr = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(code), "{stderr}");
