--- /dev/null
+++ b/crates/dispatcher/tests/sockets_bed/client_commands.rs
@@ -0,0 +1,167 @@
+//! Commands on the clients.
+use super::clients::{encode_request, encode_status_requests, Client};
+use super::scenario::Scenario;
+use super::QUIET;
+use std::io::Write;
+use std::net::{Shutdown, TcpStream};
+use std::thread::{sleep, spawn};
+use std::time::{Duration, Instant};
+
+impl Scenario {
+    pub fn expect_answer(&mut self, client: &str, id: u32, word: &str, more: &[&str]) {
+        let answer = self.clients.get_mut(client).unwrap().expect_answer(id);
+        let outcome = match &answer.word[..] {
+            "Rejected" => "turned-back",
+            "Failed" => "written-off",
+            "BadRequest" => "bad",
+            other => other,
+        };
+        assert_eq!(outcome, word, "visit {id}: {answer:?}");
+        for (name, value) in more.iter().map(|word| word.split_once('=').unwrap()) {
+            match name {
+                "bytes" => assert_eq!(answer.bytes.to_string(), value),
+                "within" => {
+                    let took = answer.at - self.clients[client].sent_at[&id];
+                    assert!(took < Duration::from_millis(value.parse().unwrap()), "after {took:?}");
+                }
+                _ => assert_eq!(answer.fields.get(name).map(|v| &v[..]), Some(value), "{answer:?}"),
+            }
+        }
+    }
+
+    /// Runs a command on the clients; false if it is none.
+    pub fn run_client_command(&mut self, words: &[&str]) -> bool {
+        let host = |name: &str| self.hosts.get(name).unwrap();
+        match words {
+            ["client", name, more @ ..] => {
+                let number: usize = more.first().and_then(|n| n.parse().ok()).unwrap_or(1);
+                let listen = &self.dispatchers[number - 1].listen;
+                let client = Client::start(listen, more.contains(&"deaf"), more.contains(&"narrow"));
+                self.clients.insert((*name).into(), client);
+            }
+            ["ask", client, id, class, object, given @ ..] => {
+                self.clients.get_mut(*client).unwrap().send_request(
+                    id.parse().unwrap(),
+                    class,
+                    object,
+                    given,
+                );
+            }
+            ["withdraw", client, id] => {
+                let mut out = vec![0x93, 2, 0xa8];
+                out.extend(b"withdraw");
+                out.extend([0x91, id.parse().unwrap()]);
+                self.clients.get_mut(*client).unwrap().stream.write_all(&out).unwrap();
+            }
+            ["raw", name, hex] => {
+                let bytes: Vec<u8> = (0..hex.len() / 2)
+                    .map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).unwrap())
+                    .collect();
+                let stream = match self.clients.get(*name) {
+                    Some(client) => &client.stream,
+                    None => &host(name).last_message.as_ref().unwrap().stream,
+                };
+                let _ = { stream }.write_all(&bytes);
+            }
+            ["each", client, from, to] => {
+                for id in from.parse::<u32>().unwrap()..=to.parse().unwrap() {
+                    self.clients.get_mut(*client).unwrap().send_request(id, "video", &id.to_string(), &[]);
+                    self.take_message("any", &[]);
+                    self.answer_last_message("it", "DONE", &[]);
+                    self.expect_answer(client, id, "settled", &[]);
+                }
+            }
+            ["pipe", client, from, to, bytes] => {
+                let client = self.clients.get_mut(*client).unwrap();
+                let port = client.stream.local_addr().unwrap().port();
+                let ids = from.parse::<u32>().unwrap()..=to.parse().unwrap();
+                client.sent_at.extend(ids.clone().map(|id| (id, Instant::now())));
+                let requests = ids.flat_map(|id| encode_request(port, id, "video", &format!("{id:x}"), &[]));
+                client.stream.set_nodelay(true).unwrap();
+                for piece in requests.collect::<Vec<u8>>().chunks(bytes.parse().unwrap()) {
+                    client.stream.write_all(piece).unwrap();
+                    sleep(Duration::from_millis(1));
+                }
+            }
+            ["statuses", client, count] => {
+                let requests = encode_status_requests(1..=count.parse().unwrap());
+                self.clients.get_mut(*client).unwrap().stream.write_all(&requests).unwrap();
+            }
+            ["babble", client] => {
+                let mut stream = self.clients[*client].stream.try_clone().unwrap();
+                spawn(move || while stream.write_all(&encode_status_requests(1..=127)).is_ok() {});
+            }
+            ["flood", client, name] => {
+                for id in 1..=200 {
+                    self.clients.get_mut(*client).unwrap().send_request(id, "video", "01", &[]);
+                    let host = self.hosts.get_mut(*name).unwrap();
+                    let message = host.messages.recv_timeout(10 * QUIET);
+                    let Some(message) = message.ok().filter(|message| message.words[0] == "want") else {
+                        sleep(QUIET);
+                        while host.messages.try_recv().is_ok() {}
+                        return true;
+                    };
+                    host.last_message = Some(message);
+                    self.answer_last_message(name, "DONE", &["bytes=239000"]);
+                }
+                panic!("the client was not disconnected");
+            }
+            ["close", client] => {
+                let client = self.clients.remove(*client).unwrap();
+                client.stream.shutdown(Shutdown::Both).unwrap();
+            }
+            ["half-close", client] => self.clients[*client].stream.shutdown(Shutdown::Write).unwrap(),
+            ["reset", name] => match self.clients.remove(*name) {
+                Some(client) => client.reset(),
+                None => self.hosts.get_mut(*name).unwrap().reset(),
+            },
+            ["hear", name] => match self.clients.get_mut(*name) {
+                Some(client) => client.start_reading(),
+                None => self.hosts.get_mut(*name).unwrap().accept_again(),
+            },
+            ["crowd", count, more @ ..] => {
+                let listen = &self.dispatchers[0].listen;
+                let count: usize = count.parse().unwrap();
+                self.idle_streams = (0..count).map(|_| TcpStream::connect(listen).unwrap()).collect();
+                if more == ["asked"] {
+                    let send_request =
+                        |mut stream: &TcpStream| stream.write_all(&encode_status_requests(1..=1)).unwrap();
+                    self.idle_streams.iter().for_each(send_request);
+                }
+            }
+            ["expect", client, id, word, more @ ..] => {
+                self.expect_answer(client, id.parse().unwrap(), word, more)
+            }
+            ["once", client, id, most @ ..] => {
+                let (id, client) = (id.parse().unwrap(), self.clients.get_mut(*client).unwrap());
+                let took = client.expect_answer(id).at - client.sent_at[&id];
+                if let Some(most) = most.first() {
+                    assert!(took < Duration::from_millis(most.parse().unwrap()), "{id} after {took:?}");
+                }
+            }
+            ["either", client, id, object] => {
+                let client = self.clients.get_mut(*client).unwrap();
+                if client.wait_for_answer(id.parse().unwrap()).is_none() {
+                    client.expect_end();
+                    assert_eq!(self.count_attempts(object), 0, "handed off, but not answered");
+                }
+            }
+            ["ended", client] => self.clients.get_mut(*client).unwrap().expect_end(),
+            ["nothing", name] => {
+                sleep(QUIET);
+                match self.clients.get_mut(*name) {
+                    Some(client) => {
+                        while client.next(Duration::ZERO) {}
+                        assert!(client.received.is_empty(), "{:?}", client.received);
+                    }
+                    None => {
+                        let message = self.hosts[*name].messages.try_recv();
+                        assert!(message.is_err(), "{:?}", message.map(|message| message.words));
+                    }
+                }
+            }
+            _ => return false,
+        }
+        true
+    }
+}
