--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -26,8 +26,8 @@
 }
 
 fn start(settings: &str) -> Vec<u8> {
-    let place = [0u32.to_le_bytes(), (settings.len() as u32).to_le_bytes()].concat();
-    record(&[&256u16.to_le_bytes(), &[3, 0], &9u64.to_le_bytes(), &place])
+    let range = [0u32.to_le_bytes(), (settings.len() as u32).to_le_bytes()].concat();
+    record(&[&256u16.to_le_bytes(), &[3, 0], &9u64.to_le_bytes(), &range])
 }
 
 fn arrival(deadline: u64) -> Vec<u8> {
@@ -38,8 +38,8 @@
 
 /// A list with one cache at 10.0.0.1:8080, and the event that refers to it.
 fn list(offset: usize) -> [Vec<u8>; 2] {
-    let place = [(offset as u32).to_le_bytes(), 1u32.to_le_bytes()].concat();
-    let content = record(&[&267u16.to_le_bytes(), &[2, 0], &place]);
+    let range = [(offset as u32).to_le_bytes(), 1u32.to_le_bytes()].concat();
+    let content = record(&[&267u16.to_le_bytes(), &[2, 0], &range]);
     [content, record(&[&257u16.to_le_bytes(), &[3, 0], &[4], &[0; 4], &[2, 0]])]
 }
 
--- a/crates/dispatcher/tests/change_clock.rs
+++ b/crates/dispatcher/tests/change_clock.rs
@@ -15,14 +15,14 @@
 #[test]
 fn ages_are_never_overestimated() {
     for seed in 0..200 {
-        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut clock = ChangeClock::default();
         let mut now = Span::ZERO;
         for _ in 0..100 {
-            now = now + ms(random.gen_range(0..2_000));
-            let stamp = UNIX + now - ms(random.gen_range(0..8_000));
+            now = now + ms(rng.gen_range(0..2_000));
+            let stamp = UNIX + now - ms(rng.gen_range(0..8_000));
             clock.observe(START + now, stamp);
-            let queried = UNIX + now - ms(random.gen_range(0..60_000));
+            let queried = UNIX + now - ms(rng.gen_range(0..60_000));
             let age = clock.min_age(START + now, queried);
             assert!(age <= (UNIX + now) - queried, "seed {seed}: {age:?} is more than the true age");
         }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_stamp_is_in_the_future_only_if_both_clocks_say_so() {
+fn a_stamp_is_in_the_future_only_if_both_clocks_agree() {
     let mut clock = ChangeClock::default();
     (0..3).for_each(|second| clock.observe(START + ms(second * 1_000), UNIX + ms(second * 1_000)));
     let (now, stamp) = (START + ms(2_000), UNIX + ms(9_000));
--- a/crates/dispatcher/tests/codecs.rs
+++ b/crates/dispatcher/tests/codecs.rs
@@ -43,12 +43,12 @@
 /// Neither codec allocates memory for a length that is only claimed.
 #[test]
 fn arbitrary_bytes() {
-    let mut random = Pcg64Mcg::seed_from_u64(7);
+    let mut rng = Pcg64Mcg::seed_from_u64(7);
     for round in 0..20_000 {
         let mut bytes = [VISIT, ANSWER][round % 2].to_vec();
-        for _ in 0..random.gen_range(1..4) {
-            let index = random.gen_range(0..bytes.len());
-            bytes[index] = random.next_u32() as u8;
+        for _ in 0..rng.gen_range(1..4) {
+            let index = rng.gen_range(0..bytes.len());
+            bytes[index] = rng.next_u32() as u8;
         }
         let mut buffer = BytesMut::from(&bytes[..]);
         while !buffer.is_empty() && matches!(msgpack::next(&mut buffer), Ok(Some(_))) {}
--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Changes in a broken answer count as announced this long after the break, and those in an answer that
-/// stalls this long after the requested wait.
+/// Changes in an interrupted answer count as announced this long after the interruption, and those in an
+/// answer that stalls this long after the requested wait.
 const ANNOUNCED_AFTER: Duration = Duration::from_secs(2);
 /// Maximum time from SIGHUP to a poll at the new address. The protocol allows 4 s, but a move ends every
 /// wait.
@@ -53,7 +53,7 @@
     fn check_unused(&self, hosts: &[&str]) {
         let mut client = Client::connect(self.dispatcher.listen).unwrap();
         for object in 0..8 {
-            client.ask(0xab00 + object).unwrap();
+            client.send_request(0xab00 + object).unwrap();
             let message = self.hosts.next_request();
             assert!(!hosts.contains(&message.host), "sent to {}", message.host);
             message.answer();
@@ -101,12 +101,12 @@
     if complete > 0 {
         fixture.dispatcher.wait_for_log_line("is s-a, Draining");
         fixture.check_unused(&["a"]);
-        assert!(!fixture.log.is_asked(), "the answer was given up too early");
+        assert!(!fixture.log.is_polled(), "the answer was given up too early");
     }
     let next = fixture.log.next_poll();
     assert_eq!((next.since, next.connection), (1 + complete, 1));
-    let after = next.at - poll.at;
-    assert!(after < WAIT + ANNOUNCED_AFTER, "polled again after {after:?}");
+    let delay = next.at - poll.at;
+    assert!(delay < WAIT + ANNOUNCED_AFTER, "polled again after {delay:?}");
     next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
     fixture.dispatcher.wait_for_log_line("is s-b, Draining");
     fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
@@ -151,7 +151,7 @@
     next.answer(&[list(2 + complete, false, &[("b", fixture.b, DRAINING)])]);
     fixture.dispatcher.wait_for_log_line("is s-b, Draining");
     fixture.check_unused(if complete > 0 { &["a", "b"] } else { &["b"] });
-    assert!(!fixture.log.is_asked(), "the old address is polled again");
+    assert!(!fixture.log.is_polled(), "the old address is polled again");
 }
 
 /// An answer that arrived before SIGHUP takes effect even while the new address does not answer.
@@ -199,18 +199,18 @@
     let _dispatcher = Dispatcher::start(&config("127.0.0.1:0", backlog.address(), &known, 192));
     let end = Instant::now() + STEP_TIMEOUT;
     // The same two must be pending for a while, so the first was not given up for the second.
-    let mut two: Option<(Vec<u16>, Instant)> = None;
+    let mut pair: Option<(Vec<u16>, Instant)> = None;
     loop {
         assert!(Instant::now() < end, "no second connection beside the first");
         let mut pending = backlog.pending();
         pending.sort_unstable();
-        match &two {
+        match &pair {
             Some((known, since)) if *known == pending => {
                 if since.elapsed() > WAIT / 3 {
                     break;
                 }
             }
-            _ => two = Some((pending, Instant::now())).filter(|(pending, _)| pending.len() > 1),
+            _ => pair = Some((pending, Instant::now())).filter(|(pending, _)| pending.len() > 1),
         }
     }
     let log = FakeChangeLog::on_listener(backlog.drain());
@@ -234,7 +234,7 @@
     let client_thread = std::thread::spawn(move || {
         let mut client = Client::connect(listen).unwrap();
         for object in 0.. {
-            client.ask(object).unwrap();
+            client.send_request(object).unwrap();
             assert_eq!(client.answer().unwrap(), Answer::Served);
             if stopped.try_recv().is_ok() {
                 return;
@@ -274,7 +274,7 @@
 /// are not sent once that connection is established.
 #[test_case(true; "one event")]
 #[test_case(false; "two events")]
-fn a_host_drains_and_is_gone_in_one_answer(one: bool) {
+fn a_host_drains_and_is_gone_in_one_answer(in_one_event: bool) {
     let backlog = FullBacklog::start();
     let hosts = FakeHosts::new();
     let at = backlog.address();
@@ -282,13 +282,13 @@
     // Send requests until one waits for a connection to a.
     let mut open = 0;
     while backlog.pending().is_empty() {
-        fixture.client.ask(open).unwrap();
+        fixture.client.send_request(open).unwrap();
         open += 1;
         std::thread::sleep(Duration::from_millis(20));
         assert!(open < 50, "no hand-off waits for a connection to a");
     }
     let poll = fixture.log.next_since(1);
-    poll.answer(&if one {
+    poll.answer(&if in_one_event {
         vec![event(2, false, &[entry("a", at, DRAINING, 0), entry("a", at, GONE, 0)])]
     } else {
         vec![list(2, false, &[("a", at, DRAINING)]), list(3, false, &[("a", at, GONE)])]
@@ -303,32 +303,32 @@
     }
     fixture.hosts.on_listener("a", backlog.drain());
     fixture.check_unused(&["a"]);
-    assert!(fixture.hosts.came.try_recv().is_err(), "a request was sent twice");
+    assert!(fixture.hosts.messages.try_recv().is_err(), "a request was sent twice");
 }
 
 /// A host is gone and back at the same address in one answer: a pending hand-off gets its one answer, and
 /// later ones use a new connection.
 #[test_case("a", true, 0; "the same name in one event")]
-#[test_case("a", false, 0; "the same name in two")]
+#[test_case("a", false, 0; "the same name in two events")]
 #[test_case("a", false, 1764576000123; "the same name with a new start")]
 #[test_case("n", true, 0; "another name in one event")]
-#[test_case("n", false, 0; "another name in two")]
-fn a_host_is_gone_and_back_in_one_answer(name: &str, one: bool, started: u64) {
+#[test_case("n", false, 0; "another name in two events")]
+fn a_host_is_gone_and_back_in_one_answer(name: &str, in_one_event: bool, started: u64) {
     let mut fixture = Fixture::start();
     let poll = fixture.log.next_since(1);
     poll.answer(&[list(2, false, &[("b", fixture.b, GONE)])]);
     fixture.dispatcher.wait_for_log_line("is s-b, Gone");
-    fixture.client.ask(1).unwrap();
+    fixture.client.send_request(1).unwrap();
     let pending = fixture.hosts.next_request();
     assert_eq!(pending.host, "a");
     let poll = fixture.log.next_since(2);
     let entries = [entry("a", fixture.a, GONE, 0), entry(name, fixture.a, READY, started)];
-    poll.answer(&if one {
+    poll.answer(&if in_one_event {
         vec![event(3, false, &entries)]
     } else {
         vec![event(3, false, &entries[..1]), event(4, false, &entries[1..])]
     });
-    let seq = if one { 3 } else { 4 };
+    let seq = if in_one_event { 3 } else { 4 };
     assert_eq!(fixture.log.next_since(seq).since, seq);
     // Send requests until one goes to the new host.
     let Fixture { hosts, mut client, dispatcher, .. } = fixture;
@@ -337,7 +337,7 @@
     let end = Instant::now() + STEP_TIMEOUT;
     for object in 2.. {
         assert!(Instant::now() < end, "no request is sent to the new host");
-        other.ask(object).unwrap();
+        other.send_request(object).unwrap();
         let answer = other.answer().unwrap();
         assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
         let to: Vec<SocketAddr> =
@@ -351,7 +351,7 @@
     pending.answer();
     let answer = client.answer().unwrap();
     assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
-    client.ask_status().unwrap();
+    client.send_status_request().unwrap();
     assert_eq!(client.answer().unwrap(), Answer::Ready(true));
 }
 
@@ -362,28 +362,28 @@
     let mut fixture = Fixture::start();
     fixture.log.next_since(1).answer(&[list(2, false, &[("b", fixture.b, GONE)])]);
     fixture.dispatcher.wait_for_log_line("is s-b, Gone");
-    fixture.client.ask(1).unwrap();
+    fixture.client.send_request(1).unwrap();
     let pending = fixture.hosts.next_request();
     assert_eq!(pending.host, "a");
     pending.cut();
     let end = Instant::now() + STEP_TIMEOUT;
     let mut other = Client::connect(fixture.dispatcher.listen).unwrap();
     let mut sent = 0;
-    let held = loop {
+    let unanswered = loop {
         assert!(Instant::now() < end, "no request is sent to the new process");
-        other.ask(2).unwrap();
+        other.send_request(2).unwrap();
         sent += 1;
-        match fixture.hosts.came.recv_timeout(Duration::from_millis(100)) {
+        match fixture.hosts.messages.recv_timeout(Duration::from_millis(100)) {
             Ok(message) if message.host == "a" => break message,
             Ok(message) => message.answer(),
             Err(_) => {}
         }
     };
-    assert_ne!(held.from, pending.from);
+    assert_ne!(unanswered.from, pending.from);
     fixture.log.next_since(2).answer(&[event(3, false, &[entry("a", fixture.a, READY, 1764576000123)])]);
     fixture.log.next_since(3);
     let requests = fixture.hosts.answer_all();
-    held.answer();
+    unanswered.answer();
     for _ in 0..sent {
         let answer = other.answer().unwrap();
         assert!(answer == Answer::Served || answer == Answer::Error("Rejected".into()), "{answer:?}");
@@ -392,11 +392,11 @@
     for object in 3.. {
         assert!(Instant::now() < end, "no request is sent to the new host");
         let mut client = Client::connect(fixture.dispatcher.listen).unwrap();
-        client.ask(object).unwrap();
+        client.send_request(object).unwrap();
         client.answer().unwrap();
         let to: Vec<SocketAddr> =
             requests.try_iter().filter(|request| request.0 == "a").map(|request| request.1).collect();
-        assert!(!to.contains(&held.from), "sent on a connection from before the listing");
+        assert!(!to.contains(&unanswered.from), "sent on a connection from before the listing");
         if !to.is_empty() {
             break;
         }
@@ -470,8 +470,8 @@
 #[test]
 fn a_change_without_its_number() {
     let fixture = Fixture::start();
-    let odd = list(2, false, &[("a", fixture.a, DRAINING)]).replace(r#""seq":2,"#, "");
-    let events = [odd, list(3, false, &[("b", fixture.b, DRAINING)])];
+    let unnumbered = list(2, false, &[("a", fixture.a, DRAINING)]).replace(r#""seq":2,"#, "");
+    let events = [unnumbered, list(3, false, &[("b", fixture.b, DRAINING)])];
     fixture.log.next_since(1).answer(&events);
     fixture.dispatcher.wait_for_log_line("changelog fails: change 2: invalid sequence number");
     fixture.log.next_since(1).answer(&events);
@@ -591,11 +591,11 @@
 
 fn seqs(bytes: &[u8], piece: usize) -> (Vec<u64>, End) {
     let mut found = Vec::new();
-    let mut each = |result: &Value| {
+    let mut record = |result: &Value| {
         found.push(result["seq"].as_u64().unwrap());
         Ok(())
     };
-    let end = read_answer(Pieces(bytes, piece), 1, 4096, &mut each);
+    let end = read_answer(Pieces(bytes, piece), 1, 4096, &mut record);
     (found, end)
 }
 
@@ -608,15 +608,19 @@
     let body = body(&[purge(2), purge(3)]);
     let text = form(&body);
     let head = text.find("\r\n\r\n").unwrap() + 4;
-    let lasts: Vec<usize> = body.match_indices("}}").map(|(place, _)| head + at(place + 1)).collect();
-    let closes = !text.contains("Length") && !text.contains("chunked");
+    let change_ends: Vec<usize> = body.match_indices("}}").map(|(place, _)| head + at(place + 1)).collect();
+    let ends_at_close = !text.contains("Length") && !text.contains("chunked");
     for size in 1..=text.len() {
         let (found, end) = seqs(text.as_bytes(), size);
-        assert_eq!((found, end.unwrap()), (vec![2, 3], (Some(99_999), !closes)), "in pieces of {size}");
+        assert_eq!(
+            (found, end.unwrap()),
+            (vec![2, 3], (Some(99_999), !ends_at_close)),
+            "in pieces of {size}"
+        );
         let (found, end) = seqs(&text.as_bytes()[..size], 8192);
-        let complete = lasts.iter().filter(|last| **last < size).count();
+        let complete = change_ends.iter().filter(|end| **end < size).count();
         assert_eq!((found.len(), end.is_ok()), (complete, size == text.len()), "cut after {size}");
         let is_cut = matches!(end, Err(ChangeLogError::Interrupted(_)));
-        assert!(closes || is_cut == (size < text.len()), "cut after {size}: {end:?}");
+        assert!(ends_at_close || is_cut == (size < text.len()), "cut after {size}: {end:?}");
     }
 }
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -71,14 +71,14 @@
 
 /// An HTTP answer with each byte in a chunk of its own.
 pub fn chunked(body: &str) -> String {
-    let chunks: String = body.chars().map(|one| format!("1\r\n{one}\r\n")).collect();
+    let chunks: String = body.chars().map(|char| format!("1\r\n{char}\r\n")).collect();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n")
 }
 
 /// A change log that leaves all answers to the test.
 pub struct FakeChangeLog {
     pub address: SocketAddr,
-    asked: Receiver<Poll>,
+    polls: Receiver<Poll>,
     is_stopped: Arc<AtomicBool>,
 }
 
@@ -90,44 +90,44 @@
     /// Serves connections of an existing listener.
     pub fn on_listener(listener: TcpListener) -> FakeChangeLog {
         let address = listener.local_addr().unwrap();
-        let (sender, asked) = channel();
+        let (sender, polls) = channel();
         let is_stopped = Arc::new(AtomicBool::new(false));
         let stopped = is_stopped.clone();
         spawn(move || {
-            for (line, stream) in listener.incoming().map_while(Result::ok).enumerate() {
+            for (connection, stream) in listener.incoming().map_while(Result::ok).enumerate() {
                 if stopped.load(SeqCst) {
                     return;
                 }
                 let sender = sender.clone();
-                spawn(move || read_polls(stream, line, &sender));
+                spawn(move || read_polls(stream, connection, &sender));
             }
         });
-        FakeChangeLog { address, asked, is_stopped }
+        FakeChangeLog { address, polls, is_stopped }
     }
 
     pub fn next_poll(&self) -> Poll {
-        self.asked.recv_timeout(STEP_TIMEOUT).expect("the change log is not polled")
+        self.polls.recv_timeout(STEP_TIMEOUT).expect("the change log is not polled")
     }
 
     /// The next poll for the changes after a given one.
     pub fn next_since(&self, since: u64) -> Poll {
         let end = Instant::now() + STEP_TIMEOUT;
         loop {
-            let asked = self.next_poll();
-            assert!(Instant::now() < end, "only polled for the changes after {}", asked.since);
-            if asked.since == since {
-                return asked;
+            let poll = self.next_poll();
+            assert!(Instant::now() < end, "only polled for the changes after {}", poll.since);
+            if poll.since == since {
+                return poll;
             }
         }
     }
 
     /// All later polls.
-    pub fn asked(self) -> Receiver<Poll> {
-        self.asked
+    pub fn into_polls(self) -> Receiver<Poll> {
+        self.polls
     }
 
-    pub fn is_asked(&self) -> bool {
-        self.asked.try_recv().is_ok()
+    pub fn is_polled(&self) -> bool {
+        self.polls.try_recv().is_ok()
     }
 
     /// Refuses new connections; open ones stay.
@@ -146,16 +146,16 @@
     stream.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     loop {
-        let mut first = String::new();
-        if reader.read_line(&mut first).unwrap_or(0) == 0 {
+        let mut request_line = String::new();
+        if reader.read_line(&mut request_line).unwrap_or(0) == 0 {
             return;
         }
         let at = Instant::now();
-        let mut more = String::new();
-        while reader.read_line(&mut more).unwrap_or(0) > 2 {
-            more.clear();
+        let mut header = String::new();
+        while reader.read_line(&mut header).unwrap_or(0) > 2 {
+            header.clear();
         }
-        let since = first.split("since=").nth(1).and_then(|rest| rest.split('&').next()?.parse().ok());
+        let since = request_line.split("since=").nth(1).and_then(|rest| rest.split('&').next()?.parse().ok());
         let (since, stream) = (since.unwrap(), stream.try_clone().unwrap());
         let _ = sender.send(Poll { since, at, connection, stream });
     }
@@ -275,13 +275,13 @@
 /// Fake hosts whose incoming messages are collected in one channel.
 pub struct FakeHosts {
     sender: Sender<HostMessage>,
-    pub came: Receiver<HostMessage>,
+    pub messages: Receiver<HostMessage>,
 }
 
 impl FakeHosts {
     pub fn new() -> FakeHosts {
-        let (sender, came) = channel();
-        FakeHosts { sender, came }
+        let (sender, messages) = channel();
+        FakeHosts { sender, messages }
     }
 
     pub fn start(&self, host: &'static str) -> SocketAddr {
@@ -312,7 +312,7 @@
     pub fn answer_all(self) -> Receiver<(&'static str, SocketAddr, Instant)> {
         let (sender, answered) = channel();
         spawn(move || {
-            for message in self.came.iter().filter(|message| message.words[0] == "want") {
+            for message in self.messages.iter().filter(|message| message.words[0] == "want") {
                 // Reported before the answer, so that it is there once the client has the answer.
                 let _ = sender.send((message.host, message.from, message.at));
                 message.answer();
@@ -324,7 +324,7 @@
     /// The next request at any host; skips cancellations.
     pub fn next_request(&self) -> HostMessage {
         loop {
-            let message = self.came.recv_timeout(STEP_TIMEOUT).expect("no request came to a host");
+            let message = self.messages.recv_timeout(STEP_TIMEOUT).expect("no request came to a host");
             if message.words[0] == "want" {
                 return message;
             }
@@ -405,8 +405,10 @@
         }
         let listen = first.split("on ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
-        let own = lines.clone();
-        spawn(move || errors.lines().map_while(Result::ok).for_each(|line| own.lock().unwrap().push(line)));
+        let received = lines.clone();
+        spawn(move || {
+            errors.lines().map_while(Result::ok).for_each(|line| received.lock().unwrap().push(line))
+        });
         Dispatcher { child, config, listen, lines }
     }
 
@@ -433,7 +435,7 @@
 /// A client connection; request ids increase by one.
 pub struct Client {
     stream: TcpStream,
-    last: u32,
+    last_id: u32,
 }
 
 #[derive(Debug, PartialEq)]
@@ -448,18 +450,18 @@
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(STEP_TIMEOUT))?;
-        Ok(Client { stream, last: 0 })
+        Ok(Client { stream, last_id: 0 })
     }
 
     /// Sends a request for an object; answers are read with [`Client::answer`].
-    pub fn ask(&mut self, object: u64) -> std::io::Result<()> {
+    pub fn send_request(&mut self, object: u64) -> std::io::Result<()> {
         use rmp::encode::*;
-        self.last += 1;
-        let txn = format!("{:08x}{:08x}", self.stream.local_addr()?.port(), self.last);
+        self.last_id += 1;
+        let txn = format!("{:08x}{:08x}", self.stream.local_addr()?.port(), self.last_id);
         let item = format!("{object:016x}");
         let fields = [("txn", &txn[..]), ("limit", "5000"), ("item", &item), ("block", "0"), ("family", "7")];
         let mut out = vec![0x94, 0];
-        write_uint(&mut out, u64::from(self.last)).unwrap();
+        write_uint(&mut out, u64::from(self.last_id)).unwrap();
         write_str(&mut out, "video").unwrap();
         write_array_len(&mut out, 2).unwrap();
         write_map_len(&mut out, fields.len() as u32).unwrap();
@@ -471,10 +473,10 @@
         self.stream.write_all(&out)
     }
 
-    pub fn ask_status(&mut self) -> std::io::Result<()> {
-        self.last += 1;
+    pub fn send_status_request(&mut self) -> std::io::Result<()> {
+        self.last_id += 1;
         let mut out = vec![0x94, 0];
-        rmp::encode::write_uint(&mut out, u64::from(self.last)).unwrap();
+        rmp::encode::write_uint(&mut out, u64::from(self.last_id)).unwrap();
         out.extend(b"\xa6status\xc0");
         self.stream.write_all(&out)
     }
@@ -482,7 +484,7 @@
     /// The next answer.
     pub fn answer(&mut self) -> std::io::Result<Answer> {
         use rmp::decode::*;
-        let broken = |_| std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
+        let unexpected_end = |_| std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
         let from = &mut self.stream;
         let string = |from: &mut TcpStream| -> std::io::Result<String> {
             let mut bytes = vec![0; read_str_len(from).unwrap() as usize];
@@ -495,7 +497,7 @@
             }
             Ok(())
         };
-        read_array_len(from).map_err(broken)?;
+        read_array_len(from).map_err(unexpected_end)?;
         read_int::<u8, _>(from).unwrap();
         read_int::<u32, _>(from).unwrap();
         if read_marker(from).unwrap() != rmp::Marker::Null {
@@ -505,7 +507,7 @@
             return Ok(Answer::Error(word));
         }
         read_array_len(from).unwrap();
-        let found = match read_marker(from).unwrap() {
+        let answer = match read_marker(from).unwrap() {
             rmp::Marker::True => Answer::Ready(true),
             rmp::Marker::False => Answer::Ready(false),
             rmp::Marker::Bin8 => {
@@ -516,6 +518,6 @@
             other => panic!("unexpected {other:?}"),
         };
         map(from)?;
-        Ok(found)
+        Ok(answer)
     }
 }
--- a/crates/dispatcher/tests/following.rs
+++ b/crates/dispatcher/tests/following.rs
@@ -76,12 +76,12 @@
 #[test_case(Some(true), 30, 200; "a carrier")]
 #[test_case(Some(false), 4, 9; "without a live carrier")]
 fn the_log_is_polled_as_often_as_expected(is_carrier: Option<bool>, min: usize, max: usize) {
-    let (at, requests) = start_log();
-    let (to_thread, from_fleet) = unbounded();
-    to_thread.send(DeliveryEvent::ReadLogDirectly(true)).unwrap();
+    let (address, requests) = start_log();
+    let (delivery_events, from_fleet) = unbounded();
+    delivery_events.send(DeliveryEvent::ReadLogDirectly(true)).unwrap();
     let to_fleet = || Box::new(|_| {});
     let delivery = is_carrier.map(|is_carrier| Delivery { from_fleet, to_fleet: to_fleet(), is_carrier });
-    let inputs = start_following(at, delivery);
+    let inputs = start_following(address, delivery);
     let found = purges(&inputs);
     let requests = requests.load(SeqCst);
     assert!((min..=max).contains(&requests), "polled {requests} times");
--- a/crates/dispatcher/tests/full_size.rs
+++ b/crates/dispatcher/tests/full_size.rs
@@ -118,10 +118,10 @@
     let mut engine = DecisionEngine::new(config.settings.clone(), 1, now);
     engine.update_hosts(now, &listings, true);
     assert!(listings.iter().all(|listing| engine.is_listed(listing.host)));
-    let (own, origin) = (host_id(&format!("h{OWN_LOCATION}")), host_id(&format!("h{ORIGIN_KIND}")));
+    let (local, origin) = (host_id(&format!("h{OWN_LOCATION}")), host_id(&format!("h{ORIGIN_KIND}")));
     assert_eq!(
         first_host(&mut engine, now, 1, ORIGIN_KIND as u16 - 1),
-        Some(own),
+        Some(local),
         "a read goes to the local cache"
     );
     assert_eq!(
@@ -132,9 +132,9 @@
 
     // The operators' file.
     let file = cherrypass_operator::decode("all.jsonnet", operators_file(FULL_SIZE, FULL_SIZE)).unwrap();
-    let set = fleet_connection::fleet_settings(&file.fleet.unwrap(), &config).unwrap();
+    let settings = fleet_connection::fleet_settings(&file.fleet.unwrap(), &config).unwrap();
     assert_eq!(
-        (set.members.len(), set.followers.len(), set.locations.len()),
+        (settings.members.len(), settings.followers.len(), settings.locations.len()),
         (FULL_SIZE, FULL_SIZE, FULL_SIZE)
     );
 }
@@ -175,7 +175,7 @@
 /// A number from the process's status file.
 fn status_number(dispatcher: &Dispatcher, line: &str) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", dispatcher.child.id())).unwrap();
-    let found = status.lines().find(|one| one.starts_with(line)).unwrap();
+    let found = status.lines().find(|text| text.starts_with(line)).unwrap();
     found.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
@@ -188,14 +188,14 @@
     let ids: Vec<HostId> = (0..FULL_SIZE).map(|place| host_id(&format!("h{place}"))).collect();
     (0u64..).filter(move |object| {
         let value = |place: usize| rendezvous(*object, ids[place], 1.0);
-        let home = (0..FULL_SIZE - 2).max_by(|a, b| value(*a).total_cmp(&value(*b)));
-        home.is_some_and(|home| home < answering)
+        let designated = (0..FULL_SIZE - 2).max_by(|a, b| value(*a).total_cmp(&value(*b)));
+        designated.is_some_and(|place| place < answering)
     })
 }
 
 fn is_ready(listen: SocketAddr) -> bool {
     let mut client = Client::connect(listen).unwrap();
-    client.ask_status().unwrap();
+    client.send_status_request().unwrap();
     client.answer().unwrap() == Answer::Ready(true)
 }
 
@@ -211,7 +211,7 @@
     let servers: Vec<Value> = (0..FULL_SIZE)
         .map(|place| entry(&format!("h{place}"), listen(place), OWN_LOCATION, kind(place)))
         .collect();
-    let came = hosts.answer_all();
+    let requests = hosts.answer_all();
     let log = FakeChangeLog::start();
     let start = Instant::now();
     let dispatcher = Dispatcher::start(&config(FULL_SIZE, log.address, &servers).to_string());
@@ -224,18 +224,20 @@
     log.next_since(1).answer(&[event(2, true, &entries)]);
     log.next_since(2);
     let mut client = Client::connect(dispatcher.listen).unwrap();
-    let mut most = 0;
+    let mut max_descriptors = 0;
     for object in objects(ANSWERING).take(VISITS) {
-        client.ask(object).unwrap();
+        client.send_request(object).unwrap();
         assert_eq!(client.answer().unwrap(), Answer::Served, "object {object}");
-        most = most.max(descriptors(&dispatcher));
+        max_descriptors = max_descriptors.max(descriptors(&dispatcher));
     }
     let (memory, threads) = (status_number(&dispatcher, "VmHWM:"), status_number(&dispatcher, "Threads:"));
-    println!("ready after {ready:?}; {memory} kB and {most} descriptors at most, {threads} threads");
+    println!(
+        "ready after {ready:?}; {memory} kB and {max_descriptors} descriptors at most, {threads} threads"
+    );
     assert!(is_ready(dispatcher.listen));
-    assert!(came.try_iter().count() >= VISITS, "fewer requests at hosts than answers");
+    assert!(requests.try_iter().count() >= VISITS, "fewer requests at hosts than answers");
     assert!(memory <= 32 * 1024, "{memory} kB");
-    assert!(most <= 256, "{most} descriptors");
+    assert!(max_descriptors <= 256, "{max_descriptors} descriptors");
     assert_eq!(dispatcher.count_log_lines("invalid"), 0);
     assert_eq!(dispatcher.count_log_lines("cannot open"), 0);
 }
--- a/crates/dispatcher/tests/list.rs
+++ b/crates/dispatcher/tests/list.rs
@@ -59,18 +59,18 @@
 }
 
 /// Names of the hosts that lost their address, each with the name of its holder.
-fn lost(applied: &AppliedUpdate) -> Vec<(&str, &str)> {
-    let lost = applied.faults.iter().filter_map(|(name, fault)| match fault {
+fn displaced(applied: &AppliedUpdate) -> Vec<(&str, &str)> {
+    let found = applied.faults.iter().filter_map(|(name, fault)| match fault {
         EntryFault::AddressTaken { holder, .. } => Some((&name[..], &holder[..])),
         _ => None,
     });
-    let lost: Vec<(&str, &str)> = lost.collect();
-    assert_eq!(lost.len(), applied.displaced.len());
-    for (name, _) in &lost {
+    let found: Vec<(&str, &str)> = found.collect();
+    assert_eq!(found.len(), applied.displaced.len());
+    for (name, _) in &found {
         assert!(applied.displaced.iter().any(|host| host.host == host_id(name) && host.phase == Phase::Gone));
         assert!(applied.hosts.iter().all(|host| host.name != *name), "{name} is in force as well");
     }
-    lost
+    found
 }
 
 #[test_case(None, ago(1), "a"; "only the last one has a start")]
@@ -83,13 +83,16 @@
     let hosts = || vec![host("a", 1, first), host("n", 1, second), host("b", 2, None)];
     let holder = if loser == "a" { "n" } else { "a" };
     // In two updates, in one, and in a whole list that is repeated.
-    let mut two = list();
-    assert!(two.apply_at(NOW, hosts().drain(..1).collect(), false).faults.is_empty());
-    assert_eq!(lost(&two.apply_at(NOW, hosts().drain(1..).collect(), false)), [(loser, holder)]);
-    let mut one = list();
+    let mut updated_twice = list();
+    assert!(updated_twice.apply_at(NOW, hosts().drain(..1).collect(), false).faults.is_empty());
+    assert_eq!(
+        displaced(&updated_twice.apply_at(NOW, hosts().drain(1..).collect(), false)),
+        [(loser, holder)]
+    );
+    let mut updated_whole = list();
     for _ in 0..2 {
-        let applied = one.apply_at(NOW, hosts(), true);
-        assert_eq!(lost(&applied), [(loser, holder)]);
+        let applied = updated_whole.apply_at(NOW, hosts(), true);
+        assert_eq!(displaced(&applied), [(loser, holder)]);
         assert_eq!(applied.hosts.len(), 2);
     }
 }
@@ -98,7 +101,7 @@
 fn one_of_three_hosts_holds_an_address() {
     let applied =
         list().apply_at(NOW, vec![host("a", 1, ago(3)), host("b", 1, ago(1)), host("c", 1, ago(2))], false);
-    let mut found = lost(&applied);
+    let mut found = displaced(&applied);
     found.sort_unstable();
     assert_eq!(found, [("a", "b"), ("c", "b")]);
 }
@@ -128,9 +131,9 @@
     let mut list = list();
     list.apply_at(NOW, vec![host("a", 1, None)], true);
     let applied = list.apply_at(NOW, vec![phase(Phase::Gone, host("a", 1, None)), host("n", 1, None)], false);
-    assert!(lost(&applied).is_empty() && applied.hosts.len() == 2);
+    assert!(displaced(&applied).is_empty() && applied.hosts.len() == 2);
     let applied = list.apply_at(NOW, vec![phase(Phase::Draining, host("a", 1, None))], false);
-    assert_eq!(lost(&applied), [("a", "n")]);
+    assert_eq!(displaced(&applied), [("a", "n")]);
 }
 
 #[test]
@@ -142,8 +145,8 @@
     assert!(applied.faults.is_empty());
 }
 
-#[test_case(ago(9); "an earlier one")]
-#[test_case(None; "none")]
+#[test_case(ago(9); "an earlier start")]
+#[test_case(None; "no start")]
 fn the_latest_start_stays(listed: Option<Time>) {
     let mut list = list();
     list.apply_at(NOW, vec![host("a", 1, ago(5))], false);
@@ -213,7 +216,7 @@
     assert!(applied.faults.is_empty());
 }
 
-/// A start listed before two stamps are known is dated as now, and corrected once they are.
+/// A start that is listed before two stamps are known counts as now, and is corrected once they are.
 #[test]
 fn a_start_is_redated_once_the_change_clock_is_known() {
     let (mut list, mut change_clock) = (list(), ChangeClock::default());
--- a/crates/dispatcher/tests/restarts.rs
+++ b/crates/dispatcher/tests/restarts.rs
@@ -15,13 +15,13 @@
 
 const COUNT: usize = 30;
 /// How many are restarted at a time.
-const AT_ONCE: usize = 3;
+const BATCH_SIZE: usize = 3;
 const READY_IN: Duration = Duration::from_secs(6);
 /// Interval between a client's requests.
 const PACE: Duration = Duration::from_millis(100);
 
 /// The first core that this process may run on.
-fn core() -> String {
+fn allowed_core() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let allowed = status.lines().find_map(|line| line.strip_prefix("Cpus_allowed_list:")).unwrap();
     allowed.trim().split([',', '-']).next().unwrap().to_owned()
@@ -29,16 +29,16 @@
 
 fn start(listen: &str, log: SocketAddr) -> Dispatcher {
     let mut on_one_core = Command::new("taskset");
-    on_one_core.arg("-c").arg(core()).arg(env!("CARGO_BIN_EXE_cherrypass"));
+    on_one_core.arg("-c").arg(allowed_core()).arg(env!("CARGO_BIN_EXE_cherrypass"));
     Dispatcher::start_by(on_one_core, &config(listen, log, "null", 64))
 }
 
 /// How long it takes until the status is ready, even if nothing listens yet.
-fn until_ready(listen: SocketAddr, since: Instant) -> Duration {
+fn time_until_ready(listen: SocketAddr, since: Instant) -> Duration {
     while since.elapsed() < 3 * READY_IN {
         let status = || -> std::io::Result<Answer> {
             let mut client = Client::connect(listen)?;
-            client.ask_status()?;
+            client.send_status_request()?;
             client.answer()
         };
         if matches!(status(), Ok(Answer::Ready(true))) {
@@ -53,7 +53,7 @@
 fn serves(listen: SocketAddr) -> bool {
     let served = || -> std::io::Result<bool> {
         let mut client = Client::connect(listen)?;
-        client.ask(1)?;
+        client.send_request(1)?;
         Ok(matches!(client.answer()?, Answer::Served))
     };
     let end = Instant::now() + READY_IN;
@@ -80,7 +80,7 @@
             spawn(move || {
                 assert!(old.child.wait().unwrap().success(), "it did not exit successfully");
                 let began = Instant::now();
-                let ready = spawn(move || until_ready(listen, began));
+                let ready = spawn(move || time_until_ready(listen, began));
                 let new = start(&listen.to_string(), log);
                 (place, new, ready.join().unwrap())
             })
@@ -98,24 +98,24 @@
     }
 }
 
-fn check_ready_times(what: &str, mut times: Vec<Duration>) {
+fn check_ready_times(case: &str, mut times: Vec<Duration>) {
     times.sort();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
-    println!("{what}: half in {:?}, nine in ten in {:?}, all in {:?}", at(0.5), at(0.9), at(1.0));
+    println!("{case}: half in {:?}, nine in ten in {:?}, all in {:?}", at(0.5), at(0.9), at(1.0));
     let ready = times.iter().filter(|time| **time < READY_IN).count();
-    assert!(times.len() == COUNT && ready * 10 >= COUNT * 9, "{what}: {ready} of {} in time", times.len());
+    assert!(times.len() == COUNT && ready * 10 >= COUNT * 9, "{case}: {ready} of {} in time", times.len());
 }
 
 /// Answers with the list at once, and with no changes after that.
-fn answer_list_requests(requests: Receiver<Poll>, list: String) {
-    for request in requests {
+fn answer_list_requests(polls: Receiver<Poll>, list: String) {
+    for poll in polls {
         let list = list.clone();
         spawn(move || {
-            if request.since == 0 {
-                let _ = request.try_write(http(&body(&[list])).as_bytes());
+            if poll.since == 0 {
+                let _ = poll.try_write(http(&body(&[list])).as_bytes());
             } else {
                 sleep(Duration::from_millis(900));
-                let _ = request.try_write(http(&body(&[])).as_bytes());
+                let _ = poll.try_write(http(&body(&[])).as_bytes());
             }
         });
     }
@@ -133,39 +133,41 @@
             ("o", hosts.start("o"), "in_service"),
         ],
     );
-    let _came = hosts.answer_all();
+    let _requests = hosts.answer_all();
     let log = FakeChangeLog::start();
     let address = log.address;
-    let (log, own) = (log.asked(), list.clone());
-    spawn(move || answer_list_requests(log, own));
-    let first: Vec<_> = (0..COUNT).map(|_| spawn(move || start("127.0.0.1:0", address))).collect();
-    let dispatchers: Vec<Option<Dispatcher>> = first.into_iter().map(|one| one.join().ok()).collect();
-    let listen: Vec<SocketAddr> = dispatchers.iter().map(|one| one.as_ref().unwrap().listen).collect();
+    let (polls, host_list) = (log.into_polls(), list.clone());
+    spawn(move || answer_list_requests(polls, host_list));
+    let starts: Vec<_> = (0..COUNT).map(|_| spawn(move || start("127.0.0.1:0", address))).collect();
+    let dispatchers: Vec<Option<Dispatcher>> = starts.into_iter().map(|thread| thread.join().ok()).collect();
+    let listen: Vec<SocketAddr> =
+        dispatchers.iter().map(|dispatcher| dispatcher.as_ref().unwrap().listen).collect();
     for listen in &listen {
-        until_ready(*listen, Instant::now());
+        time_until_ready(*listen, Instant::now());
     }
     let mut fleet = Fleet { dispatchers, listen: listen.clone(), log: address };
     let listening = listen.clone();
 
-    let (served, over) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
+    let (served, is_over) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
     let clients: Vec<_> = listen
         .into_iter()
         .map(|listen| {
-            let (served, over) = (served.clone(), over.clone());
+            let (served, is_over) = (served.clone(), is_over.clone());
             spawn(move || {
-                let mut line = None;
+                let mut client = None;
                 for object in 0.. {
-                    if over.load(SeqCst) {
+                    if is_over.load(SeqCst) {
                         return;
                     }
-                    line = line.or_else(|| Client::connect(listen).ok());
-                    let answer =
-                        line.as_mut().map(|line: &mut Client| line.ask(object).and_then(|()| line.answer()));
+                    client = client.or_else(|| Client::connect(listen).ok());
+                    let answer = client.as_mut().map(|client: &mut Client| {
+                        client.send_request(object).and_then(|()| client.answer())
+                    });
                     match answer {
                         Some(Ok(Answer::Served)) => {
                             served.fetch_add(1, SeqCst);
                         }
-                        Some(Err(_)) => line = None,
+                        Some(Err(_)) => client = None,
                         _ => {}
                     }
                     sleep(PACE);
@@ -175,8 +177,8 @@
         .collect();
 
     let mut steps = Vec::new();
-    for step in 0..COUNT / AT_ONCE {
-        steps.extend(fleet.restart(step * AT_ONCE..(step + 1) * AT_ONCE));
+    for step in 0..COUNT / BATCH_SIZE {
+        steps.extend(fleet.restart(step * BATCH_SIZE..(step + 1) * BATCH_SIZE));
         sleep(Duration::from_millis(300));
     }
     check_ready_times("a tenth at a time", fleet.join(steps));
@@ -187,12 +189,12 @@
     let all = fleet.restart(0..COUNT);
     spawn(move || {
         sleep(Duration::from_secs(4));
-        answer_list_requests(down.listen().asked(), list);
+        answer_list_requests(down.listen().into_polls(), list);
     });
     check_ready_times("all at once, the change log down for 3 s", fleet.join(all));
     let not_serving: Vec<_> = listening.into_iter().filter(|listen| !serves(*listen)).collect();
     assert!(not_serving.is_empty(), "not serving: {not_serving:?}");
-    over.store(true, SeqCst);
+    is_over.store(true, SeqCst);
     clients.into_iter().for_each(|client| client.join().unwrap());
     println!("{} requests served meanwhile", served.load(SeqCst));
     assert!(served.load(SeqCst) > COUNT * 10, "{}", served.load(SeqCst));
--- a/crates/dispatcher/tests/rollout_command.rs
+++ b/crates/dispatcher/tests/rollout_command.rs
@@ -32,14 +32,14 @@
 
 fn rollout(control: SocketAddr, arguments: &[&str]) -> (i32, String) {
     let program = env!("CARGO_BIN_EXE_cherrypass");
-    let done = Command::new(program)
+    let result = Command::new(program)
         .args(["rollout", "--control", &control.to_string()])
         .args(arguments)
         .stdin(Stdio::null())
         .output()
         .unwrap();
-    let output = [done.stdout, done.stderr].map(|bytes| String::from_utf8(bytes).unwrap()).concat();
-    (done.status.code().unwrap(), output)
+    let output = [result.stdout, result.stderr].map(|bytes| String::from_utf8(bytes).unwrap()).concat();
+    (result.status.code().unwrap(), output)
 }
 
 const ROLLING: &str = r#"{"rollout": {"number": 2, "phase": "rolling", "stage": 0, "stages": 3, "in_force": 0,
@@ -50,14 +50,14 @@
 #[test_case(200, ROLLING, "halt", 0, "rules 2: rolling, stage 0, the last is 2; in force there: 0; run by d3"; "accepted")]
 #[test_case(200, HALTED, "status", 3, "rules 2 are halted: d1 found: late"; "halted")]
 #[test_case(200, ROLLING, "status", 0, "rules 2: rolling"; "rolling")]
-#[test_case(400, "rollout-busy: version 2 is on its way", "back", 1, "version 2 is on its way"; "refused for now")]
-#[test_case(400, "rollout-number: number 0 can't be used", "back", 2, "number 0 can't be used"; "refused for good")]
+#[test_case(400, "rollout-busy: version 2 is on its way", "back", 1, "version 2 is on its way"; "refused while another rollout runs")]
+#[test_case(400, "rollout-number: number 0 can't be used", "back", 2, "number 0 can't be used"; "refused for an invalid number")]
 #[test_case(503, "the fleet has stopped", "resume", 1, "the fleet has stopped"; "the fleet has stopped")]
 #[test_case(200, "hello", "status", 1, "does not answer as a dispatcher does"; "not a dispatcher")]
 fn each_answer_has_its_exit_code(status: u16, body: &'static str, command: &str, code: i32, words: &str) {
     let (control, _) = fake_dispatcher(status, body);
-    let (found, output) = rollout(control, &[command]);
-    assert!(found == code && output.contains(words), "{found}: {output}");
+    let (exit_code, output) = rollout(control, &[command]);
+    assert!(exit_code == code && output.contains(words), "{exit_code}: {output}");
 }
 
 #[test]
--- a/crates/dispatcher/tests/store_command.rs
+++ b/crates/dispatcher/tests/store_command.rs
@@ -51,10 +51,10 @@
 fn confirmed_numbers_survive_a_kill_at_any_point() {
     let folder = tempfile::tempdir().unwrap();
     let dir = folder.path().join("store");
-    let mut random = Pcg64Mcg::seed_from_u64(3);
+    let mut rng = Pcg64Mcg::seed_from_u64(3);
     let (mut confirmed, mut next, mut has_compacted) = (BTreeMap::new(), 0, false);
     for round in 0..36 {
-        let wait = Duration::from_millis(random.gen_range(5..130));
+        let wait = Duration::from_millis(rng.gen_range(5..130));
         let (new, end) = put_and_kill(&dir, next, wait);
         next = end;
         confirmed.extend(new);
@@ -125,6 +125,7 @@
     assert_eq!(repaired.status.code(), Some(3));
     assert!(String::from_utf8_lossy(&repaired.stdout).contains("lost: 0000000001.log at byte"));
     assert!(run(&["verify", &repaired_dir], "").status.success());
-    let left = run(&["list", &repaired_dir, "s"], "").stdout.iter().filter(|byte| **byte == b'\n').count();
-    assert_eq!(left, 299, "one batch with one record is lost");
+    let remaining =
+        run(&["list", &repaired_dir, "s"], "").stdout.iter().filter(|byte| **byte == b'\n').count();
+    assert_eq!(remaining, 299, "one batch with one record is lost");
 }
