--- a/crates/dispatcher/tests/sockets_bed/client_commands.rs
+++ b/crates/dispatcher/tests/sockets_bed/client_commands.rs
@@ -21,8 +21,8 @@
             match name {
                 "bytes" => assert_eq!(answer.bytes.to_string(), value),
                 "within" => {
-                    let took = answer.at - self.clients[client].sent_at[&id];
-                    assert!(took < Duration::from_millis(value.parse().unwrap()), "after {took:?}");
+                    let latency = answer.at - self.clients[client].sent_at[&id];
+                    assert!(latency < Duration::from_millis(value.parse().unwrap()), "after {latency:?}");
                 }
                 _ => assert_eq!(answer.fields.get(name).map(|v| &v[..]), Some(value), "{answer:?}"),
             }
@@ -33,10 +33,10 @@
     pub fn run_client_command(&mut self, words: &[&str]) -> bool {
         let host = |name: &str| self.hosts.get(name).unwrap();
         match words {
-            ["client", name, more @ ..] => {
-                let number: usize = more.first().and_then(|n| n.parse().ok()).unwrap_or(1);
+            ["client", name, options @ ..] => {
+                let number: usize = options.first().and_then(|n| n.parse().ok()).unwrap_or(1);
                 let listen = &self.dispatchers[number - 1].listen;
-                let client = Client::start(listen, more.contains(&"deaf"), more.contains(&"narrow"));
+                let client = Client::start(listen, options.contains(&"deaf"), options.contains(&"narrow"));
                 self.clients.insert((*name).into(), client);
             }
             ["ask", client, id, class, object, given @ ..] => {
@@ -119,11 +119,11 @@
                 Some(client) => client.start_reading(),
                 None => self.hosts.get_mut(*name).unwrap().accept_again(),
             },
-            ["crowd", count, more @ ..] => {
+            ["crowd", count, options @ ..] => {
                 let listen = &self.dispatchers[0].listen;
                 let count: usize = count.parse().unwrap();
                 self.idle_streams = (0..count).map(|_| TcpStream::connect(listen).unwrap()).collect();
-                if more == ["asked"] {
+                if options == ["asked"] {
                     let send_request =
                         |mut stream: &TcpStream| stream.write_all(&encode_status_requests(1..=1)).unwrap();
                     self.idle_streams.iter().for_each(send_request);
@@ -132,11 +132,14 @@
             ["expect", client, id, word, more @ ..] => {
                 self.expect_answer(client, id.parse().unwrap(), word, more)
             }
-            ["once", client, id, most @ ..] => {
+            ["once", client, id, limit @ ..] => {
                 let (id, client) = (id.parse().unwrap(), self.clients.get_mut(*client).unwrap());
-                let took = client.expect_answer(id).at - client.sent_at[&id];
-                if let Some(most) = most.first() {
-                    assert!(took < Duration::from_millis(most.parse().unwrap()), "{id} after {took:?}");
+                let latency = client.expect_answer(id).at - client.sent_at[&id];
+                if let Some(limit) = limit.first() {
+                    assert!(
+                        latency < Duration::from_millis(limit.parse().unwrap()),
+                        "{id} after {latency:?}"
+                    );
                 }
             }
             ["either", client, id, object] => {
--- a/crates/dispatcher/tests/sockets_bed/dispatchers.rs
+++ b/crates/dispatcher/tests/sockets_bed/dispatchers.rs
@@ -132,9 +132,9 @@
     pub fn open_files_and_pending(&self) -> [usize; 2] {
         let files = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count();
         let port = self.listen.rsplit(':').next().unwrap().parse::<u16>().unwrap();
-        let all = std::fs::read_to_string("/proc/net/tcp").unwrap();
+        let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let listens = |words: &[&str]| words[1].ends_with(&format!(":{port:04X}")) && words[3] == "0A";
-        let mut lines = all.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+        let mut lines = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
         let line = lines.find(|words| listens(words)).expect("no listening socket");
         [files, usize::from_str_radix(line[4].split(':').nth(1).unwrap(), 16).unwrap()]
     }
--- a/crates/dispatcher/tests/sockets_bed/host_commands.rs
+++ b/crates/dispatcher/tests/sockets_bed/host_commands.rs
@@ -15,7 +15,7 @@
         let end = Instant::now() + TIMEOUT;
         let (name, message) = loop {
             let mut hosts = self.hosts.iter().filter(|(host, _)| name == "any" || *host == name);
-            let found = hosts.find_map(|(host, known)| Some((host.clone(), known.messages.try_recv().ok()?)));
+            let found = hosts.find_map(|(name, host)| Some((name.clone(), host.messages.try_recv().ok()?)));
             if let Some(found) = found {
                 break found;
             }
@@ -43,13 +43,13 @@
                 assert_ne!(fields.get(name), Some(&value), "{word}, but {encoded}");
             } else if let Some(name) = word.strip_prefix('!') {
                 assert!(!fields.contains_key(name), "{name} in {encoded}");
-            } else if let Some((name, most)) = word.split_once('<') {
+            } else if let Some((name, max)) = word.split_once('<') {
                 let value: u64 =
                     fields.get(name).unwrap_or_else(|| panic!("no {name} in {encoded}")).parse().unwrap();
-                assert!((1..most.parse().unwrap()).contains(&value), "{word}, but {encoded}");
-            } else if let Some((name, least)) = word.split_once('>') {
+                assert!((1..max.parse().unwrap()).contains(&value), "{word}, but {encoded}");
+            } else if let Some((name, min)) = word.split_once('>') {
                 let value: Option<u64> = fields.get(name).map(|value| value.parse().unwrap());
-                assert!(value > Some(least.parse().unwrap()), "{word}, but {encoded}");
+                assert!(value > Some(min.parse().unwrap()), "{word}, but {encoded}");
             } else if let Some(size) = word.strip_prefix("body=") {
                 assert_eq!(message.words[3], "y".repeat(size.parse().unwrap()));
             } else {
@@ -93,8 +93,9 @@
 
     /// The number of attempts for an object at all hosts so far.
     pub fn count_attempts(&self, object: &str) -> usize {
-        let named = format!("{object:0>16}");
-        let count = |host: &Host| host.server.objects.lock().unwrap().iter().filter(|o| **o == named).count();
+        let object = format!("{object:0>16}");
+        let count =
+            |host: &Host| host.server.objects.lock().unwrap().iter().filter(|o| **o == object).count();
         self.hosts.values().map(count).sum()
     }
 
--- a/crates/dispatcher/tests/sockets_bed/hosts.rs
+++ b/crates/dispatcher/tests/sockets_bed/hosts.rs
@@ -40,7 +40,7 @@
 
 /// A simulated cache, parent or origin, which receives messages at several addresses and answers on command.
 pub struct Host {
-    pub sort: &'static str,
+    pub role: &'static str,
     pub addresses: Vec<SocketAddr>,
     /// Sockets that are bound to the addresses and never listen, so that no other socket takes a port while
     /// the host doesn't listen on it.
@@ -117,7 +117,7 @@
 }
 
 impl Host {
-    pub fn start(sort: &'static str, narrow: bool) -> Host {
+    pub fn start(role: &'static str, narrow: bool) -> Host {
         let (sender, messages) = channel();
         let (streams, is_stopped, is_reading_stopped) = Default::default();
         let (auto_answer_bytes, paced_answers, busy_places, accepted, objects) = Default::default();
@@ -140,7 +140,7 @@
         let (last_message, backlog_streams, unaccepting_listeners) = Default::default();
         let (old_connections, last_answer, unsent_bytes) = Default::default();
         let host = Host {
-            sort,
+            role,
             addresses,
             _reserved_ports: reserved_ports,
             messages,
--- a/crates/dispatcher/tests/sockets_bed/load_commands.rs
+++ b/crates/dispatcher/tests/sockets_bed/load_commands.rs
@@ -56,13 +56,13 @@
             let mut client = Client::start(&self.dispatchers[0].listen, false, false);
             spawn(move || {
                 let port = client.stream.local_addr().unwrap().port();
-                let took = (1..=count as u32).map(|id| {
+                let latencies = (1..=count as u32).map(|id| {
                     client.send_request(id, "video", &format!("{port:x}{id:x}"), &[]);
                     let answer = client.expect_answer(id);
                     assert!(["settled", "Rejected"].contains(&&answer.word[..]), "{answer:?}");
                     (answer.at - client.sent_at[&id], answer.word == "settled")
                 });
-                took.collect::<Vec<_>>()
+                latencies.collect::<Vec<_>>()
             })
         });
         let threads: Vec<_> = threads.collect();
@@ -81,20 +81,20 @@
                 let port = client.stream.local_addr().unwrap().port();
                 let mut served = [[0.0_f64; 2]; SIZES.len()];
                 for id in 1..=count + SIZED_OPEN_REQUESTS {
-                    let sort = |id: u32| [0, 1, 1, 2, 2, 2, 2, 2, 2, 2][id as usize % 10];
+                    let size_index = |id: u32| [0, 1, 1, 2, 2, 2, 2, 2, 2, 2][id as usize % 10];
                     if id <= count {
-                        let object = format!("{port:x}{id:x}{}", SIZES[sort(id)].0);
+                        let object = format!("{port:x}{id:x}{}", SIZES[size_index(id)].0);
                         client.send_request(id, "video", &object, &[]);
                     }
                     if let Some(id) = id.checked_sub(SIZED_OPEN_REQUESTS).filter(|id| *id > 0) {
                         let answer = client.expect_answer(id);
                         assert!(["settled", "Rejected"].contains(&&answer.word[..]), "{answer:?}");
                         assert!(
-                            answer.word != "settled" || answer.bytes == SIZES[sort(id)].1,
+                            answer.word != "settled" || answer.bytes == SIZES[size_index(id)].1,
                             "{} bytes",
                             answer.bytes
                         );
-                        served[sort(id)][usize::from(answer.word == "settled")] += 1.0;
+                        served[size_index(id)][usize::from(answer.word == "settled")] += 1.0;
                     }
                 }
                 served
@@ -102,8 +102,8 @@
         });
         let threads: Vec<_> = threads.collect();
         let all: Vec<_> = threads.into_iter().map(|thread| thread.join().unwrap()).collect();
-        let share = |sorts: std::ops::Range<usize>| {
-            let counts = all.iter().flat_map(|sizes| &sizes[sorts.clone()]);
+        let share = |range: std::ops::Range<usize>| {
+            let counts = all.iter().flat_map(|sizes| &sizes[range.clone()]);
             let [not, served] = counts.fold([0.0; 2], |sum, count| [sum[0] + count[0], sum[1] + count[1]]);
             served / (not + served)
         };
@@ -114,17 +114,20 @@
     pub fn run_load_command(&mut self, words: &[&str]) -> bool {
         match words {
             ["wait", ms] => sleep(Duration::from_millis(ms.parse().unwrap())),
-            ["lap", most @ ..] => {
-                let took = self.last_lap.replace(Instant::now()).map(|lap| lap.elapsed());
-                if let Some(most) = most.first() {
-                    assert!(took.unwrap() < Duration::from_millis(most.parse().unwrap()), "after {took:?}");
+            ["lap", limit @ ..] => {
+                let elapsed = self.last_lap.replace(Instant::now()).map(|lap| lap.elapsed());
+                if let Some(limit) = limit.first() {
+                    assert!(
+                        elapsed.unwrap() < Duration::from_millis(limit.parse().unwrap()),
+                        "after {elapsed:?}"
+                    );
                 }
             }
             ["usual", count, beside @ ..] => {
                 let count = count.parse().unwrap();
                 let (alone, served) = self.run_ordinary_clients(count);
                 println!("alone: {alone:?}, {served} served");
-                let ["beside", most] = beside else { return true };
+                let ["beside", limit] = beside else { return true };
                 let (until, listen) = (Arc::new(AtomicBool::new(false)), self.dispatchers[0].listen.clone());
                 let misbehave_until = until.clone();
                 let misbehaving = spawn(move || run_misbehaving_clients(&listen, &misbehave_until));
@@ -134,9 +137,9 @@
                     "beside {} misbehaving ones: {beside:?}, {served} served",
                     misbehaving.join().unwrap()
                 );
-                let most = Duration::from_millis(most.parse().unwrap());
+                let limit = Duration::from_millis(limit.parse().unwrap());
                 assert!(
-                    beside[1] < most,
+                    beside[1] < limit,
                     "99th percentile {:?} beside misbehaving clients, {:?} alone",
                     beside[1],
                     alone[1]
@@ -145,8 +148,8 @@
             ["largest", count, part] => {
                 let [all, largest, next] = self.shares_by_size(count.parse().unwrap());
                 println!("served {all:.3}, of the largest tenth {largest:.3}, of the next fifth {next:.3}");
-                let least = part.parse::<f64>().unwrap() * all;
-                assert!(all >= 0.5 && largest >= least && next >= least, "{all} {largest} {next}");
+                let min = part.parse::<f64>().unwrap() * all;
+                assert!(all >= 0.5 && largest >= min && next >= min, "{all} {largest} {next}");
             }
             _ => return false,
         }
--- a/crates/dispatcher/tests/sockets_bed/setup_commands.rs
+++ b/crates/dispatcher/tests/sockets_bed/setup_commands.rs
@@ -51,20 +51,20 @@
         let host = |name: &str| self.hosts.get(name).unwrap();
         match words {
             ["host", name, "at", other] => {
-                let known = self.hosts.remove(*other).unwrap();
-                self.hosts.insert((*name).into(), known);
+                let host = self.hosts.remove(*other).unwrap();
+                self.hosts.insert((*name).into(), host);
             }
-            ["host", name, sort, more @ ..] => {
-                let sort = ["cache", "parent", "origin"].into_iter().find(|s| s == sort).unwrap();
-                self.hosts.insert((*name).into(), Host::start(sort, more == ["narrow"]));
+            ["host", name, role, options @ ..] => {
+                let role = ["cache", "parent", "origin"].into_iter().find(|known| known == role).unwrap();
+                self.hosts.insert((*name).into(), Host::start(role, options == ["narrow"]));
             }
             ["many", count, name] => {
-                for place in 0..count.parse().unwrap() {
-                    for number in 0..host(name).addresses.len() {
-                        let alias = self.alias(name, place, number);
+                for index in 0..count.parse().unwrap() {
+                    for dispatcher in 0..host(name).addresses.len() {
+                        let alias = self.alias(name, index, dispatcher);
                         host(name).open(listener(&alias.to_string(), false, BACKLOG));
                     }
-                    self.aliases.push((place, (*name).into()));
+                    self.aliases.push((index, (*name).into()));
                 }
             }
             ["memory", mb] => self.memory_mb = mb.parse().unwrap(),
@@ -97,9 +97,9 @@
             ["start", count @ ..] => {
                 let count = count.first().map_or(1, |n| n.parse().unwrap());
                 self.change_logs = (0..count).map(|_| ChangeLog::start()).collect();
-                let all: Vec<(&str, &str)> =
+                let entries: Vec<(&str, &str)> =
                     self.hosts.keys().map(|name| (&name[..], "in_service")).collect();
-                self.add_list_change(&all, true);
+                self.add_list_change(&entries, true);
                 if let Some(mode) = &self.unknown_mode {
                     self.change_logs
                         .iter()
@@ -118,7 +118,7 @@
             ["signal", name] => self.dispatchers[0].signal(&format!("-{name}")),
             ["pause"] => self.dispatchers[0].pause(),
             ["resume"] => self.dispatchers[0].signal("-CONT"),
-            ["exit", code, most @ ..] => {
+            ["exit", code, limit @ ..] => {
                 let end = Instant::now() + 2 * TIMEOUT;
                 let status = loop {
                     if let Some(status) = self.dispatchers[0].child.try_wait().unwrap() {
@@ -128,9 +128,9 @@
                     sleep(Duration::from_millis(5));
                 };
                 assert_eq!(status.code(), Some(code.parse().unwrap()), "{status}");
-                if let Some(most) = most.first() {
-                    let took = self.terminated_at.unwrap().elapsed();
-                    assert!(took < Duration::from_millis(most.parse().unwrap()), "after {took:?}");
+                if let Some(limit) = limit.first() {
+                    let elapsed = self.terminated_at.unwrap().elapsed();
+                    assert!(elapsed < Duration::from_millis(limit.parse().unwrap()), "after {elapsed:?}");
                 }
             }
             ["reload", words @ ..] => self.dispatchers[0].reload(&words.join(" ")),
@@ -156,21 +156,21 @@
                 let folder = |name: &str| format!("/proc/{}/{name}", self.dispatchers[0].child.id());
                 let count = |name| std::fs::read_dir(folder(name)).unwrap().count();
                 let end = Instant::now() + TIMEOUT;
-                let most: [usize; 2] = [threads.parse().unwrap(), files.parse().unwrap()];
-                while count("task") > most[0] || count("fd") > most[1] {
+                let limits: [usize; 2] = [threads.parse().unwrap(), files.parse().unwrap()];
+                while count("task") > limits[0] || count("fd") > limits[1] {
                     assert!(Instant::now() < end, "{} threads, {} files", count("task"), count("fd"));
                     sleep(QUIET);
                 }
             }
-            ["stands", most, within] => {
-                let (most, within): (usize, u64) = (most.parse().unwrap(), within.parse().unwrap());
+            ["stands", limit, within] => {
+                let (limit, within): (usize, u64) = (limit.parse().unwrap(), within.parse().unwrap());
                 let end = Instant::now() + Duration::from_millis(within);
                 loop {
-                    let [files, waiting] = self.dispatchers[0].open_files_and_pending();
-                    if files + waiting <= most {
+                    let [files, pending] = self.dispatchers[0].open_files_and_pending();
+                    if files + pending <= limit {
                         break;
                     }
-                    assert!(Instant::now() < end, "{files} files, and {waiting} wait at its listener");
+                    assert!(Instant::now() < end, "{files} files, and {pending} wait at its listener");
                     sleep(Duration::from_millis(5));
                 }
             }
@@ -188,10 +188,10 @@
                 let call = Call::from_name(call).expect("no such call");
                 self.shim.as_ref().unwrap().set_fault(call, fault).unwrap();
             }
-            ["delivered", call, least] => {
+            ["delivered", call, min] => {
                 let call = Call::from_name(call).expect("no such call");
                 let [made, delivered] = self.shim.as_ref().unwrap().counts(call).unwrap();
-                assert!(delivered >= least.parse().unwrap(), "{delivered} of {made} calls");
+                assert!(delivered >= min.parse().unwrap(), "{delivered} of {made} calls");
             }
             _ => return false,
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -286,8 +286,8 @@
     }
 
     fn add_class(&mut self, name: &str, effect: &str, words: &[&str]) {
-        let known = key_values(words);
-        let span = |key: &str, other| Span(known.get(key).map_or(other, |word| micros(word)));
+        let options = key_values(words);
+        let span = |key: &str, other| Span(options.get(key).map_or(other, |word| micros(word)));
         let effect = match effect {
             "idempotent" => Effect::Idempotent,
             "at-most-once" => Effect::AtMostOnce,
@@ -303,7 +303,7 @@
             target_stretch: 2.0,
             fresh_for: span("fresh", 0),
             stale_for: span("grace", 0),
-            is_write: known.contains_key("writes"),
+            is_write: options.contains_key("writes"),
         });
     }
 
