--- a/crates/store/src/checkpoint.rs
+++ b/crates/store/src/checkpoint.rs
@@ -180,7 +180,7 @@
             .and_then(|()| self.disk.rename(&unfinished, &finished))
             .and_then(|()| self.disk.sync_folder());
         result.map_err(Error::io(format!("writing {finished}")))?;
-        let names = self.disk.names().map_err(Error::io("listing the folder"))?;
+        let names = self.disk.names().map_err(Error::io("listing the files of the store"))?;
         for old in names.iter().filter(|name| name.ends_with(FINISHED_SUFFIX) && **name < finished) {
             let _ = self.disk.remove(old);
         }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -81,34 +81,38 @@
     pub fn lock(path: &Path) -> Result<Folder, Error> {
         let context = |what: &str| Error::io(format!("{what} {}", path.display()));
         if !path.is_dir() {
-            fs::create_dir_all(path).map_err(context("making"))?;
+            fs::create_dir_all(path).map_err(context("creating directory"))?;
             let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty());
             let parent = fs::File::open(parent.unwrap_or(Path::new(".")));
-            parent.and_then(|parent| parent.sync_all()).map_err(context("syncing the parent folder of"))?;
+            parent
+                .and_then(|parent| parent.sync_all())
+                .map_err(context("syncing the parent of directory"))?;
         }
         let mut options = OpenOptions::new();
         let lock = options.create(true).truncate(false).write(true).open(path.join(LOCK_FILE));
-        let lock = lock.map_err(context("locking"))?;
+        let lock = lock.map_err(context("locking directory"))?;
         match lock.try_lock() {
             Ok(()) => Folder::with_lock(path, Some(lock)),
             Err(TryLockError::WouldBlock) => Err(Error::Locked(path.display().to_string())),
-            Err(TryLockError::Error(error)) => Err(context("locking")(error)),
+            Err(TryLockError::Error(error)) => Err(context("locking directory")(error)),
         }
     }
 
     /// Opens an existing store for reading with a shared lock; creates and writes nothing.
     pub fn open_read_only(path: &Path) -> Result<Folder, Error> {
         let context = |what: &str| Error::io(format!("{what} {}", path.display()));
-        let lock = fs::File::open(path.join(LOCK_FILE)).map_err(context("opening the store in"))?;
+        let lock =
+            fs::File::open(path.join(LOCK_FILE)).map_err(context("opening the lock file in directory"))?;
         match lock.try_lock_shared() {
             Ok(()) => Folder::with_lock(path, Some(lock)),
             Err(TryLockError::WouldBlock) => Err(Error::Locked(path.display().to_string())),
-            Err(TryLockError::Error(error)) => Err(context("locking")(error)),
+            Err(TryLockError::Error(error)) => Err(context("locking directory")(error)),
         }
     }
 
     fn with_lock(path: &Path, lock: Option<fs::File>) -> Result<Folder, Error> {
-        let directory = fs::File::open(path).map_err(Error::io(format!("opening {}", path.display())))?;
+        let directory =
+            fs::File::open(path).map_err(Error::io(format!("opening directory {}", path.display())))?;
         Ok(Folder { path: path.to_owned(), directory, _lock: lock })
     }
 }
--- a/crates/store/src/engine.rs
+++ b/crates/store/src/engine.rs
@@ -446,7 +446,7 @@
             Err(error) => return Err(self.become_read_only(format!("creating {name} failed: {error}"))),
         };
         if let Err(error) = file.sync().and_then(|()| self.disk.sync_folder()) {
-            return Err(self.become_read_only(format!("syncing {name} and its folder failed: {error}")));
+            return Err(self.become_read_only(format!("syncing {name} and its directory failed: {error}")));
         }
         let segment = Arc::new(Segment { id, salt: header.salt, file });
         if let Some(old) = self.active.take() {
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -42,7 +42,7 @@
 
 /// Recovers the state of a store from its files.
 pub fn recover(disk: &dyn Disk, options: &Options) -> Result<Recovered, Error> {
-    let names = disk.names().map_err(Error::io("listing the folder"))?;
+    let names = disk.names().map_err(Error::io("listing the files of the store"))?;
     let mut obsolete_files: Vec<String> =
         names.iter().filter(|n| n.ends_with(checkpoint::UNFINISHED_SUFFIX)).cloned().collect();
     let mut notes = Vec::new();
@@ -181,7 +181,7 @@
         let segment = &found[&last_id].segment;
         let tail = segment.read(synced_end, (end - synced_end) as usize)?;
         let synced = write_all(&*segment.file, synced_end, &tail).and_then(|()| segment.file.sync());
-        synced.and_then(|()| disk.sync_folder()).map_err(Error::io("syncing what was recovered"))?;
+        synced.and_then(|()| disk.sync_folder()).map_err(Error::io("syncing the recovered log"))?;
     }
     if is_torn {
         notes.push(format!("{} has a torn tail at byte {end}", last_id.file_name()));
--- a/crates/store/src/repair.rs
+++ b/crates/store/src/repair.rs
@@ -22,7 +22,7 @@
     disk: &dyn Disk,
     mut on_batch: impl FnMut(Batch) -> Result<(), Error>,
 ) -> Result<RepairReport, Error> {
-    let names = disk.names().map_err(Error::io("listing the folder"))?;
+    let names = disk.names().map_err(Error::io("listing the files of the store"))?;
     let mut report = RepairReport::default();
     let mut previous: Option<SegmentId> = None;
     for id in names.iter().filter_map(|name| SegmentId::from_file_name(name)) {
