--- a/crates/peers/examples/idle.rs
+++ b/crates/peers/examples/idle.rs
@@ -21,11 +21,11 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let most: u32 = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(9);
+    let count: u32 = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(9);
     let seconds = std::env::args().nth(2).and_then(|n| n.parse().ok()).unwrap_or(30);
     let all_on = std::env::args().nth(3).is_some_and(|arg| arg == "all");
     let events = std::env::temp_dir().join(format!("cherrypass-idle-{}.jsonl", std::process::id()));
-    let free = (0..most).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>()?;
+    let free = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>()?;
     let at = free.iter().map(UdpSocket::local_addr).collect::<Result<Vec<SocketAddr>, _>>()?;
     drop(free);
     let name = |i: usize| format!("d{i}");
@@ -36,11 +36,11 @@
         .collect();
     let mut all = Vec::new();
     for (i, at) in at.iter().enumerate() {
-        let mut set = Settings::new("shop", &name(i), *at);
-        set.members = members.clone();
+        let mut settings = Settings::new("shop", &name(i), *at);
+        settings.members = members.clone();
         if all_on {
-            set.events = Some(events.clone());
-            set.control = Some(std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?);
+            settings.events = Some(events.clone());
+            settings.control = Some(std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?);
         }
         let limits = limits::Settings {
             origin: Some(40.0),
@@ -48,22 +48,22 @@
             limits_cold_hosts: true,
             ..limits::Settings::default()
         };
-        set.protocols = node::Settings {
+        settings.protocols = node::Settings {
             limits: Some(limits),
             verdicts: Some(verdicts::Settings::default()),
             rollout: Some(rollout::Settings::default()),
             ..node::Settings::default()
         };
-        all.push(Peers::start(set, None, |_| {}, |_| {})?);
+        all.push(Peers::start(settings, None, |_| {}, |_| {})?);
     }
     std::thread::sleep(Duration::from_secs(10));
-    let (begun, used) = (Instant::now(), cpu_seconds());
+    let (started, used) = (Instant::now(), cpu_seconds());
     std::thread::sleep(Duration::from_secs(seconds));
-    let used = (cpu_seconds() - used) / begun.elapsed().as_secs_f64() / f64::from(most);
+    let used = (cpu_seconds() - used) / started.elapsed().as_secs_f64() / f64::from(count);
     let after = [field("/proc/self/status", "VmRSS:"), field("/proc/self/status", "Threads:")];
-    let each = |i: usize| (after[i] - before[i]) / f64::from(most);
+    let each = |i: usize| (after[i] - before[i]) / f64::from(count);
     println!(
-        "{most} members, each: {} threads, {:.0} kB, {:.3}% of a core idle",
+        "{count} members, each: {} threads, {:.0} kB, {:.3}% of a core idle",
         each(1),
         each(0),
         used * 100.0
--- a/crates/peers/src/driven.rs
+++ b/crates/peers/src/driven.rs
@@ -19,13 +19,12 @@
 }
 
 impl DrivenMember {
-    /// `out` sends one datagram, `tell` receives messages to the dispatcher, `log` lines for the operator.
-    /// `listen` and
-    /// `control` of the settings are not used.
+    /// `out` sends one datagram, `notify` receives messages to the dispatcher, `log` lines for the operator.
+    /// `listen` and `control` of the settings are not used.
     pub fn start(
         settings: Settings,
         out: impl Fn(&[u8], SocketAddr) + Send + 'static,
-        tell: impl Fn(FromFleet) + Send + 'static,
+        notify: impl Fn(FromFleet) + Send + 'static,
         log: impl Fn(&str) + Send + Sync + 'static,
     ) -> Result<DrivenMember, Error> {
         settings.check()?;
@@ -35,7 +34,7 @@
             rollout_store: RolloutStore::in_memory(),
             stored_records: Vec::new(),
             log: Arc::new(log),
-            notify_dispatcher: Box::new(tell),
+            notify_dispatcher: Box::new(notify),
             send_datagram: Box::new(out),
             own_inputs: own,
             backlog: Arc::new(Backlog::default()),
@@ -53,13 +52,13 @@
     }
 
     /// Handles a message from the dispatcher.
-    pub fn handle_dispatcher_message(&mut self, what: ToFleet) {
+    pub fn handle_dispatcher_message(&mut self, message: ToFleet) {
         let now = self.run.clock.now();
-        self.run.handle_dispatcher_message(now, what);
+        self.run.handle_dispatcher_message(now, message);
         self.apply_effects(now);
     }
 
-    /// When [`Driven::woken`] has to be called next.
+    /// When [`DrivenMember::tick`] has to be called next.
     pub fn next_tick(&self) -> Instant {
         self.run.clock.instant(self.next)
     }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -205,7 +205,8 @@
             return Err(Error::InvalidName { most: link::MAX_NAME_BYTES });
         }
         let members = self.members.iter().map(|member| &member.name);
-        let names: Vec<&String> = members.chain(self.followers.iter().map(|one| &one.name)).collect();
+        let names: Vec<&String> =
+            members.chain(self.followers.iter().map(|follower| &follower.name)).collect();
         let counts = [
             ("members", self.members.len(), MAX_MEMBERS),
             ("followers", self.followers.len(), MAX_FOLLOWERS),
@@ -219,7 +220,7 @@
         }
         // A process that only receives change log records need not be listed.
         let carriers = self.delivery.iter().flat_map(|delivery| &delivery.carriers);
-        let unlisted = carriers.clone().find(|name| !self.members.iter().any(|one| one.name == **name));
+        let unlisted = carriers.clone().find(|name| !self.members.iter().any(|member| member.name == **name));
         if let Some(name) = unlisted
             .or((!names.contains(&&self.own_name) && self.delivery.is_none()).then_some(&self.own_name))
         {
@@ -267,7 +268,8 @@
     let location = own.map(|own| own.location).unwrap_or_default();
     let listed: Vec<(MemberId, LocationId)> =
         settings.members.iter().map(|member| (MemberId::of(&member.name), member.location)).collect();
-    let followers: Vec<MemberId> = settings.followers.iter().map(|one| MemberId::of(&one.name)).collect();
+    let followers: Vec<MemberId> =
+        settings.followers.iter().map(|follower| MemberId::of(&follower.name)).collect();
     let events =
         Events::open(settings.events.as_deref(), &settings.own_name, clock, environment.log.clone())?;
     let peers = peers_of(&settings, me);
@@ -323,8 +325,9 @@
 
 /// All other members and followers by id.
 fn peers_of(settings: &Settings, me: MemberId) -> BTreeMap<MemberId, Peer> {
-    let members = settings.members.iter().map(|one| (&one.name, one.address, one.location));
-    let followers = settings.followers.iter().map(|one| (&one.name, one.address, LocationId::default()));
+    let members = settings.members.iter().map(|member| (&member.name, member.address, member.location));
+    let followers =
+        settings.followers.iter().map(|follower| (&follower.name, follower.address, LocationId::default()));
     let all = members.chain(followers);
     let mut peers: BTreeMap<MemberId, Peer> =
         all.map(|(name, at, location)| (MemberId::of(name), Peer::new(name, at, location))).collect();
@@ -362,11 +365,11 @@
 }
 
 impl Peers {
-    /// `tell` is called on the event loop's thread and must not block; `log` receives lines for the operator.
+    /// `notify` is called on the event loop's thread and must not block; `log` receives lines for the operator.
     pub fn start(
         settings: Settings,
         store: Option<Arc<Store>>,
-        tell: impl Fn(FromFleet) + Send + 'static,
+        notify: impl Fn(FromFleet) + Send + 'static,
         log: impl Fn(&str) + Send + Sync + 'static,
     ) -> Result<Peers, Error> {
         settings.check()?;
@@ -391,7 +394,7 @@
             rollout_store,
             stored_records,
             log,
-            notify_dispatcher: Box::new(tell),
+            notify_dispatcher: Box::new(notify),
             send_datagram: Box::new(move |bytes, to| drop(socket.send_to(bytes, to))),
             own_inputs: to.clone(),
             backlog: backlog.clone(),
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -32,12 +32,12 @@
 }
 
 impl Node {
-    fn start(set: Settings) -> Node {
+    fn start(settings: Settings) -> Node {
         let observed = Arc::new(Mutex::new(Observed::default()));
         let (messages, logged) = (observed.clone(), observed.clone());
-        let tell = move |what| {
+        let notify = move |message| {
             let mut observed = messages.lock().unwrap();
-            match what {
+            match message {
                 FromFleet::Delivery(DeliveryEvent::Changes { first, records }) => {
                     let next = *observed.first.get_or_insert(first.0) + observed.records.len() as u64;
                     assert_eq!(first.0, next, "a gap or a repeat");
@@ -49,7 +49,7 @@
             }
         };
         let log = move |line: &str| logged.lock().unwrap().lines.push(line.to_owned());
-        Node { peers: Peers::start(set, None, tell, log).unwrap(), observed }
+        Node { peers: Peers::start(settings, None, notify, log).unwrap(), observed }
     }
 
     fn received(&self) -> Vec<Record> {
@@ -60,12 +60,12 @@
         self.observed.lock().unwrap().reads_log
     }
 
-    fn complete_within(&self, most: Duration) -> bool {
+    fn complete_within(&self, max_age: Duration) -> bool {
         self.observed
             .lock()
             .unwrap()
             .complete_up_to
-            .is_some_and(|complete_up_to| complete_up_to.elapsed() <= most)
+            .is_some_and(|complete_up_to| complete_up_to.elapsed() <= max_age)
     }
 
     /// Reports changes `from` to `to` as read from the log.
@@ -103,90 +103,90 @@
     let names = ["c1", "c2"];
     let member = |i: usize| Member { name: names[i].into(), address: at[i], location: LocationId(0) };
     let members: Vec<Member> = (0..2).map(member).collect();
-    let set = move |me: &str, listen: SocketAddr| {
-        let mut set = Settings::new("shop", me, listen);
-        (set.members, set.delivery) = (members.clone(), Some(delivery(&names)));
-        set
+    let settings_of = move |me: &str, listen: SocketAddr| {
+        let mut settings = Settings::new("shop", me, listen);
+        (settings.members, settings.delivery) = (members.clone(), Some(delivery(&names)));
+        settings
     };
-    let sets = (0..2).map(|i| set(names[i], at[i])).collect();
-    (sets, move |me: &str| set(me, "127.0.0.1:0".parse().unwrap()))
+    let carriers = (0..2).map(|i| settings_of(names[i], at[i])).collect();
+    (carriers, move |me: &str| settings_of(me, "127.0.0.1:0".parse().unwrap()))
 }
 
 #[test]
 fn unlisted_followers_receive_changes_and_survive_the_loss_of_carriers() {
-    let (sets, follower) = carriers();
-    let mut carriers: Vec<Node> = sets.into_iter().map(Node::start).collect();
-    carriers.iter().for_each(|one| one.report_log_read(1, 3));
+    let (settings, follower) = carriers();
+    let mut carriers: Vec<Node> = settings.into_iter().map(Node::start).collect();
+    carriers.iter().for_each(|carrier| carrier.report_log_read(1, 3));
     let followers: Vec<Node> = ["f1", "f2", "f3", "f4"].map(|name| Node::start(follower(name))).into();
     let all = |last: u64| -> Vec<Record> { (1..=last).map(record).collect() };
     wait_until("all followers have the earlier changes", 5, || {
-        followers.iter().all(|one| one.received() == all(3))
+        followers.iter().all(|follower| follower.received() == all(3))
     });
     let mut last = 3;
-    let mut go_on = |carriers: &[Node]| {
+    let mut publish_change = |carriers: &[Node]| {
         last += 1;
-        carriers.iter().for_each(|one| one.report_log_read(last, last));
+        carriers.iter().for_each(|carrier| carrier.report_log_read(last, last));
         last
     };
-    let number = go_on(&carriers);
+    let number = publish_change(&carriers);
     wait_until("all followers have the new change", 2, || {
-        followers.iter().all(|one| one.received() == all(number))
+        followers.iter().all(|follower| follower.received() == all(number))
     });
-    assert!(followers.iter().all(|one| one.complete_within(Duration::from_millis(1_100))));
+    assert!(followers.iter().all(|follower| follower.complete_within(Duration::from_millis(1_100))));
 
     // One carrier ends in order: all followers switch to the other at once.
     drop(carriers.remove(0));
-    let number = go_on(&carriers);
+    let number = publish_change(&carriers);
     wait_until("all followers have the change after it", 2, || {
-        followers.iter().all(|one| one.received() == all(number))
+        followers.iter().all(|follower| follower.received() == all(number))
     });
-    assert!(followers.iter().all(|one| !one.reads_log()));
+    assert!(followers.iter().all(|follower| !follower.reads_log()));
 
     // Without a carrier the followers read the log directly. A carrier that returns does not repeat what they
     // read.
     drop(carriers.remove(0));
     wait_until("all followers read the log", 6, || followers.iter().all(Node::reads_log));
-    followers.iter().for_each(|one| {
-        one.report_log_read(number + 1, number + 2);
+    followers.iter().for_each(|follower| {
+        follower.report_log_read(number + 1, number + 2);
         // What a dispatcher would have read itself.
-        one.observed.lock().unwrap().records.extend((number + 1..=number + 2).map(record));
+        follower.observed.lock().unwrap().records.extend((number + 1..=number + 2).map(record));
     });
-    let back = Node::start(first_carrier(&follower));
+    let restarted = Node::start(first_carrier(&follower));
     wait_until("all followers have a carrier again", 20, || {
-        back.report_log_read(1, number + 2);
-        followers.iter().all(|one| !one.reads_log())
+        restarted.report_log_read(1, number + 2);
+        followers.iter().all(|follower| !follower.reads_log())
     });
-    back.report_log_read(number + 3, number + 3);
+    restarted.report_log_read(number + 3, number + 3);
     wait_until("all followers have the next change", 3, || {
-        followers.iter().all(|one| one.received() == all(number + 3))
+        followers.iter().all(|follower| follower.received() == all(number + 3))
     });
 }
 
 /// Settings of the first carrier at its listed address.
 fn first_carrier(follower: &impl Fn(&str) -> Settings) -> Settings {
-    let set = follower("c1");
-    let listen = set.members[0].address;
-    Settings { listen, ..set }
+    let settings = follower("c1");
+    let listen = settings.members[0].address;
+    Settings { listen, ..settings }
 }
 
 #[test]
 fn members_without_delivery_ignore_delivery_requests() {
-    let (sets, follower) = carriers();
-    let without: Vec<Node> =
-        sets.into_iter().map(|set| Node::start(Settings { delivery: None, ..set })).collect();
-    let one = Node::start(follower("f1"));
-    wait_until("the follower reads the log", 6, || one.reads_log());
+    let (settings, follower) = carriers();
+    let members: Vec<Node> =
+        settings.into_iter().map(|settings| Node::start(Settings { delivery: None, ..settings })).collect();
+    let follower = Node::start(follower("f1"));
+    wait_until("the follower reads the log", 6, || follower.reads_log());
     let lines: Vec<String> =
-        without.iter().flat_map(|one| one.observed.lock().unwrap().lines.clone()).collect();
+        members.iter().flat_map(|member| member.observed.lock().unwrap().lines.clone()).collect();
     assert!(lines.iter().all(|line| !line.contains("rejected")), "{lines:?}");
 }
 
 #[test]
 fn carriers_must_be_members() {
     let (_, follower) = carriers();
-    let set = Settings { delivery: Some(delivery(&["c1", "c9"])), ..follower("f1") };
-    let found = set.check().unwrap_err();
+    let settings = Settings { delivery: Some(delivery(&["c1", "c9"])), ..follower("f1") };
+    let found = settings.check().unwrap_err();
     assert!(matches!(&found, Error::NotListed { name } if name == "c9"), "{found}");
-    let set = Settings { delivery: None, ..follower("f1") };
-    assert!(set.check().is_err(), "without the delivery a process needs a place in a list");
+    let settings = Settings { delivery: None, ..follower("f1") };
+    assert!(settings.check().is_err(), "without delivery a process has to be listed");
 }
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -48,8 +48,8 @@
 #[derive(Default)]
 struct Observed {
     lines: Vec<String>,
-    parts: Vec<(Instant, u64, f64, Instant, f64)>,
-    hearsay: Vec<(HostId, Option<UnixTime>, Instant)>,
+    allowances: Vec<(Instant, u64, f64, Instant, f64)>,
+    verdicts: Vec<(HostId, Option<UnixTime>, Instant)>,
 }
 
 struct Node {
@@ -59,37 +59,37 @@
 }
 
 impl Node {
-    fn start(mut set: Settings) -> Node {
+    fn start(mut settings: Settings) -> Node {
         let control = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        set.control = Some(control);
+        settings.control = Some(control);
         let observed = Arc::new(Mutex::new(Observed::default()));
         let (messages, logged) = (observed.clone(), observed.clone());
-        let tell = move |what| {
+        let notify = move |message| {
             let mut observed = messages.lock().unwrap();
-            match what {
+            match message {
                 FromFleet::Allowance { key: LimitKey::Origin, number, amount, until, after } => {
-                    observed.parts.push((Instant::now(), number, amount, until, after));
+                    observed.allowances.push((Instant::now(), number, amount, until, after));
                 }
                 FromFleet::Verdict { host, started_at: since, until, .. } => {
-                    observed.hearsay.push((host, since, until))
+                    observed.verdicts.push((host, since, until))
                 }
                 _ => {}
             }
         };
         let log = move |line: &str| logged.lock().unwrap().lines.push(line.to_owned());
-        let peers = Some(Peers::start(set, None, tell, log).unwrap());
+        let peers = Some(Peers::start(settings, None, notify, log).unwrap());
         Node { peers, observed, control }
     }
 
-    fn send(&self, what: ToFleet) {
-        self.peers.as_ref().unwrap().send(what);
+    fn send(&self, message: ToFleet) {
+        self.peers.as_ref().unwrap().send(message);
     }
 
-    fn http(&self, asked: &str, body: &str) -> String {
+    fn http(&self, request: &str, body: &str) -> String {
         let mut stream = TcpStream::connect(self.control).unwrap();
         let length = body.len();
         let head =
-            format!("{asked} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
+            format!("{request} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
         stream.write_all((head + body).as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -104,8 +104,9 @@
     fn member_states(&self) -> Vec<String> {
         let status = self.status();
         let members = status["members"].as_array().unwrap().iter();
-        let mut found: Vec<String> =
-            members.map(|one| format!("{}:{}", one["name"], one["standing"]).replace('"', "")).collect();
+        let mut found: Vec<String> = members
+            .map(|member| format!("{}:{}", member["name"], member["standing"]).replace('"', ""))
+            .collect();
         found.sort();
         found
     }
@@ -113,7 +114,7 @@
     /// Its allowance at the origin at an instant.
     fn allowance_at(&self, at: Instant) -> f64 {
         let observed = self.observed.lock().unwrap();
-        let last = observed.parts.iter().rfind(|part| part.0 <= at);
+        let last = observed.allowances.iter().rfind(|allowance| allowance.0 <= at);
         last.map_or(0.0, |(_, _, amount, until, after)| if at < *until { *amount } else { *after })
     }
 
@@ -151,18 +152,18 @@
     let at: Vec<SocketAddr> = [free(), free(), free()].map(|socket| socket.local_addr().unwrap()).to_vec();
     let follows = free().local_addr().unwrap();
     let relays: Vec<Relay> = at.iter().map(|at| relay(*at)).collect();
-    let set = |i: usize| {
-        let mut set = Settings::new("shop", NAMES[i], at[i]);
-        set.protocols = protocol_settings();
-        set.seed = 7 + i as u64;
+    let settings_of = |i: usize| {
+        let mut settings = Settings::new("shop", NAMES[i], at[i]);
+        settings.protocols = protocol_settings();
+        settings.seed = 7 + i as u64;
         let address = |j: usize| if i == 2 || j == 2 { relays[j].at } else { at[j] };
         let member =
             |j: usize| Member { name: NAMES[j].into(), address: address(j), location: LocationId(0) };
-        set.members = (0..3).map(member).collect();
-        set.followers = vec![Follower { name: "f1".into(), address: follows }];
-        set
+        settings.members = (0..3).map(member).collect();
+        settings.followers = vec![Follower { name: "f1".into(), address: follows }];
+        settings
     };
-    ((0..3).map(set).collect(), relays)
+    ((0..3).map(settings_of).collect(), relays)
 }
 
 fn finding(host: HostId) -> ToFleet {
@@ -172,41 +173,41 @@
 
 #[test]
 fn members_share_limits_and_findings_and_detect_a_cut_off_member() {
-    let (mut sets, relays) = three_members();
+    let (mut settings, relays) = three_members();
     // One of them uses the older message form.
-    sets[1].newest_form = Some(1);
+    settings[1].newest_form = Some(1);
     let events = tempfile::NamedTempFile::new().unwrap();
     let follower = Settings {
         own_name: "f1".into(),
-        listen: sets[0].followers[0].address,
+        listen: settings[0].followers[0].address,
         events: Some(events.path().to_owned()),
-        ..sets[0].clone()
+        ..settings[0].clone()
     };
     let _follower = Node::start(follower);
-    let second_run = Settings { listen: "127.0.0.1:0".parse().unwrap(), ..sets[0].clone() };
-    let nodes: Vec<Node> = sets.into_iter().map(Node::start).collect();
+    let second_run = Settings { listen: "127.0.0.1:0".parse().unwrap(), ..settings[0].clone() };
+    let nodes: Vec<Node> = settings.into_iter().map(Node::start).collect();
     let alive = ["d1:alive", "d2:alive", "d3:alive"];
     wait_until("all members see each other alive", 10, || {
         nodes.iter().all(|node| node.member_states() == alive)
     });
 
     // The share that others do not need goes to the one with demand; the sum never exceeds the limit.
-    let begun = Instant::now();
-    let mut answered = [0; 3];
+    let started = Instant::now();
+    let mut confirmed = [0; 3];
     wait_until("the first has the share the others do not need", 10, || {
         for (i, node) in nodes.iter().enumerate() {
             node.send(ToFleet::Demand { key: LimitKey::Origin, amount: if i == 0 { ORIGIN } else { 0.0 } });
-            let last = node.observed.lock().unwrap().parts.last().map_or(0, |part| part.1);
-            if last != std::mem::replace(&mut answered[i], last) {
+            let last = node.observed.lock().unwrap().allowances.last().map_or(0, |allowance| allowance.1);
+            if last != std::mem::replace(&mut confirmed[i], last) {
                 node.send(ToFleet::AllowanceApplied { key: LimitKey::Origin, number: last });
             }
         }
         nodes[0].allowance_at(Instant::now()) > 0.9 * ORIGIN
     });
-    let mut at = begun;
+    let mut at = started;
     while at < Instant::now() {
         let sum: f64 = nodes.iter().map(|node| node.allowance_at(at)).sum();
-        assert!(sum <= ORIGIN * (1.0 + 1e-9), "{sum} at {:?}", at - begun);
+        assert!(sum <= ORIGIN * (1.0 + 1e-9), "{sum} at {:?}", at - started);
         at += Duration::from_millis(1);
     }
 
@@ -224,7 +225,7 @@
             .observed
             .lock()
             .unwrap()
-            .hearsay
+            .verdicts
             .iter()
             .any(|(h, since, _)| (*h, *since) == (host, Some(UnixTime(5))))
     });
@@ -281,9 +282,9 @@
 
 #[test]
 fn invalid_datagrams_change_no_state() {
-    let (sets, _relays) = three_members();
-    let at = sets[0].listen;
-    let nodes: Vec<Node> = sets.into_iter().take(2).map(Node::start).collect();
+    let (settings, _relays) = three_members();
+    let at = settings[0].listen;
+    let nodes: Vec<Node> = settings.into_iter().take(2).map(Node::start).collect();
     wait_until("two members see each other alive", 10, || {
         nodes[..2].iter().all(|node| node.member_states() == ["d1:alive", "d2:alive", "d3:unheard"])
     });
@@ -304,8 +305,8 @@
         // A false claim that no running member would refute: the third is dead.
         let dead = Claim { incarnation: Incarnation(9), refutations: 1, state: MemberState::Dead };
         let own = Claim { incarnation: Incarnation(incarnation), refutations: 0, state: MemberState::Alive };
-        let said = Message { claim: own, body: Body::Gossip, claims: vec![(MemberId::of("d3"), dead)] };
-        let payload = if kind == 1 && round % 2 == 0 { postcard::to_stdvec(&said).unwrap() } else { noise };
+        let gossip = Message { claim: own, body: Body::Gossip, claims: vec![(MemberId::of("d3"), dead)] };
+        let payload = if kind == 1 && round % 2 == 0 { postcard::to_stdvec(&gossip).unwrap() } else { noise };
         let location = Some(LocationByte(rng.gen_range(0..2)));
         let reads = 2;
         let incarnation = Incarnation(incarnation);
--- a/crates/peers/tests/rollout_store.rs
+++ b/crates/peers/tests/rollout_store.rs
@@ -24,17 +24,17 @@
 /// Starts a fleet of one member; the receiver yields the rules put into force.
 fn start(store: Arc<Store>) -> (Peers, Receiver<(u64, String)>) {
     let listen = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut set = Settings::new("shop", "d1", listen);
-    set.members = vec![Member { name: "d1".into(), address: listen, location: LocationId(0) }];
+    let mut settings = Settings::new("shop", "d1", listen);
+    settings.members = vec![Member { name: "d1".into(), address: listen, location: LocationId(0) }];
     let rollout = rollout::Settings { store_rest: Span::millis(200), ..rollout::Settings::default() };
-    set.protocols = node::Settings { rollout: Some(rollout), ..node::Settings::default() };
+    settings.protocols = node::Settings { rollout: Some(rollout), ..node::Settings::default() };
     let (to, rules) = channel();
-    let tell = move |what| {
-        if let FromFleet::Rules { number, text } = what {
+    let notify = move |message| {
+        if let FromFleet::Rules { number, text } = message {
             let _ = to.send((number, text.to_string()));
         }
     };
-    (Peers::start(set, Some(store), tell, |line| println!("{line}")).unwrap(), rules)
+    (Peers::start(settings, Some(store), notify, |line| println!("{line}")).unwrap(), rules)
 }
 
 fn version(number: u64) -> Order {
