--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -80,7 +80,7 @@
 
 /// The median of each figure over the plays that have it.
 fn medians(all: &[&Figures]) -> Figures {
-    std::array::from_fn(|index| median(all.iter().filter_map(|one| one[index]).collect()))
+    std::array::from_fn(|index| median(all.iter().filter_map(|figures| figures[index]).collect()))
 }
 
 /// A Markdown table with both scenarios for each seed, their medians, and the medians of the differences per
@@ -100,7 +100,7 @@
         }
     };
     for (seed, both) in seeds {
-        both.iter().zip(names).for_each(|(one, name)| row(&seed.to_string(), name, one));
+        both.iter().zip(names).for_each(|(figures, name)| row(&seed.to_string(), name, figures));
     }
     for (index, name) in names.into_iter().enumerate() {
         row("median", name, &medians(&seeds.iter().map(|(_, both)| &both[index]).collect::<Vec<_>>()));
--- a/crates/faultbed/src/notation.rs
+++ b/crates/faultbed/src/notation.rs
@@ -447,16 +447,17 @@
 
     /// Whether a program built with the feature `faults` is needed.
     pub fn needs_fault_build(&self) -> bool {
-        !self.clock_rates.is_empty() || self.faults.iter().any(|one| matches!(one.fault, Fault::Disk(..)))
+        !self.clock_rates.is_empty()
+            || self.faults.iter().any(|planned| matches!(planned.fault, Fault::Disk(..)))
     }
 
     /// Whether processes have to run with the shim.
     pub fn needs_shim(&self) -> bool {
-        self.faults.iter().any(|one| matches!(one.fault, Fault::Step(..) | Fault::Calls(..)))
+        self.faults.iter().any(|planned| matches!(planned.fault, Fault::Step(..) | Fault::Calls(..)))
     }
 
     pub fn has_rollout_orders(&self) -> bool {
-        self.faults.iter().any(|one| matches!(one.fault, Fault::Rollout(..)))
+        self.faults.iter().any(|planned| matches!(planned.fault, Fault::Rollout(..)))
     }
 }
 
--- a/crates/faultbed/src/soak_report.rs
+++ b/crates/faultbed/src/soak_report.rs
@@ -27,7 +27,7 @@
 }
 
 fn kind(fault: &Fault) -> Option<&'static str> {
-    let word = match fault {
+    let name = match fault {
         Fault::Step(..) => "step",
         Fault::Calls(_, Call::FileWrite | Call::FileSync, ..) => "folder",
         Fault::Calls(..) => "calls",
@@ -46,7 +46,7 @@
         Fault::Stop(_) => "stop",
         _ => return None,
     };
-    Some(word)
+    Some(name)
 }
 
 impl Report {
--- a/crates/faultbed/tests/soak.rs
+++ b/crates/faultbed/tests/soak.rs
@@ -16,20 +16,20 @@
         let folder = tempfile::tempdir().unwrap();
         let setup = Setup { program: &program, older_program: None, folder: folder.path(), seed };
         let played = play(&scenario, setup).unwrap();
-        let broken = judge::judge(&scenario, &played);
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}\n{:#?}", judge::figures(&played));
+        let violations = judge::judge(&scenario, &played);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}\n{:#?}", judge::figures(&played));
     }
 }
 
 #[test]
-fn every_seed_is_a_scenario_and_a_fault_can_be_left_out() {
+fn every_seed_yields_a_scenario_from_which_a_fault_can_be_removed() {
     for seed in 0..500 {
         let text = soak::scenario(seed);
         let scenario = parse(&text).unwrap_or_else(|error| panic!("seed {seed}: {error}\n{text}"));
         assert_eq!(text, soak::scenario(seed));
         for fault in 0..scenario.faults.len() {
-            let fewer = parse(&soak::without_fault(&text, fault).unwrap()).unwrap();
-            assert_eq!(fewer.faults.len() + 1, scenario.faults.len());
+            let reduced = parse(&soak::without_fault(&text, fault).unwrap()).unwrap();
+            assert_eq!(reduced.faults.len() + 1, scenario.faults.len());
         }
         assert!(soak::without_fault(&text, scenario.faults.len()).is_none());
     }
