--- a/crates/background/tests/schedule.rs
+++ b/crates/background/tests/schedule.rs
@@ -46,9 +46,9 @@
 }
 
 #[test_case(&[0], [2e7; 3], [1.0, 0.0, 0.0]; "one busy kind uses the whole budget")]
-#[test_case(&[2], [2e7; 3], [0.0, 0.0, 1.0]; "the lowest priority can use it too")]
-#[test_case(&[0, 1, 2], [2e7; 3], [0.5, 0.3, 0.2]; "all busy, each gets its share")]
-#[test_case(&[0, 2], [2e7; 3], [0.8, 0.0, 0.2]; "two busy, the first uses the rest")]
+#[test_case(&[2], [2e7; 3], [0.0, 0.0, 1.0]; "the lowest priority alone uses the whole budget")]
+#[test_case(&[0, 1, 2], [2e7; 3], [0.5, 0.3, 0.2]; "each of three busy kinds gets its share")]
+#[test_case(&[0, 2], [2e7; 3], [0.8, 0.0, 0.2]; "the first of two busy kinds uses the rest")]
 fn each_kind_gets_its_share(busy: &[usize], throughputs: [f64; 3], shares: [f64; 3]) {
     let ran = run_schedule(20, busy, throughputs);
     for (kind, share) in shares.iter().enumerate() {
--- a/crates/keep/tests/keep.rs
+++ b/crates/keep/tests/keep.rs
@@ -143,9 +143,9 @@
     assert!(visits.earlier_try(UnixTime(50) + ONE_DAY, KEY).is_none());
 }
 
-#[test_case(false, false; "held back")]
-#[test_case(true, true; "sent unrecorded")]
-fn a_refused_record(sends_unrecorded: bool, is_sent: bool) {
+#[test_case(false, false; "is held back")]
+#[test_case(true, true; "is sent without a record")]
+fn a_hand_off_whose_record_is_refused(sends_unrecorded: bool, is_sent: bool) {
     let mut visits = Visits::restore(UnixTime(0), std::iter::empty(), ONE_DAY, sends_unrecorded);
     assert!(matches!(
         visits.register_hand_off(VisitId(1), KEY, deduplicated(), sent(1)),
@@ -165,15 +165,15 @@
 fn purges_are_kept_for_their_retention() {
     let retention = Span::millis(7_000);
     let purge = |object, at| Purge { group: GroupId(3), object, issued_at: UnixTime(at), change_number: 5 };
-    let (one, all) = (purge(Some(ObjectId(8)), 1_000_000), purge(None, 2_000_000));
-    let records = [one, all].map(|purge| purges::record(UnixTime(2_000_000), &purge, retention).unwrap());
+    let (single, all) = (purge(Some(ObjectId(8)), 1_000_000), purge(None, 2_000_000));
+    let records = [single, all].map(|purge| purges::record(UnixTime(2_000_000), &purge, retention).unwrap());
     assert!(records[0].key != records[1].key && records[0].expires_at == Some(UnixTime(8_000_000)));
     let values = || records.iter().map(|record| record.value.as_deref().unwrap());
-    assert_eq!(purges::replay(UnixTime(3_000_000), values(), retention), [one, all]);
+    assert_eq!(purges::replay(UnixTime(3_000_000), values(), retention), [single, all]);
     assert_eq!(purges::replay(UnixTime(8_500_000), values(), retention), [all]);
-    assert_eq!(purges::record(UnixTime(8_000_000), &one, retention), None);
+    assert_eq!(purges::record(UnixTime(8_000_000), &single, retention), None);
     // After this machine's clock was set back: purges keep the times of the change log.
-    assert_eq!(purges::replay(UnixTime(5), values(), retention), [one, all]);
+    assert_eq!(purges::replay(UnixTime(5), values(), retention), [single, all]);
     assert_eq!(purges::replay(UnixTime(3_000_000), [&b"\xff\xff\xff"[..]].into_iter(), retention), []);
 }
 
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,4 +1,4 @@
-//! Decoding of the operators' file: defaults, and the message for each mistake.
+//! Decoding of the operators' file: defaults, and the message for each invalid value.
 use cherrypass::time::Span;
 use cherrypass_operator::fleet::UnprovenCopies;
 use cherrypass_operator::{load, Error, HandOffDurability, OperatorFile};
@@ -61,7 +61,7 @@
 #[test_case("delivery: { log: 'main', carriers: ['d1'], proof_ms: 10 }", "fleet.delivery.proof_ms", "10 is not within 500"; "a proof age below the minimum")]
 #[test_case("delivery: { log: 'main', carriers: ['d1'], unproven: 'never' }", "fleet.delivery.unproven", "unknown variant `never`"; "an unknown variant")]
 #[test_case("me: 'd3', delivery: { log: 'main', carriers: ['d1'] }, limits: { origin: 4 }", "fleet.me", "must leave out `limits`, `verdicts` and `rollout`"; "limits without membership")]
-#[test_case("me: 'd3'", "fleet.me", "'d3' is not one of the members"; "not a member")]
+#[test_case("me: 'd3'", "fleet.me", "'d3' is not one of the members"; "an own name that is not listed")]
 #[test_case("members: []", "fleet.me", "not one of the members"; "no members")]
 #[test_case("members: [m('d1', 1), m('d1', 2)]", "fleet.members[1].name", "'d1' is already used by fleet.members[0]"; "a duplicate name")]
 #[test_case("followers: [{ name: 'd2', address: '127.0.0.1:9' }]", "fleet.followers[0].name", "is already used by fleet.members[1]"; "a follower with a member's name")]
@@ -77,10 +77,10 @@
 #[test_case("verdict: {}", "fleet.verdict", "unknown field `verdict`"; "an unknown section of a fleet")]
 #[test_case("rollout: { order: ['edge', 'north'] }", "fleet.rollout.order", "no member is in location 'north'"; "an unknown location")]
 #[test_case("rollout: { order: [] }", "fleet.rollout.order", "'edge' is missing"; "a missing location")]
-fn an_invalid_fleet_is_one_line_with_the_key_path(overrides: &str, path: &str, words: &str) {
+fn an_invalid_fleet_is_one_line_with_the_key_path(overrides: &str, path: &str, expected: &str) {
     let message = read(&fleet(overrides)).unwrap_err().to_string();
     assert!(
-        message.contains(&format!("{path}: ")) && message.contains(words) && !message.contains('\n'),
+        message.contains(&format!("{path}: ")) && message.contains(expected) && !message.contains('\n'),
         "{message}"
     );
 }
@@ -91,7 +91,7 @@
 #[test_case("", "EOF while parsing"; "no JSON")]
 #[test_case(r#"{"store": {}}"#, "store: unknown field `store`"; "a section that rules can't set")]
 #[test_case(r#"{"fleet": {"limits": {"lease_ms": 1}}}"#, "fleet.limits.lease_ms: unknown field"; "a key that rules can't set")]
-#[test_case(r#"{"fleet": {"limits": {"origin": 0.1}}}"#, "fleet.limits.origin: 0.1 is not within 1 and"; "out of its range")]
+#[test_case(r#"{"fleet": {"limits": {"origin": 0.1}}}"#, "fleet.limits.origin: 0.1 is not within 1 and"; "a limit out of range in rules")]
 #[test_case(r#"{"fleet": {"limits": {"further_per_s": 9}}}"#, "fleet.limits.further_per_s: the operators' file sets no such limit"; "a limit that the file does not set")]
 fn rules_are_checked_against_the_file(text: &str, expected_error: &str) {
     let file = read(&fleet("limits: { origin: 40 }, verdicts: {}")).unwrap().fleet.unwrap();
@@ -114,7 +114,7 @@
 #[test_case("{ store: {\n  dir: 'x' ++ } }", "line 2", "cannot evaluate"; "not Jsonnet")]
 #[test_case("{ store: { dir: error 'set me' } }", "set me", "cannot evaluate"; "an explicit error")]
 #[test_case("local a = import 'missing.libsonnet'; a", "missing.libsonnet", "cannot evaluate"; "a missing import")]
-fn a_mistake_is_one_line_with_its_place(text: &str, place: &str, words: &str) {
+fn an_invalid_file_is_one_line_with_its_position(text: &str, position: &str, expected: &str) {
     let message = read(text).unwrap_err().to_string();
-    assert!(message.contains(place) && message.contains(words) && !message.contains('\n'), "{message}");
+    assert!(message.contains(position) && message.contains(expected) && !message.contains('\n'), "{message}");
 }
--- a/crates/scale/src/delivery.rs
+++ b/crates/scale/src/delivery.rs
@@ -449,10 +449,10 @@
 }
 
 fn pairs<'a>(
-    some: &'a [MemberId],
-    others: &'a [MemberId],
+    first: &'a [MemberId],
+    second: &'a [MemberId],
 ) -> impl Iterator<Item = (MemberId, MemberId)> + 'a {
-    some.iter().flat_map(move |one| others.iter().map(move |other| (*one, *other)))
+    first.iter().flat_map(move |a| second.iter().map(move |b| (*a, *b)))
 }
 
 fn mean(values: impl Iterator<Item = f64>) -> f64 {
--- a/crates/scale/src/processes/followers.rs
+++ b/crates/scale/src/processes/followers.rs
@@ -173,9 +173,9 @@
         address: carrier.address,
         location: LocationId(0),
     };
-    let mut set = Settings::new(subsystems::FLEET_NAME, &format!("f{number}"), address);
-    set.members = config.carriers.iter().map(member).collect();
-    (set.timer_interval, set.seed) = (subsystems::TIMER_INTERVAL, config.seed ^ number as u64);
+    let mut settings = Settings::new(subsystems::FLEET_NAME, &format!("f{number}"), address);
+    settings.members = config.carriers.iter().map(member).collect();
+    (settings.timer_interval, settings.seed) = (subsystems::TIMER_INTERVAL, config.seed ^ number as u64);
     let protocol = DeliveryParameters {
         log: LogId::of(&config.log_name),
         max_followers: config.max_followers_per_carrier,
@@ -183,8 +183,8 @@
         ..DeliveryParameters::default()
     };
     let carriers = config.carriers.iter().map(|carrier| carrier.name.clone()).collect();
-    set.delivery = Some(Delivery { carriers, last_change: ChangeNumber(config.known_change), protocol });
-    set
+    settings.delivery = Some(Delivery { carriers, last_change: ChangeNumber(config.known_change), protocol });
+    settings
 }
 
 /// The event to note for an input of the dispatcher's router.
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -482,7 +482,7 @@
 }
 
 fn sum(all: &[TrafficByKind]) -> TrafficByKind {
-    all.iter().fold(TrafficByKind::default(), |sum, one| zip_with(&sum, one, |a, b| a + b))
+    all.iter().fold(TrafficByKind::default(), |sum, traffic| zip_with(&sum, traffic, |a, b| a + b))
 }
 
 /// Median entry by entry.
@@ -493,8 +493,8 @@
         all.get(all.len() / 2).copied().unwrap_or(0.0)
     };
     let entry = |direction: usize, kind: usize| Amount {
-        messages: median_of(&|one| one[direction][kind].messages),
-        bytes: median_of(&|one| one[direction][kind].bytes),
+        messages: median_of(&|traffic| traffic[direction][kind].messages),
+        bytes: median_of(&|traffic| traffic[direction][kind].bytes),
     };
     [0, 1].map(|direction| std::array::from_fn(|kind| entry(direction, kind)))
 }
@@ -560,7 +560,7 @@
             messages: a.messages.max(b.messages),
             bytes: a.bytes.max(b.bytes),
         };
-        all.fold(TrafficByKind::default(), |highest, one| zip_with(&highest, &one, max))
+        all.fold(TrafficByKind::default(), |highest, traffic| zip_with(&highest, &traffic, max))
     }
 
     fn log_sum(&self) -> LogTraffic {
@@ -574,7 +574,7 @@
 pub fn difference(phase: &PhaseResult) -> Amount {
     let sum = |all: &TrafficByKind| {
         let link = all.iter().flat_map(|direction| direction[..CHANGE_LOG_KIND].iter());
-        link.fold(Amount::default(), |sum, one| sum + *one)
+        link.fold(Amount::default(), |sum, amount| sum + *amount)
     };
     let (simulated, real) = (sum(&phase.simulated_median), sum(&phase.real_median));
     Amount {
--- a/crates/scale/src/virtual_time.rs
+++ b/crates/scale/src/virtual_time.rs
@@ -178,10 +178,10 @@
         let (own, location) = (*own, *location);
         let incarnation = Incarnation(START_TIME_US + network.now.0);
         let (rate, seed) = (network.rng.gen_range(0.995..1.005), network.rng.gen());
-        let set = fleet_settings(parameters);
+        let settings = fleet_settings(parameters);
         network.start(own, rate, |now| {
             let mut fleet = FleetNode::new(
-                set,
+                settings,
                 own,
                 incarnation,
                 &listed,
@@ -206,5 +206,5 @@
 
 fn sum(network: &Network<Member>) -> TrafficByKind {
     let all = network.ids().into_iter().filter_map(|id| Some(network.node(id)?.traffic));
-    all.fold(TrafficByKind::default(), |sum, one| zip_with(&sum, &one, |a, b| a + b))
+    all.fold(TrafficByKind::default(), |sum, traffic| zip_with(&sum, &traffic, |a, b| a + b))
 }
--- a/crates/scale/tests/processes.rs
+++ b/crates/scale/tests/processes.rs
@@ -39,9 +39,9 @@
 #[test_case(1, None, Violation::Gap { follower: FOLLOWER, last: 1, received: 3 }; "a missing change")]
 #[test_case(2, Some((310, Took(2))), Violation::Repeat { follower: FOLLOWER, last: 2, received: 2 }; "a repeated change")]
 #[test_case(5, Some((510, Took(9))), Violation::Unknown { follower: FOLLOWER, received: 9 }; "an unpublished change")]
-#[test_case(4, Some((460, KnownUpTo(501))), Violation::ClaimedButMissing { follower: FOLLOWER, number: 5, up_to: 501 }; "a claim to the last one")]
-#[test_case(2, Some((310, KnownUpTo(301))), Violation::ClaimedButMissing { follower: FOLLOWER, number: 3, up_to: 301 }; "a claim in the middle")]
-#[test_case(4, Some((460, KnownUpTo(449))), Violation::Unproven { follower: FOLLOWER, proven_up_to: 449 }; "nothing proven at the end")]
+#[test_case(4, Some((460, KnownUpTo(501))), Violation::ClaimedButMissing { follower: FOLLOWER, number: 5, up_to: 501 }; "a claim that includes the last change")]
+#[test_case(2, Some((310, KnownUpTo(301))), Violation::ClaimedButMissing { follower: FOLLOWER, number: 3, up_to: 301 }; "a claim before the last change")]
+#[test_case(4, Some((460, KnownUpTo(449))), Violation::Unproven { follower: FOLLOWER, proven_up_to: 449 }; "incomplete proof at the end")]
 fn each_violation_is_found(index: usize, other: Option<(u64, Event)>, expected: Violation) {
     let mut events = VALID_EVENTS.to_vec();
     match other {
@@ -119,14 +119,14 @@
     LinkFault { from: 100, until: 200, direction, carrier: None, effect }
 }
 
-#[test_case(LinkEffect::Lose(1.0), Direction::Both, 150, 150, [false, false]; "a cut")]
+#[test_case(LinkEffect::Lose(1.0), Direction::Both, 150, 150, [false, false]; "during a cut")]
 #[test_case(LinkEffect::Lose(1.0), Direction::Both, 99, 99, [true, true]; "before a cut")]
 #[test_case(LinkEffect::Lose(1.0), Direction::Both, 200, 200, [true, true]; "after a cut")]
 #[test_case(LinkEffect::Lose(1.0), Direction::ToCarriers, 150, 150, [false, true]; "a cut towards carriers")]
 #[test_case(LinkEffect::Lose(1.0), Direction::FromCarriers, 150, 150, [true, false]; "a cut from carriers")]
 #[test_case(LinkEffect::Lose(0.0), Direction::Both, 150, 150, [true, true]; "no loss")]
-#[test_case(LinkEffect::Stall, Direction::Both, 150, 199, [false, false]; "stalled")]
-#[test_case(LinkEffect::Stall, Direction::Both, 150, 200, [true, true]; "a stall's end")]
+#[test_case(LinkEffect::Stall, Direction::Both, 150, 199, [false, false]; "during a stall")]
+#[test_case(LinkEffect::Stall, Direction::Both, 150, 200, [true, true]; "after a stall")]
 #[test_case(LinkEffect::Delay(1, 1), Direction::Both, 150, 1_149, [false, false]; "before the end of the delay")]
 #[test_case(LinkEffect::Delay(1, 1), Direction::Both, 150, 1_150, [true, true]; "after the delay")]
 fn a_link_fault_applies_in_its_span_and_direction(
@@ -158,9 +158,9 @@
 
 #[test_case(json!({"at_s": 1, "for_s": 1, "what": {"kill": "c2"}}), "processes[0].faults[0].what: 'c2' is not valid here"; "no such carrier")]
 #[test_case(json!({"at_s": 1, "for_s": 1, "what": {"stall": {"process": "c0"}}}), "processes[0].faults[0].what: 'c0' is not valid"; "a link of a carrier")]
-#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"stall": {"process": "p0", "carrier": "p1"}}}), "what: 'p1' is not valid"; "a link to no carrier")]
-#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"lose": {"part": 2, "between": {"process": "p0"}}}}), "what.lose.part: 2 is not between"; "more than all")]
-#[test_case(json!({"at_s": 1, "for_s": 15, "what": "log_lost"}), "processes[0].faults[0].for_s: 15 is not between"; "no time to heal")]
+#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"stall": {"process": "p0", "carrier": "p1"}}}), "what: 'p1' is not valid"; "a link to a process that is no carrier")]
+#[test_case(json!({"at_s": 1, "for_s": 1, "what": {"lose": {"part": 2, "between": {"process": "p0"}}}}), "what.lose.part: 2 is not between"; "a loss rate above 1")]
+#[test_case(json!({"at_s": 1, "for_s": 15, "what": "log_lost"}), "processes[0].faults[0].for_s: 15 is not between"; "a fault that ends too late")]
 #[test_case(json!({"at_s": 1, "for_s": 1, "what": "flood"}), "processes[0].faults[0].what"; "an unknown fault")]
 fn a_settings_error_names_its_path(fault: Value, expected: &str) {
     let found = decode("file", settings(fault)).unwrap_err().to_string();
--- a/crates/scale/tests/scale.rs
+++ b/crates/scale/tests/scale.rs
@@ -39,11 +39,11 @@
 #[test_case("/topology/sites/0", json!({"name": "s1", "zone": "z9"}), "topology.sites[0].zone: there is no zone 'z9'"; "a site of an unknown zone")]
 #[test_case("/topology/sites", json!([]), "topology.sites: 0 is not between 1 and"; "no site")]
 #[test_case("/sockets/phases/0", json!({"name": "cut", "seconds": 1, "cut": "r9"}), "sockets.phases[0].cut: there is no region 'r9'"; "a partition of an unknown region")]
-#[test_case("/sockets/phases/0", json!({"name": "long", "seconds": 1e6}), "sockets.phases[0].seconds: 1000000 is not between"; "an endless phase")]
-#[test_case("/sockets/sizes/0", json!(1025), "sockets.sizes[0]: 1025 is not between 3 and 1024"; "more than a list holds")]
+#[test_case("/sockets/phases/0", json!({"name": "long", "seconds": 1e6}), "sockets.phases[0].seconds: 1000000 is not between"; "a phase that is too long")]
+#[test_case("/sockets/sizes/0", json!(1025), "sockets.sizes[0]: 1025 is not between 3 and 1024"; "more dispatchers than a member list can hold")]
 #[test_case("/sockets/load/purges_per_s", json!(1e9), "sockets.load.purges_per_s"; "too many purges")]
 #[test_case("/sockets/lod", json!(1), "sockets.lod: unknown field"; "an unknown key")]
-#[test_case("/virtual", json!([{"size": 10000, "settle_s": 1, "seconds": 1}]), "virtual[0].size: 10000 is not between 3 and 4096"; "more than a member list holds")]
+#[test_case("/virtual", json!([{"size": 10000, "settle_s": 1, "seconds": 1}]), "virtual[0].size: 10000 is not between 3 and 4096"; "more simulated members than supported")]
 #[test_case("/decisions", json!({"hosts": [0], "locations": [1], "visits": 100}), "decisions.hosts[0]"; "no host")]
 fn a_settings_error_names_its_path(pointer: &str, value: Value, expected: &str) {
     let found = decode("file", settings_with(pointer, value)).unwrap_err().to_string();
@@ -162,7 +162,7 @@
 fn virtual_members_send_at_the_documented_rates() {
     let settings = decode("file", settings_with("/seed", json!(1))).unwrap();
     let found = virtual_time::run(&settings.topology, &parameters(30, Subsystems::All), 1, &|| 0);
-    let [members, _, feed, _, _] = found.mean_traffic[0].map(|one| one.messages);
+    let [members, _, feed, _, _] = found.mean_traffic[0].map(|amount| amount.messages);
     assert!((8.0..8.6).contains(&members), "{members}, expected 8.2");
     // The feed also sends one message in rounds with none due, up to twice a second.
     assert!((2.9..4.9).contains(&feed), "{feed}, expected (members - 1) / 10 and up to 2");
@@ -178,7 +178,7 @@
     let heap = state::measure(&settings.topology, 5, 1, &|| 0);
     assert_eq!((heap.size, heap.all), (5, 0.0));
     let only = virtual_time::run(&settings.topology, &parameters(5, Subsystems::Limits), 1, &|| 0);
-    let sent = only.mean_traffic[0].map(|one| one.messages);
+    let sent = only.mean_traffic[0].map(|amount| amount.messages);
     assert!(sent[0] > 0.0 && sent[2] == 0.0 && sent[3] == 0.0, "{sent:?}");
 }
 
@@ -254,7 +254,7 @@
         let sum = |of: fn(&cherrypass_scale::traffic::Amount) -> f64| {
             phase.simulated_mean[0][..CHANGE_LOG_KIND].iter().map(of).sum::<f64>()
         };
-        (sum(|one| one.messages), sum(|one| one.bytes))
+        (sum(|amount| amount.messages), sum(|amount| amount.bytes))
     };
     let (messages, bytes) = link(phase("quiet"));
     assert!(messages > 8.0 && messages < MAX_MESSAGES_OUT_PER_S, "{messages} messages out per second");
--- a/crates/shim/tests/shim.rs
+++ b/crates/shim/tests/shim.rs
@@ -11,8 +11,8 @@
 const TRIES: usize = 400;
 
 /// The part that runs in the process with the shim; the parent reads its output.
-fn inside(what: &str) {
-    match what {
+fn run_case(name: &str) {
+    match name {
         "clock" => {
             let monotonic = Instant::now();
             let unix = || SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis();
@@ -41,9 +41,9 @@
             let (mut from, _) = listener.accept().unwrap();
             let sent: Vec<u8> = (0..TRIES).map(|number| number as u8).collect();
             to.write_all(&sent).unwrap();
-            let mut got = vec![0; TRIES];
-            from.read_exact(&mut got).unwrap();
-            assert_eq!(sent, got);
+            let mut received = vec![0; TRIES];
+            from.read_exact(&mut received).unwrap();
+            assert_eq!(sent, received);
             println!("same");
         }
         "sync" => {
@@ -60,14 +60,14 @@
 /// Entry point of the process with the shim; does nothing in a normal run.
 #[test]
 fn child() {
-    if let Ok(what) = std::env::var(INSIDE) {
-        inside(&what);
+    if let Ok(name) = std::env::var(INSIDE) {
+        run_case(&name);
     }
 }
 
-fn run(shim: &Shim, what: &str, meanwhile: impl FnOnce(&Shim)) -> String {
+fn run(shim: &Shim, name: &str, meanwhile: impl FnOnce(&Shim)) -> String {
     let mut command = Command::new(std::env::current_exe().unwrap());
-    command.args(["--exact", "child", "--nocapture"]).envs(shim.environment().unwrap()).env(INSIDE, what);
+    command.args(["--exact", "child", "--nocapture"]).envs(shim.environment().unwrap()).env(INSIDE, name);
     let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
     std::thread::sleep(Duration::from_millis(300));
     meanwhile(shim);
@@ -78,23 +78,23 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-fn numbers(said: &str, word: &str) -> Vec<i64> {
-    let lines = said.lines().filter_map(|line| line.split_once(&format!("{word} ")));
+fn numbers(output: &str, label: &str) -> Vec<i64> {
+    let lines = output.lines().filter_map(|line| line.split_once(&format!("{label} ")));
     lines.map(|(_, number)| number.trim().parse().unwrap()).collect()
 }
 
 #[test]
 fn the_wall_clock_is_stepped_and_the_monotonic_one_is_not() {
     let shim = Shim::new(1).unwrap();
-    let said = run(&shim, "clock", |shim| {
+    let output = run(&shim, "clock", |shim| {
         shim.step_wall_clock(Duration::ZERO, Duration::from_secs(3600)).unwrap();
     });
-    let wall = numbers(&said, "wall");
-    let monotonic = numbers(&said, "monotonic")[0];
-    assert!((wall[1] - wall[0] - monotonic + 3_600_000).abs() < 100, "{said}");
-    assert!(monotonic < 60_000, "{said}");
-    let [made, delivered] = shim.counts(Call::WallClock).unwrap();
-    assert!(made > delivered && delivered > 0, "{made} {delivered}");
+    let wall = numbers(&output, "wall");
+    let monotonic = numbers(&output, "monotonic")[0];
+    assert!((wall[1] - wall[0] - monotonic + 3_600_000).abs() < 100, "{output}");
+    assert!(monotonic < 60_000, "{output}");
+    let [calls, shifted] = shim.counts(Call::WallClock).unwrap();
+    assert!(calls > shifted && shifted > 0, "{calls} {shifted}");
 }
 
 #[test]
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn files_fail() {
+fn file_writes_and_syncs_fail() {
     let shim = Shim::new(7).unwrap();
     shim.set_fault(Call::FileSync, Fault { per_million: 1_000_000, outcome: libc::EIO }).unwrap();
     shim.set_fault(Call::FileWrite, Fault { per_million: 1_000_000, outcome: libc::ENOSPC }).unwrap();
