--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -57,7 +57,7 @@
         Some(played.notes.iter().map(|(_, note)| note).filter(is).count() as f64)
     };
     let count = |is: &dyn Fn(&Note) -> bool| Some(played.notes.iter().filter(|(_, n)| is(n)).count() as f64);
-    let bad =
+    let is_failure =
         |note: &Note| matches!(note, Note::HandOffEnded { host: at, is_success: false, .. } if *at == host);
     let times = ejection_times(played, &host);
     [
@@ -65,7 +65,7 @@
         ended(Outcome::Refused),
         ended(Outcome::Failed),
         count(&|note| matches!(note, Note::ConnectionLost { .. })),
-        count(&bad),
+        count(&is_failure),
         Some(times.len() as f64),
         times.first().copied(),
         times.last().copied(),
--- a/crates/faultbed/src/judge/figures.rs
+++ b/crates/faultbed/src/judge/figures.rs
@@ -7,11 +7,11 @@
 /// Figures of a play, one line each.
 pub fn figures(played: &PlayResult) -> Vec<String> {
     let mut counts: BTreeMap<Option<Outcome>, usize> = BTreeMap::new();
-    let mut asked = 0;
+    let mut requests = 0;
     let (mut arrived, mut failed): (BTreeMap<&str, usize>, BTreeMap<&str, usize>) = Default::default();
     for (_, note) in &played.notes {
         match note {
-            Note::RequestSent { .. } => asked += 1,
+            Note::RequestSent { .. } => requests += 1,
             Note::Answered { outcome, .. } => *counts.entry(Some(*outcome)).or_default() += 1,
             Note::ConnectionLost { .. } => *counts.entry(None).or_default() += 1,
             Note::HandOffArrived { host, .. } => *arrived.entry(host).or_default() += 1,
@@ -21,7 +21,7 @@
     }
     let count = |outcome| counts.get(&outcome).copied().unwrap_or(0);
     let mut lines = vec![format!(
-        "visits {asked}: served {}, refused {}, failed {}, connection lost {}; datagrams {}",
+        "visits {requests}: served {}, refused {}, failed {}, connection lost {}; datagrams {}",
         count(Some(Outcome::Served)),
         count(Some(Outcome::Refused)),
         count(Some(Outcome::Failed)),
--- a/crates/faultbed/src/judge/rollout.rs
+++ b/crates/faultbed/src/judge/rollout.rs
@@ -53,11 +53,11 @@
 ) -> Vec<String> {
     let runs = |name: &str| !unavailable.iter().any(|(who, _, to)| who == name && *to >= end);
     let names = scenario.dispatchers.iter().map(|(name, _)| name).filter(|name| runs(name));
-    let bad = names.filter_map(|name| {
+    let violations = names.filter_map(|name| {
         let found = statuses.get(name).and_then(|status| status["in_force"].as_u64());
         (found != Some(number)).then(|| format!("{name} ends with rules {found:?} in force, not {number}"))
     });
-    bad.collect()
+    violations.collect()
 }
 
 /// Checks that rules were in force in a location and never outside it, and that all processes report them as
--- a/crates/faultbed/src/play/start.rs
+++ b/crates/faultbed/src/play/start.rs
@@ -46,9 +46,9 @@
         let work = Duration::from_secs_f64(scenario.work_ms / 1e3);
         for hosts in &scenario.hosts {
             for name in &hosts.names {
-                let what = (&format!("s-{name}")[..], hosts.kind, hosts.transfers);
+                let host = (&format!("s-{name}")[..], hosts.kind, hosts.transfers);
                 let seed = seed ^ self.hosts.read().map_or(0, |hosts| hosts.len() as u64 + 1);
-                Host::start(what, work, seed, self.notes.clone(), self.hosts.clone())
+                Host::start(host, work, seed, self.notes.clone(), self.hosts.clone())
                     .map_err(io_error(name))?;
             }
         }
--- a/crates/faultbed/tests/bed.rs
+++ b/crates/faultbed/tests/bed.rs
@@ -173,7 +173,7 @@
 fn checks_the_agreement_of_members(reports: &[(&str, &str, &str)], fault: u64, expected: Option<&str>) {
     let lines: Vec<String> = reports.iter().map(|(me, who, state)| member_event(me, who, state)).collect();
     let played = PlayResult {
-        notes: vec![(fault * S, Note::Fault { what: "a fault".into() })],
+        notes: vec![(fault * S, Note::Fault { what: "one".into() })],
         events: parse_events(&lines.join("\n")),
         load_span: (0, 20 * S),
         ..PlayResult::default()
@@ -262,7 +262,7 @@
     assert_eq!(
         judge::check_final_version(&scenario, &unavailable, 9, &statuses, 2).len(),
         0,
-        "an unavailable process is not checked"
+        "who is away is not asked"
     );
     assert_eq!(judge::check_accepted_orders(&[("start".to_owned(), violations == 0)], 1).len(), violations);
 }
--- a/crates/peers/src/event_loop/dispatcher.rs
+++ b/crates/peers/src/event_loop/dispatcher.rs
@@ -15,8 +15,8 @@
 impl EventLoop {
     fn handle_log_read(&mut self, read: LogRead) {
         let Some(delivery) = &mut self.delivery else { return };
-        let asked = read.requested_at.map(|asked| self.clock.time(asked));
-        if let Some(message) = delivery.handle_log_read(asked, read) {
+        let requested_at = read.requested_at.map(|at| self.clock.time(at));
+        if let Some(message) = delivery.handle_log_read(requested_at, read) {
             (self.notify_dispatcher)(message);
         }
     }
--- a/crates/peers/tests/delivery.rs
+++ b/crates/peers/tests/delivery.rs
@@ -188,5 +188,5 @@
     let found = settings.check().unwrap_err();
     assert!(matches!(&found, Error::NotListed { name } if name == "c9"), "{found}");
     let settings = Settings { delivery: None, ..follower("f1") };
-    assert!(settings.check().is_err(), "without delivery a process has to be listed");
+    assert!(settings.check().is_err(), "without the delivery a process needs a place in a list");
 }
