--- a/crates/faultbed/src/compare.rs
+++ b/crates/faultbed/src/compare.rs
@@ -57,7 +57,7 @@
         Some(played.notes.iter().map(|(_, note)| note).filter(is).count() as f64)
     };
     let count = |is: &dyn Fn(&Note) -> bool| Some(played.notes.iter().filter(|(_, n)| is(n)).count() as f64);
-    let bad =
+    let is_failure =
         |note: &Note| matches!(note, Note::HandOffEnded { host: at, is_success: false, .. } if *at == host);
     let times = ejection_times(played, &host);
     [
@@ -65,7 +65,7 @@
         ended(Outcome::Refused),
         ended(Outcome::Failed),
         count(&|note| matches!(note, Note::ConnectionLost { .. })),
-        count(&bad),
+        count(&is_failure),
         Some(times.len() as f64),
         times.first().copied(),
         times.last().copied(),
@@ -80,7 +80,7 @@
 
 /// The median of each figure over the plays that have it.
 fn medians(all: &[&Figures]) -> Figures {
-    std::array::from_fn(|index| median(all.iter().filter_map(|one| one[index]).collect()))
+    std::array::from_fn(|index| median(all.iter().filter_map(|figures| figures[index]).collect()))
 }
 
 /// A Markdown table with both scenarios for each seed, their medians, and the medians of the differences per
@@ -100,7 +100,7 @@
         }
     };
     for (seed, both) in seeds {
-        both.iter().zip(names).for_each(|(one, name)| row(&seed.to_string(), name, one));
+        both.iter().zip(names).for_each(|(figures, name)| row(&seed.to_string(), name, figures));
     }
     for (index, name) in names.into_iter().enumerate() {
         row("median", name, &medians(&seeds.iter().map(|(_, both)| &both[index]).collect::<Vec<_>>()));
