--- a/crates/dispatcher/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -287,13 +287,12 @@
         std::thread::sleep(Duration::from_millis(20));
         assert!(open < 50, "no hand-off waits for a connection to a");
     }
-    let poll = fixture.log.next_since(1);
-    poll.answer(&if in_one_event {
+    let events = if in_one_event {
         vec![event(2, false, &[entry("a", at, DRAINING, 0), entry("a", at, GONE, 0)])]
     } else {
         vec![list(2, false, &[("a", at, DRAINING)]), list(3, false, &[("a", at, GONE)])]
-    });
-    let announced = Instant::now();
+    };
+    let announced = fixture.log.announce(1, &events);
     for _ in 0..open {
         let message = fixture.hosts.next_request();
         assert!(message.at < announced + WAIT, "only {:?} after the change", message.at - announced);
@@ -440,13 +439,12 @@
 fn an_answer_of_any_length() {
     let hosts = FakeHosts::new();
     let a = hosts.start("a");
-    let fixture = Fixture::start_with(FakeChangeLog::start(), hosts, a, 32);
-    let poll = fixture.log.next_since(1);
     let mut events: Vec<String> = (2..9_000).map(purge).collect();
-    events.push(list(9_000, false, &[("a", fixture.a, DRAINING)]));
-    let text = body(&events);
+    events.push(list(9_000, false, &[("a", a, DRAINING)]));
+    let text = http(&body(&events));
     assert!(text.len() > 32 * 1024 * 1024 / 64);
-    poll.write(http(&text).as_bytes());
+    let fixture = Fixture::start_with(FakeChangeLog::start(), hosts, a, 32);
+    fixture.log.next_since(1).write(text.as_bytes());
     fixture.log.next_since(9_000);
     fixture.check_unused(&["a"]);
     assert_eq!(fixture.dispatcher.count_log_lines("changelog fails"), 0);
--- a/crates/dispatcher/tests/discovery/bed.rs
+++ b/crates/dispatcher/tests/discovery/bed.rs
@@ -121,6 +121,22 @@
         }
     }
 
+    /// Answers polls for the changes after a given one until the dispatcher polls for later ones, as an answer to a
+    /// poll that it has given up is lost. Returns the time of the last answer.
+    pub fn announce(&self, since: u64, events: &[String]) -> Instant {
+        let end = Instant::now() + STEP_TIMEOUT;
+        let mut poll = self.next_since(since);
+        loop {
+            let _ = poll.try_write(http(&body(events)).as_bytes());
+            let answered_at = Instant::now();
+            poll = self.next_poll();
+            if poll.since > since {
+                return answered_at;
+            }
+            assert!(answered_at < end, "the changes after {since} are never taken");
+        }
+    }
+
     /// All later polls.
     pub fn into_polls(self) -> Receiver<Poll> {
         self.polls
