--- a/crates/dispatcher/src/router/tests.rs
+++ b/crates/dispatcher/src/router/tests.rs
@@ -1,16 +1,28 @@
 //! Router tests that call it directly, for sequences that sockets can't force.
-use super::*;
+use super::state::{HostEntry, Router};
+use crate::cancellation::CancelToken;
+use crate::capacity::Gauge;
 use crate::change_log::host_id;
+use crate::clock;
+use crate::config::Config;
 use crate::connection::Connection;
-use crate::durable_state::StateStore;
-use crate::host_messages::HostThreadMessage;
-use crate::ids::HostActorId;
+use crate::durable_state::{StateRecorder, StateStore};
+use crate::host_messages::{HostMailbox, HostThreadMessage, ToHost};
+use crate::ids::{ClientId, HostActorId};
+use crate::inbox::{FromClient, FromHost, Input};
+use crate::mailbox;
+use crate::msgpack;
+use cherrypass::calls::{Listing, Phase};
+use cherrypass::ids::{CellId, HostId, KindId, LocationId};
+use cherrypass::time::Span;
 use cherrypass_operator as operator;
 use cherrypass_store::engine::{Batch, Options};
 use cherrypass_store::simulated::{Call, CallOutcome, Disk, Image};
 use cherrypass_store::store::Store;
-use crossbeam_channel::unbounded;
+use crossbeam_channel::{unbounded, Receiver, Sender};
 use std::net::{TcpListener, TcpStream};
+use std::sync::atomic::Ordering::Relaxed;
+use std::sync::Arc;
 use std::time::Duration;
 use test_case::test_case;
 
