--- a/crates/dispatcher/src/fleet_connection.rs
+++ b/crates/dispatcher/src/fleet_connection.rs
@@ -2,175 +2,37 @@
 //! the module; its own findings, demand and usage go to the fleet. No decisions are made here. Values from
 //! the fleet are valid until an `Instant`, and the remaining time is passed to the module again and again, so
 //! that a step of the system clock can't keep an expired share in force.
+mod counters;
+mod demand;
+mod findings;
+mod hosts;
+mod proof;
+mod reports;
+mod rules;
+mod settings;
+mod shares;
+mod state;
+
+use self::demand::DEMAND_WINDOW;
+pub use self::settings::{fleet_settings, Error};
+pub use self::state::FleetConnection;
+use self::state::Share;
 use crate::carried_changes::Delivery;
 use crate::clock;
-use crate::config::Config;
 use crate::inbox::Input;
-use cherrypass::calls::{
-    EjectionCause, HostCondition, LimitUsage, Listing, Phase, ReportedCondition, SharedLimit,
-};
 use cherrypass::decision_engine::DecisionEngine;
-use cherrypass::ids::{ClassId, HostId, LocationId};
 use cherrypass::settings::Settings;
-use cherrypass::time::{Span, Time, UnixTime};
-use cherrypass_fleet::{limits, members, node, rollout, verdicts};
-use cherrypass_operator::fleet::{self as operator, Fleet, UnprovenCopies};
-use cherrypass_operator::rules::{self, Rules};
+use cherrypass_operator::fleet::Fleet;
 use cherrypass_peers as peers;
-use cherrypass_peers::delivery::{self, DeliveryEvent};
-use cherrypass_peers::{
-    ChangeNumber, Figures, Finding, FindingKind, FromFleet, LimitKey, LogId, Peers, ToFleet, UsedBy,
-};
+use cherrypass_peers::delivery::DeliveryEvent;
+use cherrypass_peers::{FindingKind, FromFleet, Peers, ToFleet};
 use cherrypass_store::store::Store;
 use crossbeam_channel::{unbounded, Sender};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// Interval of the exchanges between module and fleet.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
-/// Demand is averaged over this many exchanges, which take a second.
-const DEMAND_WINDOW: usize = 4;
-/// Maximum drain time of a limit.
-const MAX_DRAIN: Span = Span::millis(600_000);
-
-/// Why the fleet can't be joined.
-#[derive(Debug, thiserror::Error)]
-pub enum Error {
-    #[error(
-        "the operators' file: fleet.members[{0}].location: '{1}' is not one of the configuration's zones {2:?}"
-    )]
-    Location(usize, String, Vec<String>),
-    #[error(transparent)]
-    Peers(#[from] peers::Error),
-}
-
-impl Error {
-    /// Stable identifier of the error for operators' tools.
-    pub fn code(&self) -> &'static str {
-        match self {
-            Error::Location(..) => "fleet-location",
-            Error::Peers(error) => error.code(),
-        }
-    }
-}
-
-/// Converts the section `fleet` of the operators' file to the settings of the fleet's crates.
-pub fn fleet_settings(fleet: &Fleet, config: &Config) -> Result<peers::Settings, Error> {
-    let zones = &config.names.locations;
-    let location_id =
-        |name: &String| zones.iter().position(|zone| zone == name).map(|index| LocationId(index as u16));
-    let mut settings = peers::Settings::new(&fleet.name, &fleet.own_name, fleet.listen);
-    for (index, operator::Member { name, address, location }) in fleet.members.iter().enumerate() {
-        let id = location_id(location);
-        let location = id.ok_or_else(|| Error::Location(index, location.clone(), zones.clone()))?;
-        settings.members.push(peers::Member { name: name.clone(), address: *address, location });
-    }
-    let follower =
-        |one: &operator::Follower| peers::Follower { name: one.name.clone(), address: one.address };
-    settings.followers = fleet.followers.iter().map(follower).collect();
-    settings.locations = zones.iter().filter_map(|zone| Some((zone.clone(), location_id(zone)?))).collect();
-    (settings.events, settings.control, settings.newest_form) =
-        (fleet.events.clone(), fleet.control, fleet.message_version);
-    (settings.timer_interval, settings.seed) = (fleet.timer_period, config.seed);
-    let drain = config.longest_deadline().min(MAX_DRAIN);
-    settings.protocols = node::Settings {
-        members: members::Settings { interval: fleet.probe_interval, ..members::Settings::default() },
-        limits: fleet.limits.as_ref().map(|limits| limits::Settings {
-            origin: limits.origin,
-            retries_per_s: limits.retries_per_s,
-            limits_cold_hosts: limits.shares_cold_budgets,
-            lease: limits.lease,
-            floor_fraction: limits.floor,
-            drain,
-            ..limits::Settings::default()
-        }),
-        verdicts: fleet.verdicts.as_ref().map(|verdicts| verdicts::Settings {
-            hold_time: verdicts.max_finding_age,
-            reporters: verdicts.min_reporters as u8,
-            location_fraction: verdicts.min_reporting_fraction,
-        }),
-        rollout: fleet.rollout.as_ref().map(|rollout| rollout::Settings {
-            window: rollout.comparison_window,
-            ..rollout::Settings::default()
-        }),
-        ..node::Settings::default()
-    };
-    settings.delivery = fleet.delivery.as_ref().map(|delivery| delivery::Settings {
-        carriers: delivery.carriers.clone(),
-        last_change: ChangeNumber::default(),
-        protocol: cherrypass_fleet::delivery::Settings {
-            log: LogId::of(&delivery.log),
-            max_followers: delivery.followers_per_carrier as usize,
-            fallback_delay: delivery.fallback_after,
-            ..cherrypass_fleet::delivery::Settings::default()
-        },
-    });
-    settings.check()?;
-    Ok(settings)
-}
-
-/// This member's share of a limit: the amount until the lease ends, and the one after that.
-#[derive(Clone, Copy)]
-struct Share {
-    amount: f64,
-    until: Instant,
-    after: f64,
-}
-
-/// A bad host reported by other dispatchers.
-struct ReportedHost {
-    started: Option<UnixTime>,
-    until: Instant,
-    /// Whether the fleet was notified that own hand-offs to it succeed.
-    is_refuted: bool,
-}
-
-/// The router's connection to the fleet.
-pub struct FleetConnection {
-    send: Box<dyn Fn(ToFleet)>,
-    /// For the thread that follows the change log, which takes it once.
-    delivery: Option<Delivery>,
-    /// With delivery: the time up to which all changes of the log are known.
-    known_up_to: Option<Instant>,
-    is_unproven: bool,
-    /// Leaves the fleet when dropped.
-    _peers: Option<Peers>,
-    settings: Settings,
-    fleet: Fleet,
-    rules: Rules,
-    /// The fraction of each limit that this member always has.
-    floor: f64,
-    shares: BTreeMap<LimitKey, Share>,
-    /// Hosts that others report as bad.
-    reported_hosts: BTreeMap<HostId, ReportedHost>,
-    /// Hosts that others report as restarted, with the listed start that the report refers to.
-    restarted_hosts: BTreeMap<HostId, Option<UnixTime>>,
-    /// Own findings reported to the fleet, by host and whether the finding is a restart.
-    sent_findings: BTreeMap<(HostId, bool), (FindingKind, u32, Option<UnixTime>)>,
-    /// The listed start of each host, which identifies its process among members, and the start in the
-    /// module's time.
-    starts: BTreeMap<HostId, (Option<UnixTime>, Option<Time>)>,
-    /// Hosts that the module has ejected, and whether only because of reports of others.
-    ejected: BTreeMap<HostId, bool>,
-    recent_demand: BTreeMap<LimitKey, VecDeque<LimitUsage>>,
-    next_exchange: Instant,
-    exchanges: usize,
-    counters: Figures,
-}
-
-fn shared_limit(key: LimitKey) -> SharedLimit {
-    match key {
-        LimitKey::Origin => SharedLimit::Origin,
-        LimitKey::Retries => SharedLimit::Retries,
-        LimitKey::ColdHost(host) => SharedLimit::ColdStart(host),
-    }
-}
-
-/// Converts a future instant to the module's time.
-fn module_time(instant: Instant) -> Time {
-    clock::now() + Span(instant.saturating_duration_since(Instant::now()).as_micros() as u64)
-}
 
 impl FleetConnection {
     /// Joins the fleet, whose messages go to the router's mailbox.
@@ -208,230 +70,30 @@
         self.delivery.take()
     }
 
-    fn with(fleet: &Fleet, settings: &Settings, send: Box<dyn Fn(ToFleet)>) -> FleetConnection {
-        let floor = fleet.limits.as_ref().map_or(0.0, |limits| limits.floor);
-        FleetConnection {
-            send,
-            delivery: None,
-            known_up_to: fleet.delivery.is_some().then(Instant::now),
-            is_unproven: false,
-            _peers: None,
-            settings: settings.clone(),
-            fleet: fleet.clone(),
-            rules: Rules::default(),
-            floor: floor / fleet.members.len().max(1) as f64,
-            shares: BTreeMap::new(),
-            reported_hosts: BTreeMap::new(),
-            restarted_hosts: BTreeMap::new(),
-            sent_findings: BTreeMap::new(),
-            starts: BTreeMap::new(),
-            ejected: BTreeMap::new(),
-            recent_demand: BTreeMap::new(),
-            next_exchange: Instant::now(),
-            exchanges: 0,
-            counters: Figures::default(),
-        }
-    }
-
-    /// How long until the next exchange ([`FleetConnection::exchange`]) is due.
-    pub fn until_next_exchange(&self) -> Duration {
-        self.next_exchange.saturating_duration_since(Instant::now())
-    }
-
-    /// Before anything is served: sets the shares of all limits to zero until the fleet allots more. An
-    /// earlier run of this process may have lent its share to others, or its hand-offs may still be using it.
-    pub fn set_initial_shares(&mut self, engine: &mut DecisionEngine) {
-        let Some(limits) = &self.fleet.limits else { return };
-        let totals = [(LimitKey::Origin, limits.origin), (LimitKey::Retries, limits.retries_per_s)];
-        let limited = totals.into_iter().filter(|(_, total)| total.is_some());
-        limited.for_each(|(key, _)| self.set_initial_share(engine, key, 0.0));
-    }
-
-    /// Sets the share that applies until the fleet allots one.
-    fn set_initial_share(&mut self, engine: &mut DecisionEngine, key: LimitKey, amount: f64) {
-        self.shares.entry(key).or_insert(Share { amount, until: Instant::now(), after: amount });
-        self.apply_share(engine, key);
-    }
-
-    /// Passes a share to the module.
-    fn apply_share(&self, engine: &mut DecisionEngine, key: LimitKey) {
-        if let Some(Share { amount, until, after }) = self.shares.get(&key) {
-            let scale = self.scale(key);
-            engine.set_allotment(shared_limit(key), scale * amount, module_time(*until), scale * after);
-        }
-    }
-
-    /// The ratio of a limit by the rules in force to that of the file, by which the fleet allots shares.
-    fn scale(&self, key: LimitKey) -> f64 {
-        let (Some(file), rules) = (&self.fleet.limits, &self.rules.fleet.limits) else { return 1.0 };
-        let (new, old) = match key {
-            LimitKey::Origin => (rules.origin, file.origin),
-            LimitKey::Retries => (rules.retries_per_s, file.retries_per_s),
-            LimitKey::ColdHost(_) => (None, None),
-        };
-        new.zip(old).map_or(1.0, |(new, old)| new / old)
-    }
-
-    /// Puts rules in force.
-    fn apply_rules(&mut self, engine: &mut DecisionEngine, rules: Rules) {
-        self.rules = rules;
-        self.shares
-            .keys()
-            .copied()
-            .collect::<Vec<_>>()
-            .into_iter()
-            .for_each(|key| self.apply_share(engine, key));
-        if let Some(file) = &self.fleet.verdicts {
-            let rules = &self.rules.fleet.verdicts;
-            let reporters = rules.min_reporters.unwrap_or(file.min_reporters) as u8;
-            (self.send)(ToFleet::VerdictThresholds {
-                reporters,
-                location_fraction: rules.min_reporting_fraction.unwrap_or(file.min_reporting_fraction),
-            });
-        }
-        if !self.rules.fleet.verdicts.uses_findings {
-            let hosts: Vec<HostId> = self.reported_hosts.keys().copied().collect();
-            hosts.into_iter().for_each(|host| self.withdraw_report(engine, host));
-        }
-    }
-
-    /// The start in the module's time of the process that members identify by its listed start. If that is
-    /// not the start listed here, a value that matches no host.
-    fn start_of(&self, host: HostId, started: Option<UnixTime>) -> Option<Time> {
-        let known = self.starts.get(&host).filter(|known| known.0 == started);
-        known.map_or(Some(Time::default()), |known| known.1)
-    }
-
-    /// Withdraws other dispatchers' report on a host from the module.
-    fn withdraw_report(&mut self, engine: &mut DecisionEngine, host: HostId) {
-        if let Some(report) = self.reported_hosts.remove(&host) {
-            let now = clock::now();
-            engine.apply_peer_report(
-                now,
-                host,
-                self.start_of(host, report.started),
-                ReportedCondition::Bad,
-                now,
-            );
-        }
-    }
-
     /// Handles a message of the fleet.
     pub fn handle(&mut self, engine: &mut DecisionEngine, message: FromFleet) {
         match message {
             FromFleet::Allowance { key, number, amount, until, after } => {
-                // Nothing is kept for hosts that are gone.
-                if matches!(key, LimitKey::ColdHost(host) if !engine.is_listed(host)) {
-                    return;
-                }
-                self.shares.insert(key, Share { amount, until, after });
-                self.apply_share(engine, key);
-                (self.send)(ToFleet::AllowanceApplied { key, number });
+                self.share_allotted(engine, key, number, Share { amount, until, after })
             }
             FromFleet::Verdict { kind: FindingKind::Slow, .. } => {}
             FromFleet::Verdict { .. } if !self.rules.fleet.verdicts.uses_findings => {}
-            FromFleet::Verdict { host, started_at: since, kind: FindingKind::Restarted, until, .. } => {
-                // Only once per start: a later start in the list takes precedence over repeated reports.
-                if self.restarted_hosts.insert(host, since) != Some(since) {
-                    let start = self.start_of(host, since);
-                    engine.apply_peer_report(
-                        clock::now(),
-                        host,
-                        start,
-                        ReportedCondition::Restarted,
-                        module_time(until),
-                    );
-                }
+            FromFleet::Verdict { host, started_at, kind: FindingKind::Restarted, until, .. } => {
+                self.host_restarted(engine, host, started_at, until)
             }
-            FromFleet::Verdict { host, started_at: since, until, .. } => {
-                let is_refuted = self
-                    .reported_hosts
-                    .get(&host)
-                    .is_some_and(|report| report.is_refuted && report.started == since);
-                self.reported_hosts.insert(host, ReportedHost { started: since, until, is_refuted });
-                engine.apply_peer_report(
-                    clock::now(),
-                    host,
-                    self.start_of(host, since),
-                    ReportedCondition::Bad,
-                    module_time(until),
-                );
+            FromFleet::Verdict { host, started_at, until, .. } => {
+                self.host_reported(engine, host, started_at, until)
             }
             FromFleet::WithdrawVerdict { host } => self.withdraw_report(engine, host),
-            FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at)) => {
-                self.known_up_to = self.known_up_to.max(Some(at));
-                self.update_proof(engine);
-            }
+            FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at)) => self.changes_known_up_to(engine, at),
             FromFleet::Delivery(DeliveryEvent::Changes { .. } | DeliveryEvent::ReadLogDirectly(_)) => {}
-            FromFleet::Rules { number: 0, .. } => self.apply_rules(engine, Rules::default()),
-            FromFleet::Rules { number, text } => match rules::decode(&text, &self.fleet) {
-                Ok(rules) => self.apply_rules(engine, rules),
-                Err(error) => {
-                    tracing::warn!("rules {number} are rejected ({}): {error}", error.code());
-                    (self.send)(ToFleet::RulesRejected { number, reason: error.to_string() });
-                }
-            },
+            FromFleet::Rules { number, text } => self.handle_rules(engine, number, &text),
         }
     }
 
-    /// Tells the module whether there may be purges that are not known here.
-    fn update_proof(&mut self, engine: &mut DecisionEngine) {
-        let (Some(delivery), Some(known)) = (&self.fleet.delivery, self.known_up_to) else { return };
-        let is_unproven = known.elapsed() > clock::to_std(delivery.max_proof_age);
-        engine.set_purges_unverified(is_unproven && delivery.unproven == UnprovenCopies::Strict);
-        if std::mem::replace(&mut self.is_unproven, is_unproven) != is_unproven {
-            let age_ms = known.elapsed().as_millis();
-            match is_unproven {
-                true => tracing::warn!("delivery: purges of the last {age_ms} ms may be unknown"),
-                false => tracing::info!("delivery: all purges are known up to {age_ms} ms ago"),
-            }
-        }
-    }
-
-    /// Whether carriers deliver changes and so prove which purges are known.
-    pub fn has_carriers(&self) -> bool {
-        self.fleet.delivery.is_some()
-    }
-
-    /// An entry of the host list was applied.
-    pub fn host_listed(&mut self, engine: &mut DecisionEngine, entry: &Listing, started: Option<UnixTime>) {
-        self.starts.insert(entry.host, (started, entry.started_at));
-        if entry.phase != Phase::Ready {
-            return self.host_unlisted(entry.host, entry.phase == Phase::Gone);
-        }
-        let kind = Some(entry.kind);
-        let is_used_by_all = kind == self.settings.parent_kind || kind == self.settings.origin_kind;
-        let used_by = if is_used_by_all { UsedBy::All } else { UsedBy::Location(entry.location) };
-        (self.send)(ToFleet::HostListed { host: entry.host, started_at: started, used_by });
-        if entry.started_at.is_some() {
-            self.init_cold_share(engine, entry.host);
-        }
-    }
-
-    /// A host's start was dated earlier than before.
-    pub fn start_redated(&mut self, host: HostId, since: Time) {
-        self.starts.get_mut(&host).into_iter().for_each(|known| known.1 = Some(since));
-    }
-
-    /// A host left the list, or drains.
-    pub fn host_unlisted(&mut self, host: HostId, is_gone: bool) {
-        (self.send)(ToFleet::HostUnlisted(host));
-        self.reported_hosts.remove(&host);
-        if is_gone {
-            self.starts.remove(&host);
-            self.shares.remove(&LimitKey::ColdHost(host));
-            self.restarted_hosts.remove(&host);
-        }
-    }
-
-    /// Sets the share of a cold host for which the fleet has not allotted one to the floor, which no other
-    /// member can have. The fleet may know too many hosts to allot shares for this one.
-    fn init_cold_share(&mut self, engine: &mut DecisionEngine, host: HostId) {
-        let key = LimitKey::ColdHost(host);
-        let shares_cold_budgets = self.fleet.limits.as_ref().is_some_and(|limits| limits.shares_cold_budgets);
-        if shares_cold_budgets && !self.shares.contains_key(&key) {
-            self.set_initial_share(engine, key, self.floor);
-        }
+    /// How long until the next exchange ([`FleetConnection::exchange`]) is due.
+    pub fn until_next_exchange(&self) -> Duration {
+        self.next_exchange.saturating_duration_since(Instant::now())
     }
 
     /// Exchanges the current state between module and fleet, in both directions.
@@ -440,17 +102,8 @@
         self.next_exchange = instant + EXCHANGE_INTERVAL;
         self.exchanges += 1;
         self.update_proof(engine);
-        self.shares
-            .keys()
-            .copied()
-            .collect::<Vec<_>>()
-            .into_iter()
-            .for_each(|key| self.apply_share(engine, key));
-        self.reported_hosts.retain(|_, report| instant < report.until);
-        for (host, report) in &self.reported_hosts {
-            let start = self.start_of(*host, report.started);
-            engine.apply_peer_report(now, *host, start, ReportedCondition::Bad, module_time(report.until));
-        }
+        self.apply_shares(engine);
+        self.renew_reports(engine, now, instant);
         if self.fleet.verdicts.is_some() {
             self.send_findings(engine, now);
         }
@@ -460,116 +113,20 @@
             (self.send)(ToFleet::Figures(std::mem::take(&mut self.counters)));
         }
     }
-
-    /// Sends findings about hosts that are new or have changed.
-    fn send_findings(&mut self, engine: &DecisionEngine, now: Time) {
-        let mut current = BTreeMap::new();
-        for finding in engine.findings(now) {
-            let kind = match finding.condition {
-                HostCondition::Restarted => FindingKind::Restarted,
-                HostCondition::Ejected { cause: EjectionCause::Silent, .. }
-                | HostCondition::Ejected { is_unreachable: true, .. } => FindingKind::Unreachable,
-                HostCondition::Ejected { .. } => FindingKind::Failing,
-            };
-            let key = (finding.host, kind == FindingKind::Restarted);
-            let since = self.starts.get(&finding.host).and_then(|known| known.0);
-            let content = (kind, finding.evidence_count, since);
-            if self.sent_findings.get(&key) != Some(&content) {
-                let (host, evidence, age) =
-                    (finding.host, finding.evidence_count, now - finding.last_evidence_at);
-                (self.send)(ToFleet::Finding(Finding { host, started_at: since, kind, evidence, age }));
-            }
-            current.insert(key, content);
-        }
-        let cleared = self.sent_findings.keys().filter(|key| !key.1 && !current.contains_key(key));
-        cleared.for_each(|key| (self.send)(ToFleet::Recovery(key.0)));
-        self.sent_findings = current;
-        for host in engine.refuted_reports(now) {
-            if let Some(report) = self.reported_hosts.get_mut(&host).filter(|report| !report.is_refuted) {
-                report.is_refuted = true;
-                (self.send)(ToFleet::VerdictRefuted(host));
-            }
-        }
-    }
-
-    /// Sends which hosts were ejected or returned.
-    fn send_ejections(&mut self, engine: &DecisionEngine) {
-        let ejected: BTreeMap<HostId, bool> =
-            engine.ejected_hosts().map(|(host, why)| (host, why == EjectionCause::Reported)).collect();
-        for (host, by_report) in
-            ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
-        {
-            self.counters.ejected += u64::from(!self.ejected.contains_key(host));
-            (self.send)(ToFleet::HostEjected { host: *host, by_reports: *by_report });
-        }
-        for host in self.ejected.keys().filter(|host| !ejected.contains_key(host)) {
-            (self.send)(ToFleet::HostReadmitted { host: *host });
-        }
-        self.ejected = ejected;
-    }
-
-    /// Sends the demand for each limit, and once a second its usage.
-    fn send_demand(&mut self, engine: &mut DecisionEngine, now: Time) {
-        let Some(limits) = &self.fleet.limits else { return };
-        let totals = [(LimitKey::Origin, limits.origin), (LimitKey::Retries, limits.retries_per_s)];
-        let mut keys: BTreeSet<LimitKey> =
-            totals.into_iter().filter(|(_, total)| total.is_some()).map(|(key, _)| key).collect();
-        if limits.shares_cold_budgets {
-            let cold: Vec<HostId> = engine.cold_hosts(now).collect();
-            cold.iter().for_each(|host| self.init_cold_share(engine, *host));
-            keys.extend(cold.into_iter().map(LimitKey::ColdHost));
-        }
-        self.recent_demand.retain(|key, _| keys.contains(key));
-        let sends_usage = self.exchanges.is_multiple_of(DEMAND_WINDOW);
-        for key in keys {
-            let recent = self.recent_demand.entry(key).or_default();
-            recent.push_back(engine.take_limit_usage(now, shared_limit(key)));
-            if recent.len() > DEMAND_WINDOW {
-                recent.pop_front();
-            }
-            let aggregate = |of: fn(&LimitUsage) -> f64| match key {
-                LimitKey::Origin => recent.iter().map(of).fold(0.0, f64::max),
-                _ => recent.iter().map(of).sum::<f64>() / recent.len() as f64,
-            };
-            let max = if matches!(key, LimitKey::ColdHost(_)) { 1.0 } else { f64::MAX };
-            (self.send)(ToFleet::Demand { key, amount: aggregate(|one| one.demanded).min(max) });
-            if sends_usage {
-                (self.send)(ToFleet::PeakUse { key, amount: aggregate(|one| one.used) });
-            }
-        }
-    }
-
-    /// Counts a hand-off.
-    pub fn count_hand_off(&mut self) {
-        self.counters.hand_offs += 1;
-    }
-
-    /// Counts a visit that was served.
-    pub fn count_served(&mut self, engine: &DecisionEngine, class: ClassId, duration: Span) {
-        self.counters.visits += 1;
-        self.counters.in_time += u64::from(duration.as_seconds() <= engine.target_seconds(class));
-    }
-
-    /// Counts a visit that was refused.
-    pub fn count_refused(&mut self) {
-        self.counters.visits += 1;
-        self.counters.refused += 1;
-    }
-
-    /// Counts a visit that failed.
-    pub fn count_failed(&mut self) {
-        self.counters.visits += 1;
-        self.counters.failed += 1;
-    }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
     use cherrypass::calls::{Decision, HandOffEnd, Note, Outcome, Report, Visit};
+    use cherrypass::calls::{Listing, Phase, SharedLimit};
     use cherrypass::ids::{CellId, GroupId, HandOffNumber, KindId, ObjectId, VisitId};
+    use cherrypass::ids::{ClassId, HostId, LocationId};
     use cherrypass::settings::{ClassSettings, ColdStart, Effect};
+    use cherrypass::time::Span;
+    use cherrypass_peers::LimitKey;
     use crossbeam_channel::{unbounded, Receiver};
+    use std::collections::BTreeMap;
 
     const CACHE_COUNT: u64 = 4;
     const ORIGIN: HostId = HostId(9);
