--- /dev/null
+++ b/crates/dispatcher/src/hosts/answers.rs
@@ -0,0 +1,65 @@
+//! Matches the answers of a host with its hand-offs and probes.
+use super::host::Host;
+use super::pool::{AnsweredHandOff, PendingHandOff};
+use crate::capacity::Reservation;
+use crate::connection::CloseReason;
+use crate::ids::{ConnectionId, Txn};
+use crate::inbox::Input;
+use crate::resp::{self, Answer};
+use cherrypass::calls::Outcome;
+use cherrypass::time::Time;
+
+impl PendingHandOff {
+    /// Whether this answers the hand-off.
+    fn expects(&self, answer: &Answer) -> bool {
+        // A miss on a repeated hand-off that fills is a duplicate of the earlier miss: a host with a source
+        // to fill from doesn't answer with one.
+        let is_duplicate = self.is_repeat && self.fills_miss && answer.outcome == Outcome::Miss;
+        self.txn == answer.id && !is_duplicate
+    }
+
+    /// Whether the answer can't be passed on. An answer may confirm the client's copy only by naming the tag
+    /// that the client sent, and a copy must name its tag.
+    fn rejects(&self, answer: &Answer) -> bool {
+        let is_served = answer.outcome == Outcome::Served;
+        let is_other_copy =
+            answer.client_copy_current && (self.client_tag.is_none() || self.client_tag != answer.tag);
+        is_other_copy || is_served && self.expects_copy && answer.tag.is_none()
+    }
+}
+
+impl Host {
+    pub(super) fn handle_answer(
+        &mut self,
+        connection: ConnectionId,
+        answer: Answer,
+        reservation: Reservation,
+        at: Time,
+    ) {
+        let Some(pooled) = self.pool.get_mut(&connection) else { return };
+        pooled.last_used = at;
+        if let Some(probe) = self.probe.take_if(|probe| resp::probe_tag(*probe).as_bytes() == &answer.id[..])
+        {
+            let _ = self.shared.router.send(Input::ProbeEnded(probe, answer.report));
+            return;
+        }
+        let txn = Txn::parse(&answer.id);
+        let is_expected = pooled.in_flight.get(&txn).is_some_and(|pending| pending.expects(&answer));
+        let Some(pending) = is_expected.then(|| pooled.in_flight.remove(&txn)).flatten() else {
+            // An answer to a cancelled or unknown hand-off is dropped.
+            pooled.cancelled.remove(&txn);
+            return;
+        };
+        if answer.outcome != Outcome::Served {
+            let (until, is_miss) = (pending.deadline, answer.outcome == Outcome::Miss);
+            pooled.answered.insert(txn, AnsweredHandOff { until, is_miss });
+        }
+        // An unusable answer reaches no client, nor does anything after it on this connection.
+        if pending.rejects(&answer) {
+            pooled.close(CloseReason::UnusableAnswer);
+            self.report_end(pending.id, Outcome::Error, None, at);
+        } else {
+            self.report_end(pending.id, answer.outcome, Some((answer, reservation)), at);
+        }
+    }
+}
