--- /dev/null
+++ b/crates/dispatcher/src/change_log/poll_state.rs
@@ -0,0 +1,126 @@
+//! What earlier polls tell about the change log: adapts time limits and delays, and logs changes of state.
+use super::connections::PollLimits;
+use super::time_limits::{
+    CATCH_UP_WAIT, MAX_RETRY_DELAY, MIN_RESPONSE_TIMEOUT, MIN_RETRY_DELAY, POLL_WAIT, RESPONSE_DEADLINE,
+    RESPONSE_TIMEOUT_DECAY, STALL_THRESHOLD,
+};
+use crate::change_decoding::ChangeLogError;
+use cherrypass::time::Span;
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use std::io::ErrorKind;
+
+/// The state of the polls so far.
+pub(super) struct PollState {
+    retry_delay: Span,
+    response_timeout: Span,
+    is_failing: bool,
+    /// Whether the log's last change is older than the last known one.
+    is_behind: bool,
+    /// Whether the log tells known changes again.
+    is_repeating: bool,
+    has_stalled: bool,
+    /// Number of the last change that was invalid.
+    known_invalid: Option<u64>,
+}
+
+impl Default for PollState {
+    fn default() -> PollState {
+        PollState {
+            retry_delay: MIN_RETRY_DELAY,
+            response_timeout: MIN_RESPONSE_TIMEOUT,
+            is_failing: false,
+            is_behind: false,
+            is_repeating: false,
+            has_stalled: false,
+            known_invalid: None,
+        }
+    }
+}
+
+impl PollState {
+    pub(super) fn reset_retry_delay(&mut self) {
+        self.retry_delay = MIN_RETRY_DELAY;
+    }
+
+    pub(super) fn known_invalid(&self) -> Option<u64> {
+        self.known_invalid
+    }
+
+    /// The time limits of the next poll.
+    pub(super) fn limits(&self) -> PollLimits {
+        let wait = if self.is_failing || self.has_stalled { CATCH_UP_WAIT } else { POLL_WAIT };
+        PollLimits { wait, response_timeout: self.response_timeout }
+    }
+
+    pub(super) fn note_duration(&mut self, duration: Span) {
+        self.has_stalled = duration > STALL_THRESHOLD;
+    }
+
+    /// Notes whether the answer began with known changes.
+    pub(super) fn note_repeated(&mut self, repeated: Option<u64>, last_change: u64) {
+        if let Some(number) = repeated.filter(|_| !self.is_repeating) {
+            tracing::warn!(
+                change = last_change,
+                "changelog tells change {number} again, after {last_change}: ignored"
+            );
+        }
+        self.is_repeating = repeated.is_some();
+    }
+
+    /// Notes the number of the log's last change.
+    pub(super) fn note_sequence(&mut self, seq: Option<u64>, since: u64) {
+        let was_behind = self.is_behind;
+        self.is_behind = seq.is_some_and(|seq| seq < since);
+        if self.is_behind && !was_behind {
+            let seq = seq.unwrap_or_default();
+            tracing::warn!(
+                change = since,
+                "changelog is at change {seq}, behind {since}: no changes until it catches up"
+            );
+        }
+    }
+
+    /// Notes whether the poll failed.
+    pub(super) fn note_result(&mut self, fault: Option<&ChangeLogError>, last_change: u64) {
+        self.response_timeout = if fault.is_none() {
+            self.response_timeout.times(RESPONSE_TIMEOUT_DECAY).max(MIN_RESPONSE_TIMEOUT)
+        } else {
+            (self.response_timeout + self.response_timeout).min(RESPONSE_DEADLINE)
+        };
+        if let Some(ChangeLogError::InvalidChange(number, _)) = fault {
+            self.known_invalid = Some(*number);
+        }
+        match fault {
+            Some(fault) if !self.is_failing => tracing::warn!(
+                change = last_change,
+                "changelog fails: {fault}; the list as of change {last_change} stays in force"
+            ),
+            None if self.is_failing => {
+                tracing::info!(change = last_change, "changelog back at change {last_change}")
+            }
+            _ => {}
+        }
+        self.is_failing = fault.is_some();
+        // Prevents a busy loop, also if answers arrive at once and have no changes.
+        self.retry_delay = if self.is_failing {
+            (self.retry_delay + self.retry_delay).min(MAX_RETRY_DELAY)
+        } else {
+            MIN_RETRY_DELAY
+        };
+    }
+
+    /// How long to wait before the next poll, if at all.
+    pub(super) fn retry_delay(
+        &self,
+        fault: Option<&ChangeLogError>,
+        since_poll: Span,
+        random: &mut Pcg64Mcg,
+    ) -> Option<Span> {
+        // After a connect timeout the next connection is already being established.
+        let has_waited =
+            matches!(fault, Some(ChangeLogError::Unreachable(error)) if error.kind() == ErrorKind::TimedOut);
+        let needs_delay = self.is_failing && !has_waited || since_poll < Span::millis(2);
+        needs_delay.then(|| self.retry_delay.times(random.gen_range(0.5..1.0)))
+    }
+}
