--- a/crates/dispatcher/src/carried_changes.rs
+++ b/crates/dispatcher/src/carried_changes.rs
@@ -26,9 +26,9 @@
 /// The short form of a change, if it is a purge with nothing but a time and either a group or an object of 16
 /// hex digits.
 fn short_form(change: &Value) -> Option<CarriedChange<'static>> {
-    let all = change.as_object()?;
-    let purge = all.get("invalidate")?.as_object()?;
-    let is_plain = all.len() == 2 && all.contains_key("seq") && purge.len() == 2;
+    let fields = change.as_object()?;
+    let purge = fields.get("invalidate")?.as_object()?;
+    let is_plain = fields.len() == 2 && fields.contains_key("seq") && purge.len() == 2;
     let time = purge.get("time")?.as_u64().filter(|_| is_plain)?;
     if let Some(bucket) = purge.get("bucket") {
         return Some(CarriedChange::Bucket(bucket.as_u64()?.try_into().ok()?, time));
@@ -94,8 +94,8 @@
             match delivered {
                 DeliveryEvent::ReadLogDirectly(reads) => self.reads_log = reads || self.is_carrier(),
                 DeliveryEvent::CompleteUpTo(at) => {
-                    let known = Input::Fleet(FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at)));
-                    router.send(known).map_err(|_| ChangeLogError::RouterStopped)?;
+                    let complete = Input::Fleet(FromFleet::Delivery(DeliveryEvent::CompleteUpTo(at)));
+                    router.send(complete).map_err(|_| ChangeLogError::RouterStopped)?;
                 }
                 DeliveryEvent::Changes { first, records } => {
                     for (number, record) in (first.0..).zip(records) {
@@ -123,16 +123,16 @@
     /// The next delivery; waits for it while the log is not to be read.
     fn next(&mut self) -> Option<DeliveryEvent> {
         let from_fleet = &self.delivery.as_ref()?.from_fleet;
-        let found = match self.reads_log {
+        let received = match self.reads_log {
             true => from_fleet.try_recv(),
             false => from_fleet.recv().map_err(|_| TryRecvError::Disconnected),
         };
-        if found == Err(TryRecvError::Disconnected) {
+        if received == Err(TryRecvError::Disconnected) {
             // The fleet's thread has ended.
             self.delivery = None;
             self.reads_log = true;
         }
-        found.ok()
+        received.ok()
     }
 
     /// Queues a change read from the log for forwarding if this is a carrier.
--- a/crates/dispatcher/src/change_clock.rs
+++ b/crates/dispatcher/src/change_clock.rs
@@ -34,9 +34,9 @@
     /// Takes a stamp into account.
     pub fn observe(&mut self, now: Time, stamp: UnixTime) {
         let new = Observation { stamp, received_at: now };
-        let known = [self.latest, self.second_latest].into_iter().flatten();
+        let observations = [self.latest, self.second_latest].into_iter().flatten();
         // A repeated stamp is no independent estimate.
-        let is_known = known.clone().any(|known| known.stamp == stamp);
+        let is_known = observations.clone().any(|observation| observation.stamp == stamp);
         let is_later = |than: Option<Observation>| than.is_none_or(|than| new.now(now) > than.now(now));
         if is_known {
             return;
--- a/crates/dispatcher/src/change_decoding.rs
+++ b/crates/dispatcher/src/change_decoding.rs
@@ -106,12 +106,12 @@
         } else if seq.is_none() {
             return Err(ChangeLogError::InvalidChange(number, "sequence number".into()));
         }
-        let found = match decode_change(result, self.names, number, skips_invalid) {
+        let change = match decode_change(result, self.names, number, skips_invalid) {
             Err(what) if !skips_invalid => return Err(ChangeLogError::InvalidChange(number, what)),
-            found => found.unwrap_or(None),
+            change => change.unwrap_or(None),
         };
         *self.last = number;
-        Ok(found)
+        Ok(change)
     }
 }
 
@@ -175,7 +175,7 @@
 
 fn decode_host(entry: &Value, names: &WireNames) -> Result<ListedHost, &'static str> {
     let text = |key| entry.get(key).and_then(Value::as_str);
-    let index = |list: &[String], name: &str| list.iter().position(|known| known == name);
+    let index = |list: &[String], name: &str| list.iter().position(|listed| listed == name);
     let name = text("id").ok_or("id")?;
     let phase = match text("state").ok_or("state")? {
         "in_service" => Phase::Ready,
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -142,14 +142,15 @@
         if Nesting::default().is_too_deep(text) {
             return Err(Error::TooDeep(Nesting::MAX_DEPTH));
         }
-        let all: Value = serde_json::from_slice(text).map_err(Error::NotJson)?;
-        let settings_json = all.get("settings").ok_or_else(|| Error::MissingKey("settings".to_owned()))?;
+        let document: Value = serde_json::from_slice(text).map_err(Error::NotJson)?;
+        let settings_json =
+            document.get("settings").ok_or_else(|| Error::MissingKey("settings".to_owned()))?;
         settings::check(settings_json)?;
-        let memory = number(&all, "limits/memory_mb", 1.0)?;
-        let sockets = number(&all, "limits/sockets", MIN_SOCKETS)? as usize;
+        let memory = number(&document, "limits/memory_mb", 1.0)?;
+        let sockets = number(&document, "limits/sockets", MIN_SOCKETS)? as usize;
         let sixteenth = (memory * 1024.0 * 1024.0 / 16.0) as usize;
         let max_clients = sockets / 3;
-        let seed = string(&all, "seed")?;
+        let seed = string(&document, "seed")?;
         let required = |path: &str| settings::required_number(settings_json, path);
         let services = settings::list(settings_json, "/services");
         let deadline = |(index, class): (usize, &Value)| {
@@ -160,12 +161,12 @@
         };
         let class_deadlines = services.iter().enumerate().map(deadline).collect::<Result<_, Error>>()?;
         Ok(Config {
-            name: string(&all, "name")?.to_owned(),
-            listen: address(&all, "listen")?,
+            name: string(&document, "name")?.to_owned(),
+            listen: address(&document, "listen")?,
             seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| invalid("seed", &all["seed"], "a string of up to 16 hex digits"))?,
-            changelog: address(&all, "changelog")?,
-            known_changes: all.get("known").cloned().unwrap_or(Value::Null),
+                .map_err(|_| invalid("seed", &document["seed"], "a string of up to 16 hex digits"))?,
+            changelog: address(&document, "changelog")?,
+            known_changes: document.get("known").cloned().unwrap_or(Value::Null),
             settings: settings::read(settings_json)?,
             names: WireNames {
                 classes: services.iter().map(|class| settings::text(class, "/name").to_owned()).collect(),
@@ -217,25 +218,25 @@
     Error::InvalidValue(key, shown, expected.into())
 }
 
-fn required<'a>(all: &'a Value, key: &'static str) -> Result<&'a Value, Error> {
-    let value = all.pointer(&format!("/{key}")).filter(|value| !value.is_null());
+fn required<'a>(document: &'a Value, key: &'static str) -> Result<&'a Value, Error> {
+    let value = document.pointer(&format!("/{key}")).filter(|value| !value.is_null());
     value.ok_or_else(|| Error::MissingKey(key.to_owned()))
 }
 
-fn number(all: &Value, key: &'static str, min: f64) -> Result<f64, Error> {
-    let value = required(all, key)?;
+fn number(document: &Value, key: &'static str, min: f64) -> Result<f64, Error> {
+    let value = required(document, key)?;
     let number = value.as_f64().filter(|number| *number >= min);
     number.ok_or_else(|| invalid(key, value, format!("a number, {min} at least")))
 }
 
-fn string<'a>(all: &'a Value, key: &'static str) -> Result<&'a str, Error> {
-    let value = required(all, key)?;
+fn string<'a>(document: &'a Value, key: &'static str) -> Result<&'a str, Error> {
+    let value = required(document, key)?;
     value.as_str().ok_or_else(|| invalid(key, value, "a string"))
 }
 
-fn address(all: &Value, key: &'static str) -> Result<SocketAddr, Error> {
+fn address(document: &Value, key: &'static str) -> Result<SocketAddr, Error> {
     let expected = "an address and a port, as in 127.0.0.1:8443";
-    string(all, key)?.parse().map_err(|_| invalid(key, &all[key], expected))
+    string(document, key)?.parse().map_err(|_| invalid(key, &document[key], expected))
 }
 
 fn names(settings_json: &Value, path: &str) -> Vec<String> {
--- a/crates/dispatcher/src/connection.rs
+++ b/crates/dispatcher/src/connection.rs
@@ -177,11 +177,11 @@
         }
         let ends = PollFlags::from_bits_retain(libc::POLLRDHUP) | PollFlags::POLLHUP | PollFlags::POLLERR;
         let mut polled = [PollFd::new(self.as_fd(), ends | PollFlags::POLLIN)];
-        if !poll(&mut polled, PollTimeout::ZERO).is_ok_and(|found| found > 0) {
+        if !poll(&mut polled, PollTimeout::ZERO).is_ok_and(|ready| ready > 0) {
             return false;
         }
         // `nix` doesn't define POLLRDHUP, and returns no flags at all if an undefined one is set.
-        if polled[0].revents().is_none_or(|found| found.intersects(ends)) {
+        if polled[0].revents().is_none_or(|events| events.intersects(ends)) {
             self.mark_peer_closed();
             return true;
         }
@@ -205,24 +205,28 @@
         Some(self.partial_since.load(Relaxed)).filter(|at| *at > 0).map(|at| now - Time(at))
     }
 
-    /// Called by the reader after it has taken all complete messages: `buffer` is what remains, `any` whether
-    /// there was one.
-    pub fn messages_taken(&self, buffer: &[u8], any: bool) {
+    /// Called by the reader after it has taken all complete messages: `buffer` is what remains, `has_taken`
+    /// whether there was one.
+    pub fn messages_taken(&self, buffer: &[u8], has_taken: bool) {
         if buffer.is_empty() {
             self.partial_since.store(0, Relaxed);
-        } else if any {
+        } else if has_taken {
             self.partial_since.store(self.last_read_at.load(Relaxed), Relaxed);
         }
     }
 
     /// Reads available bytes without blocking. Returns the time of the read, or none if nothing is available,
     /// and the reason to close the connection if the stream has ended or failed.
-    pub fn try_read(&self, into: &mut bytes::BytesMut, most: usize) -> Result<Option<Time>, CloseReason> {
+    pub fn try_read(
+        &self,
+        into: &mut bytes::BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<Time>, CloseReason> {
         let old_length = into.len();
-        into.resize(old_length + most, 0);
-        let found = recv(self.stream.as_raw_fd(), &mut into[old_length..], MsgFlags::MSG_DONTWAIT);
-        into.truncate(old_length + found.unwrap_or(0));
-        match found {
+        into.resize(old_length + max_bytes, 0);
+        let result = recv(self.stream.as_raw_fd(), &mut into[old_length..], MsgFlags::MSG_DONTWAIT);
+        into.truncate(old_length + result.unwrap_or(0));
+        match result {
             Ok(0) => {
                 self.mark_peer_closed();
                 Err(if old_length > 0 { CloseReason::ClosedInMessage } else { CloseReason::ClosedByPeer })
--- a/crates/dispatcher/src/fleet_connection/findings.rs
+++ b/crates/dispatcher/src/fleet_connection/findings.rs
@@ -57,7 +57,7 @@
     /// Sends which hosts were ejected or returned.
     pub(super) fn send_ejections(&mut self, engine: &DecisionEngine) {
         let ejected: BTreeMap<HostId, bool> =
-            engine.ejected_hosts().map(|(host, why)| (host, why == EjectionCause::Reported)).collect();
+            engine.ejected_hosts().map(|(host, cause)| (host, cause == EjectionCause::Reported)).collect();
         for (host, by_report) in
             ejected.iter().filter(|(host, by_report)| self.ejected.get(host) != Some(by_report))
         {
--- a/crates/dispatcher/src/host_connections.rs
+++ b/crates/dispatcher/src/host_connections.rs
@@ -27,8 +27,14 @@
     epoll: Epoll,
     capacity: HostCapacity,
     connect_timeout: Span,
-    /// The last key given out, and the connections by key.
-    registered: Mutex<(u64, BTreeMap<u64, Registered>)>,
+    registry: Mutex<Registry>,
+}
+
+#[derive(Default)]
+struct Registry {
+    last_key: u64,
+    /// The connections by key.
+    connections: BTreeMap<u64, Registered>,
 }
 
 struct Registered {
@@ -47,14 +53,14 @@
     pub fn start(capacity: HostCapacity, connect_timeout: Span) -> io::Result<Arc<HostConnections>> {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
         let connections =
-            Arc::new(HostConnections { epoll, capacity, connect_timeout, registered: Mutex::default() });
+            Arc::new(HostConnections { epoll, capacity, connect_timeout, registry: Mutex::default() });
         let own = connections.clone();
         spawn("lines", move || own.run())?;
         Ok(connections)
     }
 
-    fn lock(&self) -> MutexGuard<'_, (u64, BTreeMap<u64, Registered>)> {
-        self.registered.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Registry> {
+        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Starts to connect. The host's actor gets `Connected` or `Closed`.
@@ -66,12 +72,12 @@
                 Err(error) if error.raw_os_error() != Some(libc::EINPROGRESS) => return Err(error),
                 _ => {}
             }
-            let mut all = self.lock();
-            all.0 += 1;
-            let key = all.0;
+            let mut registry = self.lock();
+            registry.last_key += 1;
+            let key = registry.last_key;
             self.epoll.add(&socket, EpollEvent::new(EpollFlags::EPOLLOUT, key))?;
             let state = State::Connecting { socket, since: clock::now() };
-            all.1.insert(key, Registered { host: host.clone(), id, state });
+            registry.connections.insert(key, Registered { host: host.clone(), id, state });
             Ok(())
         };
         if let Err(error) = start() {
@@ -82,7 +88,7 @@
     /// Gives up connects that exceed the connect limit.
     pub fn time_out_connects(&self, now: Time) {
         let is_timed_out = |entry: &Registered| matches!(entry.state, State::Connecting { since, .. } if since + self.connect_timeout <= now);
-        self.lock().1.retain(|_, entry| {
+        self.lock().connections.retain(|_, entry| {
             let ends = is_timed_out(entry);
             if ends {
                 entry.host.send(ToHost::Closed(entry.id, CloseReason::ConnectTimeout, now));
@@ -94,20 +100,20 @@
     fn run(&self) {
         let mut events = [EpollEvent::empty(); EVENTS_PER_WAIT];
         loop {
-            let found = match self.epoll.wait(&mut events, EpollTimeout::NONE) {
-                Ok(found) => found,
+            let event_count = match self.epoll.wait(&mut events, EpollTimeout::NONE) {
+                Ok(event_count) => event_count,
                 Err(Errno::EINTR) => continue,
                 Err(error) => {
                     tracing::error!("epoll failed, connections to hosts are no longer read: {error}");
                     return;
                 }
             };
-            for event in &events[..found] {
+            for event in &events[..event_count] {
                 // Stops reading while too many answers wait to be passed on; the time doesn't count as a
                 // stalled message.
                 while self.capacity.is_full() {
                     std::thread::sleep(CAPACITY_WAIT);
-                    for entry in self.lock().1.values() {
+                    for entry in self.lock().connections.values() {
                         if let State::Up { connection, .. } = &entry.state {
                             connection.messages_taken(&[], false);
                         }
@@ -119,10 +125,10 @@
     }
 
     fn handle_event(&self, key: u64) {
-        let mut all = self.lock();
-        let Some(entry) = all.1.get_mut(&key) else { return };
+        let mut registry = self.lock();
+        let Some(entry) = registry.connections.get_mut(&key) else { return };
         let Err(reason) = entry.handle_event(&self.epoll, key, &self.capacity) else { return };
-        let Some(Registered { host, id, state }) = all.1.remove(&key) else { return };
+        let Some(Registered { host, id, state }) = registry.connections.remove(&key) else { return };
         let reason = match state {
             State::Connecting { .. } => reason,
             State::Up { connection, .. } => {
@@ -156,7 +162,7 @@
             }
             State::Up { connection, buffer, read_size } => {
                 let Some(at) = connection.try_read(buffer, *read_size)? else { return Ok(()) };
-                let mut any = false;
+                let mut has_taken = false;
                 *read_size = loop {
                     let message = match resp::next(buffer)? {
                         Parsed::Answer(answer) => {
@@ -165,14 +171,14 @@
                         }
                         Parsed::Unusable => return Err(CloseReason::UnusableAnswer),
                         Parsed::Incomplete(more) => {
-                            connection.messages_taken(buffer, any);
+                            connection.messages_taken(buffer, has_taken);
                             if buffer.is_empty() {
                                 *buffer = BytesMut::new();
                             }
                             break more.clamp(READ_BYTES, 4 * READ_BYTES);
                         }
                     };
-                    any = true;
+                    has_taken = true;
                     if !self.host.send(message) {
                         return Err(CloseReason::ShuttingDown);
                     }
--- a/crates/dispatcher/src/host_list.rs
+++ b/crates/dispatcher/src/host_list.rs
@@ -117,7 +117,7 @@
     /// too long.
     pub fn redate(&mut self, clocks: &Clocks) -> Vec<(HostId, Time)> {
         let (starts, entries, ramp) = (&mut self.starts, &mut self.entries, self.ramp);
-        let mut found = Vec::new();
+        let mut redated = Vec::new();
         self.warming.retain(|id| {
             let Some(start) = starts.get_mut(id).filter(|start| clocks.now < start.at + ramp) else {
                 return false;
@@ -126,11 +126,11 @@
             if at + MIN_START_CORRECTION < start.at {
                 start.at = at;
                 entries.get_mut(id).into_iter().for_each(|entry| entry.listing.started_at = Some(at));
-                found.push((*id, at));
+                redated.push((*id, at));
             }
             true
         });
-        found
+        redated
     }
 
     /// The weight that an entry is given. An unusable one never counts as more than a listed weight of the
--- a/crates/dispatcher/src/mailbox.rs
+++ b/crates/dispatcher/src/mailbox.rs
@@ -15,9 +15,9 @@
 
 /// Receives from the first of two channels that has a message, waiting no longer than `wait`.
 pub fn recv_timeout<T>(mailboxes: &[Receiver<T>; 2], wait: Duration) -> Option<T> {
-    let found = mailboxes.iter().find_map(|mailbox| mailbox.try_recv().ok());
-    if found.is_some() || wait.is_zero() {
-        return found;
+    let message = mailboxes.iter().find_map(|mailbox| mailbox.try_recv().ok());
+    if message.is_some() || wait.is_zero() {
+        return message;
     }
     let mut select = Select::new();
     for mailbox in mailboxes {
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -104,14 +104,14 @@
         files.config.ok_or(Error::NoConfigurationFile).and_then(|path| match Config::load_text(&path) {
             Ok((config, text)) => Ok((path, config, text)),
             Err(error) if last_good => {
-                let known = kept.as_ref().and_then(StateStore::last_good).ok_or(error)?;
-                let config = Config::decode(&known.text)?;
+                let version = kept.as_ref().and_then(StateStore::last_good).ok_or(error)?;
+                let config = Config::decode(&version.text)?;
                 tracing::warn!(
                     "invalid configuration, starting with number {}, in force since {}, instead",
-                    known.number,
-                    known.in_force_since
+                    version.number,
+                    version.in_force_since
                 );
-                Ok((path, config, known.text))
+                Ok((path, config, version.text))
             }
             Err(error) => Err(error),
         });
--- a/crates/dispatcher/src/startup.rs
+++ b/crates/dispatcher/src/startup.rs
@@ -53,7 +53,10 @@
         }
         let mut delivery = None;
         if let Some((fleet, mut peers_settings)) = fleet {
-            peers_settings.delivery.iter_mut().for_each(|one| one.last_change = ChangeNumber(last_change));
+            peers_settings
+                .delivery
+                .iter_mut()
+                .for_each(|delivery| delivery.last_change = ChangeNumber(last_change));
             let fleet_connection = FleetConnection::start(
                 &fleet,
                 peers_settings,
--- a/crates/dispatcher/src/store_commands.rs
+++ b/crates/dispatcher/src/store_commands.rs
@@ -113,14 +113,14 @@
 }
 
 fn execute(command: Command) -> Result<(), Failure> {
-    let mut out = io::stdout().lock();
+    let mut stdout = io::stdout().lock();
     match command {
         Command::Put(put) => {
             let store = open(&put.dir, put.segment_kb)?;
             let done = match &put.space_key_value[..] {
                 [space, key, value] => store.write(Batch::new().put(space, &key[..], &value[..])).map(drop),
                 _ => {
-                    drop(out);
+                    drop(stdout);
                     put_lines(&store)?;
                     Ok(())
                 }
@@ -130,8 +130,8 @@
         }
         Command::Get { dir, space, key } => {
             let value = open_read_only(&dir)?.get(&space, key.as_bytes())?.ok_or(Failure::NoSuchKey)?;
-            out.write_all(&value)?;
-            out.write_all(b"\n")?;
+            stdout.write_all(&value)?;
+            stdout.write_all(b"\n")?;
         }
         Command::List { dir, space } => {
             let store = open_read_only(&dir)?;
@@ -140,7 +140,7 @@
                 let bound = from.as_deref().map_or(Bound::Unbounded, Bound::Excluded);
                 let page = store.scan(&space, bound, 1000)?;
                 for (key, value) in &page {
-                    out.write_all(&[key, &b"\t"[..], value, b"\n"].concat())?;
+                    stdout.write_all(&[key, &b"\t"[..], value, b"\n"].concat())?;
                 }
                 match page.into_iter().last() {
                     Some((key, _)) => from = Some(key),
@@ -151,10 +151,10 @@
         Command::Stats { dir, json } => {
             let stats = open_read_only(&dir)?.stats();
             if json {
-                writeln!(out, "{}", serde_json::to_string(&stats).map_err(io::Error::from)?)?;
+                writeln!(stdout, "{}", serde_json::to_string(&stats).map_err(io::Error::from)?)?;
             } else {
                 writeln!(
-                    out,
+                    stdout,
                     "{} records in {} spaces; {} kB of log in {} segments, {} kB of them live; next batch {}",
                     stats.records,
                     stats.spaces.len(),
@@ -164,28 +164,28 @@
                     stats.next_batch
                 )?;
                 for (space, records) in &stats.spaces {
-                    writeln!(out, "  {space}: {records}")?;
+                    writeln!(stdout, "  {space}: {records}")?;
                 }
-                stats.notes.iter().try_for_each(|note| writeln!(out, "  note: {note}"))?;
+                stats.notes.iter().try_for_each(|note| writeln!(stdout, "  note: {note}"))?;
             }
         }
         Command::Verify { dir, json } => {
-            let found = open_read_only(&dir).and_then(|store| store.verify());
+            let report = open_read_only(&dir).and_then(|store| store.verify());
             if json {
-                let value = match &found {
+                let value = match &report {
                     Ok(checked) => serde_json::json!({"whole": true, "checked": checked}),
                     Err(Error::Damaged(Damage { file, offset, description: what })) => {
                         serde_json::json!({"whole": false, "file": file, "offset": offset, "what": what})
                     }
                     Err(error) => serde_json::json!({"whole": null, "error": error.to_string()}),
                 };
-                writeln!(out, "{value}")?;
+                writeln!(stdout, "{value}")?;
             }
-            let checked = found?;
+            let checked = report?;
             if !json {
                 let (batches, records) = (checked.batches, checked.records);
                 writeln!(
-                    out,
+                    stdout,
                     "undamaged: {} kB, {batches} batches, {records} records",
                     checked.bytes / 1024
                 )?;
@@ -196,7 +196,7 @@
             let before = store.stats().log_bytes;
             store.compact()?;
             store.checkpoint()?;
-            writeln!(out, "{} kB, {} kB before", store.stats().log_bytes / 1024, before / 1024)?;
+            writeln!(stdout, "{} kB, {} kB before", store.stats().log_bytes / 1024, before / 1024)?;
             store.close()?;
         }
         Command::Export { dir, file } => {
@@ -207,7 +207,7 @@
             let mut to = io::BufWriter::new(to);
             let records = snapshot.export(&mut to)?;
             to.into_inner().map_err(|error| failed(error.into_error()))?.sync_all().map_err(failed)?;
-            writeln!(out, "{records} records")?;
+            writeln!(stdout, "{records} records")?;
         }
         Command::Import { dir, file } => {
             let name = file.display().to_string();
@@ -217,7 +217,7 @@
             let store = open(&dir, 8192)?;
             batches.into_iter().try_for_each(|batch| store.write(batch).map(drop))?;
             store.close()?;
-            writeln!(out, "{records} records")?;
+            writeln!(stdout, "{records} records")?;
         }
         Command::Repair { dir, into } => {
             let old = Folder::open_read_only(&dir)?;
@@ -226,12 +226,12 @@
                 return Err(Failure::File(into.display().to_string(), exists));
             }
             let new = open(&into, 8192)?;
-            let found = repair::salvage(&old as &dyn Disk, |batch| new.write(batch).map(drop))?;
+            let salvaged = repair::salvage(&old as &dyn Disk, |batch| new.write(batch).map(drop))?;
             new.close()?;
-            found.lost.iter().try_for_each(|damage| writeln!(out, "lost: {damage}"))?;
-            writeln!(out, "{} batches with {} records recovered", found.batches, found.records)?;
-            if !found.lost.is_empty() {
-                return Err(Failure::PartlyRepaired(found.lost.len(), into.display().to_string()));
+            salvaged.lost.iter().try_for_each(|damage| writeln!(stdout, "lost: {damage}"))?;
+            writeln!(stdout, "{} batches with {} records recovered", salvaged.batches, salvaged.records)?;
+            if !salvaged.lost.is_empty() {
+                return Err(Failure::PartlyRepaired(salvaged.lost.len(), into.display().to_string()));
             }
         }
     }
@@ -243,11 +243,11 @@
     let (sender, results) = bounded::<(u64, Result<_, Error>)>(MAX_IN_FLIGHT);
     std::thread::scope(|scope| {
         let printer = scope.spawn(move || {
-            let mut out = io::stdout().lock();
+            let mut stdout = io::stdout().lock();
             for (number, result) in results {
                 result?;
-                writeln!(out, "{number}")?;
-                out.flush()?;
+                writeln!(stdout, "{number}")?;
+                stdout.flush()?;
             }
             Ok::<(), Failure>(())
         });
