--- a/crates/dispatcher/src/fleet_connection/shares.rs
+++ b/crates/dispatcher/src/fleet_connection/shares.rs
@@ -71,7 +71,7 @@
     fn apply_share(&self, engine: &mut DecisionEngine, key: LimitKey) {
         if let Some(Share { amount, until, after }) = self.shares.get(&key) {
             let scale = self.scale(key);
-            engine.set_allotment(shared_limit(key), scale * amount, module_time(*until), scale * after);
+            engine.set_allowance(shared_limit(key), scale * amount, module_time(*until), scale * after);
         }
     }
 
--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -32,7 +32,7 @@
 
     /// Sets this dispatcher's part of a shared limit: `amount` until `until`, then `after` without a further
     /// call. Amounts that are negative, infinite or not a number are ignored.
-    pub fn set_allotment(&mut self, shared: SharedLimit, amount: f64, until: Time, after: f64) {
+    pub fn set_allowance(&mut self, shared: SharedLimit, amount: f64, until: Time, after: f64) {
         if [amount, after].iter().any(|value| !(0.0..=f64::MAX).contains(value)) {
             return;
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -23,7 +23,7 @@
 //! - `flow N BAND EVERY OBJECTS`: a series of visits
 //! - `name NEW to|from ID`: another name for the host that a visit was sent to or filled from
 //! - `mark`: resets the counts
-//! - `allot origin|further|NAME AMOUNT MS AFTER`: the dispatcher's allotment of a shared limit, for MS and after that
+//! - `allot origin|further|NAME AMOUNT MS AFTER`: the dispatcher's allowance of a shared limit, for MS and after that
 //! - `word|new NAME MS [SINCE]`: other dispatchers report a host as bad, or as restarted, for MS; SINCE is
 //!   the start of the process that they report on, by default the listed one
 //!
@@ -424,7 +424,7 @@
                 };
                 let (amount, after) = (amount.parse().unwrap(), after.parse().unwrap());
                 let until = Time(self.now + micros(time));
-                self.call_module(|engine, _| engine.set_allotment(limit, amount, until, after));
+                self.call_module(|engine, _| engine.set_allowance(limit, amount, until, after));
             }
             [word @ ("word" | "new"), name, time, since @ ..] => {
                 let condition =
